--- a/crates/admission/benches/decisions.rs
+++ b/crates/admission/benches/decisions.rs
@@ -178,7 +178,7 @@
         for (index, ticket) in tickets.into_iter().enumerate() {
             let completion = Completion {
                 output: 20 + (scatter(index, 5) % 300) as u32,
-                whole: true,
+                complete: true,
             };
             black_box(self.scheduler.finish(ticket, completion, now));
         }
@@ -201,8 +201,8 @@
     let mut keys = SlotMap::<AccountKey, ()>::with_key();
     let spec = |_| AccountSpec {
         key: keys.insert(()),
-        requests: 1e9,
-        tokens: 1e12,
+        request_rate: 1e9,
+        token_rate: 1e12,
         concurrency: 1000,
         ..AccountSpec::default()
     };
@@ -335,7 +335,7 @@
 /// Ten thousand overdue requests after a pause: time for all the answers.
 #[divan::bench(sample_count = 10, sample_size = 1)]
 fn answer_overdue(bencher: Bencher<'_, '_>) {
-    let patience = Millis(60_000);
+    let timeout = Millis(60_000);
     bencher
         .counter(ItemsCount::new(USUAL.queue))
         .with_inputs(|| {
@@ -343,13 +343,13 @@
             let mut arrivals = fixture.arrivals.clone();
             for index in 0..USUAL.queue {
                 let arrival = &mut arrivals[index % BATCH];
-                arrival.deadline = NOW + patience;
+                arrival.deadline = NOW + timeout;
                 fixture.scheduler.submit(arrival, NOW);
             }
             fixture
         })
         .bench_local_refs(|fixture| {
-            while let Some(Action::Refuse(refused)) = fixture.scheduler.next(NOW + patience, 0) {
+            while let Some(Action::Refuse(refused)) = fixture.scheduler.next(NOW + timeout, 0) {
                 black_box(refused);
             }
         });
--- a/crates/admission/examples/overload/model.rs
+++ b/crates/admission/examples/overload/model.rs
@@ -9,6 +9,7 @@
 
 use crocushold_admission::AccountSpec;
 use crocushold_admission::Action;
+use crocushold_admission::Admission;
 use crocushold_admission::Arrival;
 use crocushold_admission::ClassSpec;
 use crocushold_admission::Completion;
@@ -16,7 +17,6 @@
 use crocushold_admission::Sent;
 use crocushold_admission::Settings;
 use crocushold_admission::Ticket;
-use crocushold_admission::Verdict;
 use crocushold_base::AccountKey;
 use crocushold_base::ClassKey;
 use crocushold_base::Millis;
@@ -312,7 +312,7 @@
         {
             let completion = Completion {
                 output: job.output,
-                whole: true,
+                complete: true,
             };
             managed.scheduler.finish(ticket, completion, now);
         }
@@ -421,11 +421,11 @@
             ..Arrival::default()
         };
         match self.scheduler.submit(&arrival, now) {
-            Verdict::Queued(key) => {
+            Admission::Queued(key) => {
                 self.jobs.insert(key, index);
                 true
             }
-            Verdict::Refused(_) => false,
+            Admission::Refused(_) => false,
         }
     }
 
@@ -498,11 +498,11 @@
     vec![accountants, reminders, sheets]
 }
 
-fn spec(tier: u8, target: Millis, patience: Millis, floor: f64) -> ClassSpec {
+fn spec(tier: u8, target: Millis, max_wait: Millis, floor: f64) -> ClassSpec {
     ClassSpec {
         tier,
         target,
-        patience,
+        max_wait,
         floor,
         ..ClassSpec::default()
     }
--- a/crates/admission/src/account.rs
+++ b/crates/admission/src/account.rs
@@ -46,8 +46,8 @@
 
 impl Account {
     pub(crate) fn new(spec: AccountSpec, now: Millis) -> Account {
-        let requests = Bucket::new(spec.requests, spec.burst, now);
-        let tokens = Bucket::new(spec.tokens, spec.burst, now);
+        let requests = Bucket::new(spec.request_rate, spec.burst, now);
+        let tokens = Bucket::new(spec.token_rate, spec.burst, now);
         Account {
             spec,
             queued: 0,
@@ -116,7 +116,7 @@
                 wait,
             });
         }
-        if self.queued >= self.spec.queue {
+        if self.queued >= self.spec.max_queued {
             return Err(LimitHit {
                 reason: Reason::AccountQueue,
                 wait: Millis::ZERO,
@@ -166,8 +166,8 @@
 
     fn apply_rates(&mut self, now: Millis) {
         let burst = self.spec.burst;
-        let requests = self.spec.requests * self.share;
-        let tokens = self.spec.tokens * self.share;
+        let requests = self.spec.request_rate * self.share;
+        let tokens = self.spec.token_rate * self.share;
         self.requests.set_rate(rate(requests), burst, now);
         self.tokens.set_rate(rate(tokens), burst, now);
     }
--- a/crates/admission/src/headroom.rs
+++ b/crates/admission/src/headroom.rs
@@ -55,9 +55,9 @@
         self.roll(now);
         let all = f64::from(slots);
         let wanted = (self.peak - absorbed).max(0.0);
-        let most = all * self.settings.most.clamp(0.0, 1.0);
+        let most = all * self.settings.max_share.clamp(0.0, 1.0);
         // Rounded up: a share of a few slots would be none, and the last one is what counts.
-        let least = (all * self.settings.least.clamp(0.0, 1.0)).ceil();
+        let least = (all * self.settings.min_share.clamp(0.0, 1.0)).ceil();
         let kept = wanted.min(most).max(least) as u32;
         // With all slots kept, the lower tiers would never start anything.
         self.kept = kept.min(slots.saturating_sub(1));
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -7,7 +7,7 @@
 //! submit ──> queued ──next──> Ticket<Dispatched> ──sent──> Ticket<Sent> ──finish──> done
 //!    │          │                  │                            │
 //!    │          └─next: Refuse     └─requeue (keeps its place)  └─not_run: may be sent elsewhere
-//!    └─ Verdict::Refused
+//!    └─ Admission::Refused
 //! ```
 //!
 //! The slots of a scheduler are interchangeable. Where the engines of one service load different
@@ -39,7 +39,7 @@
 //! use crocushold_admission::Completion;
 //! use crocushold_admission::Scheduler;
 //! use crocushold_admission::Settings;
-//! use crocushold_admission::Verdict;
+//! use crocushold_admission::Admission;
 //! use crocushold_base::AccountKey;
 //! use crocushold_base::ClassKey;
 //! use crocushold_base::Millis;
@@ -56,7 +56,7 @@
 //!
 //! let arrival = Arrival { class, account, prompt_tokens: 300, ..Arrival::default() };
 //! let verdict = scheduler.submit(&arrival, Millis(10));
-//! assert!(matches!(verdict, Verdict::Queued(_)));
+//! assert!(matches!(verdict, Admission::Queued(_)));
 //!
 //! let Some(Action::Dispatch(ticket)) = scheduler.next(Millis(11), 4) else {
 //!     panic!("a slot is free");
@@ -64,9 +64,9 @@
 //! // A backend server was found: from here on the request can't be queued again.
 //! let ticket = ticket.sent();
 //! scheduler.progress(&ticket, 1, Millis(150));
-//! let whole = Completion { output: 80, whole: true };
-//! let settlement = scheduler.finish(ticket, whole, Millis(1800)).expect("it was running");
-//! assert_eq!(settlement.waited, Millis(1));
+//! let completion = Completion { output: 80, complete: true };
+//! let settlement = scheduler.finish(ticket, completion, Millis(1800)).expect("it was running");
+//! assert_eq!(settlement.queue_time, Millis(1));
 //! ```
 
 mod account;
@@ -91,11 +91,11 @@
 pub use refusal::Refused;
 pub use request::Arrival;
 pub use scheduler::Action;
+pub use scheduler::Admission;
 pub use scheduler::Cancelled;
 pub use scheduler::Completion;
 pub use scheduler::Scheduler;
 pub use scheduler::Settlement;
-pub use scheduler::Verdict;
 pub use settings::HeadroomSettings;
 pub use settings::Settings;
 pub use spec::AccountSpec;
@@ -105,6 +105,6 @@
 pub use status::Status;
 pub use ticket::Dispatched;
 pub use ticket::NotRun;
-pub use ticket::Repeatable;
+pub use ticket::RetryPermit;
 pub use ticket::Sent;
 pub use ticket::Ticket;
--- a/crates/admission/src/scheduler/configure.rs
+++ b/crates/admission/src/scheduler/configure.rs
@@ -113,7 +113,7 @@
         class.spec = spec.clone();
         let settings = &self.settings;
         class.kept = (kept_share(spec) * f64::from(settings.queue_limit)) as u32;
-        class.kept = class.kept.min(spec.queue);
+        class.kept = class.kept.min(spec.max_queued);
         class.kept_bytes = (kept_share(spec) * settings.queue_bytes as f64) as u64;
         self.orders.refresh(spec.key, class);
     }
--- a/crates/admission/src/scheduler/estimate.rs
+++ b/crates/admission/src/scheduler/estimate.rs
@@ -43,8 +43,8 @@
         let prompt = arrival.prompt_tokens;
         let spec = &class.spec;
         let start = start_time(class);
-        let patience = spec.patience.max(spec.target);
-        let ends = before((now + patience).min(arrival.deadline), start);
+        let max_wait = spec.max_wait.max(spec.target);
+        let ends = before((now + max_wait).min(arrival.deadline), start);
         let charge = self.cost(prompt, output);
         let target = scaled_target(class);
         let due = before(now + spec.target, start).min(ends);
--- a/crates/admission/src/scheduler/mod.rs
+++ b/crates/admission/src/scheduler/mod.rs
@@ -32,7 +32,7 @@
 pub use settle::Cancelled;
 pub use settle::Completion;
 pub use settle::Settlement;
-pub use submit::Verdict;
+pub use submit::Admission;
 
 /// Admission, scheduling and limits of one service on one entry instance.
 ///
@@ -103,7 +103,7 @@
     /// a pause are therefore not learned from; otherwise one suspension would make the service look
     /// slow, and requests would be refused that could well attain.
     fn observe(&mut self, now: Millis) -> Millis {
-        if now.since(self.now) > self.settings.gap {
+        if now.since(self.now) > self.settings.pause_threshold {
             self.pauses = self.pauses.wrapping_add(1);
         }
         self.now = self.now.max(now);
--- a/crates/admission/src/scheduler/report.rs
+++ b/crates/admission/src/scheduler/report.rs
@@ -15,7 +15,7 @@
             bytes: self.bytes.iter().sum(),
             running: self.running,
             headroom: self.headroom.kept(),
-            speed: self.pace.speed(self.slots()) * 1000.0,
+            tokens_per_second: self.pace.speed(self.slots()) * 1000.0,
         }
     }
 
@@ -28,7 +28,7 @@
             backlog: class.backlog,
             accounts: class.active() as u32,
             flows: class.flow_count() as u32,
-            wait: self.predict(key, AccountKey::default(), class.backlog, self.now),
+            predicted_wait: self.predict(key, AccountKey::default(), class.backlog, self.now),
         })
     }
 
--- a/crates/admission/src/scheduler/settle.rs
+++ b/crates/admission/src/scheduler/settle.rs
@@ -24,7 +24,7 @@
     /// Output tokens that were generated, as far as known.
     pub output: u32,
     /// The answer is whole. A cut answer is charged but teaches nothing about lengths.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 /// What a finished request cost.
@@ -35,9 +35,9 @@
     /// Real cost, in output tokens.
     pub used: u64,
     /// Time that it held its slot.
-    pub held: Millis,
+    pub service_time: Millis,
     /// Time from arrival to start.
-    pub waited: Millis,
+    pub queue_time: Millis,
 }
 
 /// What a cancellation ended.
@@ -84,7 +84,7 @@
         let key = ticket.redeem();
         let run = self.end_run(key)?;
         let request = self.requests.remove(key)?;
-        if completion.whole {
+        if completion.complete {
             self.learn(&request, &run, completion.output, now);
         }
         Some(self.settle(&request, &run, completion.output, now))
@@ -163,8 +163,8 @@
         Settlement {
             charged: run.charged,
             used,
-            held: now.since(run.since),
-            waited: run.since.since(request.arrived),
+            service_time: now.since(run.since),
+            queue_time: run.since.since(request.arrived),
         }
     }
 
--- a/crates/admission/src/scheduler/submit.rs
+++ b/crates/admission/src/scheduler/submit.rs
@@ -15,7 +15,7 @@
 
 /// What becomes of an arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Admission {
     /// It is queued under this key.
     Queued(RequestKey),
     /// It won't run; the answer is final.
@@ -27,11 +27,11 @@
     ///
     /// A refusal allocates nothing and uses up no limit. An admission may displace queued work of a
     /// lower tier; its refusals come out of [`next`](Scheduler::next).
-    pub fn submit(&mut self, arrival: &Arrival, now: Millis) -> Verdict {
+    pub fn submit(&mut self, arrival: &Arrival, now: Millis) -> Admission {
         let now = self.observe(now);
         match self.admit(arrival, now) {
-            Ok(key) => Verdict::Queued(key),
-            Err(refusal) => Verdict::Refused(refusal),
+            Ok(key) => Admission::Queued(key),
+            Err(refusal) => Admission::Refused(refusal),
         }
     }
 
@@ -107,7 +107,7 @@
         let class = self.classes.get(arrival.class)?;
         let held: u64 = self.bytes.iter().sum();
         let limit = self.settings.queue_limit;
-        if class.queued >= class.spec.queue {
+        if class.queued >= class.spec.max_queued {
             return Some(Shortage::Class);
         }
         if class.queued >= class.kept && self.queued + self.spare >= limit {
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -24,7 +24,7 @@
     /// Longest retry time that is ever given, before jitter.
     pub retry_max: Millis,
     /// A pause between two events from which on durations that span it teach nothing.
-    pub gap: Millis,
+    pub pause_threshold: Millis,
     /// Slots kept free for the live tier.
     pub headroom: HeadroomSettings,
 }
@@ -41,7 +41,7 @@
             wait_margin: 0.8,
             retry_min: Millis::from_secs(1),
             retry_max: Millis::from_secs(300),
-            gap: Millis::from_secs(2),
+            pause_threshold: Millis::from_secs(2),
             headroom: HeadroomSettings::default(),
         }
     }
@@ -51,9 +51,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeadroomSettings {
     /// Share of all slots that is always left free, from 0 to 1.
-    pub least: f64,
+    pub min_share: f64,
     /// Share of all slots that is left free at most, from 0 to 1: the goodput that bursts may cost.
-    pub most: f64,
+    pub max_share: f64,
     /// Length of the windows in which arrivals of the live tier are counted.
     pub window: Millis,
     /// Time in which the memory of a peak fades to half.
@@ -63,8 +63,8 @@
 impl Default for HeadroomSettings {
     fn default() -> HeadroomSettings {
         HeadroomSettings {
-            least: 0.0,
-            most: 0.03,
+            min_share: 0.0,
+            max_share: 0.03,
             window: Millis(2000),
             half_life: Millis::from_secs(600),
         }
--- a/crates/admission/src/spec.rs
+++ b/crates/admission/src/spec.rs
@@ -22,11 +22,11 @@
     pub target: Millis,
     /// Time from arrival after which an answer is of no use and the request is refused instead;
     /// never taken shorter than `target`. `Millis::MAX` for a class that waits until it is served.
-    pub patience: Millis,
+    pub max_wait: Millis,
     /// Guaranteed share of all dispatched tokens while the class has work queued, from 0 to 1.
     pub floor: f64,
     /// Most requests of the class that may be queued.
-    pub queue: u32,
+    pub max_queued: u32,
 }
 
 impl Default for ClassSpec {
@@ -36,9 +36,9 @@
             tier: 0,
             weight: 1.0,
             target: Millis::MAX,
-            patience: Millis::MAX,
+            max_wait: Millis::MAX,
             floor: 0.02,
-            queue: u32::MAX,
+            max_queued: u32::MAX,
         }
     }
 }
@@ -58,15 +58,15 @@
     /// Share of a class relative to other accounts.
     pub weight: f64,
     /// Requests a second.
-    pub requests: f64,
+    pub request_rate: f64,
     /// Prompt and output tokens a second.
-    pub tokens: f64,
+    pub token_rate: f64,
     /// Time for which an unused rate may be saved up.
     pub burst: Millis,
     /// Most requests in flight at once.
     pub concurrency: u32,
     /// Most requests queued at once.
-    pub queue: u32,
+    pub max_queued: u32,
 }
 
 impl Default for AccountSpec {
@@ -74,11 +74,11 @@
         AccountSpec {
             key: AccountKey::default(),
             weight: 1.0,
-            requests: f64::INFINITY,
-            tokens: f64::INFINITY,
+            request_rate: f64::INFINITY,
+            token_rate: f64::INFINITY,
             burst: Millis::from_secs(10),
             concurrency: u32::MAX,
-            queue: u32::MAX,
+            max_queued: u32::MAX,
         }
     }
 }
--- a/crates/admission/src/status.rs
+++ b/crates/admission/src/status.rs
@@ -15,7 +15,7 @@
     /// Slots that lower tiers leave free at present.
     pub headroom: u32,
     /// Learned speed of the service in estimated tokens a second; zero before anything finished.
-    pub speed: f64,
+    pub tokens_per_second: f64,
 }
 
 /// Figures of one class.
@@ -32,5 +32,5 @@
     /// Accounts that are remembered, queued or not.
     pub flows: u32,
     /// Predicted wait of a request that joins the end of the queue now.
-    pub wait: Millis,
+    pub predicted_wait: Millis,
 }
--- a/crates/admission/src/ticket.rs
+++ b/crates/admission/src/ticket.rs
@@ -28,7 +28,7 @@
 
 /// The word of the rule for repeats that a request may be sent again although it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Repeatable;
+pub struct RetryPermit;
 
 /// A started request. It occupies one slot until it is finished, queued again or cancelled by key.
 ///
@@ -106,7 +106,7 @@
 impl Ticket<Sent> {
     /// Takes the request back as one that may be sent a second time although it may have run: it is
     /// idempotent, and nothing of an answer went to its caller.
-    pub fn again(self, _permit: Repeatable) -> Ticket<Dispatched> {
+    pub fn retry(self, _permit: RetryPermit) -> Ticket<Dispatched> {
         self.become_state()
     }
 
--- a/crates/admission/tests/admission/bursts.rs
+++ b/crates/admission/tests/admission/bursts.rs
@@ -51,7 +51,7 @@
         spec: ClassSpec {
             tier,
             target: Millis::from_secs(target),
-            patience: Millis::from_secs(target),
+            max_wait: Millis::from_secs(target),
             floor,
             ..ClassSpec::default()
         },
@@ -123,7 +123,7 @@
 fn the_headroom_follows_bursts_and_fades() {
     let settings = Settings {
         headroom: HeadroomSettings {
-            most: 0.25,
+            max_share: 0.25,
             half_life: Millis::from_secs(60),
             ..HeadroomSettings::default()
         },
--- a/crates/admission/tests/admission/fairness.rs
+++ b/crates/admission/tests/admission/fairness.rs
@@ -262,7 +262,7 @@
     let class = |weight| ClassSpec {
         weight,
         target: Millis(10_000),
-        patience: Millis::MAX,
+        max_wait: Millis::MAX,
         ..live()
     };
     let mut bed = Bed::new(Settings::default(), &[class(1.0), class(4.0)], 2);
--- a/crates/admission/tests/admission/floors.rs
+++ b/crates/admission/tests/admission/floors.rs
@@ -18,7 +18,7 @@
 /// Live work without a bound on its wait, so that it stays queued.
 fn endless() -> ClassSpec {
     ClassSpec {
-        patience: Millis::MAX,
+        max_wait: Millis::MAX,
         target: Millis::MAX,
         ..live()
     }
@@ -118,7 +118,7 @@
         real[class] += output;
         let completion = Completion {
             output,
-            whole: false,
+            complete: false,
         };
         bed.scheduler.finish(ticket.sent(), completion, NOW);
     }
@@ -151,8 +151,8 @@
 fn a_floor_is_served_through_the_headroom() {
     let settings = Settings {
         headroom: crocushold_admission::HeadroomSettings {
-            least: 0.5,
-            most: 0.5,
+            min_share: 0.5,
+            max_share: 0.5,
             ..Default::default()
         },
         ..Settings::default()
--- a/crates/admission/tests/admission/limits.rs
+++ b/crates/admission/tests/admission/limits.rs
@@ -23,7 +23,7 @@
 
 fn tokens(rate: f64) -> AccountSpec {
     AccountSpec {
-        tokens: rate,
+        token_rate: rate,
         burst: Millis(1000),
         ..AccountSpec::default()
     }
@@ -33,7 +33,7 @@
 #[test]
 fn a_rate_limit_says_when_to_come_back() {
     let mut bed = bed(&AccountSpec {
-        requests: 0.5,
+        request_rate: 0.5,
         burst: Millis(2000),
         ..AccountSpec::default()
     });
@@ -103,7 +103,7 @@
 #[test]
 fn the_share_scales_rates_and_concurrency() {
     let mut bed = bed(&AccountSpec {
-        requests: 8.0,
+        request_rate: 8.0,
         burst: Millis(1000),
         concurrency: 4,
         ..AccountSpec::default()
@@ -190,7 +190,7 @@
 #[test]
 fn an_account_queue_is_bounded() {
     let mut bed = bed(&AccountSpec {
-        queue: 2,
+        max_queued: 2,
         ..AccountSpec::default()
     });
     bed.queue(1, 0, NOW);
@@ -208,7 +208,7 @@
         let sent = bed.dispatch(NOW, 1).sent();
         let completion = Completion {
             output: 1,
-            whole: false,
+            complete: false,
         };
         let settled = bed.scheduler.finish(sent, completion, NOW);
         assert_eq!(settled.map(|settlement| settlement.used), Some(1));
--- a/crates/admission/tests/admission/pauses.rs
+++ b/crates/admission/tests/admission/pauses.rs
@@ -53,7 +53,7 @@
 #[test]
 fn a_long_pause_saves_up_no_more_than_the_burst() {
     let spec = AccountSpec {
-        requests: 10.0,
+        request_rate: 10.0,
         burst: Millis(2000),
         ..AccountSpec::default()
     };
@@ -84,7 +84,7 @@
         bed.finish(ticket, 100, now);
     }
     bed.idle(now, 4);
-    let before = bed.scheduler.status().speed;
+    let before = bed.scheduler.status().tokens_per_second;
     let mut tickets = Vec::new();
     for free in (1..=4).rev() {
         bed.queue(0, 0, now);
@@ -97,7 +97,7 @@
     bed.queue(0, 0, now);
     let action = bed.scheduler.next(now, 4);
     assert!(matches!(action, Some(Action::Dispatch(_))));
-    assert_eq!(bed.scheduler.status().speed, before);
+    assert_eq!(bed.scheduler.status().tokens_per_second, before);
 }
 
 /// The clock steps back. Time is taken as standing still: a request that arrives then must not be
--- a/crates/admission/tests/admission/queue.rs
+++ b/crates/admission/tests/admission/queue.rs
@@ -74,7 +74,7 @@
 #[test]
 fn an_account_cannot_lock_others_out_of_its_class() {
     let class = ClassSpec {
-        queue: 8,
+        max_queued: 8,
         ..batch()
     };
     let mut bed = Bed::new(Settings::default(), &[class], 2);
--- a/crates/admission/tests/admission/refusals.rs
+++ b/crates/admission/tests/admission/refusals.rs
@@ -2,11 +2,11 @@
 
 use std::collections::HashSet;
 
+use crocushold_admission::Admission;
 use crocushold_admission::ClassSpec;
 use crocushold_admission::Reason;
 use crocushold_admission::Refusal;
 use crocushold_admission::Settings;
-use crocushold_admission::Verdict;
 use crocushold_base::Millis;
 use test_case::test_case;
 
@@ -36,7 +36,7 @@
     let (mut bed, now) = taught(&[live()]);
     let mut refusal = None;
     for _ in 0..4 {
-        if let Verdict::Refused(refused) = bed.submit(0, 0, now) {
+        if let Admission::Refused(refused) = bed.submit(0, 0, now) {
             refusal = Some(refused);
         }
     }
@@ -59,7 +59,7 @@
         bed.scheduler.progress(&ticket, 1, now);
         let completion = crocushold_admission::Completion {
             output: 100,
-            whole: true,
+            complete: true,
         };
         now += Millis(1500);
         bed.scheduler.finish(ticket, completion, now);
@@ -71,8 +71,8 @@
 /// can't attain any more, so its last start is half a second before the target.
 #[test_case(Millis(2000); "when it is refused then")]
 #[test_case(Millis::MAX; "when it is served late")]
-fn the_time_to_first_token_is_set_aside(patience: Millis) {
-    let class = ClassSpec { patience, ..live() };
+fn the_time_to_first_token_is_set_aside(max_wait: Millis) {
+    let class = ClassSpec { max_wait, ..live() };
     let mut bed = Bed::new(Settings::default(), &[class], 1);
     let mut now = Millis(0);
     for _ in 0..20 {
@@ -112,7 +112,7 @@
 fn later_deadlines_of_the_tier_do_not() {
     let patient = ClassSpec {
         target: Millis::from_secs(3600),
-        patience: Millis::MAX,
+        max_wait: Millis::MAX,
         ..live()
     };
     let (mut bed, now) = taught(&[live(), patient]);
@@ -127,7 +127,7 @@
 #[test]
 fn a_flood_of_one_account_does_not_get_others_refused() {
     let (mut bed, now) = taught(&[live()]);
-    while let Verdict::Queued(_) = bed.submit(0, 0, now) {}
+    while let Admission::Queued(_) = bed.submit(0, 0, now) {}
     bed.queue(0, 1, now);
 }
 
@@ -136,7 +136,7 @@
 #[test]
 fn retry_times_are_spread() {
     let (mut bed, now) = taught(&[live()]);
-    while let Verdict::Queued(_) = bed.submit(0, 0, now) {}
+    while let Admission::Queued(_) = bed.submit(0, 0, now) {}
     let times: HashSet<Millis> = (0..100)
         .map(|_| bed.refuse(0, 0, now).retry_after)
         .collect();
@@ -147,17 +147,17 @@
 #[test]
 fn retry_times_grow_with_the_queue() {
     let class = ClassSpec {
-        queue: 10,
+        max_queued: 10,
         ..batch()
     };
     let longer = ClassSpec {
-        queue: 100,
+        max_queued: 100,
         ..batch()
     };
     let times = [class, longer].map(|spec| {
         let (mut bed, now) = taught(&[spec]);
         loop {
-            if let Verdict::Refused(refusal) = bed.submit(0, 0, now) {
+            if let Admission::Refused(refusal) = bed.submit(0, 0, now) {
                 return refusal.retry_after;
             }
         }
@@ -173,7 +173,7 @@
 fn late_requests_go_behind_but_not_for_ever() {
     let class = ClassSpec {
         target: Millis(1000),
-        patience: Millis::MAX,
+        max_wait: Millis::MAX,
         ..batch()
     };
     let mut bed = Bed::new(Settings::default(), &[class], 1);
@@ -194,7 +194,7 @@
 #[test]
 fn late_requests_go_behind_other_classes_of_the_tier() {
     let patient = ClassSpec {
-        patience: Millis(60_000),
+        max_wait: Millis(60_000),
         ..live()
     };
     let mut bed = Bed::new(Settings::default(), &[patient, live()], 2);
--- a/crates/admission/tests/admission/sequences.rs
+++ b/crates/admission/tests/admission/sequences.rs
@@ -4,6 +4,7 @@
 
 use crocushold_admission::AccountSpec;
 use crocushold_admission::Action;
+use crocushold_admission::Admission;
 use crocushold_admission::ClassSpec;
 use crocushold_admission::Completion;
 use crocushold_admission::NotRun;
@@ -11,7 +12,6 @@
 use crocushold_admission::Sent;
 use crocushold_admission::Settings;
 use crocushold_admission::Ticket;
-use crocushold_admission::Verdict;
 use crocushold_base::Millis;
 use crocushold_base::RequestKey;
 use proptest::prelude::Just;
@@ -51,17 +51,17 @@
     account: usize,
     tokens: u32,
     bytes: u32,
-    patience: u64,
+    timeout: u64,
 }
 
 fn plan() -> impl Strategy<Value = Plan> {
     (0..CLASSES, 0..ACCOUNTS, 1u32..500, 0u32..1000, 1u64..20_000).prop_map(
-        |(class, account, tokens, bytes, patience)| Plan {
+        |(class, account, tokens, bytes, timeout)| Plan {
             class,
             account,
             tokens,
             bytes,
-            patience,
+            timeout,
         },
     )
 }
@@ -110,18 +110,18 @@
         let middle = ClassSpec {
             tier: 1,
             target: Millis(5000),
-            patience: Millis(30_000),
+            max_wait: Millis(30_000),
             ..ClassSpec::default()
         };
         let second = ClassSpec {
             target: Millis(4000),
-            patience: Millis(9000),
+            max_wait: Millis(9000),
             ..live()
         };
         let limited = AccountSpec {
             concurrency: 2,
-            tokens: 1000.0,
-            requests: 5.0,
+            token_rate: 1000.0,
+            request_rate: 5.0,
             ..AccountSpec::default()
         };
         let mut accounts = vec![AccountSpec::default(); ACCOUNTS];
@@ -159,17 +159,17 @@
         let mut arrival = self.bed.arrival(plan.class, plan.account);
         arrival.max_tokens = plan.tokens;
         arrival.bytes = plan.bytes;
-        arrival.deadline = self.now + Millis(plan.patience);
+        arrival.deadline = self.now + Millis(plan.timeout);
         self.submitted += 1;
         let settled = !self.owes_answers();
         match self.bed.scheduler.submit(&arrival, self.now) {
-            Verdict::Refused(refusal) => {
+            Admission::Refused(refusal) => {
                 self.ended += 1;
                 if refusal.reason == Reason::QueueFull && settled {
                     self.check_refused(plan);
                 }
             }
-            Verdict::Queued(key) => {
+            Admission::Queued(key) => {
                 let waiting = Waiting {
                     tier: self.bed.classes[plan.class].tier,
                     account: plan.account,
@@ -205,7 +205,7 @@
         if let Some((ticket, _)) = self.take_running(pick) {
             let completion = Completion {
                 output,
-                whole: !output.is_multiple_of(3),
+                complete: !output.is_multiple_of(3),
             };
             let settled = self.bed.scheduler.finish(ticket, completion, self.now);
             assert!(settled.is_some());
@@ -318,7 +318,7 @@
         while let Some((ticket, _)) = self.running.pop() {
             let completion = Completion {
                 output: 1,
-                whole: true,
+                complete: true,
             };
             self.bed.scheduler.finish(ticket, completion, self.now);
             self.ended += 1;
--- a/crates/admission/tests/admission/support.rs
+++ b/crates/admission/tests/admission/support.rs
@@ -2,6 +2,7 @@
 
 use crocushold_admission::AccountSpec;
 use crocushold_admission::Action;
+use crocushold_admission::Admission;
 use crocushold_admission::Arrival;
 use crocushold_admission::ClassSpec;
 use crocushold_admission::Completion;
@@ -11,7 +12,6 @@
 use crocushold_admission::Scheduler;
 use crocushold_admission::Settings;
 use crocushold_admission::Ticket;
-use crocushold_admission::Verdict;
 use crocushold_base::AccountKey;
 use crocushold_base::ClassKey;
 use crocushold_base::Millis;
@@ -67,7 +67,7 @@
         }
     }
 
-    pub(crate) fn submit(&mut self, class: usize, account: usize, now: Millis) -> Verdict {
+    pub(crate) fn submit(&mut self, class: usize, account: usize, now: Millis) -> Admission {
         let arrival = self.arrival(class, account);
         self.scheduler.submit(&arrival, now)
     }
@@ -75,16 +75,16 @@
     /// Submits a request that must be admitted.
     pub(crate) fn queue(&mut self, class: usize, account: usize, now: Millis) -> RequestKey {
         match self.submit(class, account, now) {
-            Verdict::Queued(key) => key,
-            Verdict::Refused(refusal) => panic!("refused: {}", refusal.reason),
+            Admission::Queued(key) => key,
+            Admission::Refused(refusal) => panic!("refused: {}", refusal.reason),
         }
     }
 
     /// Submits a request that must be refused.
     pub(crate) fn refuse(&mut self, class: usize, account: usize, now: Millis) -> Refusal {
         match self.submit(class, account, now) {
-            Verdict::Queued(_) => panic!("admitted"),
-            Verdict::Refused(refusal) => refusal,
+            Admission::Queued(_) => panic!("admitted"),
+            Admission::Refused(refusal) => refusal,
         }
     }
 
@@ -113,7 +113,7 @@
     pub(crate) fn finish(&mut self, ticket: Ticket<Dispatched>, output: u32, now: Millis) {
         let completion = Completion {
             output,
-            whole: true,
+            complete: true,
         };
         self.scheduler.finish(ticket.sent(), completion, now);
     }
@@ -124,7 +124,7 @@
     ClassSpec {
         tier: 0,
         target: Millis(2000),
-        patience: Millis(2000),
+        max_wait: Millis(2000),
         floor: 0.0,
         ..ClassSpec::default()
     }
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use crocushold_admission::NotRun;
-use crocushold_admission::Repeatable;
+use crocushold_admission::RetryPermit;
 use crocushold_admission::Sent;
 use crocushold_admission::Ticket;
 use crocushold_base::Clock;
@@ -298,7 +298,7 @@
         hangup: &Hangup,
     ) -> Result<Start, Failure> {
         let ticket = if attempts.facts.written {
-            ticket.again(Repeatable)
+            ticket.retry(RetryPermit)
         } else {
             ticket.not_run(NotRun::NothingWritten)
         };
--- a/crates/entry/src/pool.rs
+++ b/crates/entry/src/pool.rs
@@ -128,9 +128,9 @@
             seed: settings.seed,
             queue_bytes: settings.queue_bytes,
             headroom: HeadroomSettings {
-                most: MOST_HEADROOM,
+                max_share: MOST_HEADROOM,
                 window: HEADROOM_WINDOW,
-                least: LEAST_HEADROOM,
+                min_share: LEAST_HEADROOM,
                 ..HeadroomSettings::default()
             },
             ..admission::Settings::default()
--- a/crates/entry/src/pool/dispatch.rs
+++ b/crates/entry/src/pool/dispatch.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 
 use crocushold_admission::Action;
+use crocushold_admission::Admission;
 use crocushold_admission::Arrival;
 use crocushold_admission::Dispatched;
 use crocushold_admission::Ticket;
-use crocushold_admission::Verdict;
 use crocushold_base::Millis;
 use crocushold_base::RequestKey;
 use crocushold_base::ServerKey;
@@ -44,8 +44,8 @@
             self.demand.note(model, need.tier, now);
         }
         let key = match self.scheduler.submit(arrival, now) {
-            Verdict::Queued(key) => key,
-            Verdict::Refused(refusal) => return Err(Refusal::from_admission(&refusal)),
+            Admission::Queued(key) => key,
+            Admission::Refused(refusal) => return Err(Refusal::from_admission(&refusal)),
         };
         let (sender, turn) = oneshot::channel();
         let waiter = Waiter {
--- a/crates/entry/src/pool/tests.rs
+++ b/crates/entry/src/pool/tests.rs
@@ -162,7 +162,7 @@
         };
         let class = ClassSpec {
             key: shared.class,
-            patience: Millis::MAX,
+            max_wait: Millis::MAX,
             ..ClassSpec::default()
         };
         let account = AccountSpec {
--- a/crates/entry/src/settle.rs
+++ b/crates/entry/src/settle.rs
@@ -204,7 +204,7 @@
     let count = u32::try_from(record.tokens).unwrap_or(u32::MAX);
     let completion = Completion {
         output: count,
-        whole: record.end == RequestEnd::Completed,
+        complete: record.end == RequestEnd::Completed,
     };
     let now = watched.clock.now();
     let cause = match record.end {
@@ -216,7 +216,7 @@
         watched.metrics.wasted(cause, record.tokens, record.whole);
     }
     watched.metrics.finish(record, now);
-    watched.permit.settle(count, completion.whole);
+    watched.permit.settle(count, completion.complete);
     watched.slots.end(outcome, completion);
 }
 
--- a/crates/entry/src/world.rs
+++ b/crates/entry/src/world.rs
@@ -232,7 +232,7 @@
     fn account_spec(&self, key: AccountKey) -> AccountSpec {
         AccountSpec {
             key,
-            queue: self.account_queue,
+            max_queued: self.account_queue,
             ..AccountSpec::default()
         }
     }
@@ -258,13 +258,13 @@
         key,
         tier: class.priority.index() as u8,
         target: start,
-        patience: if patient {
+        max_wait: if patient {
             Millis::MAX
         } else {
             Millis(target.0.saturating_mul(PATIENCE_FACTOR))
         },
         floor: class.floor.as_fraction(),
-        queue: class.queue,
+        max_queued: class.queue,
         ..ClassSpec::default()
     }
 }
--- a/crates/entry/src/world/tests.rs
+++ b/crates/entry/src/world/tests.rs
@@ -47,5 +47,5 @@
     let (key, class) = classes.find(|(_, class)| class.name == name).unwrap();
     let spec = class_spec(key, class);
     assert_eq!(spec.target, target);
-    assert_eq!(spec.patience, patience);
+    assert_eq!(spec.max_wait, patience);
 }
