--- a/crates/admission/src/account.rs
+++ b/crates/admission/src/account.rs
@@ -3,7 +3,7 @@
 use crocushold_base::ClassKey;
 use crocushold_base::Millis;
 
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 use crate::refusal::Reason;
 use crate::spec::AccountSpec;
 
@@ -21,12 +21,12 @@
     pub(crate) queued: u32,
     pub(crate) running: u32,
     /// Classes in which the account's queue waits for its concurrency limit.
-    pub(crate) blocked: Vec<ClassKey>,
+    pub(crate) blocked_classes: Vec<ClassKey>,
     /// How much longer the account's answers are than those of its classes.
     bias: f64,
     share: f64,
-    requests: Bucket,
-    tokens: Bucket,
+    requests: TokenBucket,
+    tokens: TokenBucket,
     grant: Grant,
 }
 
@@ -46,13 +46,13 @@
 
 impl Account {
     pub(crate) fn new(spec: AccountSpec, now: Millis) -> Account {
-        let requests = Bucket::new(spec.request_rate, spec.burst, now);
-        let tokens = Bucket::new(spec.token_rate, spec.burst, now);
+        let requests = TokenBucket::new(spec.request_rate, spec.burst, now);
+        let tokens = TokenBucket::new(spec.token_rate, spec.burst, now);
         Account {
             spec,
             queued: 0,
             running: 0,
-            blocked: Vec::new(),
+            blocked_classes: Vec::new(),
             bias: 1.0,
             share: 1.0,
             requests,
@@ -88,13 +88,13 @@
     }
 
     /// Tokens that the account is expected to receive where its class expects `output`.
-    pub(crate) fn expect(&self, output: u32) -> u32 {
+    pub(crate) fn scale_output(&self, output: u32) -> u32 {
         (f64::from(output) * self.bias) as u32
     }
 
     /// Learns from an answer of `real` tokens where the class expected `output`.
-    pub(crate) fn learn(&mut self, output: u32, real: u32) {
-        let ratio = f64::from(real.max(1)) / f64::from(output.max(1));
+    pub(crate) fn learn(&mut self, output: u32, actual: u32) {
+        let ratio = f64::from(actual.max(1)) / f64::from(output.max(1));
         let bias = self.bias + (ratio - self.bias) * BIAS_GAIN;
         self.bias = bias.clamp(BIAS_MIN, BIAS_MAX);
     }
@@ -108,7 +108,7 @@
                 wait,
             });
         }
-        let needed = tokens as f64 - self.granted(now);
+        let needed = tokens as f64 - self.granted_tokens(now);
         let wait = self.tokens.wait(needed, now);
         if needed > 0.0 && wait > Millis::ZERO {
             return Err(LimitHit {
@@ -128,14 +128,14 @@
     /// Uses up the limits for an admitted request; lent tokens first, since they expire.
     pub(crate) fn take(&mut self, tokens: u64, now: Millis) {
         self.requests.take(1.0);
-        let lent = self.granted(now).min(tokens as f64);
-        self.grant.tokens -= lent;
-        self.tokens.take(tokens as f64 - lent);
+        let from_grant = self.granted_tokens(now).min(tokens as f64);
+        self.grant.tokens -= from_grant;
+        self.tokens.take(tokens as f64 - from_grant);
     }
 
     /// Corrects what was taken for a request by the difference to its real count.
-    pub(crate) fn settle(&mut self, billed: u64, real: u64) {
-        self.tokens.take(real as f64 - billed as f64);
+    pub(crate) fn settle(&mut self, billed: u64, actual: u64) {
+        self.tokens.take(actual as f64 - billed as f64);
     }
 
     /// Gives back what a request took that did not run.
@@ -146,17 +146,17 @@
 
     /// Notes that the account's queue in `class` waits for the concurrency limit.
     pub(crate) fn block(&mut self, class: ClassKey) {
-        if !self.blocked.contains(&class) {
-            self.blocked.push(class);
+        if !self.blocked_classes.contains(&class) {
+            self.blocked_classes.push(class);
         }
     }
 
-    pub(crate) fn lend(&mut self, tokens: u64, until: Millis, now: Millis) {
-        self.grant.tokens = self.granted(now) + tokens as f64;
+    pub(crate) fn add_grant(&mut self, tokens: u64, until: Millis, now: Millis) {
+        self.grant.tokens = self.granted_tokens(now) + tokens as f64;
         self.grant.until = until;
     }
 
-    fn granted(&self, now: Millis) -> f64 {
+    fn granted_tokens(&self, now: Millis) -> f64 {
         if now < self.grant.until {
             self.grant.tokens
         } else {
@@ -168,12 +168,13 @@
         let burst = self.spec.burst;
         let requests = self.spec.request_rate * self.share;
         let tokens = self.spec.token_rate * self.share;
-        self.requests.set_rate(rate(requests), burst, now);
-        self.tokens.set_rate(rate(tokens), burst, now);
+        self.requests
+            .set_rate(unlimited_if_nan(requests), burst, now);
+        self.tokens.set_rate(unlimited_if_nan(tokens), burst, now);
     }
 }
 
 /// An unlimited rate stays unlimited under a share of zero.
-fn rate(rate: f64) -> f64 {
+fn unlimited_if_nan(rate: f64) -> f64 {
     if rate.is_nan() { f64::INFINITY } else { rate }
 }
--- a/crates/admission/src/bucket.rs
+++ b/crates/admission/src/bucket.rs
@@ -4,22 +4,22 @@
 
 /// A token bucket that refills lazily. It may be driven into debt by a settlement.
 #[derive(Clone, Debug)]
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     rate: f64,
-    cap: f64,
+    capacity: f64,
     level: f64,
-    at: Millis,
+    refilled_at: Millis,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket that refills by `rate` a second and holds what `burst` brings, one at least.
-    pub(crate) fn new(rate: f64, burst: Millis, now: Millis) -> Bucket {
-        let cap = capacity(rate, burst);
-        Bucket {
+    pub(crate) fn new(rate: f64, burst: Millis, now: Millis) -> TokenBucket {
+        let capacity = burst_capacity(rate, burst);
+        TokenBucket {
             rate: rate.max(0.0),
-            cap,
-            level: cap,
-            at: now,
+            capacity,
+            level: capacity,
+            refilled_at: now,
         }
     }
 
@@ -27,12 +27,12 @@
     pub(crate) fn set_rate(&mut self, rate: f64, burst: Millis, now: Millis) {
         self.refill(now);
         self.rate = rate.max(0.0);
-        self.cap = capacity(rate, burst);
+        self.capacity = burst_capacity(rate, burst);
         // From unlimited to limited there is no level to keep.
         self.level = if self.level.is_finite() {
-            self.level.min(self.cap)
+            self.level.min(self.capacity)
         } else {
-            self.cap
+            self.capacity
         };
     }
 
@@ -42,8 +42,8 @@
     /// otherwise a single large request could never run.
     pub(crate) fn wait(&mut self, amount: f64, now: Millis) -> Millis {
         self.refill(now);
-        let missing = amount.min(self.cap) - self.level;
-        if missing <= 0.0 || self.cap.is_infinite() {
+        let missing = amount.min(self.capacity) - self.level;
+        if missing <= 0.0 || self.capacity.is_infinite() {
             return Millis::ZERO;
         }
         if self.rate <= 0.0 {
@@ -54,23 +54,23 @@
 
     /// Takes `amount`, into debt if need be; a negative amount is a refund.
     pub(crate) fn take(&mut self, amount: f64) {
-        if self.cap.is_finite() {
-            self.level = (self.level - amount).min(self.cap);
+        if self.capacity.is_finite() {
+            self.level = (self.level - amount).min(self.capacity);
         }
     }
 
     /// Adds what the time since the last call brings, up to the capacity: a process that wakes
     /// after a long pause finds a full bucket, never more.
     fn refill(&mut self, now: Millis) {
-        let secs = now.since(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        if self.cap.is_finite() {
-            self.level = (self.level + secs * self.rate).min(self.cap);
+        let secs = now.since(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        if self.capacity.is_finite() {
+            self.level = (self.level + secs * self.rate).min(self.capacity);
         }
     }
 }
 
-fn capacity(rate: f64, burst: Millis) -> f64 {
+fn burst_capacity(rate: f64, burst: Millis) -> f64 {
     if rate.is_infinite() {
         return f64::INFINITY;
     }
--- a/crates/admission/src/class.rs
+++ b/crates/admission/src/class.rs
@@ -12,26 +12,26 @@
 use slotmap::SecondaryMap;
 use slotmap::SparseSecondaryMap;
 
+use crate::class_index::IndexKeys;
 use crate::flow::Flow;
 use crate::flow::FlowLength;
 use crate::flow::FlowRank;
 use crate::histogram::DecayingHistogram;
-use crate::pace::Pressure;
 use crate::request::Lane;
-use crate::request::Place;
+use crate::request::QueuePosition;
 use crate::request::Request;
-use crate::request::Turn;
+use crate::request::SelectedBy;
 use crate::spec::ClassSpec;
-use crate::standing::Standing;
+use crate::throughput::DemandRate;
 
 /// One start in this many goes to a request that missed its target while others still can attain.
 ///
 /// With none, a permanent overload would never reach the late ones; with more, hopeless work would
 /// make attainable work late in turn.
-const LATE_EVERY: u32 = 8;
+const LATE_START_INTERVAL: u32 = 8;
 
 /// Quantile of the past time to first token that is set aside from the target.
-const START_QUANTILE: f64 = 0.9;
+const FIRST_TOKEN_QUANTILE: f64 = 0.9;
 
 /// The state of one class.
 #[derive(Debug)]
@@ -41,25 +41,25 @@
     /// Estimated cost of what is queued.
     pub(crate) backlog: u64,
     pub(crate) bytes: u64,
-    pub(crate) pressure: Pressure,
+    pub(crate) demand: DemandRate,
     /// The instant of the floor's virtual clock up to which the class was served its floor.
     pub(crate) floor_clock: u64,
     /// Where the class stands in the scheduler's orders.
-    pub(crate) standing: Standing,
+    pub(crate) index_keys: IndexKeys,
     /// Queue entries that are kept for the class.
-    pub(crate) kept: u32,
+    pub(crate) reserved_entries: u32,
     /// Bytes of queue memory that the class need not give up.
-    pub(crate) kept_bytes: u64,
-    pub(crate) outputs: DecayingHistogram,
-    pub(crate) models: SecondaryMap<ModelKey, DecayingHistogram>,
-    pub(crate) starts: DecayingHistogram,
+    pub(crate) reserved_bytes: u64,
+    pub(crate) output_lengths: DecayingHistogram,
+    pub(crate) model_output_lengths: SecondaryMap<ModelKey, DecayingHistogram>,
+    pub(crate) first_token_times: DecayingHistogram,
     flows: SparseSecondaryMap<AccountKey, Flow>,
-    fresh: BTreeSet<FlowRank>,
+    on_time: BTreeSet<FlowRank>,
     late: BTreeSet<FlowRank>,
     idle: BTreeSet<FlowRank>,
-    lengths: BTreeSet<FlowLength>,
+    by_length: BTreeSet<FlowLength>,
     virtual_time: u64,
-    since_late: u32,
+    starts_since_late: u32,
 }
 
 /// The request that a class would start next.
@@ -67,7 +67,7 @@
 pub(crate) struct Candidate {
     pub(crate) account: AccountKey,
     pub(crate) lane: Lane,
-    pub(crate) place: Place,
+    pub(crate) position: QueuePosition,
     /// The class has nothing that can still attain.
     pub(crate) only_late: bool,
 }
@@ -79,27 +79,27 @@
             queued: 0,
             backlog: 0,
             bytes: 0,
-            pressure: Pressure::default(),
+            demand: DemandRate::default(),
             floor_clock: 0,
-            standing: Standing::default(),
-            kept: 0,
-            kept_bytes: 0,
-            outputs: DecayingHistogram::new(output_quantile),
-            models: SecondaryMap::new(),
-            starts: DecayingHistogram::new(START_QUANTILE),
+            index_keys: IndexKeys::default(),
+            reserved_entries: 0,
+            reserved_bytes: 0,
+            output_lengths: DecayingHistogram::new(output_quantile),
+            model_output_lengths: SecondaryMap::new(),
+            first_token_times: DecayingHistogram::new(FIRST_TOKEN_QUANTILE),
             flows: SparseSecondaryMap::new(),
-            fresh: BTreeSet::new(),
+            on_time: BTreeSet::new(),
             late: BTreeSet::new(),
             idle: BTreeSet::new(),
-            lengths: BTreeSet::new(),
+            by_length: BTreeSet::new(),
             virtual_time: 0,
-            since_late: 0,
+            starts_since_late: 0,
         }
     }
 
     /// Accounts with something queued.
-    pub(crate) fn active(&self) -> u64 {
-        self.lengths.len() as u64
+    pub(crate) fn active_accounts(&self) -> u64 {
+        self.by_length.len() as u64
     }
 
     pub(crate) fn flow_count(&self) -> usize {
@@ -112,71 +112,72 @@
 
     /// The request that would start next.
     pub(crate) fn candidate(&self) -> Option<Candidate> {
-        let late_turn = self.since_late >= LATE_EVERY - 1 && !self.late.is_empty();
-        let lane = if self.fresh.is_empty() || late_turn {
+        let late_is_due =
+            self.starts_since_late >= LATE_START_INTERVAL - 1 && !self.late.is_empty();
+        let lane = if self.on_time.is_empty() || late_is_due {
             Lane::Late
         } else {
-            Lane::Fresh
+            Lane::OnTime
         };
         let account = self.order(lane).first()?.account;
-        let place = *self.flows.get(account)?.head(lane)?;
+        let position = *self.flows.get(account)?.head(lane)?;
         Some(Candidate {
             account,
             lane,
-            place,
-            only_late: self.fresh.is_empty(),
+            position,
+            only_late: self.on_time.is_empty(),
         })
     }
 
     /// The account with the longest queue, and its length.
-    pub(crate) fn longest(&self) -> Option<FlowLength> {
-        self.lengths.last().copied()
+    pub(crate) fn longest_queue(&self) -> Option<FlowLength> {
+        self.by_length.last().copied()
     }
 
     /// Queue entries that are kept for the class and not used.
-    pub(crate) fn spare(&self) -> u32 {
-        self.kept.saturating_sub(self.queued)
+    pub(crate) fn unused_reserve(&self) -> u32 {
+        self.reserved_entries.saturating_sub(self.queued)
     }
 
     pub(crate) fn insert(&mut self, request: &Request, lane: Lane) {
         self.queued += 1;
-        self.backlog += request.place.charge;
+        self.backlog += request.position.charge;
         self.bytes += u64::from(request.bytes);
-        self.pressure.add(request.pressure);
+        self.demand.add(request.demand);
         let start = self.virtual_time;
-        self.update(request.account, |flow| {
+        self.update_flow(request.account, |flow| {
             if flow.is_empty() {
                 flow.counter = flow.counter.max(start);
             }
-            flow.insert(lane, request.place);
+            flow.insert(lane, request.position);
         });
     }
 
     pub(crate) fn remove(&mut self, request: &Request, lane: Lane) {
         self.queued -= 1;
-        self.backlog -= request.place.charge;
+        self.backlog -= request.position.charge;
         self.bytes -= u64::from(request.bytes);
-        self.pressure.remove(request.pressure);
-        self.update(request.account, |flow| flow.remove(lane, &request.place));
+        self.demand.remove(request.demand);
+        self.update_flow(request.account, |flow| flow.remove(lane, &request.position));
     }
 
     /// Takes note that the candidate is about to be started.
-    pub(crate) fn note_start(&mut self, candidate: &Candidate) {
-        self.since_late = match candidate.lane {
+    pub(crate) fn record_start(&mut self, candidate: &Candidate) {
+        self.starts_since_late = match candidate.lane {
             Lane::Late => 0,
-            Lane::Fresh if self.late.is_empty() => 0,
-            Lane::Fresh => self.since_late + 1,
+            Lane::OnTime if self.late.is_empty() => 0,
+            Lane::OnTime => self.starts_since_late + 1,
         };
         let counter = self.flow(candidate.account).map_or(0, |flow| flow.counter);
         self.virtual_time = self.virtual_time.max(counter);
     }
 
     pub(crate) fn charge(&mut self, account: AccountKey, tokens: u64) {
-        self.update(account, |flow| flow.charge(tokens));
+        self.update_flow(account, |flow| flow.charge(tokens));
     }
 
     pub(crate) fn refund(&mut self, account: AccountKey, tokens: u64) {
-        self.update(account, |flow| flow.refund(tokens));
+        self.update_flow(account, |flow| flow.refund(tokens));
     }
 
     /// Takes an account in or out of the order when it reaches or leaves its concurrency limit.
@@ -185,7 +186,7 @@
             return;
         }
         let start = self.virtual_time;
-        self.update(account, |flow| {
+        self.update_flow(account, |flow| {
             // Time spent at the limit is no credit either.
             if flow.blocked && !blocked {
                 flow.counter = flow.counter.max(start);
@@ -212,11 +213,11 @@
     }
 
     /// Makes sure that the account has a flow; `weight` is used for a new one.
-    pub(crate) fn ensure(&mut self, account: AccountKey, weight: f64) {
+    pub(crate) fn ensure_flow(&mut self, account: AccountKey, weight: f64) {
         if !self.flows.contains_key(account) {
             let flow = Flow::new(self.virtual_time, weight);
             self.flows.insert(account, flow);
-            self.attach(account);
+            self.index_flow(account);
         }
     }
 
@@ -225,24 +226,24 @@
     /// A start by the floor advances the class's clock by what its share takes to grow back. A
     /// start in ordinary order uses up credit but leaves no debt: otherwise what the class was
     /// served in quiet hours would cost it its floor in the rush.
-    pub(crate) fn book_floor(&mut self, turn: Turn, charge: u64, clock: u64) {
-        let step = floor_span(charge, self.spec.floor);
+    pub(crate) fn charge_floor(&mut self, selected_by: SelectedBy, charge: u64, clock: u64) {
+        let step = floor_ticks(charge, self.spec.floor);
         let next = self.floor_clock.saturating_add(step);
-        self.floor_clock = match turn {
-            Turn::Floor => next,
-            Turn::Order => next.min(clock).max(self.floor_clock),
+        self.floor_clock = match selected_by {
+            SelectedBy::Floor => next,
+            SelectedBy::Rank => next.min(clock).max(self.floor_clock),
         };
     }
 
-    fn update(&mut self, account: AccountKey, change: impl FnOnce(&mut Flow)) {
-        self.detach(account);
+    fn update_flow(&mut self, account: AccountKey, change: impl FnOnce(&mut Flow)) {
+        self.unindex_flow(account);
         if let Some(flow) = self.flows.get_mut(account) {
             change(flow);
         }
-        self.attach(account);
+        self.index_flow(account);
     }
 
-    fn detach(&mut self, account: AccountKey) {
+    fn unindex_flow(&mut self, account: AccountKey) {
         let Some(flow) = self.flows.get(account) else {
             return;
         };
@@ -254,15 +255,15 @@
             self.idle.remove(&rank);
             return;
         }
-        self.lengths.remove(&FlowLength {
+        self.by_length.remove(&FlowLength {
             queued: flow.len(),
             account,
         });
-        self.fresh.remove(&rank);
+        self.on_time.remove(&rank);
         self.late.remove(&rank);
     }
 
-    fn attach(&mut self, account: AccountKey) {
+    fn index_flow(&mut self, account: AccountKey) {
         let Some(flow) = self.flows.get(account) else {
             return;
         };
@@ -274,15 +275,15 @@
             self.idle.insert(rank);
             return;
         }
-        self.lengths.insert(FlowLength {
+        self.by_length.insert(FlowLength {
             queued: flow.len(),
             account,
         });
         if flow.blocked {
             return;
         }
-        if flow.head(Lane::Fresh).is_some() {
-            self.fresh.insert(rank);
+        if flow.head(Lane::OnTime).is_some() {
+            self.on_time.insert(rank);
         }
         if flow.head(Lane::Late).is_some() {
             self.late.insert(rank);
@@ -290,7 +291,7 @@
     }
 
     /// Drops the idle flows that owe nothing, so that memory follows the accounts in use.
-    pub(crate) fn forget_idle(&mut self) {
+    pub(crate) fn drop_idle_flows(&mut self) {
         while let Some(&rank) = self.idle.first() {
             if rank.counter > self.virtual_time {
                 return;
@@ -302,22 +303,22 @@
 
     fn order(&self, lane: Lane) -> &BTreeSet<FlowRank> {
         match lane {
-            Lane::Fresh => &self.fresh,
+            Lane::OnTime => &self.on_time,
             Lane::Late => &self.late,
         }
     }
 }
 
 /// Units of the floors' clock to a token, so that rounding is small against any charge.
-const CLOCK_SCALE: u64 = 1024;
+const TICKS_PER_TOKEN: u64 = 1024;
 
 /// What dispatched tokens add to the floors' clock.
-pub(crate) fn clock_span(tokens: u64) -> u64 {
-    tokens * CLOCK_SCALE
+pub(crate) fn clock_ticks(tokens: u64) -> u64 {
+    tokens * TICKS_PER_TOKEN
 }
 
 /// The time on the floors' clock of which `charge` is the share `floor`; rounded up, so that
 /// rounding never adds to a floor.
-pub(crate) fn floor_span(charge: u64, floor: f64) -> u64 {
-    (clock_span(charge) as f64 / floor).ceil() as u64
+pub(crate) fn floor_ticks(charge: u64, floor: f64) -> u64 {
+    (clock_ticks(charge) as f64 / floor).ceil() as u64
 }
--- a/crates/admission/src/flow.rs
+++ b/crates/admission/src/flow.rs
@@ -5,7 +5,7 @@
 use crocushold_base::AccountKey;
 
 use crate::request::Lane;
-use crate::request::Place;
+use crate::request::QueuePosition;
 
 /// Units of a counter to a token of an account of weight 1.
 const SCALE: f64 = 256.0;
@@ -20,8 +20,8 @@
     pub(crate) blocked: bool,
     /// Estimated cost of what is queued.
     pub(crate) backlog: u64,
-    fresh: BTreeSet<Place>,
-    late: BTreeSet<Place>,
+    on_time: BTreeSet<QueuePosition>,
+    late: BTreeSet<QueuePosition>,
 }
 
 impl Flow {
@@ -31,36 +31,36 @@
             weight,
             blocked: false,
             backlog: 0,
-            fresh: BTreeSet::new(),
+            on_time: BTreeSet::new(),
             late: BTreeSet::new(),
         }
     }
 
     pub(crate) fn len(&self) -> u32 {
-        (self.fresh.len() + self.late.len()) as u32
+        (self.on_time.len() + self.late.len()) as u32
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.fresh.is_empty() && self.late.is_empty()
+        self.on_time.is_empty() && self.late.is_empty()
     }
 
-    pub(crate) fn head(&self, lane: Lane) -> Option<&Place> {
+    pub(crate) fn head(&self, lane: Lane) -> Option<&QueuePosition> {
         self.lane(lane).first()
     }
 
     /// The request that gives way first: the newest that can still attain, else the newest.
-    pub(crate) fn newest(&self) -> Option<&Place> {
-        self.fresh.last().or_else(|| self.late.last())
+    pub(crate) fn newest(&self) -> Option<&QueuePosition> {
+        self.on_time.last().or_else(|| self.late.last())
     }
 
-    pub(crate) fn insert(&mut self, lane: Lane, place: Place) {
-        self.backlog += place.charge;
-        self.lane_mut(lane).insert(place);
+    pub(crate) fn insert(&mut self, lane: Lane, position: QueuePosition) {
+        self.backlog += position.charge;
+        self.lane_mut(lane).insert(position);
     }
 
-    pub(crate) fn remove(&mut self, lane: Lane, place: &Place) {
-        if self.lane_mut(lane).remove(place) {
-            self.backlog -= place.charge;
+    pub(crate) fn remove(&mut self, lane: Lane, position: &QueuePosition) {
+        if self.lane_mut(lane).remove(position) {
+            self.backlog -= position.charge;
         }
     }
 
@@ -76,16 +76,16 @@
         (tokens as f64 * SCALE / self.weight.max(f64::MIN_POSITIVE)) as u64
     }
 
-    fn lane(&self, lane: Lane) -> &BTreeSet<Place> {
+    fn lane(&self, lane: Lane) -> &BTreeSet<QueuePosition> {
         match lane {
-            Lane::Fresh => &self.fresh,
+            Lane::OnTime => &self.on_time,
             Lane::Late => &self.late,
         }
     }
 
-    fn lane_mut(&mut self, lane: Lane) -> &mut BTreeSet<Place> {
+    fn lane_mut(&mut self, lane: Lane) -> &mut BTreeSet<QueuePosition> {
         match lane {
-            Lane::Fresh => &mut self.fresh,
+            Lane::OnTime => &mut self.on_time,
             Lane::Late => &mut self.late,
         }
     }
--- a/crates/admission/src/headroom.rs
+++ b/crates/admission/src/headroom.rs
@@ -19,7 +19,7 @@
     arrivals: u32,
     /// Largest number of arrivals in one window, fading.
     peak: f64,
-    kept: u32,
+    reserved: u32,
 }
 
 impl Headroom {
@@ -29,7 +29,7 @@
             window_end: Millis::ZERO,
             arrivals: 0,
             peak: 0.0,
-            kept: 0,
+            reserved: 0,
         }
     }
 
@@ -38,13 +38,13 @@
     }
 
     /// Slots that are kept at present.
-    pub(crate) fn kept(&self) -> u32 {
-        self.kept
+    pub(crate) fn reserved(&self) -> u32 {
+        self.reserved
     }
 
     /// Counts an arrival of the live tier.
-    pub(crate) fn arrived(&mut self, now: Millis) {
-        self.roll(now);
+    pub(crate) fn record_arrival(&mut self, now: Millis) {
+        self.roll_window(now);
         self.arrivals += 1;
         self.peak = self.peak.max(f64::from(self.arrivals));
     }
@@ -52,18 +52,18 @@
     /// Works out how many of `slots` to keep, where `absorbed` arrivals a window find a slot that
     /// was just released.
     pub(crate) fn update(&mut self, slots: u32, absorbed: f64, now: Millis) {
-        self.roll(now);
-        let all = f64::from(slots);
+        self.roll_window(now);
+        let total = f64::from(slots);
         let wanted = (self.peak - absorbed).max(0.0);
-        let most = all * self.settings.max_share.clamp(0.0, 1.0);
+        let most = total * self.settings.max_share.clamp(0.0, 1.0);
         // Rounded up: a share of a few slots would be none, and the last one is what counts.
-        let least = (all * self.settings.min_share.clamp(0.0, 1.0)).ceil();
-        let kept = wanted.min(most).max(least) as u32;
+        let least = (total * self.settings.min_share.clamp(0.0, 1.0)).ceil();
+        let reserved = wanted.min(most).max(least) as u32;
         // With all slots kept, the lower tiers would never start anything.
-        self.kept = kept.min(slots.saturating_sub(1));
+        self.reserved = reserved.min(slots.saturating_sub(1));
     }
 
-    fn roll(&mut self, now: Millis) {
+    fn roll_window(&mut self, now: Millis) {
         if now < self.window_end {
             return;
         }
--- a/crates/admission/src/histogram.rs
+++ b/crates/admission/src/histogram.rs
@@ -1,35 +1,35 @@
 //! A streaming quantile of bounded memory.
 
 /// Buckets to a doubling; bounds the relative error of a quantile to a quarter of an octave.
-const PER_OCTAVE: usize = 4;
+const BUCKETS_PER_OCTAVE: usize = 4;
 
 /// Doublings covered: values from 1 to about a million.
 const OCTAVES: usize = 20;
 
-const BUCKETS: usize = PER_OCTAVE * OCTAVES;
+const BUCKETS: usize = BUCKETS_PER_OCTAVE * OCTAVES;
 
 /// Samples after which all counts are halved, so that old ones fade.
-const HALVING: u32 = 512;
+const HALVE_AFTER: u32 = 512;
 
 /// Samples before the quantile is trusted.
-const WARM: u32 = 16;
+const MIN_SAMPLES: u32 = 16;
 
 /// A histogram with logarithmic buckets whose counts decay, and one quantile of it.
 #[derive(Clone, Debug)]
 pub(crate) struct DecayingHistogram {
     counts: [u16; BUCKETS],
     total: u32,
-    share: f64,
+    quantile: f64,
     cached: u32,
 }
 
 impl DecayingHistogram {
     /// An empty histogram that answers for the quantile `share`.
-    pub(crate) fn new(share: f64) -> DecayingHistogram {
+    pub(crate) fn new(quantile: f64) -> DecayingHistogram {
         DecayingHistogram {
             counts: [0; BUCKETS],
             total: 0,
-            share: share.clamp(0.0, 1.0),
+            quantile: quantile.clamp(0.0, 1.0),
             cached: 0,
         }
     }
@@ -37,7 +37,7 @@
     pub(crate) fn record(&mut self, value: u32) {
         self.counts[bucket(value)] += 1;
         self.total += 1;
-        if self.total >= HALVING {
+        if self.total >= HALVE_AFTER {
             self.halve();
         }
         self.cached = self.compute();
@@ -45,7 +45,7 @@
 
     /// The quantile, or `None` while there are too few samples.
     pub(crate) fn quantile(&self) -> Option<u32> {
-        (self.total >= WARM).then_some(self.cached)
+        (self.total >= MIN_SAMPLES).then_some(self.cached)
     }
 
     fn halve(&mut self) {
@@ -56,7 +56,7 @@
     }
 
     fn compute(&self) -> u32 {
-        let rank = (f64::from(self.total) * self.share).ceil() as u32;
+        let rank = (f64::from(self.total) * self.quantile).ceil() as u32;
         let mut seen = 0;
         for (index, &count) in self.counts.iter().enumerate() {
             seen += u32::from(count);
@@ -70,9 +70,11 @@
 
 fn bucket(value: u32) -> usize {
     let log = f64::from(value.max(1)).log2();
-    ((log * PER_OCTAVE as f64) as usize).min(BUCKETS - 1)
+    ((log * BUCKETS_PER_OCTAVE as f64) as usize).min(BUCKETS - 1)
 }
 
 fn upper_bound(index: usize) -> u32 {
-    ((index + 1) as f64 / PER_OCTAVE as f64).exp2().ceil() as u32
+    ((index + 1) as f64 / BUCKETS_PER_OCTAVE as f64)
+        .exp2()
+        .ceil() as u32
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -72,18 +72,18 @@
 mod account;
 mod bucket;
 mod class;
+mod class_index;
 mod decay;
 mod flow;
 mod headroom;
 mod histogram;
-mod pace;
 mod refusal;
 mod request;
 mod scheduler;
 mod settings;
 mod spec;
-mod standing;
 mod status;
+mod throughput;
 mod ticket;
 
 pub use refusal::Reason;
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -6,7 +6,7 @@
 use crocushold_base::ModelKey;
 use crocushold_base::RequestKey;
 
-use crate::pace::Pressure;
+use crate::throughput::DemandRate;
 
 /// A request that asks for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Lane {
     /// Can still meet the target.
-    Fresh,
+    OnTime,
     /// Missed the target, but an answer is still of use.
     Late,
 }
@@ -53,14 +53,14 @@
 /// A queued request's place: the order inside one account's queue, and what the choice between
 /// queues needs to know of its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Place {
+pub(crate) struct QueuePosition {
     /// The last instant at which a start meets the target.
-    pub(crate) due: Millis,
+    pub(crate) latest_start: Millis,
     /// Order of arrival.
     pub(crate) seq: u64,
     pub(crate) key: RequestKey,
     /// Deadline scaled by the class's weight; the order between classes.
-    pub(crate) rank: Millis,
+    pub(crate) scaled_deadline: Millis,
     /// Estimated cost in output tokens.
     pub(crate) charge: u64,
 }
@@ -75,20 +75,20 @@
 /// A started request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Run {
-    pub(crate) since: Millis,
+    pub(crate) started: Millis,
     /// Cost charged so far; grows when the output outruns the estimate.
     pub(crate) charged: u64,
-    pub(crate) answered: bool,
+    pub(crate) first_token_seen: bool,
     /// Value of the scheduler's pause counter at the start.
-    pub(crate) pauses: u32,
-    pub(crate) turn: Turn,
+    pub(crate) pauses_at_start: u32,
+    pub(crate) selected_by: SelectedBy,
 }
 
 /// By which right a request was started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Turn {
+pub(crate) enum SelectedBy {
     /// Its class was first in order.
-    Order,
+    Rank,
     /// The floor of its class.
     Floor,
 }
@@ -99,26 +99,26 @@
     pub(crate) class: ClassKey,
     pub(crate) account: AccountKey,
     pub(crate) model: Option<ModelKey>,
-    pub(crate) place: Place,
+    pub(crate) position: QueuePosition,
     /// The instant from which on a start is of no use.
-    pub(crate) ends: Millis,
+    pub(crate) expires_at: Millis,
     pub(crate) arrived: Millis,
-    pub(crate) pressure: Pressure,
-    pub(crate) prompt: u32,
+    pub(crate) demand: DemandRate,
+    pub(crate) prompt_tokens: u32,
     /// Estimated output tokens before the account's bias, for learning that bias.
-    pub(crate) expected: u32,
+    pub(crate) expected_output: u32,
     pub(crate) bytes: u32,
     /// Tokens taken from the account's rate.
-    pub(crate) billed: u64,
+    pub(crate) billed_tokens: u64,
     pub(crate) stage: Stage,
 }
 
 impl Request {
     /// The next instant at which a queued request changes its state by waiting.
-    pub(crate) fn timer(&self, lane: Lane) -> Millis {
+    pub(crate) fn next_timeout(&self, lane: Lane) -> Millis {
         match lane {
-            Lane::Fresh => self.place.due.min(self.ends),
-            Lane::Late => self.ends,
+            Lane::OnTime => self.position.latest_start.min(self.expires_at),
+            Lane::Late => self.expires_at,
         }
     }
 }
--- a/crates/admission/src/scheduler/configure.rs
+++ b/crates/admission/src/scheduler/configure.rs
@@ -24,7 +24,7 @@
     /// [`next`](Scheduler::next); those in flight finish. A request that is already queued keeps
     /// the deadline it was given.
     pub fn configure(&mut self, classes: &[ClassSpec], accounts: &[AccountSpec], now: Millis) {
-        let now = self.observe(now);
+        let now = self.advance_clock(now);
         self.remove_missing(classes, accounts);
         for spec in accounts {
             match self.accounts.get_mut(spec.key) {
@@ -42,13 +42,13 @@
         for spec in accounts {
             self.unblock(spec.key);
         }
-        self.recount_spare();
+        self.recount_unused_reserve();
     }
 
     /// Sets the share of the account's limits that this scheduler may give out, from 0 to 1: the
     /// instance's share, split between its schedulers.
     pub fn set_share(&mut self, account: AccountKey, share: f64, now: Millis) {
-        let now = self.observe(now);
+        let now = self.advance_clock(now);
         if let Some(state) = self.accounts.get_mut(account) {
             state.set_share(share, now);
         }
@@ -58,9 +58,9 @@
     /// Adds tokens lent by another instance to the account's rate limit; what isn't used by
     /// `until` is void.
     pub fn grant(&mut self, account: AccountKey, tokens: u64, until: Millis, now: Millis) {
-        let now = self.observe(now);
+        let now = self.advance_clock(now);
         if let Some(state) = self.accounts.get_mut(account) {
-            state.lend(tokens, until, now);
+            state.add_grant(tokens, until, now);
         }
     }
 
@@ -72,7 +72,7 @@
         });
         for key in gone {
             if let Some(class) = self.classes.remove(key) {
-                self.orders.remove(&class);
+                self.class_indexes.remove(&class);
             }
         }
         let kept: HashSet<AccountKey> = accounts.iter().map(|spec| spec.key).collect();
@@ -105,17 +105,17 @@
         };
         let (old, new) = (class.spec.tier_index(), spec.tier_index());
         if old != new {
-            self.pace.unqueued(old, class.backlog, class.pressure);
-            self.pace.queued(new, class.backlog, class.pressure);
+            self.throughput.dequeued(old, class.backlog, class.demand);
+            self.throughput.enqueued(new, class.backlog, class.demand);
             self.bytes[old] -= class.bytes;
             self.bytes[new] += class.bytes;
         }
         class.spec = spec.clone();
         let settings = &self.settings;
-        class.kept = (kept_share(spec) * f64::from(settings.queue_limit)) as u32;
-        class.kept = class.kept.min(spec.max_queued);
-        class.kept_bytes = (kept_share(spec) * settings.queue_bytes as f64) as u64;
-        self.orders.refresh(spec.key, class);
+        class.reserved_entries = (reserved_share(spec) * f64::from(settings.queue_limit)) as u32;
+        class.reserved_entries = class.reserved_entries.min(spec.max_queued);
+        class.reserved_bytes = (reserved_share(spec) * settings.queue_bytes as f64) as u64;
+        self.class_indexes.refresh(spec.key, class);
     }
 
     /// Takes over the accounts' weights, and forgets what accounts that are gone owed.
@@ -126,13 +126,13 @@
         }
     }
 
-    fn recount_spare(&mut self) {
-        self.spare = self.classes.values().map(Class::spare).sum();
+    fn recount_unused_reserve(&mut self) {
+        self.unused_reserve = self.classes.values().map(Class::unused_reserve).sum();
     }
 }
 
 /// Share of the queue kept for a class: half of its floor, so that even over-committed floors leave
 /// the other half to whoever needs it.
-fn kept_share(spec: &ClassSpec) -> f64 {
+fn reserved_share(spec: &ClassSpec) -> f64 {
     spec.floor.clamp(0.0, 1.0) / 2.0
 }
--- a/crates/admission/src/scheduler/dispatch.rs
+++ b/crates/admission/src/scheduler/dispatch.rs
@@ -5,19 +5,19 @@
 
 use super::Scheduler;
 use crate::class::Candidate;
-use crate::class::clock_span;
+use crate::class::clock_ticks;
 use crate::refusal::Reason;
 use crate::refusal::Refused;
 use crate::request::Lane;
 use crate::request::Run;
+use crate::request::SelectedBy;
 use crate::request::Stage;
-use crate::request::Turn;
 use crate::ticket::Dispatched;
 use crate::ticket::Ticket;
 
 /// Time after which a driver asks again when lower tiers wait behind the headroom, which shrinks
 /// with time alone.
-const HEADROOM_POLL: Millis = Millis(50);
+const HEADROOM_POLL_INTERVAL: Millis = Millis(50);
 
 /// What the driver has to do next.
 #[derive(Debug)]
@@ -39,44 +39,46 @@
     /// When the driver finds no backend server for a dispatched request it gives the ticket to
     /// [`requeue`](Scheduler::requeue) and stops asking until a slot is free again.
     pub fn next(&mut self, now: Millis, free: u32) -> Option<Action> {
-        let now = self.observe(now);
-        self.pass_time(now);
-        if let Some(refused) = self.refused.pop_front() {
+        let now = self.advance_clock(now);
+        self.process_timers(now);
+        if let Some(refused) = self.pending_refusals.pop_front() {
             return Some(Action::Refuse(refused));
         }
         self.update_headroom(free, now);
         if free == 0 {
             return None;
         }
-        let (class, turn, candidate) = self.choose(free)?;
-        let ticket = self.start(class, turn, &candidate, now)?;
+        let (class, selected_by, candidate) = self.choose(free)?;
+        let ticket = self.start(class, selected_by, &candidate, now)?;
         Some(Action::Dispatch(ticket))
     }
 
     /// The instant at which [`next`](Scheduler::next) may have something to do without another
     /// event; `None` if there is none.
     pub fn wake_at(&self) -> Option<Millis> {
-        if !self.refused.is_empty() {
+        if !self.pending_refusals.is_empty() {
             return Some(self.now);
         }
         let timer = self.timers.first().map(|timer| timer.at);
-        let poll = self.held_back().then_some(self.now + HEADROOM_POLL);
+        let poll = self
+            .headroom_holds_back()
+            .then_some(self.now + HEADROOM_POLL_INTERVAL);
         timer.into_iter().chain(poll).min()
     }
 
     /// Puts a request back for which no backend server could be had. It keeps its place, and its
     /// account, class and floor are not charged.
     pub fn requeue(&mut self, ticket: Ticket<Dispatched>, now: Millis) {
-        let now = self.observe(now);
-        let key = ticket.redeem();
-        let Some(run) = self.end_run(key) else {
+        let now = self.advance_clock(now);
+        let key = ticket.into_key();
+        let Some(run) = self.release_slot(key) else {
             return;
         };
         let Some(request) = self.requests.get(key).copied() else {
             return;
         };
-        let late = request.place.due <= now;
-        let lane = if late { Lane::Late } else { Lane::Fresh };
+        let late = request.position.latest_start <= now;
+        let lane = if late { Lane::Late } else { Lane::OnTime };
         self.undo_charge(&request, &run, now);
         self.free += 1;
         let class_known = self.classes.contains_key(request.class);
@@ -92,86 +94,98 @@
         };
         self.requests.remove(key);
         let refusal = self.refusal(reason, Millis::ZERO);
-        self.refused.push_back(Refused { key, refusal });
+        self.pending_refusals.push_back(Refused { key, refusal });
     }
 
     fn update_headroom(&mut self, free: u32, now: Millis) {
         self.free = free;
         let slots = self.slots();
-        let absorbed = self.pace.releases(slots, self.headroom.window());
+        let absorbed = self
+            .throughput
+            .expected_releases(slots, self.headroom.window());
         self.headroom.update(slots, absorbed, now);
     }
 
     /// Whether slots stand free that only the headroom keeps from lower tiers.
-    fn held_back(&self) -> bool {
-        let lower = self.orders.heads.first().is_some_and(|head| head.tier > 0);
-        lower && self.free > 0 && self.free <= self.headroom.kept()
+    fn headroom_holds_back(&self) -> bool {
+        let lower = self
+            .class_indexes
+            .dispatch
+            .first()
+            .is_some_and(|head| head.tier > 0);
+        lower && self.free > 0 && self.free <= self.headroom.reserved()
     }
 
     /// Chooses class, right and request. Queues of accounts that reached their concurrency limit
     /// are taken out of the order on the way.
-    fn choose(&mut self, free: u32) -> Option<(ClassKey, Turn, Candidate)> {
+    fn choose(&mut self, free: u32) -> Option<(ClassKey, SelectedBy, Candidate)> {
         loop {
-            let (key, turn) = self.choose_class(free)?;
+            let (key, selected_by) = self.choose_class(free)?;
             let class = self.classes.get_mut(key)?;
             let candidate = class.candidate()?;
             let account = self.accounts.get_mut(candidate.account)?;
             if !account.at_limit() {
-                return Some((key, turn, candidate));
+                return Some((key, selected_by, candidate));
             }
             account.block(key);
             class.set_blocked(candidate.account, true);
-            self.orders.refresh(key, class);
+            self.class_indexes.refresh(key, class);
         }
     }
 
     /// A floor that has fallen due goes first. It falls due only after its share of the tokens
     /// went to others, so it never takes more than that share from a higher tier.
-    fn choose_class(&self, free: u32) -> Option<(ClassKey, Turn)> {
-        let head = self.orders.heads.first()?;
-        let held_back = head.tier > 0 && free <= self.headroom.kept();
+    fn choose_class(&self, free: u32) -> Option<(ClassKey, SelectedBy)> {
+        let head = self.class_indexes.dispatch.first()?;
+        let held_back = head.tier > 0 && free <= self.headroom.reserved();
         let due = self
-            .orders
+            .class_indexes
             .floors
             .first()
-            .filter(|floor| floor.at <= self.orders.clock);
+            .filter(|floor| floor.at <= self.class_indexes.token_clock);
         if let Some(floor) = due
             && (floor.class != head.class || held_back)
         {
-            return Some((floor.class, Turn::Floor));
+            return Some((floor.class, SelectedBy::Floor));
         }
-        (!held_back).then_some((head.class, Turn::Order))
+        (!held_back).then_some((head.class, SelectedBy::Rank))
     }
 
     fn start(
         &mut self,
         key: ClassKey,
-        turn: Turn,
+        selected_by: SelectedBy,
         candidate: &Candidate,
         now: Millis,
     ) -> Option<Ticket<Dispatched>> {
-        let place = candidate.place;
-        let request = *self.requests.get(place.key)?;
-        self.classes.get_mut(key)?.note_start(candidate);
+        let position = candidate.position;
+        let request = *self.requests.get(position.key)?;
+        self.classes.get_mut(key)?.record_start(candidate);
         self.remove_queued(&request, candidate.lane);
-        self.orders.clock += clock_span(place.charge);
+        self.class_indexes.token_clock += clock_ticks(position.charge);
         let class = self.classes.get_mut(key)?;
-        class.charge(candidate.account, place.charge);
-        class.forget_idle();
-        class.book_floor(turn, place.charge, self.orders.clock);
-        self.orders.refresh(key, class);
+        class.charge(candidate.account, position.charge);
+        class.drop_idle_flows();
+        class.charge_floor(selected_by, position.charge, self.class_indexes.token_clock);
+        self.class_indexes.refresh(key, class);
         let tier = class.spec.tier_index();
-        self.pace.dispatched(tier, place.charge as f64, now);
+        self.throughput
+            .dispatched(tier, position.charge as f64, now);
         self.accounts.get_mut(candidate.account)?.running += 1;
         self.running += 1;
         self.free = self.free.saturating_sub(1);
-        self.requests.get_mut(place.key)?.stage = Stage::Running(Run {
-            since: now,
-            charged: place.charge,
-            answered: false,
-            pauses: self.pauses,
-            turn,
+        self.requests.get_mut(position.key)?.stage = Stage::Running(Run {
+            started: now,
+            charged: position.charge,
+            first_token_seen: false,
+            pauses_at_start: self.pauses,
+            selected_by,
         });
-        Some(Ticket::new(place.key, key, candidate.account, place.charge))
+        Some(Ticket::new(
+            position.key,
+            key,
+            candidate.account,
+            position.charge,
+        ))
     }
 }
--- a/crates/admission/src/scheduler/estimate.rs
+++ b/crates/admission/src/scheduler/estimate.rs
@@ -7,28 +7,28 @@
 use twox_hash::XxHash64;
 
 use super::Scheduler;
-use super::submit::Quote;
+use super::submit::Estimate;
 use crate::class::Class;
-use crate::pace::Pressure;
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
 use crate::request::Arrival;
 use crate::spec::MAX_TIERS;
+use crate::throughput::DemandRate;
 
 /// Stands for the target of a class without one, in the order between the classes of a tier.
-const NO_TARGET: Millis = Millis::from_secs(3600);
+const IMPLICIT_TARGET: Millis = Millis::from_secs(3600);
 
 /// Largest part of the target that is set aside for the time from start to first token. With more,
 /// one spell of slow engines could make every request look hopeless, and none would be started
 /// that could show otherwise.
-const START_PART: u64 = 2;
+const FIRST_TOKEN_DIVISOR: u64 = 2;
 
 /// Largest jitter, as a part of the retry time.
-const JITTER: f64 = 0.5;
+const MAX_JITTER: f64 = 0.5;
 
 impl Scheduler {
     /// Works out cost and deadlines of an arrival.
-    pub(super) fn quote(&mut self, arrival: &Arrival, now: Millis) -> Result<Quote, Refusal> {
+    pub(super) fn estimate(&mut self, arrival: &Arrival, now: Millis) -> Result<Estimate, Refusal> {
         let Some(class) = self.classes.get(arrival.class) else {
             return Err(self.refusal(Reason::UnknownClass, Millis::ZERO));
         };
@@ -36,26 +36,29 @@
             return Err(self.refusal(Reason::UnknownAccount, Millis::ZERO));
         };
         let typical = typical_output(class, arrival.model);
-        let expected = typical
+        let expected_output = typical
             .unwrap_or(self.settings.default_output)
             .min(arrival.max_tokens);
-        let output = account.expect(expected).min(arrival.max_tokens).max(1);
+        let output = account
+            .scale_output(expected_output)
+            .min(arrival.max_tokens)
+            .max(1);
         let prompt = arrival.prompt_tokens;
         let spec = &class.spec;
-        let start = start_time(class);
+        let start = first_token_allowance(class);
         let max_wait = spec.max_wait.max(spec.target);
-        let ends = before((now + max_wait).min(arrival.deadline), start);
+        let expires_at = saturating_before((now + max_wait).min(arrival.deadline), start);
         let charge = self.cost(prompt, output);
         let target = scaled_target(class);
-        let due = before(now + spec.target, start).min(ends);
-        Ok(Quote {
-            expected,
+        let latest_start = saturating_before(now + spec.target, start).min(expires_at);
+        Ok(Estimate {
+            expected_output,
             charge,
-            pressure: Pressure::new(charge, target),
-            billed: u64::from(prompt) + u64::from(output),
-            due,
-            ends,
-            rank: now + target,
+            demand: DemandRate::new(charge, target),
+            billed_tokens: u64::from(prompt) + u64::from(output),
+            latest_start,
+            expires_at,
+            scaled_deadline: now + target,
         })
     }
 
@@ -69,7 +72,7 @@
     /// Counted as ahead of it: all of the higher tiers; of its tier what falls due before it; of
     /// its class no more than fair queuing lets pass, so that one account's long queue doesn't get
     /// the others refused.
-    pub(super) fn predict(
+    pub(super) fn predict_wait(
         &self,
         key: ClassKey,
         account: AccountKey,
@@ -83,10 +86,14 @@
         let own = class.flow(account).map_or(0, |flow| flow.backlog);
         let fair = own
             .saturating_add(charge)
-            .saturating_mul(class.active().max(1));
-        let peers = self.pace.due_within(tier, scaled_target(class), class);
-        let ahead = self.pace.ahead(tier) + peers + class.backlog.min(fair);
-        let drain = self.pace.drain(tier, self.slots(), class.spec.floor, now);
+            .saturating_mul(class.active_accounts().max(1));
+        let peers = self
+            .throughput
+            .due_from_other_classes(tier, scaled_target(class), class);
+        let ahead = self.throughput.backlog_above(tier) + peers + class.backlog.min(fair);
+        let drain = self
+            .throughput
+            .drain_rate(tier, self.slots(), class.spec.floor, now);
         match drain {
             Some(drain) if ahead > 0 => Millis((ahead as f64 / drain) as u64),
             _ => Millis::ZERO,
@@ -97,10 +104,10 @@
     pub(super) fn refusal(&mut self, reason: Reason, wait: Millis) -> Refusal {
         let settings = &self.settings;
         let base = wait.min(settings.retry_max).max(settings.retry_min);
-        self.draws = self.draws.wrapping_add(1);
-        let hash = XxHash64::oneshot(settings.seed, &self.draws.to_le_bytes());
+        self.jitter_draws = self.jitter_draws.wrapping_add(1);
+        let hash = XxHash64::oneshot(settings.seed, &self.jitter_draws.to_le_bytes());
         let part = hash as f64 / u64::MAX as f64;
-        let jitter = (base.0 as f64 * JITTER * part) as u64;
+        let jitter = (base.0 as f64 * MAX_JITTER * part) as u64;
         Refusal {
             reason,
             retry_after: base + Millis(jitter),
@@ -116,24 +123,24 @@
 
 fn typical_output(class: &Class, model: Option<ModelKey>) -> Option<u32> {
     let of_model = model
-        .and_then(|model| class.models.get(model))
+        .and_then(|model| class.model_output_lengths.get(model))
         .and_then(|lengths| lengths.quantile());
-    of_model.or_else(|| class.outputs.quantile())
+    of_model.or_else(|| class.output_lengths.quantile())
 }
 
 /// Time from start to first token that is set aside.
-fn start_time(class: &Class) -> Millis {
-    let seen = class.starts.quantile().unwrap_or(0);
-    Millis(u64::from(seen).min(class.spec.target.0 / START_PART))
+fn first_token_allowance(class: &Class) -> Millis {
+    let seen = class.first_token_times.quantile().unwrap_or(0);
+    Millis(u64::from(seen).min(class.spec.target.0 / FIRST_TOKEN_DIVISOR))
 }
 
 fn scaled_target(class: &Class) -> Millis {
-    let target = class.spec.target.min(NO_TARGET).0 as f64;
+    let target = class.spec.target.min(IMPLICIT_TARGET).0 as f64;
     Millis((target / class.spec.weight.max(f64::MIN_POSITIVE)) as u64)
 }
 
 /// The instant `span` before `at`; "no deadline" stays none.
-fn before(at: Millis, span: Millis) -> Millis {
+fn saturating_before(at: Millis, span: Millis) -> Millis {
     if at == Millis::MAX {
         return at;
     }
--- a/crates/admission/src/scheduler/mod.rs
+++ b/crates/admission/src/scheduler/mod.rs
@@ -20,13 +20,13 @@
 
 use crate::account::Account;
 use crate::class::Class;
+use crate::class_index::ClassIndexes;
 use crate::headroom::Headroom;
-use crate::pace::Pace;
 use crate::refusal::Refused;
 use crate::request::Request;
 use crate::settings::Settings;
 use crate::spec::MAX_TIERS;
-use crate::standing::Orders;
+use crate::throughput::Throughput;
 
 pub use dispatch::Action;
 pub use settle::Cancelled;
@@ -45,20 +45,20 @@
     accounts: SecondaryMap<AccountKey, Account>,
     requests: SlotMap<RequestKey, Request>,
     timers: BTreeSet<Timer>,
-    orders: Orders,
-    pace: Pace,
+    class_indexes: ClassIndexes,
+    throughput: Throughput,
     headroom: Headroom,
     /// Answers that are due, in order.
-    refused: VecDeque<Refused>,
+    pending_refusals: VecDeque<Refused>,
     queued: u32,
     bytes: [u64; MAX_TIERS],
     running: u32,
     /// Queue entries that are kept for classes and not used by them.
-    spare: u32,
+    unused_reserve: u32,
     /// Free slots at the last call of `next`, less what was started since.
     free: u32,
     seq: u64,
-    draws: u64,
+    jitter_draws: u64,
     now: Millis,
     /// Number of pauses seen in the sequence of events.
     pauses: u32,
@@ -81,17 +81,17 @@
             accounts: SecondaryMap::new(),
             requests: SlotMap::with_key(),
             timers: BTreeSet::new(),
-            orders: Orders::default(),
-            pace: Pace::new(),
+            class_indexes: ClassIndexes::default(),
+            throughput: Throughput::new(),
             headroom,
-            refused: VecDeque::new(),
+            pending_refusals: VecDeque::new(),
             queued: 0,
             bytes: [0; MAX_TIERS],
             running: 0,
-            spare: 0,
+            unused_reserve: 0,
             free: 0,
             seq: 0,
-            draws: 0,
+            jitter_draws: 0,
             now: Millis::ZERO,
             pauses: 0,
         }
@@ -102,7 +102,7 @@
     /// A process that was suspended sees its requests end long after they did. Durations that span
     /// a pause are therefore not learned from; otherwise one suspension would make the service look
     /// slow, and requests would be refused that could well attain.
-    fn observe(&mut self, now: Millis) -> Millis {
+    fn advance_clock(&mut self, now: Millis) -> Millis {
         if now.since(self.now) > self.settings.pause_threshold {
             self.pauses = self.pauses.wrapping_add(1);
         }
--- a/crates/admission/src/scheduler/queue.rs
+++ b/crates/admission/src/scheduler/queue.rs
@@ -44,36 +44,36 @@
         let Stage::Queued(lane) = request.stage else {
             return;
         };
-        let wait = self.predict(
+        let wait = self.predict_wait(
             request.class,
             request.account,
-            request.place.charge,
+            request.position.charge,
             self.now,
         );
         self.remove_queued(&request, lane);
         self.requests.remove(key);
-        self.give_back(&request);
+        self.refund_limits(&request);
         let refusal = self.refusal(reason, wait);
-        self.refused.push_back(Refused { key, refusal });
+        self.pending_refusals.push_back(Refused { key, refusal });
     }
 
-    pub(super) fn give_back(&mut self, request: &Request) {
+    pub(super) fn refund_limits(&mut self, request: &Request) {
         if let Some(account) = self.accounts.get_mut(request.account) {
-            account.refund(request.billed);
+            account.refund(request.billed_tokens);
         }
     }
 
     /// Handles the requests whose time is up, until one is to be refused.
-    pub(super) fn pass_time(&mut self, now: Millis) {
+    pub(super) fn process_timers(&mut self, now: Millis) {
         while let Some(&timer) = self.timers.first() {
-            if timer.at > now || !self.refused.is_empty() {
+            if timer.at > now || !self.pending_refusals.is_empty() {
                 return;
             }
             self.timers.remove(&timer);
             let Some(request) = self.requests.get(timer.key).copied() else {
                 continue;
             };
-            if request.ends <= now {
+            if request.expires_at <= now {
                 self.refuse_queued(timer.key, Reason::Expired);
             } else {
                 self.demote(timer.key, &request);
@@ -83,9 +83,9 @@
 
     /// Moves a request that missed its target behind those that still can attain.
     fn demote(&mut self, key: RequestKey, request: &Request) {
-        self.unlink(request, Lane::Fresh);
-        if let Some(held) = self.requests.get_mut(key) {
-            held.stage = Stage::Queued(Lane::Late);
+        self.unlink(request, Lane::OnTime);
+        if let Some(stored) = self.requests.get_mut(key) {
+            stored.stage = Stage::Queued(Lane::Late);
         }
         self.link(request, Lane::Late);
     }
@@ -98,10 +98,10 @@
         if account.at_limit() {
             return;
         }
-        while let Some(class_key) = account.blocked.pop() {
+        while let Some(class_key) = account.blocked_classes.pop() {
             if let Some(class) = self.classes.get_mut(class_key) {
                 class.set_blocked(key, false);
-                self.orders.refresh(class_key, class);
+                self.class_indexes.refresh(class_key, class);
             }
         }
     }
@@ -111,38 +111,38 @@
             return;
         };
         let account = self.accounts.get(request.account);
-        class.ensure(request.account, account.map_or(1.0, |a| a.spec.weight));
-        if class.queued < class.kept {
-            self.spare -= 1;
+        class.ensure_flow(request.account, account.map_or(1.0, |a| a.spec.weight));
+        if class.queued < class.reserved_entries {
+            self.unused_reserve -= 1;
         }
         let tier = class.spec.tier_index();
         class.insert(request, lane);
         self.bytes[tier] += u64::from(request.bytes);
-        self.pace
-            .queued(tier, request.place.charge, request.pressure);
-        self.orders.refresh(request.class, class);
-        let at = request.timer(lane);
+        self.throughput
+            .enqueued(tier, request.position.charge, request.demand);
+        self.class_indexes.refresh(request.class, class);
+        let at = request.next_timeout(lane);
         if at < Millis::MAX {
-            let key = request.place.key;
+            let key = request.position.key;
             self.timers.insert(Timer { at, key });
         }
     }
 
     fn unlink(&mut self, request: &Request, lane: Lane) {
-        let at = request.timer(lane);
-        let key = request.place.key;
+        let at = request.next_timeout(lane);
+        let key = request.position.key;
         self.timers.remove(&Timer { at, key });
         let Some(class) = self.classes.get_mut(request.class) else {
             return;
         };
         let tier = class.spec.tier_index();
         class.remove(request, lane);
-        if class.queued < class.kept {
-            self.spare += 1;
+        if class.queued < class.reserved_entries {
+            self.unused_reserve += 1;
         }
         self.bytes[tier] -= u64::from(request.bytes);
-        self.pace
-            .unqueued(tier, request.place.charge, request.pressure);
-        self.orders.refresh(request.class, class);
+        self.throughput
+            .dequeued(tier, request.position.charge, request.demand);
+        self.class_indexes.refresh(request.class, class);
     }
 }
--- a/crates/admission/src/scheduler/report.rs
+++ b/crates/admission/src/scheduler/report.rs
@@ -14,8 +14,8 @@
             queued: self.queued,
             bytes: self.bytes.iter().sum(),
             running: self.running,
-            headroom: self.headroom.kept(),
-            tokens_per_second: self.pace.speed(self.slots()) * 1000.0,
+            headroom: self.headroom.reserved(),
+            tokens_per_second: self.throughput.rate(self.slots()) * 1000.0,
         }
     }
 
@@ -26,9 +26,9 @@
             class: key,
             queued: class.queued,
             backlog: class.backlog,
-            accounts: class.active() as u32,
+            accounts: class.active_accounts() as u32,
             flows: class.flow_count() as u32,
-            predicted_wait: self.predict(key, AccountKey::default(), class.backlog, self.now),
+            predicted_wait: self.predict_wait(key, AccountKey::default(), class.backlog, self.now),
         })
     }
 
--- a/crates/admission/src/scheduler/settle.rs
+++ b/crates/admission/src/scheduler/settle.rs
@@ -4,13 +4,13 @@
 use crocushold_base::RequestKey;
 
 use super::Scheduler;
-use crate::class::clock_span;
-use crate::class::floor_span;
+use crate::class::clock_ticks;
+use crate::class::floor_ticks;
 use crate::histogram::DecayingHistogram;
 use crate::request::Request;
 use crate::request::Run;
+use crate::request::SelectedBy;
 use crate::request::Stage;
-use crate::request::Turn;
 use crate::ticket::Sent;
 use crate::ticket::Ticket;
 
@@ -55,7 +55,7 @@
     /// The first call tells the time to first token. Output beyond the estimate is charged as it
     /// comes, so that an account whose answers turn out long falls back in order while they run.
     pub fn progress(&mut self, ticket: &Ticket<Sent>, output: u32, now: Millis) {
-        let now = self.observe(now);
+        let now = self.advance_clock(now);
         let pauses = self.pauses;
         let Some(request) = self.requests.get_mut(ticket.key()) else {
             return;
@@ -63,12 +63,14 @@
         let Stage::Running(run) = &mut request.stage else {
             return;
         };
-        let first = !run.answered && run.pauses == pauses;
-        let since = run.since;
-        run.answered = true;
+        let first = !run.first_token_seen && run.pauses_at_start == pauses;
+        let started = run.started;
+        run.first_token_seen = true;
         let request = *request;
         if first && let Some(class) = self.classes.get_mut(request.class) {
-            class.starts.record(clamp(now.since(since).0));
+            class
+                .first_token_times
+                .record(saturating_u32(now.since(started).0));
         }
         self.charge_excess(&request, output);
     }
@@ -80,9 +82,9 @@
         completion: Completion,
         now: Millis,
     ) -> Option<Settlement> {
-        let now = self.observe(now);
-        let key = ticket.redeem();
-        let run = self.end_run(key)?;
+        let now = self.advance_clock(now);
+        let key = ticket.into_key();
+        let run = self.release_slot(key)?;
         let request = self.requests.remove(key)?;
         if completion.complete {
             self.learn(&request, &run, completion.output, now);
@@ -95,17 +97,17 @@
     ///
     /// A driver that cancels a started request also stops the backend server's work.
     pub fn cancel(&mut self, key: RequestKey, output: u32, now: Millis) -> Option<Cancelled> {
-        let now = self.observe(now);
+        let now = self.advance_clock(now);
         let request = *self.requests.get(key)?;
         match request.stage {
             Stage::Queued(lane) => {
                 self.remove_queued(&request, lane);
                 self.requests.remove(key);
-                self.give_back(&request);
+                self.refund_limits(&request);
                 Some(Cancelled::Queued)
             }
             Stage::Running(run) => {
-                self.end_run(key);
+                self.release_slot(key);
                 self.requests.remove(key);
                 self.settle(&request, &run, output, now);
                 Some(Cancelled::Running)
@@ -114,7 +116,7 @@
     }
 
     /// Frees the slot of a started request, which stays held.
-    pub(super) fn end_run(&mut self, key: RequestKey) -> Option<Run> {
+    pub(super) fn release_slot(&mut self, key: RequestKey) -> Option<Run> {
         let request = self.requests.get(key)?;
         let Stage::Running(run) = request.stage else {
             return None;
@@ -130,23 +132,23 @@
 
     /// Takes back all that a start charged.
     pub(super) fn undo_charge(&mut self, request: &Request, run: &Run, now: Millis) {
-        self.correct(request, run, 0);
+        self.adjust_charge(request, run, 0);
         let tier = self.tier(request.class);
         let tokens = run.charged as f64;
-        self.pace.dispatched(tier, -tokens, now);
+        self.throughput.dispatched(tier, -tokens, now);
     }
 
     fn charge_excess(&mut self, request: &Request, output: u32) {
         let Stage::Running(run) = request.stage else {
             return;
         };
-        let used = self.cost(request.prompt, output);
+        let used = self.cost(request.prompt_tokens, output);
         if used <= run.charged {
             return;
         }
-        self.correct(request, &run, used + CHARGE_STEP);
-        if let Some(held) = self.requests.get_mut(request.place.key) {
-            held.stage = Stage::Running(Run {
+        self.adjust_charge(request, &run, used + CHARGE_STEP);
+        if let Some(stored) = self.requests.get_mut(request.position.key) {
+            stored.stage = Stage::Running(Run {
                 charged: used + CHARGE_STEP,
                 ..run
             });
@@ -154,25 +156,25 @@
     }
 
     fn settle(&mut self, request: &Request, run: &Run, output: u32, now: Millis) -> Settlement {
-        let used = self.cost(request.prompt, output);
-        self.correct(request, run, used);
+        let used = self.cost(request.prompt_tokens, output);
+        self.adjust_charge(request, run, used);
         if let Some(account) = self.accounts.get_mut(request.account) {
-            let real = u64::from(request.prompt) + u64::from(output);
-            account.settle(request.billed, real);
+            let real = u64::from(request.prompt_tokens) + u64::from(output);
+            account.settle(request.billed_tokens, real);
         }
         Settlement {
             charged: run.charged,
             used,
-            service_time: now.since(run.since),
-            queue_time: run.since.since(request.arrived),
+            service_time: now.since(run.started),
+            queue_time: run.started.since(request.arrived),
         }
     }
 
     /// Replaces what a run was charged by `used`: in the account's counter, on the clock of the
     /// floors and, if the run was started by the floor, against the floor of its class.
-    fn correct(&mut self, request: &Request, run: &Run, used: u64) {
-        let clock = &mut self.orders.clock;
-        *clock = (*clock + clock_span(used)).saturating_sub(clock_span(run.charged));
+    fn adjust_charge(&mut self, request: &Request, run: &Run, used: u64) {
+        let clock = &mut self.class_indexes.token_clock;
+        *clock = (*clock + clock_ticks(used)).saturating_sub(clock_ticks(run.charged));
         let Some(class) = self.classes.get_mut(request.class) else {
             return;
         };
@@ -181,43 +183,45 @@
             class.refund(request.account, run.charged - used);
         } else if let Some(account) = self.accounts.get(request.account) {
             // The flow may be forgotten by now; a debt must outlive that.
-            class.ensure(request.account, account.spec.weight);
+            class.ensure_flow(request.account, account.spec.weight);
             class.charge(request.account, used - run.charged);
         }
-        if run.turn == Turn::Floor && floor > 0.0 {
-            let clock = class.floor_clock + floor_span(used, floor);
-            class.floor_clock = clock.saturating_sub(floor_span(run.charged, floor));
+        if run.selected_by == SelectedBy::Floor && floor > 0.0 {
+            let clock = class.floor_clock + floor_ticks(used, floor);
+            class.floor_clock = clock.saturating_sub(floor_ticks(run.charged, floor));
         }
-        self.orders.refresh(request.class, class);
+        self.class_indexes.refresh(request.class, class);
     }
 
     fn learn(&mut self, request: &Request, run: &Run, output: u32, now: Millis) {
-        if run.pauses == self.pauses {
+        if run.pauses_at_start == self.pauses {
             // In estimated tokens, because the queue is counted in these too: an estimate that is
             // too high on the whole then cancels out of the predicted wait.
-            self.pace
-                .finished(request.place.charge, now.since(run.since));
+            self.throughput
+                .finished(request.position.charge, now.since(run.started));
         }
         if let Some(account) = self.accounts.get_mut(request.account) {
-            account.learn(request.expected, output);
+            account.learn(request.expected_output, output);
         }
         let Some(class) = self.classes.get_mut(request.class) else {
             return;
         };
-        class.outputs.record(output);
+        class.output_lengths.record(output);
         let Some(model) = request.model else {
             return;
         };
         let quantile = self.settings.output_quantile;
-        if !class.models.contains_key(model) {
-            class.models.insert(model, DecayingHistogram::new(quantile));
+        if !class.model_output_lengths.contains_key(model) {
+            class
+                .model_output_lengths
+                .insert(model, DecayingHistogram::new(quantile));
         }
-        if let Some(lengths) = class.models.get_mut(model) {
+        if let Some(lengths) = class.model_output_lengths.get_mut(model) {
             lengths.record(output);
         }
     }
 }
 
-fn clamp(value: u64) -> u32 {
+fn saturating_u32(value: u64) -> u32 {
     u32::try_from(value).unwrap_or(u32::MAX)
 }
--- a/crates/admission/src/scheduler/submit.rs
+++ b/crates/admission/src/scheduler/submit.rs
@@ -4,14 +4,14 @@
 use crocushold_base::RequestKey;
 
 use super::Scheduler;
-use crate::pace::Pressure;
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
 use crate::request::Arrival;
 use crate::request::Lane;
-use crate::request::Place;
+use crate::request::QueuePosition;
 use crate::request::Request;
 use crate::request::Stage;
+use crate::throughput::DemandRate;
 
 /// What becomes of an arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     /// A refusal allocates nothing and uses up no limit. An admission may displace queued work of a
     /// lower tier; its refusals come out of [`next`](Scheduler::next).
     pub fn submit(&mut self, arrival: &Arrival, now: Millis) -> Admission {
-        let now = self.observe(now);
+        let now = self.advance_clock(now);
         match self.admit(arrival, now) {
             Ok(key) => Admission::Queued(key),
             Err(refusal) => Admission::Refused(refusal),
@@ -36,27 +36,27 @@
     }
 
     fn admit(&mut self, arrival: &Arrival, now: Millis) -> Result<RequestKey, Refusal> {
-        let quote = self.quote(arrival, now)?;
-        self.check_limits(arrival, &quote, now)?;
+        let estimate = self.estimate(arrival, now)?;
+        self.check_limits(arrival, &estimate, now)?;
         if self.tier(arrival.class) == 0 {
-            self.headroom.arrived(now);
+            self.headroom.record_arrival(now);
         }
-        self.check_wait(arrival, &quote, now)?;
+        self.check_wait(arrival, &estimate, now)?;
         self.make_room(arrival)?;
-        Ok(self.enqueue(arrival, &quote, now))
+        Ok(self.enqueue(arrival, &estimate, now))
     }
 
     fn check_limits(
         &mut self,
         arrival: &Arrival,
-        quote: &Quote,
+        estimate: &Estimate,
         now: Millis,
     ) -> Result<(), Refusal> {
         let Some(account) = self.accounts.get_mut(arrival.account) else {
             return Err(self.refusal(Reason::UnknownAccount, Millis::ZERO));
         };
         account
-            .check(quote.billed, now)
+            .check(estimate.billed_tokens, now)
             .map_err(|hit| self.refusal(hit.reason, hit.wait))
     }
 
@@ -64,15 +64,20 @@
     ///
     /// A request that finds nothing ahead of it is always admitted: the prediction learns from
     /// finished requests alone, so one that refused everybody could never be proved wrong.
-    fn check_wait(&mut self, arrival: &Arrival, quote: &Quote, now: Millis) -> Result<(), Refusal> {
-        if quote.ends <= now {
+    fn check_wait(
+        &mut self,
+        arrival: &Arrival,
+        estimate: &Estimate,
+        now: Millis,
+    ) -> Result<(), Refusal> {
+        if estimate.expires_at <= now {
             return Err(self.refusal(Reason::Expired, Millis::ZERO));
         }
-        if quote.ends == Millis::MAX {
+        if estimate.expires_at == Millis::MAX {
             return Ok(());
         }
-        let wait = self.predict(arrival.class, arrival.account, quote.charge, now);
-        let slack = quote.ends.since(now);
+        let wait = self.predict_wait(arrival.class, arrival.account, estimate.charge, now);
+        let slack = estimate.expires_at.since(now);
         let allowed = Millis((slack.0 as f64 * self.settings.wait_margin) as u64);
         if wait <= allowed {
             return Ok(());
@@ -83,38 +88,38 @@
     /// Frees a queue entry and the memory that the arrival needs.
     fn make_room(&mut self, arrival: &Arrival) -> Result<(), Refusal> {
         let own = self.tier(arrival.class);
-        let lower: u64 = self.bytes[own + 1..].iter().sum();
-        let firm = self.bytes.iter().sum::<u64>() - lower;
-        if firm + u64::from(arrival.bytes) > self.settings.queue_bytes {
-            return Err(self.refuse_full(arrival));
+        let evictable: u64 = self.bytes[own + 1..].iter().sum();
+        let not_evictable = self.bytes.iter().sum::<u64>() - evictable;
+        if not_evictable + u64::from(arrival.bytes) > self.settings.queue_bytes {
+            return Err(self.queue_full_refusal(arrival));
         }
-        while let Some(shortage) = self.shortage(arrival) {
-            let Some(key) = self.find_yielding(arrival, shortage) else {
-                return Err(self.refuse_full(arrival));
+        while let Some(bound) = self.exceeded_bound(arrival) {
+            let Some(key) = self.find_victim(arrival, bound) else {
+                return Err(self.queue_full_refusal(arrival));
             };
             self.refuse_queued(key, Reason::Displaced);
         }
         Ok(())
     }
 
-    fn refuse_full(&mut self, arrival: &Arrival) -> Refusal {
-        let wait = self.predict(arrival.class, arrival.account, 1, self.now);
+    fn queue_full_refusal(&mut self, arrival: &Arrival) -> Refusal {
+        let wait = self.predict_wait(arrival.class, arrival.account, 1, self.now);
         self.refusal(Reason::QueueFull, wait)
     }
 
     /// What keeps the arrival out of the queue.
-    fn shortage(&self, arrival: &Arrival) -> Option<Shortage> {
+    fn exceeded_bound(&self, arrival: &Arrival) -> Option<QueueBound> {
         let class = self.classes.get(arrival.class)?;
         let held: u64 = self.bytes.iter().sum();
         let limit = self.settings.queue_limit;
         if class.queued >= class.spec.max_queued {
-            return Some(Shortage::Class);
+            return Some(QueueBound::Class);
         }
-        if class.queued >= class.kept && self.queued + self.spare >= limit {
-            return Some(Shortage::Entries);
+        if class.queued >= class.reserved_entries && self.queued + self.unused_reserve >= limit {
+            return Some(QueueBound::Entries);
         }
         let over = held + u64::from(arrival.bytes) > self.settings.queue_bytes;
-        over.then_some(Shortage::Memory)
+        over.then_some(QueueBound::Memory)
     }
 
     /// The queued request that gives way to the arrival.
@@ -122,62 +127,68 @@
     /// First the lowest tier that holds more than is kept for it, so that the live tier is refused
     /// only when it fills the queue itself. Inside a class the account with the longest queue gives
     /// way to one with a shorter queue, so that no account can lock others out.
-    fn find_yielding(&self, arrival: &Arrival, shortage: Shortage) -> Option<RequestKey> {
+    fn find_victim(&self, arrival: &Arrival, bound: QueueBound) -> Option<RequestKey> {
         let class = self.classes.get(arrival.class)?;
-        let lowest = match shortage {
-            Shortage::Class => None,
-            Shortage::Entries => self.orders.entries.first(),
-            Shortage::Memory => self.orders.memory.first(),
+        let lowest = match bound {
+            QueueBound::Class => None,
+            QueueBound::Entries => self.class_indexes.excess_entries.first(),
+            QueueBound::Memory => self.class_indexes.excess_memory.first(),
         };
         if let Some(lowest) = lowest
             && lowest.tier.0 > self.tier(arrival.class)
         {
             let other = self.classes.get(lowest.class)?;
-            let longest = other.longest()?;
-            return other.flow(longest.account)?.newest().map(|place| place.key);
+            let longest = other.longest_queue()?;
+            return other
+                .flow(longest.account)?
+                .newest()
+                .map(|position| position.key);
         }
-        let longest = class.longest()?;
+        let longest = class.longest_queue()?;
         let own = class.flow(arrival.account).map_or(0, |flow| flow.len());
         if longest.queued <= own + 1 {
             return None;
         }
-        class.flow(longest.account)?.newest().map(|place| place.key)
+        class
+            .flow(longest.account)?
+            .newest()
+            .map(|position| position.key)
     }
 
-    fn enqueue(&mut self, arrival: &Arrival, quote: &Quote, now: Millis) -> RequestKey {
+    fn enqueue(&mut self, arrival: &Arrival, estimate: &Estimate, now: Millis) -> RequestKey {
         self.seq += 1;
         let seq = self.seq;
         let key = self.requests.insert_with_key(|key| Request {
             class: arrival.class,
             account: arrival.account,
             model: arrival.model,
-            place: Place {
-                due: quote.due,
+            position: QueuePosition {
+                latest_start: estimate.latest_start,
                 seq,
                 key,
-                rank: quote.rank,
-                charge: quote.charge,
+                scaled_deadline: estimate.scaled_deadline,
+                charge: estimate.charge,
             },
-            ends: quote.ends,
+            expires_at: estimate.expires_at,
             arrived: now,
-            pressure: quote.pressure,
-            prompt: arrival.prompt_tokens,
-            expected: quote.expected,
+            demand: estimate.demand,
+            prompt_tokens: arrival.prompt_tokens,
+            expected_output: estimate.expected_output,
             bytes: arrival.bytes,
-            billed: quote.billed,
-            stage: Stage::Queued(Lane::Fresh),
+            billed_tokens: estimate.billed_tokens,
+            stage: Stage::Queued(Lane::OnTime),
         });
         if let Some(account) = self.accounts.get_mut(arrival.account) {
-            account.take(quote.billed, now);
+            account.take(estimate.billed_tokens, now);
         }
-        self.insert_queued(key, Lane::Fresh);
+        self.insert_queued(key, Lane::OnTime);
         key
     }
 }
 
 /// Which bound of the queue is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Shortage {
+enum QueueBound {
     /// The bound of the class itself.
     Class,
     /// The number of entries in all.
@@ -188,18 +199,18 @@
 
 /// What a request is expected to cost, and until when it can start.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Quote {
+pub(super) struct Estimate {
     /// Output tokens expected of the class, before the account's bias.
-    pub(super) expected: u32,
+    pub(super) expected_output: u32,
     /// Cost in output tokens.
     pub(super) charge: u64,
-    pub(super) pressure: Pressure,
+    pub(super) demand: DemandRate,
     /// Prompt and output tokens, as rate limits count them.
-    pub(super) billed: u64,
+    pub(super) billed_tokens: u64,
     /// Last start that meets the target.
-    pub(super) due: Millis,
+    pub(super) latest_start: Millis,
     /// First instant at which a start is of no use.
-    pub(super) ends: Millis,
+    pub(super) expires_at: Millis,
     /// Deadline scaled by the class's weight.
-    pub(super) rank: Millis,
+    pub(super) scaled_deadline: Millis,
 }
--- a/crates/admission/src/ticket.rs
+++ b/crates/admission/src/ticket.rs
@@ -65,11 +65,11 @@
     }
 
     /// Gives the ticket up for the key; nothing else can be done with it afterwards.
-    pub(crate) fn redeem(self) -> RequestKey {
+    pub(crate) fn into_key(self) -> RequestKey {
         self.key
     }
 
-    fn become_state<T>(self) -> Ticket<T> {
+    fn into_state<T>(self) -> Ticket<T> {
         Ticket {
             key: self.key,
             class: self.class,
@@ -99,7 +99,7 @@
     /// Marks the request as sent, just before the first byte is written. From here on it can't be
     /// queued again without a proof that it did not run.
     pub fn sent(self) -> Ticket<Sent> {
-        self.become_state()
+        self.into_state()
     }
 }
 
@@ -107,11 +107,11 @@
     /// Takes the request back as one that may be sent a second time although it may have run: it is
     /// idempotent, and nothing of an answer went to its caller.
     pub fn retry(self, _permit: RetryPermit) -> Ticket<Dispatched> {
-        self.become_state()
+        self.into_state()
     }
 
     /// Takes the request back as one that may be sent elsewhere, on proof that it did not run.
     pub fn not_run(self, _proof: NotRun) -> Ticket<Dispatched> {
-        self.become_state()
+        self.into_state()
     }
 }
