--- a/crates/admission/src/account.rs
+++ b/crates/admission/src/account.rs
@@ -1,4 +1,4 @@
-//! Limits and the learned bias of one client account.
+//! Rate limits, concurrency limit and learned output bias of one client account.
 
 use crocushold_base::ClassKey;
 use crocushold_base::Millis;
@@ -7,22 +7,22 @@
 use crate::refusal::Reason;
 use crate::spec::AccountSpec;
 
-/// Gain of the bias with each answer.
+/// Weight of a new answer in the exponentially weighted bias.
 const BIAS_GAIN: f64 = 0.25;
 
-/// Bounds of the bias: one odd answer must not make an account's next requests unpayable.
+/// Bounds of the bias, so that a single unusual answer can't make the account's next requests
+/// prohibitively expensive.
 const BIAS_MIN: f64 = 0.25;
 const BIAS_MAX: f64 = 64.0;
 
-/// The state of one account.
 #[derive(Debug)]
 pub(crate) struct Account {
     pub(crate) spec: AccountSpec,
     pub(crate) queued: u32,
     pub(crate) running: u32,
-    /// Classes in which the account's queue waits for its concurrency limit.
+    /// Classes in which the account has queued requests that wait for its concurrency limit.
     pub(crate) blocked_classes: Vec<ClassKey>,
-    /// How much longer the account's answers are than those of its classes.
+    /// Ratio of the account's output lengths to those expected of its classes.
     bias: f64,
     share: f64,
     requests: TokenBucket,
@@ -30,14 +30,14 @@
     grant: Grant,
 }
 
-/// Tokens lent by another instance.
+/// Tokens lent by another instance, valid until `until`.
 #[derive(Clone, Copy, Debug, Default)]
 struct Grant {
     tokens: f64,
     until: Millis,
 }
 
-/// A limit that refuses a request, and how long it will.
+/// A limit that rejects a request, and the time until it would admit it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LimitHit {
     pub(crate) reason: Reason,
@@ -73,33 +73,34 @@
         self.apply_rates(now);
     }
 
-    /// Most requests in flight on this instance: its share, but one at least, because a limit of
-    /// zero would starve an account whose few requests happen to arrive here.
+    /// Concurrency limit on this instance: the instance's share of the account's limit, rounded up
+    /// and at least 1. A limit of zero would starve an account whose few requests happen to arrive
+    /// here.
     pub(crate) fn concurrency(&self) -> u32 {
         if self.spec.concurrency == u32::MAX {
             return u32::MAX;
         }
-        let part = f64::from(self.spec.concurrency) * self.share;
-        (part.ceil() as u32).max(1)
+        let limit = f64::from(self.spec.concurrency) * self.share;
+        (limit.ceil() as u32).max(1)
     }
 
     pub(crate) fn at_limit(&self) -> bool {
         self.running >= self.concurrency()
     }
 
-    /// Tokens that the account is expected to receive where its class expects `output`.
+    /// Output tokens expected of this account where its class expects `output`.
     pub(crate) fn scale_output(&self, output: u32) -> u32 {
         (f64::from(output) * self.bias) as u32
     }
 
-    /// Learns from an answer of `real` tokens where the class expected `output`.
+    /// Updates the bias from an answer of `actual` tokens where the class expected `output`.
     pub(crate) fn learn(&mut self, output: u32, actual: u32) {
         let ratio = f64::from(actual.max(1)) / f64::from(output.max(1));
         let bias = self.bias + (ratio - self.bias) * BIAS_GAIN;
         self.bias = bias.clamp(BIAS_MIN, BIAS_MAX);
     }
 
-    /// Checks the limits without using them up.
+    /// Checks the limits without consuming them.
     pub(crate) fn check(&mut self, tokens: u64, now: Millis) -> Result<(), LimitHit> {
         let wait = self.requests.wait(1.0, now);
         if wait > Millis::ZERO {
@@ -125,7 +126,8 @@
         Ok(())
     }
 
-    /// Uses up the limits for an admitted request; lent tokens first, since they expire.
+    /// Consumes the limits for an admitted request. Granted tokens are used first because they
+    /// expire.
     pub(crate) fn take(&mut self, tokens: u64, now: Millis) {
         self.requests.take(1.0);
         let from_grant = self.granted_tokens(now).min(tokens as f64);
@@ -133,18 +135,18 @@
         self.tokens.take(tokens as f64 - from_grant);
     }
 
-    /// Corrects what was taken for a request by the difference to its real count.
+    /// Replaces the tokens billed at admission by the actual count.
     pub(crate) fn settle(&mut self, billed: u64, actual: u64) {
         self.tokens.take(actual as f64 - billed as f64);
     }
 
-    /// Gives back what a request took that did not run.
+    /// Returns what a request consumed that did not run.
     pub(crate) fn refund(&mut self, tokens: u64) {
         self.requests.take(-1.0);
         self.tokens.take(-(tokens as f64));
     }
 
-    /// Notes that the account's queue in `class` waits for the concurrency limit.
+    /// Records that the account's queue in `class` waits for the concurrency limit.
     pub(crate) fn block(&mut self, class: ClassKey) {
         if !self.blocked_classes.contains(&class) {
             self.blocked_classes.push(class);
@@ -174,7 +176,7 @@
     }
 }
 
-/// An unlimited rate stays unlimited under a share of zero.
+/// An infinite rate times a share of zero is NaN; such a rate stays unlimited.
 fn unlimited_if_nan(rate: f64) -> f64 {
     if rate.is_nan() { f64::INFINITY } else { rate }
 }
--- a/crates/admission/src/bucket.rs
+++ b/crates/admission/src/bucket.rs
@@ -2,7 +2,8 @@
 
 use crocushold_base::Millis;
 
-/// A token bucket that refills lazily. It may be driven into debt by a settlement.
+/// A token bucket that refills lazily. Its level may become negative when a settlement takes more
+/// than was reserved.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
     rate: f64,
@@ -12,7 +13,8 @@
 }
 
 impl TokenBucket {
-    /// A full bucket that refills by `rate` a second and holds what `burst` brings, one at least.
+    /// A full bucket that refills by `rate` tokens per second. Its capacity is what accrues during
+    /// `burst`, at least 1.
     pub(crate) fn new(rate: f64, burst: Millis, now: Millis) -> TokenBucket {
         let capacity = burst_capacity(rate, burst);
         TokenBucket {
@@ -23,12 +25,12 @@
         }
     }
 
-    /// Changes the rate; what was saved up is kept as far as the new bucket holds it.
+    /// Changes the rate. The current level is kept, up to the new capacity.
     pub(crate) fn set_rate(&mut self, rate: f64, burst: Millis, now: Millis) {
         self.refill(now);
         self.rate = rate.max(0.0);
         self.capacity = burst_capacity(rate, burst);
-        // From unlimited to limited there is no level to keep.
+        // An unlimited bucket has no finite level to keep.
         self.level = if self.level.is_finite() {
             self.level.min(self.capacity)
         } else {
@@ -36,10 +38,10 @@
         };
     }
 
-    /// The time until `amount` can be taken; zero when it can be now.
+    /// Time until `amount` can be taken; zero if it can be taken now.
     ///
-    /// An amount above the capacity is let through once the bucket is full, and leaves a debt:
-    /// otherwise a single large request could never run.
+    /// An amount above the capacity is admitted once the bucket is full and leaves the level
+    /// negative; otherwise a request larger than the bucket could never run.
     pub(crate) fn wait(&mut self, amount: f64, now: Millis) -> Millis {
         self.refill(now);
         let missing = amount.min(self.capacity) - self.level;
@@ -52,15 +54,15 @@
         Millis((missing / self.rate * 1000.0).ceil() as u64)
     }
 
-    /// Takes `amount`, into debt if need be; a negative amount is a refund.
+    /// Takes `amount`, going negative if necessary. A negative amount is a refund.
     pub(crate) fn take(&mut self, amount: f64) {
         if self.capacity.is_finite() {
             self.level = (self.level - amount).min(self.capacity);
         }
     }
 
-    /// Adds what the time since the last call brings, up to the capacity: a process that wakes
-    /// after a long pause finds a full bucket, never more.
+    /// Adds what accrued since the last call, up to the capacity, so a process that resumes after a
+    /// long suspension finds a full bucket and never more.
     fn refill(&mut self, now: Millis) {
         let secs = now.since(self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
--- a/crates/admission/src/class.rs
+++ b/crates/admission/src/class.rs
@@ -1,9 +1,10 @@
-//! The queue of one class, fair between its accounts.
+//! Queue of one class, with fair queuing between its accounts.
 //!
-//! Start-time fair queuing over a virtual token counter for each account: the account that was
-//! served the least goes next, and one that was idle starts at the class's virtual time, so that
-//! idle time can't be saved up as credit. An account that was served more than its part keeps its
-//! counter until the virtual time has caught up, so that going idle for a moment sheds no debt.
+//! Start-time fair queuing with a virtual token counter for each account: the account with the
+//! lowest counter is served next. An account that was idle starts at the class's virtual time, so
+//! that idle time can't be accumulated as credit. An account that was served more than its share
+//! keeps its counter until the virtual time has caught up, so that it can't clear its debt by going
+//! idle briefly.
 
 use std::collections::BTreeSet;
 
@@ -24,31 +25,31 @@
 use crate::spec::ClassSpec;
 use crate::throughput::DemandRate;
 
-/// One start in this many goes to a request that missed its target while others still can attain.
+/// One start in this many goes to a request that missed its target while others can still meet
+/// theirs.
 ///
-/// With none, a permanent overload would never reach the late ones; with more, hopeless work would
-/// make attainable work late in turn.
+/// Without such starts a permanent overload would never reach the late requests. More of them would
+/// delay requests that can still meet their target until these are late as well.
 const LATE_START_INTERVAL: u32 = 8;
 
-/// Quantile of the past time to first token that is set aside from the target.
+/// Quantile of the observed times to first token that is subtracted from the target.
 const FIRST_TOKEN_QUANTILE: f64 = 0.9;
 
-/// The state of one class.
 #[derive(Debug)]
 pub(crate) struct Class {
     pub(crate) spec: ClassSpec,
     pub(crate) queued: u32,
-    /// Estimated cost of what is queued.
+    /// Estimated cost of the queued requests, in output tokens.
     pub(crate) backlog: u64,
     pub(crate) bytes: u64,
     pub(crate) demand: DemandRate,
-    /// The instant of the floor's virtual clock up to which the class was served its floor.
+    /// Value of the token clock up to which the class has received its floor.
     pub(crate) floor_clock: u64,
-    /// Where the class stands in the scheduler's orders.
+    /// Keys of the class in the scheduler's indexes.
     pub(crate) index_keys: IndexKeys,
-    /// Queue entries that are kept for the class.
+    /// Queue entries reserved for the class.
     pub(crate) reserved_entries: u32,
-    /// Bytes of queue memory that the class need not give up.
+    /// Bytes of queue memory reserved for the class.
     pub(crate) reserved_bytes: u64,
     pub(crate) output_lengths: DecayingHistogram,
     pub(crate) model_output_lengths: SecondaryMap<ModelKey, DecayingHistogram>,
@@ -62,13 +63,13 @@
     starts_since_late: u32,
 }
 
-/// The request that a class would start next.
+/// The request of a class that is started next.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
     pub(crate) account: AccountKey,
     pub(crate) lane: Lane,
     pub(crate) position: QueuePosition,
-    /// The class has nothing that can still attain.
+    /// No queued request of the class can still meet its target.
     pub(crate) only_late: bool,
 }
 
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Accounts with something queued.
+    /// Number of accounts with queued requests.
     pub(crate) fn active_accounts(&self) -> u64 {
         self.by_length.len() as u64
     }
@@ -110,7 +111,7 @@
         self.flows.get(account)
     }
 
-    /// The request that would start next.
+    /// The request that is started next, if one is eligible.
     pub(crate) fn candidate(&self) -> Option<Candidate> {
         let late_is_due =
             self.starts_since_late >= LATE_START_INTERVAL - 1 && !self.late.is_empty();
@@ -129,12 +130,12 @@
         })
     }
 
-    /// The account with the longest queue, and its length.
+    /// The account with the most queued requests, and their number.
     pub(crate) fn longest_queue(&self) -> Option<FlowLength> {
         self.by_length.last().copied()
     }
 
-    /// Queue entries that are kept for the class and not used.
+    /// Reserved queue entries that are not in use.
     pub(crate) fn unused_reserve(&self) -> u32 {
         self.reserved_entries.saturating_sub(self.queued)
     }
@@ -161,7 +162,8 @@
         self.update_flow(request.account, |flow| flow.remove(lane, &request.position));
     }
 
-    /// Takes note that the candidate is about to be started.
+    /// Updates the virtual time and the count of on-time starts; called just before the candidate
+    /// is started.
     pub(crate) fn record_start(&mut self, candidate: &Candidate) {
         self.starts_since_late = match candidate.lane {
             Lane::Late => 0,
@@ -180,14 +182,15 @@
         self.update_flow(account, |flow| flow.refund(tokens));
     }
 
-    /// Takes an account in or out of the order when it reaches or leaves its concurrency limit.
+    /// Removes an account from the dispatch order when it reaches its concurrency limit, or adds it
+    /// again when it falls below.
     pub(crate) fn set_blocked(&mut self, account: AccountKey, blocked: bool) {
         if !self.flows.contains_key(account) {
             return;
         }
         let start = self.virtual_time;
         self.update_flow(account, |flow| {
-            // Time spent at the limit is no credit either.
+            // Like idle time, time at the concurrency limit earns no credit.
             if flow.blocked && !blocked {
                 flow.counter = flow.counter.max(start);
             }
@@ -195,7 +198,7 @@
         });
     }
 
-    /// Sets the weights of all flows; one without a weight is dropped if it has nothing queued.
+    /// Sets the weight of each flow. A flow whose account is gone is dropped if it is empty.
     pub(crate) fn update_weights(&mut self, weight: impl Fn(AccountKey) -> Option<f64>) {
         let idle = &mut self.idle;
         self.flows.retain(|account, flow| match weight(account) {
@@ -212,7 +215,7 @@
         });
     }
 
-    /// Makes sure that the account has a flow; `weight` is used for a new one.
+    /// Creates the account's flow with `weight` unless it exists.
     pub(crate) fn ensure_flow(&mut self, account: AccountKey, weight: f64) {
         if !self.flows.contains_key(account) {
             let flow = Flow::new(self.virtual_time, weight);
@@ -221,11 +224,11 @@
         }
     }
 
-    /// Books a start against the floor.
+    /// Charges a start against the floor.
     ///
-    /// A start by the floor advances the class's clock by what its share takes to grow back. A
-    /// start in ordinary order uses up credit but leaves no debt: otherwise what the class was
-    /// served in quiet hours would cost it its floor in the rush.
+    /// A start selected by the floor advances the class's clock by the time in which its share
+    /// accrues again. A start selected by rank uses up accrued credit but leaves no debt: otherwise
+    /// the class would lose its floor under load for what it was served in quiet hours.
     pub(crate) fn charge_floor(&mut self, selected_by: SelectedBy, charge: u64, clock: u64) {
         let step = floor_ticks(charge, self.spec.floor);
         let next = self.floor_clock.saturating_add(step);
@@ -290,7 +293,7 @@
         }
     }
 
-    /// Drops the idle flows that owe nothing, so that memory follows the accounts in use.
+    /// Drops empty flows without debt, so that memory use follows the active accounts.
     pub(crate) fn drop_idle_flows(&mut self) {
         while let Some(&rank) = self.idle.first() {
             if rank.counter > self.virtual_time {
@@ -309,16 +312,16 @@
     }
 }
 
-/// Units of the floors' clock to a token, so that rounding is small against any charge.
+/// Ticks of the token clock per token, so that rounding is small relative to any charge.
 const TICKS_PER_TOKEN: u64 = 1024;
 
-/// What dispatched tokens add to the floors' clock.
+/// Ticks by which dispatched tokens advance the token clock.
 pub(crate) fn clock_ticks(tokens: u64) -> u64 {
     tokens * TICKS_PER_TOKEN
 }
 
-/// The time on the floors' clock of which `charge` is the share `floor`; rounded up, so that
-/// rounding never adds to a floor.
+/// Ticks of the token clock in which a share of `floor` accrues to `charge`. Rounded up, so that
+/// rounding never increases a floor.
 pub(crate) fn floor_ticks(charge: u64, floor: f64) -> u64 {
     (clock_ticks(charge) as f64 / floor).ceil() as u64
 }
--- a/crates/admission/src/class_index.rs
+++ b/crates/admission/src/class_index.rs
@@ -1,4 +1,4 @@
-//! Where the classes stand in the scheduler's orders.
+//! Ordered indexes over the classes of a scheduler.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -9,7 +9,8 @@
 use crate::class::Class;
 use crate::class::floor_ticks;
 
-/// Order in which classes are served: tier, attainable before late, scaled deadline.
+/// Dispatch order: by tier, then classes with requests that can still meet their target, then by
+/// scaled deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct DispatchRank {
     pub(crate) tier: usize,
@@ -18,21 +19,21 @@
     pub(crate) class: ClassKey,
 }
 
-/// Order in which floors fall due, on a clock that counts dispatched tokens.
+/// Order in which floors become due, on a clock that counts dispatched tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct FloorRank {
     pub(crate) at: u64,
     pub(crate) class: ClassKey,
 }
 
-/// Order in which classes give way when the queue is full: the lowest tier first.
+/// Order in which classes are evicted from a full queue: lowest-priority tier first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct EvictionRank {
     pub(crate) tier: Reverse<usize>,
     pub(crate) class: ClassKey,
 }
 
-/// The entries of one class in [`Orders`].
+/// The keys of one class in [`ClassIndexes`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct IndexKeys {
     dispatch: Option<DispatchRank>,
@@ -41,21 +42,21 @@
     excess_memory: Option<EvictionRank>,
 }
 
-/// The orders between classes.
+/// The indexes over all classes.
 #[derive(Debug, Default)]
 pub(crate) struct ClassIndexes {
     pub(crate) dispatch: BTreeSet<DispatchRank>,
     pub(crate) floors: BTreeSet<FloorRank>,
-    /// Classes with more queue entries than are kept for them.
+    /// Classes with more queue entries than their reserve.
     pub(crate) excess_entries: BTreeSet<EvictionRank>,
-    /// Classes with more queue memory than is kept for them.
+    /// Classes with more queue memory than their reserve.
     pub(crate) excess_memory: BTreeSet<EvictionRank>,
-    /// Tokens dispatched since the start, scaled: the clock of the floors.
+    /// Tokens dispatched since the start, in ticks. Floors become due by this clock.
     pub(crate) token_clock: u64,
 }
 
 impl ClassIndexes {
-    /// Brings the entries of a class up to date; call after any change to it.
+    /// Updates the keys of a class; must be called after any change to it.
     pub(crate) fn refresh(&mut self, key: ClassKey, class: &mut Class) {
         let index_keys = self.index_keys(key, class);
         if index_keys != class.index_keys {
@@ -79,7 +80,6 @@
         }
     }
 
-    /// Takes a class out.
     pub(crate) fn remove(&mut self, class: &Class) {
         replace(&mut self.dispatch, class.index_keys.dispatch, None);
         replace(&mut self.floors, class.index_keys.floor, None);
@@ -117,7 +117,8 @@
             class: key,
         };
         if class.index_keys.dispatch.is_none() {
-            // Nothing could be started until now; that time is no credit towards the floor.
+            // The class had no request that could start, and that time earns no credit towards its
+            // floor.
             class.floor_clock = class.floor_clock.max(self.token_clock);
         }
         let span = floor_ticks(candidate.position.charge, class.spec.floor);
--- a/crates/admission/src/decay.rs
+++ b/crates/admission/src/decay.rs
@@ -1,10 +1,10 @@
-//! Sums and means that forget.
+//! Exponentially decaying sums and ratios.
 
 use std::f64::consts::LN_2;
 
 use crocushold_base::Millis;
 
-/// A sum whose old parts fade by half every half-life.
+/// A sum that decays by half every half-life.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DecayingSum {
     value: f64,
@@ -26,7 +26,7 @@
         self.updated_at = self.updated_at.max(now);
     }
 
-    /// The rate a millisecond that a steady flow with this sum would have.
+    /// Rate per millisecond of the steady input that would give this sum.
     pub(crate) fn rate(&self, now: Millis) -> f64 {
         self.value_at(now) * LN_2 / self.half_life.0 as f64
     }
@@ -37,7 +37,7 @@
     }
 }
 
-/// The ratio of two sums in which each new sample has the same weight.
+/// Ratio of two exponentially weighted moving averages, with the same weight for each sample.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct EwmaRatio {
     numerator: f64,
@@ -45,7 +45,7 @@
 }
 
 impl EwmaRatio {
-    /// Share of the sum that a new sample replaces.
+    /// Weight of a new sample.
     const GAIN: f64 = 1.0 / 64.0;
 
     pub(crate) fn record(&mut self, numerator: f64, denominator: f64) {
--- a/crates/admission/src/flow.rs
+++ b/crates/admission/src/flow.rs
@@ -1,4 +1,4 @@
-//! The queue of one account in one class.
+//! Queue of one account in one class.
 
 use std::collections::BTreeSet;
 
@@ -7,18 +7,19 @@
 use crate::request::Lane;
 use crate::request::QueuePosition;
 
-/// Units of a counter to a token of an account of weight 1.
+/// Counter units per token, for an account of weight 1.
 const SCALE: f64 = 256.0;
 
-/// One account's requests of one class, and the tokens it was served.
+/// The queued requests of one account in one class, and its fair-queuing counter.
 #[derive(Clone, Debug)]
 pub(crate) struct Flow {
-    /// Tokens served, scaled by the account's weight; the account with the least goes next.
+    /// Tokens served, divided by the account's weight. The account with the lowest counter is
+    /// served next.
     pub(crate) counter: u64,
     pub(crate) weight: f64,
     /// The account is at its concurrency limit.
     pub(crate) blocked: bool,
-    /// Estimated cost of what is queued.
+    /// Estimated cost of the queued requests, in output tokens.
     pub(crate) backlog: u64,
     on_time: BTreeSet<QueuePosition>,
     late: BTreeSet<QueuePosition>,
@@ -48,7 +49,8 @@
         self.lane(lane).first()
     }
 
-    /// The request that gives way first: the newest that can still attain, else the newest.
+    /// The request that is evicted first: the newest that can still meet its target, otherwise the
+    /// newest.
     pub(crate) fn newest(&self) -> Option<&QueuePosition> {
         self.on_time.last().or_else(|| self.late.last())
     }
@@ -91,14 +93,14 @@
     }
 }
 
-/// Order of the flows of a class by the tokens they were served.
+/// Order of a class's flows by tokens served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct FlowRank {
     pub(crate) counter: u64,
     pub(crate) account: AccountKey,
 }
 
-/// Order of the flows of a class by the length of their queues.
+/// Order of a class's flows by queue length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct FlowLength {
     pub(crate) queued: u32,
--- a/crates/admission/src/headroom.rs
+++ b/crates/admission/src/headroom.rs
@@ -1,23 +1,23 @@
-//! Slots that lower tiers leave free, so that a burst of the live tier starts soon.
+//! Slots that lower tiers leave free, so that bursts in tier 0 start without delay.
 //!
-//! Started work is never preempted. A burst of the live tier therefore waits for slots to be
-//! released, which at steady load is soon: with many slots several are released every second. Only
-//! the part of a burst that the releases of one window don't absorb needs free slots beforehand.
+//! Running requests are never preempted, so a burst in tier 0 waits for slots to be released. At
+//! steady load that is soon: with many slots, several are released every second. Only the part of a
+//! burst that exceeds the releases of one window needs slots that are already free.
 //!
-//! Free slots cost goodput all the time and help only in the first moments of a burst, so their
-//! share is bounded: goodput can't fall by more than that share.
+//! Free slots cost goodput all the time and help only at the beginning of a burst. Their share is
+//! therefore bounded, and goodput can't fall by more than that share.
 
 use crocushold_base::Millis;
 
 use crate::settings::HeadroomSettings;
 
-/// Follows the bursts of the live tier.
+/// Tracks bursts of arrivals in tier 0 and sizes the headroom.
 #[derive(Debug)]
 pub(crate) struct Headroom {
     settings: HeadroomSettings,
     window_end: Millis,
     arrivals: u32,
-    /// Largest number of arrivals in one window, fading.
+    /// Largest number of arrivals in one window, decaying over time.
     peak: f64,
     reserved: u32,
 }
@@ -37,29 +37,30 @@
         self.settings.window
     }
 
-    /// Slots that are kept at present.
+    /// Slots reserved at present.
     pub(crate) fn reserved(&self) -> u32 {
         self.reserved
     }
 
-    /// Counts an arrival of the live tier.
+    /// Counts an arrival in tier 0.
     pub(crate) fn record_arrival(&mut self, now: Millis) {
         self.roll_window(now);
         self.arrivals += 1;
         self.peak = self.peak.max(f64::from(self.arrivals));
     }
 
-    /// Works out how many of `slots` to keep, where `absorbed` arrivals a window find a slot that
-    /// was just released.
+    /// Computes how many of `slots` to reserve. `absorbed` is the number of arrivals per window
+    /// that can use slots released in that window.
     pub(crate) fn update(&mut self, slots: u32, absorbed: f64, now: Millis) {
         self.roll_window(now);
         let total = f64::from(slots);
         let wanted = (self.peak - absorbed).max(0.0);
         let most = total * self.settings.max_share.clamp(0.0, 1.0);
-        // Rounded up: a share of a few slots would be none, and the last one is what counts.
+        // Rounded up: with few slots, a small share would round to none, and a single free slot is
+        // what matters there.
         let least = (total * self.settings.min_share.clamp(0.0, 1.0)).ceil();
         let reserved = wanted.min(most).max(least) as u32;
-        // With all slots kept, the lower tiers would never start anything.
+        // With all slots reserved, lower tiers could never start a request.
         self.reserved = reserved.min(slots.saturating_sub(1));
     }
 
--- a/crates/admission/src/histogram.rs
+++ b/crates/admission/src/histogram.rs
@@ -1,20 +1,20 @@
-//! A streaming quantile of bounded memory.
+//! A streaming quantile estimate in constant memory.
 
-/// Buckets to a doubling; bounds the relative error of a quantile to a quarter of an octave.
+/// Buckets per power of two; bounds the relative error of a quantile to a quarter of an octave.
 const BUCKETS_PER_OCTAVE: usize = 4;
 
-/// Doublings covered: values from 1 to about a million.
+/// Powers of two covered: values from 1 to about a million.
 const OCTAVES: usize = 20;
 
 const BUCKETS: usize = BUCKETS_PER_OCTAVE * OCTAVES;
 
-/// Samples after which all counts are halved, so that old ones fade.
+/// Number of samples after which all counts are halved, so that old samples decay.
 const HALVE_AFTER: u32 = 512;
 
-/// Samples before the quantile is trusted.
+/// Number of samples required before the quantile is reported.
 const MIN_SAMPLES: u32 = 16;
 
-/// A histogram with logarithmic buckets whose counts decay, and one quantile of it.
+/// A logarithmic histogram with decaying counts that tracks one quantile.
 #[derive(Clone, Debug)]
 pub(crate) struct DecayingHistogram {
     counts: [u16; BUCKETS],
@@ -24,7 +24,7 @@
 }
 
 impl DecayingHistogram {
-    /// An empty histogram that answers for the quantile `share`.
+    /// An empty histogram that tracks `quantile`, clamped to 0 to 1.
     pub(crate) fn new(quantile: f64) -> DecayingHistogram {
         DecayingHistogram {
             counts: [0; BUCKETS],
@@ -43,7 +43,7 @@
         self.cached = self.compute();
     }
 
-    /// The quantile, or `None` while there are too few samples.
+    /// The quantile, or `None` with too few samples.
     pub(crate) fn quantile(&self) -> Option<u32> {
         (self.total >= MIN_SAMPLES).then_some(self.cached)
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,45 +1,46 @@
-//! Admission, scheduling and limits as pure state machines.
+//! Admission control, scheduling and limits as pure state machines.
 //!
 //! One [`Scheduler`] serves one service on one entry instance. It does no I/O and reads no clock:
-//! the caller feeds it events with the time and carries out the actions it returns.
+//! the caller passes in events with their time and carries out the actions that are returned.
 //!
 //! ```text
 //! submit ──> queued ──next──> Ticket<Dispatched> ──sent──> Ticket<Sent> ──finish──> done
 //!    │          │                  │                            │
-//!    │          └─next: Refuse     └─requeue (keeps its place)  └─not_run: may be sent elsewhere
+//!    │          └─next: Refuse     └─requeue (same position)    └─not_run: may be sent elsewhere
 //!    └─ Admission::Refused
 //! ```
 //!
 //! The slots of a scheduler are interchangeable. Where the engines of one service load different
 //! models, run one scheduler for each model; otherwise a request whose model has no free engine
-//! stands ahead of others that could start. Limits of accounts count for each scheduler, see
+//! blocks others that could start. Account limits apply to each scheduler separately; see
 //! [`Scheduler::set_share`].
 //!
-//! What it decides:
+//! The scheduler decides:
 //!
-//! * **Who may queue.** Rate limits by client account, a bound on queue memory, and a prediction of
-//!   the wait: a request that can't meet its bound any more is refused at once, with the time after
-//!   which to retry. See [`Scheduler::submit`].
-//! * **Who runs next.** Strict order between tiers with a floor in tokens for each class; earliest
-//!   deadline between the classes of a tier; fair by tokens between the accounts of a class. See
-//!   [`Scheduler::next`].
-//! * **Who gives way.** Queued work of the lowest tier first, and never work that was started.
+//! * **Which requests are queued.** Account rate limits, bounds on queue length and memory, and a
+//!   predicted wait. A request that can't start in time is refused immediately, with a retry-after
+//!   time. See [`Scheduler::submit`].
+//! * **Which request runs next.** Strict priority between tiers, with a guaranteed share of tokens
+//!   (floor) for each class; earliest deadline first between the classes of a tier; fair queuing by
+//!   tokens between the accounts of a class. See [`Scheduler::next`].
+//! * **Which request is evicted from a full queue.** Queued requests of the lowest-priority tier
+//!   first; running requests never.
 //!
-//! The contract of the driver is short: after every call, call [`Scheduler::next`] until it returns
-//! `None`, and call it again at [`Scheduler::wake_at`]. Refusals come out of `next` before any
-//! dispatch, so an instance that was suspended answers the overdue requests before it starts others.
+//! After every call the driver must call [`Scheduler::next`] until it returns `None`, and again at
+//! [`Scheduler::wake_at`]. `next` returns refusals before any dispatch, so an instance that was
+//! suspended answers overdue requests before it starts others.
 //!
 //! # Examples
 //!
 //! ```
 //! use crocushold_admission::AccountSpec;
 //! use crocushold_admission::Action;
+//! use crocushold_admission::Admission;
 //! use crocushold_admission::Arrival;
 //! use crocushold_admission::ClassSpec;
 //! use crocushold_admission::Completion;
 //! use crocushold_admission::Scheduler;
 //! use crocushold_admission::Settings;
-//! use crocushold_admission::Admission;
 //! use crocushold_base::AccountKey;
 //! use crocushold_base::ClassKey;
 //! use crocushold_base::Millis;
@@ -55,13 +56,13 @@
 //! scheduler.configure(&[chat], &[school], Millis(0));
 //!
 //! let arrival = Arrival { class, account, prompt_tokens: 300, ..Arrival::default() };
-//! let verdict = scheduler.submit(&arrival, Millis(10));
-//! assert!(matches!(verdict, Admission::Queued(_)));
+//! let admission = scheduler.submit(&arrival, Millis(10));
+//! assert!(matches!(admission, Admission::Queued(_)));
 //!
 //! let Some(Action::Dispatch(ticket)) = scheduler.next(Millis(11), 4) else {
 //!     panic!("a slot is free");
 //! };
-//! // A backend server was found: from here on the request can't be queued again.
+//! // A backend server was found. Once sent, the request can't be queued again.
 //! let ticket = ticket.sent();
 //! scheduler.progress(&ticket, 1, Millis(150));
 //! let completion = Completion { output: 80, complete: true };
--- a/crates/admission/src/refusal.rs
+++ b/crates/admission/src/refusal.rs
@@ -1,35 +1,36 @@
-//! Refusals: the final answer of a request that won't run.
+//! Refusals: the final answer to a request that is not run.
 
 use std::fmt;
 
 use crocushold_base::Millis;
 use crocushold_base::RequestKey;
 
-/// Why a request was refused. In every case it did not run.
+/// Why a request was refused. A refused request was never run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
     /// The class isn't configured, or was removed while the request was queued.
     UnknownClass,
     /// The account isn't configured, or was removed while the request was queued.
     UnknownAccount,
-    /// The account's request rate is used up.
+    /// The account exceeds its request rate.
     RequestRate,
-    /// The account's token rate is used up.
+    /// The account exceeds its token rate.
     TokenRate,
-    /// The account has its allowed number of requests queued.
+    /// The account has reached its limit of queued requests.
     AccountQueue,
-    /// The queue is full and nothing of a lower tier can give way.
+    /// The queue is full and no queued request may be evicted for this one.
     QueueFull,
-    /// The predicted wait exceeds what the request can still wait.
+    /// The predicted wait is longer than the request can wait.
     TooLate,
-    /// The request waited until an answer is of no use.
+    /// The request waited until an answer would be of no use.
     Expired,
-    /// The request gave way to one of a higher tier, or of an account with less queued.
+    /// The request was evicted in favour of one of a higher-priority tier, or of an account with
+    /// fewer queued requests.
     Displaced,
 }
 
 impl Reason {
-    /// The machine-readable name that callers and metrics see.
+    /// Machine-readable name, as reported to callers and in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Reason::UnknownClass => "unknown-class",
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Whether the account's own limits are the cause rather than the load of the service.
+    /// Whether the cause is a limit of the account rather than the load of the service.
     pub fn is_limit(self) -> bool {
         matches!(
             self,
@@ -59,20 +60,20 @@
     }
 }
 
-/// The final answer of a request that did not run.
+/// The final answer to a request that did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// The time to wait before a retry; jittered, so that refused callers don't return together.
+    /// Time to wait before a retry; jittered, so that refused callers don't retry at the same time.
     pub retry_after: Millis,
 }
 
-/// A queued request that must now be answered with its refusal.
+/// A queued request that must now be answered with a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// The request; its key is already void.
+    /// Key of the request; it is no longer valid.
     pub key: RequestKey,
-    /// The answer.
+    /// The answer to send.
     pub refusal: Refusal,
 }
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests, as they arrive and as they are held.
+//! Requests as submitted and as stored by the scheduler.
 
 use crocushold_base::AccountKey;
 use crocushold_base::ClassKey;
@@ -8,22 +8,22 @@
 
 use crate::throughput::DemandRate;
 
-/// A request that asks for admission.
+/// A request submitted for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Its class.
+    /// Class of the request.
     pub class: ClassKey,
-    /// The account that sent it.
+    /// Account that sent the request.
     pub account: AccountKey,
-    /// The model, if the service is one of model engines.
+    /// Model, for a service that runs model engines.
     pub model: Option<ModelKey>,
-    /// Length of the prompt in tokens; for a plain service 0.
+    /// Prompt length in tokens; 0 for a plain service.
     pub prompt_tokens: u32,
-    /// Most output tokens that the caller allows; for a plain service 1.
+    /// Maximum number of output tokens allowed by the caller; 1 for a plain service.
     pub max_tokens: u32,
-    /// Memory that the queued request holds.
+    /// Memory held by the request while it is queued.
     pub bytes: u32,
-    /// The instant after which the caller no longer waits; `Millis::MAX` if it didn't say.
+    /// Time after which the caller no longer waits; `Millis::MAX` if unknown.
     pub deadline: Millis,
 }
 
@@ -41,80 +41,79 @@
     }
 }
 
-/// Which of a class's two queues a request stands in.
+/// Which of a class's two queues holds a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Lane {
-    /// Can still meet the target.
+    /// The request can still meet its target.
     OnTime,
-    /// Missed the target, but an answer is still of use.
+    /// The request missed its target, but an answer is still useful.
     Late,
 }
 
-/// A queued request's place: the order inside one account's queue, and what the choice between
-/// queues needs to know of its head.
+/// Position of a queued request: the sort key inside one account's queue, and the attributes by
+/// which queues are compared by their head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePosition {
-    /// The last instant at which a start meets the target.
+    /// Latest start that meets the target.
     pub(crate) latest_start: Millis,
-    /// Order of arrival.
+    /// Arrival sequence number.
     pub(crate) seq: u64,
     pub(crate) key: RequestKey,
-    /// Deadline scaled by the class's weight; the order between classes.
+    /// Deadline scaled by the class's weight; orders classes of a tier.
     pub(crate) scaled_deadline: Millis,
     /// Estimated cost in output tokens.
     pub(crate) charge: u64,
 }
 
-/// How far a request has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     Queued(Lane),
     Running(Run),
 }
 
-/// A started request.
+/// State of a running request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Run {
     pub(crate) started: Millis,
-    /// Cost charged so far; grows when the output outruns the estimate.
+    /// Cost charged so far; increases when the output exceeds the estimate.
     pub(crate) charged: u64,
     pub(crate) first_token_seen: bool,
-    /// Value of the scheduler's pause counter at the start.
+    /// Value of the scheduler's pause counter when the request started.
     pub(crate) pauses_at_start: u32,
     pub(crate) selected_by: SelectedBy,
 }
 
-/// By which right a request was started.
+/// Why a request was selected for dispatch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SelectedBy {
-    /// Its class was first in order.
+    /// Its class was first in dispatch order.
     Rank,
-    /// The floor of its class.
+    /// The floor of its class was due.
     Floor,
 }
 
-/// A request that the scheduler holds.
+/// A request stored by the scheduler.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Request {
     pub(crate) class: ClassKey,
     pub(crate) account: AccountKey,
     pub(crate) model: Option<ModelKey>,
     pub(crate) position: QueuePosition,
-    /// The instant from which on a start is of no use.
+    /// Time from which on starting the request is of no use.
     pub(crate) expires_at: Millis,
     pub(crate) arrived: Millis,
     pub(crate) demand: DemandRate,
     pub(crate) prompt_tokens: u32,
-    /// Estimated output tokens before the account's bias, for learning that bias.
+    /// Output tokens expected of the class, before the account's bias; used to update that bias.
     pub(crate) expected_output: u32,
     pub(crate) bytes: u32,
-    /// Tokens taken from the account's rate.
+    /// Tokens consumed from the account's token rate at admission.
     pub(crate) billed_tokens: u64,
     pub(crate) stage: Stage,
 }
 
 impl Request {
-    /// The next instant at which a queued request changes its state by waiting.
+    /// Next time at which a queued request becomes late or expires.
     pub(crate) fn next_timeout(&self, lane: Lane) -> Millis {
         match lane {
             Lane::OnTime => self.position.latest_start.min(self.expires_at),
--- a/crates/admission/src/scheduler/configure.rs
+++ b/crates/admission/src/scheduler/configure.rs
@@ -1,4 +1,4 @@
-//! Taking over a configuration while requests are held.
+//! Applying a new configuration while requests are queued and in flight.
 
 use std::collections::HashSet;
 
@@ -17,12 +17,12 @@
 use crate::spec::ClassSpec;
 
 impl Scheduler {
-    /// Puts classes and accounts in force.
+    /// Applies a configuration of classes and accounts.
     ///
-    /// What stays keeps its state: queues, counters, what was learned and saved up. Requests queued
-    /// under a class or account that goes are refused by the next calls of
-    /// [`next`](Scheduler::next); those in flight finish. A request that is already queued keeps
-    /// the deadline it was given.
+    /// Classes and accounts that remain keep their state: queues, counters, learned estimates and
+    /// accumulated limits. Requests queued under a class or account that was removed are refused by
+    /// the next calls of [`next`](Scheduler::next); those in flight finish. A request that is
+    /// already queued keeps its deadline.
     pub fn configure(&mut self, classes: &[ClassSpec], accounts: &[AccountSpec], now: Millis) {
         let now = self.advance_clock(now);
         self.remove_missing(classes, accounts);
@@ -45,8 +45,8 @@
         self.recount_unused_reserve();
     }
 
-    /// Sets the share of the account's limits that this scheduler may give out, from 0 to 1: the
-    /// instance's share, split between its schedulers.
+    /// Sets the share of the account's limits that this scheduler may use, from 0 to 1: the
+    /// instance's share, divided among its schedulers.
     pub fn set_share(&mut self, account: AccountKey, share: f64, now: Millis) {
         let now = self.advance_clock(now);
         if let Some(state) = self.accounts.get_mut(account) {
@@ -55,8 +55,8 @@
         self.unblock(account);
     }
 
-    /// Adds tokens lent by another instance to the account's rate limit; what isn't used by
-    /// `until` is void.
+    /// Adds tokens lent by another instance to the account's rate limit. Tokens that aren't used by
+    /// `until` expire.
     pub fn grant(&mut self, account: AccountKey, tokens: u64, until: Millis, now: Millis) {
         let now = self.advance_clock(now);
         if let Some(state) = self.accounts.get_mut(account) {
@@ -66,11 +66,11 @@
 
     fn remove_missing(&mut self, classes: &[ClassSpec], accounts: &[AccountSpec]) {
         let kept: HashSet<ClassKey> = classes.iter().map(|spec| spec.key).collect();
-        let gone: Vec<ClassKey> = self.classes.keys().filter(|k| !kept.contains(k)).collect();
+        let removed: Vec<ClassKey> = self.classes.keys().filter(|k| !kept.contains(k)).collect();
         self.refuse_where(Reason::UnknownClass, |request| {
             !kept.contains(&request.class)
         });
-        for key in gone {
+        for key in removed {
             if let Some(class) = self.classes.remove(key) {
                 self.class_indexes.remove(&class);
             }
@@ -82,11 +82,11 @@
         self.accounts.retain(|key, _| kept.contains(&key));
     }
 
-    fn refuse_where(&mut self, reason: Reason, gone: impl Fn(&Request) -> bool) {
+    fn refuse_where(&mut self, reason: Reason, matches: impl Fn(&Request) -> bool) {
         let keys: Vec<RequestKey> = self
             .requests
             .iter()
-            .filter(|(_, request)| matches!(request.stage, Stage::Queued(_)) && gone(request))
+            .filter(|(_, request)| matches!(request.stage, Stage::Queued(_)) && matches(request))
             .map(|(key, _)| key)
             .collect();
         for key in keys {
@@ -118,7 +118,7 @@
         self.class_indexes.refresh(spec.key, class);
     }
 
-    /// Takes over the accounts' weights, and forgets what accounts that are gone owed.
+    /// Updates the weights of the flows, and drops the debts of accounts that were removed.
     fn update_flows(&mut self) {
         let accounts = &self.accounts;
         for class in self.classes.values_mut() {
@@ -131,8 +131,8 @@
     }
 }
 
-/// Share of the queue kept for a class: half of its floor, so that even over-committed floors leave
-/// the other half to whoever needs it.
+/// Share of the queue reserved for a class: half of its floor, so that even overcommitted floors
+/// leave the other half unreserved.
 fn reserved_share(spec: &ClassSpec) -> f64 {
     spec.floor.clamp(0.0, 1.0) / 2.0
 }
--- a/crates/admission/src/scheduler/dispatch.rs
+++ b/crates/admission/src/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! The next action: an overdue answer, or a request to start.
+//! Selection of the next action: a pending refusal or a request to start.
 
 use crocushold_base::ClassKey;
 use crocushold_base::Millis;
@@ -15,28 +15,29 @@
 use crate::ticket::Dispatched;
 use crate::ticket::Ticket;
 
-/// Time after which a driver asks again when lower tiers wait behind the headroom, which shrinks
-/// with time alone.
+/// Interval at which the driver asks again while the headroom holds lower tiers back, since the
+/// headroom shrinks without an event.
 const HEADROOM_POLL_INTERVAL: Millis = Millis(50);
 
-/// What the driver has to do next.
+/// The next action of the driver.
 #[derive(Debug)]
 #[must_use = "an action that is dropped leaves a caller without an answer"]
 pub enum Action {
-    /// Answer this request with its refusal.
+    /// Answer the request with the refusal.
     Refuse(Refused),
-    /// Start this request.
+    /// Start the request.
     Dispatch(Ticket<Dispatched>),
 }
 
 impl Scheduler {
-    /// The next action, or `None` when there is nothing to do at present.
+    /// Returns the next action, or `None` if there is nothing to do at present.
     ///
-    /// `free` is the number of slots that are free on the backend servers now; after a dispatch it
-    /// is one less. All refusals that are due come before any dispatch: a process that was
-    /// suspended answers what expired meanwhile, and never starts a request after its deadline.
+    /// `free` is the number of slots currently free on the backend servers; the caller passes one
+    /// less after each dispatch. All pending refusals are returned before any dispatch: a process
+    /// that was suspended first answers the requests that expired, and never starts a request after
+    /// its deadline.
     ///
-    /// When the driver finds no backend server for a dispatched request it gives the ticket to
+    /// A driver that finds no backend server for a dispatched request passes the ticket to
     /// [`requeue`](Scheduler::requeue) and stops asking until a slot is free again.
     pub fn next(&mut self, now: Millis, free: u32) -> Option<Action> {
         let now = self.advance_clock(now);
@@ -53,8 +54,8 @@
         Some(Action::Dispatch(ticket))
     }
 
-    /// The instant at which [`next`](Scheduler::next) may have something to do without another
-    /// event; `None` if there is none.
+    /// Time at which [`next`](Scheduler::next) may have an action without another event; `None` if
+    /// there is no such time.
     pub fn wake_at(&self) -> Option<Millis> {
         if !self.pending_refusals.is_empty() {
             return Some(self.now);
@@ -66,8 +67,8 @@
         timer.into_iter().chain(poll).min()
     }
 
-    /// Puts a request back for which no backend server could be had. It keeps its place, and its
-    /// account, class and floor are not charged.
+    /// Returns a request to the queue for which no backend server was available. It keeps its
+    /// position, and the charges to its account, class and floor are undone.
     pub fn requeue(&mut self, ticket: Ticket<Dispatched>, now: Millis) {
         let now = self.advance_clock(now);
         let key = ticket.into_key();
@@ -106,7 +107,7 @@
         self.headroom.update(slots, absorbed, now);
     }
 
-    /// Whether slots stand free that only the headroom keeps from lower tiers.
+    /// Whether lower tiers are held back only by the headroom, although slots are free.
     fn headroom_holds_back(&self) -> bool {
         let lower = self
             .class_indexes
@@ -116,8 +117,8 @@
         lower && self.free > 0 && self.free <= self.headroom.reserved()
     }
 
-    /// Chooses class, right and request. Queues of accounts that reached their concurrency limit
-    /// are taken out of the order on the way.
+    /// Chooses a class and a request to start. Queues of accounts found at their concurrency limit
+    /// are removed from the dispatch order.
     fn choose(&mut self, free: u32) -> Option<(ClassKey, SelectedBy, Candidate)> {
         loop {
             let (key, selected_by) = self.choose_class(free)?;
@@ -133,8 +134,9 @@
         }
     }
 
-    /// A floor that has fallen due goes first. It falls due only after its share of the tokens
-    /// went to others, so it never takes more than that share from a higher tier.
+    /// Chooses the class to serve; a floor that is due goes first. A floor becomes due only after
+    /// other classes received the rest of the tokens, so it never takes more than its share from a
+    /// higher-priority tier.
     fn choose_class(&self, free: u32) -> Option<(ClassKey, SelectedBy)> {
         let head = self.class_indexes.dispatch.first()?;
         let held_back = head.tier > 0 && free <= self.headroom.reserved();
--- a/crates/admission/src/scheduler/estimate.rs
+++ b/crates/admission/src/scheduler/estimate.rs
@@ -1,4 +1,4 @@
-//! Estimates: cost of a request, wait, and the time to give with a refusal.
+//! Estimates of cost, wait and retry-after time.
 
 use crocushold_base::AccountKey;
 use crocushold_base::ClassKey;
@@ -15,19 +15,19 @@
 use crate::spec::MAX_TIERS;
 use crate::throughput::DemandRate;
 
-/// Stands for the target of a class without one, in the order between the classes of a tier.
+/// Target assumed for a class without one when the classes of a tier are ordered.
 const IMPLICIT_TARGET: Millis = Millis::from_secs(3600);
 
-/// Largest part of the target that is set aside for the time from start to first token. With more,
-/// one spell of slow engines could make every request look hopeless, and none would be started
-/// that could show otherwise.
+/// At most the target divided by this is set aside for the time to first token. If more were set
+/// aside, a period of slow engines could make every request appear late, and none would be started
+/// that could correct the estimate.
 const FIRST_TOKEN_DIVISOR: u64 = 2;
 
-/// Largest jitter, as a part of the retry time.
+/// Maximum jitter as a fraction of the retry-after time.
 const MAX_JITTER: f64 = 0.5;
 
 impl Scheduler {
-    /// Works out cost and deadlines of an arrival.
+    /// Estimates cost and deadlines of an arrival.
     pub(super) fn estimate(&mut self, arrival: &Arrival, now: Millis) -> Result<Estimate, Refusal> {
         let Some(class) = self.classes.get(arrival.class) else {
             return Err(self.refusal(Reason::UnknownClass, Millis::ZERO));
@@ -67,11 +67,12 @@
         u64::from(prompt / self.settings.prompt_ratio.max(1)) + u64::from(output)
     }
 
-    /// The wait of a request of `charge` that joins the queue now.
+    /// Predicts the wait of a request of cost `charge` that is queued now.
     ///
-    /// Counted as ahead of it: all of the higher tiers; of its tier what falls due before it; of
-    /// its class no more than fair queuing lets pass, so that one account's long queue doesn't get
-    /// the others refused.
+    /// Counted as ahead of it are all requests of higher-priority tiers, the requests of other
+    /// classes of its tier that become due first, and of its own class no more than fair queuing
+    /// serves before it. One account's long queue therefore doesn't cause requests of other
+    /// accounts to be refused.
     pub(super) fn predict_wait(
         &self,
         key: ClassKey,
@@ -100,7 +101,8 @@
         }
     }
 
-    /// Builds a refusal whose retry time is `wait`, bounded and jittered.
+    /// Builds a refusal with the retry-after time `wait`, clamped to the configured bounds and
+    /// jittered.
     pub(super) fn refusal(&mut self, reason: Reason, wait: Millis) -> Refusal {
         let settings = &self.settings;
         let base = wait.min(settings.retry_max).max(settings.retry_min);
@@ -128,7 +130,7 @@
     of_model.or_else(|| class.output_lengths.quantile())
 }
 
-/// Time from start to first token that is set aside.
+/// Time set aside for the first token, from the start of the request.
 fn first_token_allowance(class: &Class) -> Millis {
     let seen = class.first_token_times.quantile().unwrap_or(0);
     Millis(u64::from(seen).min(class.spec.target.0 / FIRST_TOKEN_DIVISOR))
@@ -139,7 +141,7 @@
     Millis((target / class.spec.weight.max(f64::MIN_POSITIVE)) as u64)
 }
 
-/// The instant `span` before `at`; "no deadline" stays none.
+/// The time `span` before `at`; `Millis::MAX` (no deadline) is returned unchanged.
 fn saturating_before(at: Millis, span: Millis) -> Millis {
     if at == Millis::MAX {
         return at;
--- a/crates/admission/src/scheduler/mod.rs
+++ b/crates/admission/src/scheduler/mod.rs
@@ -34,10 +34,11 @@
 pub use settle::Settlement;
 pub use submit::Admission;
 
-/// Admission, scheduling and limits of one service on one entry instance.
+/// Admission control, scheduling and limits of one service on one entry instance.
 ///
-/// A pure state machine: each call takes the time as an argument, and the same calls give the same
-/// results. The time may jump forwards by any amount; a step back is taken as standing still.
+/// A pure state machine: each call takes the current time as an argument, and the same sequence of
+/// calls gives the same results. Time may jump forwards by any amount; if it steps back, the last
+/// time is used.
 #[derive(Debug)]
 pub struct Scheduler {
     settings: Settings,
@@ -48,23 +49,23 @@
     class_indexes: ClassIndexes,
     throughput: Throughput,
     headroom: Headroom,
-    /// Answers that are due, in order.
+    /// Refusals to be returned by `next`, in order.
     pending_refusals: VecDeque<Refused>,
     queued: u32,
     bytes: [u64; MAX_TIERS],
     running: u32,
-    /// Queue entries that are kept for classes and not used by them.
+    /// Queue entries reserved for classes and not in use.
     unused_reserve: u32,
-    /// Free slots at the last call of `next`, less what was started since.
+    /// Free slots at the last call of `next`, less the requests started since.
     free: u32,
     seq: u64,
     jitter_draws: u64,
     now: Millis,
-    /// Number of pauses seen in the sequence of events.
+    /// Number of pauses detected between events.
     pauses: u32,
 }
 
-/// When a queued request changes its state by waiting.
+/// Time at which a queued request becomes late or expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     at: Millis,
@@ -97,11 +98,11 @@
         }
     }
 
-    /// Takes note of the time of an event.
+    /// Advances the clock to the time of an event and counts pauses.
     ///
-    /// A process that was suspended sees its requests end long after they did. Durations that span
-    /// a pause are therefore not learned from; otherwise one suspension would make the service look
-    /// slow, and requests would be refused that could well attain.
+    /// A process that was suspended sees its requests end long after they did, so durations that
+    /// span a pause are not learned from. Otherwise one suspension would make the service appear
+    /// slow, and requests would be refused that could meet their target.
     fn advance_clock(&mut self, now: Millis) -> Millis {
         if now.since(self.now) > self.settings.pause_threshold {
             self.pauses = self.pauses.wrapping_add(1);
--- a/crates/admission/src/scheduler/queue.rs
+++ b/crates/admission/src/scheduler/queue.rs
@@ -1,4 +1,4 @@
-//! Bookkeeping of queued requests: every way in and out of the queue.
+//! Insertion and removal of queued requests.
 
 use crocushold_base::AccountKey;
 use crocushold_base::Millis;
@@ -13,7 +13,7 @@
 use crate::request::Stage;
 
 impl Scheduler {
-    /// Puts a held request into the queue.
+    /// Puts a stored request into the queue.
     pub(super) fn insert_queued(&mut self, key: RequestKey, lane: Lane) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Takes a request out of the queue; it stays held.
+    /// Takes a request out of the queue; it remains stored.
     pub(super) fn remove_queued(&mut self, request: &Request, lane: Lane) {
         self.unlink(request, lane);
         self.queued -= 1;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Ends a queued request with a refusal and gives back what it took of the limits.
+    /// Ends a queued request with a refusal and refunds the limits it consumed.
     pub(super) fn refuse_queued(&mut self, key: RequestKey, reason: Reason) {
         let Some(request) = self.requests.get(key).copied() else {
             return;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Handles the requests whose time is up, until one is to be refused.
+    /// Processes expired timers until one of them causes a refusal.
     pub(super) fn process_timers(&mut self, now: Millis) {
         while let Some(&timer) = self.timers.first() {
             if timer.at > now || !self.pending_refusals.is_empty() {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Moves a request that missed its target behind those that still can attain.
+    /// Moves a request that missed its target behind those that can still meet theirs.
     fn demote(&mut self, key: RequestKey, request: &Request) {
         self.unlink(request, Lane::OnTime);
         if let Some(stored) = self.requests.get_mut(key) {
@@ -90,7 +90,7 @@
         self.link(request, Lane::Late);
     }
 
-    /// Lets the account's queues take part again after it left its concurrency limit.
+    /// Makes the account's queues eligible again once the account is below its concurrency limit.
     pub(super) fn unblock(&mut self, key: AccountKey) {
         let Some(account) = self.accounts.get_mut(key) else {
             return;
--- a/crates/admission/src/scheduler/report.rs
+++ b/crates/admission/src/scheduler/report.rs
@@ -1,4 +1,4 @@
-//! Figures for metrics and status pages.
+//! Statistics for metrics and status pages.
 
 use crocushold_base::AccountKey;
 use crocushold_base::ClassKey;
@@ -8,7 +8,7 @@
 use crate::status::Status;
 
 impl Scheduler {
-    /// Figures of the whole.
+    /// Statistics of the scheduler.
     pub fn status(&self) -> Status {
         Status {
             queued: self.queued,
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Figures of one class; `None` if it isn't configured.
+    /// Statistics of one class; `None` if it isn't configured.
     pub fn class_status(&self, key: ClassKey) -> Option<ClassStatus> {
         let class = self.classes.get(key)?;
         Some(ClassStatus {
@@ -32,7 +32,7 @@
         })
     }
 
-    /// Requests of the account in flight; zero for one that isn't configured.
+    /// Number of requests of the account in flight; zero if it isn't configured.
     pub fn account_running(&self, key: AccountKey) -> u32 {
         self.accounts.get(key).map_or(0, |account| account.running)
     }
--- a/crates/admission/src/scheduler/settle.rs
+++ b/crates/admission/src/scheduler/settle.rs
@@ -1,4 +1,4 @@
-//! Progress and end of started requests.
+//! Progress and completion of running requests.
 
 use crocushold_base::Millis;
 use crocushold_base::RequestKey;
@@ -14,46 +14,48 @@
 use crate::ticket::Sent;
 use crate::ticket::Ticket;
 
-/// Tokens by which an output that outruns its estimate is charged in advance, so that a long
-/// stream updates the order every so many tokens and not at each.
+/// Tokens charged in advance when the output exceeds its estimate, so that a long stream updates
+/// the indexes once per step instead of at every token.
 const CHARGE_STEP: u64 = 64;
 
-/// How a started request ended.
+/// How a running request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Completion {
-    /// Output tokens that were generated, as far as known.
+    /// Output tokens generated, as far as known.
     pub output: u32,
-    /// The answer is whole. A cut answer is charged but teaches nothing about lengths.
+    /// Whether the answer is complete. An incomplete answer is charged but not used to learn output
+    /// lengths.
     pub complete: bool,
 }
 
-/// What a finished request cost.
+/// Cost and times of a finished request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settlement {
-    /// Cost charged until the end, in output tokens.
+    /// Cost charged until the request ended, in output tokens.
     pub charged: u64,
-    /// Real cost, in output tokens.
+    /// Actual cost, in output tokens.
     pub used: u64,
-    /// Time that it held its slot.
+    /// Time for which the request occupied its slot.
     pub service_time: Millis,
     /// Time from arrival to start.
     pub queue_time: Millis,
 }
 
-/// What a cancellation ended.
+/// State of a request when it was cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cancelled {
-    /// The request was queued; it did not run.
+    /// The request was queued and did not run.
     Queued,
-    /// The request was started; its slot is free again.
+    /// The request was running; its slot is free again.
     Running,
 }
 
 impl Scheduler {
-    /// Takes note of the output tokens received so far.
+    /// Records the output tokens received so far.
     ///
-    /// The first call tells the time to first token. Output beyond the estimate is charged as it
-    /// comes, so that an account whose answers turn out long falls back in order while they run.
+    /// The first call gives the time to first token. Output beyond the estimate is charged as it
+    /// arrives, so that an account with unexpectedly long answers loses precedence while they are
+    /// still running.
     pub fn progress(&mut self, ticket: &Ticket<Sent>, output: u32, now: Millis) {
         let now = self.advance_clock(now);
         let pauses = self.pauses;
@@ -75,7 +77,7 @@
         self.charge_excess(&request, output);
     }
 
-    /// Ends a started request and settles its cost; `None` if it was cancelled before.
+    /// Ends a running request and settles its cost; `None` if it was cancelled before.
     pub fn finish(
         &mut self,
         ticket: Ticket<Sent>,
@@ -92,10 +94,10 @@
         Some(self.settle(&request, &run, completion.output, now))
     }
 
-    /// Ends a request at any point, with the output tokens generated so far; `None` if it has
-    /// ended before.
+    /// Cancels a queued or running request; `output` is the number of output tokens generated so
+    /// far. `None` if it has already ended.
     ///
-    /// A driver that cancels a started request also stops the backend server's work.
+    /// A driver that cancels a running request must also stop the work on the backend server.
     pub fn cancel(&mut self, key: RequestKey, output: u32, now: Millis) -> Option<Cancelled> {
         let now = self.advance_clock(now);
         let request = *self.requests.get(key)?;
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Frees the slot of a started request, which stays held.
+    /// Frees the slot of a running request; the request remains stored.
     pub(super) fn release_slot(&mut self, key: RequestKey) -> Option<Run> {
         let request = self.requests.get(key)?;
         let Stage::Running(run) = request.stage else {
@@ -130,7 +132,7 @@
         Some(run)
     }
 
-    /// Takes back all that a start charged.
+    /// Undoes all charges made when the request was started.
     pub(super) fn undo_charge(&mut self, request: &Request, run: &Run, now: Millis) {
         self.adjust_charge(request, run, 0);
         let tier = self.tier(request.class);
@@ -170,8 +172,8 @@
         }
     }
 
-    /// Replaces what a run was charged by `used`: in the account's counter, on the clock of the
-    /// floors and, if the run was started by the floor, against the floor of its class.
+    /// Replaces the cost charged for a run by `used`: in the account's counter, in the token clock
+    /// and, if the run was selected by the floor, in the floor clock of its class.
     fn adjust_charge(&mut self, request: &Request, run: &Run, used: u64) {
         let clock = &mut self.class_indexes.token_clock;
         *clock = (*clock + clock_ticks(used)).saturating_sub(clock_ticks(run.charged));
@@ -182,7 +184,7 @@
         if used <= run.charged {
             class.refund(request.account, run.charged - used);
         } else if let Some(account) = self.accounts.get(request.account) {
-            // The flow may be forgotten by now; a debt must outlive that.
+            // The flow may have been dropped meanwhile; create it again so that the debt is kept.
             class.ensure_flow(request.account, account.spec.weight);
             class.charge(request.account, used - run.charged);
         }
@@ -195,8 +197,8 @@
 
     fn learn(&mut self, request: &Request, run: &Run, output: u32, now: Millis) {
         if run.pauses_at_start == self.pauses {
-            // In estimated tokens, because the queue is counted in these too: an estimate that is
-            // too high on the whole then cancels out of the predicted wait.
+            // Estimated tokens rather than actual ones: the queue is counted in estimates too, so a
+            // systematic error of the estimates cancels out of the predicted wait.
             self.throughput
                 .finished(request.position.charge, now.since(run.started));
         }
--- a/crates/admission/src/scheduler/submit.rs
+++ b/crates/admission/src/scheduler/submit.rs
@@ -1,4 +1,4 @@
-//! Admission.
+//! Admission of requests.
 
 use crocushold_base::Millis;
 use crocushold_base::RequestKey;
@@ -13,20 +13,21 @@
 use crate::request::Stage;
 use crate::throughput::DemandRate;
 
-/// What becomes of an arrival.
+/// Result of submitting a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is queued under this key.
+    /// The request is queued under this key.
     Queued(RequestKey),
-    /// It won't run; the answer is final.
+    /// The request won't run; the answer is final.
     Refused(Refusal),
 }
 
 impl Scheduler {
-    /// Admits a request to the queue, or refuses it.
+    /// Queues a request or refuses it.
     ///
-    /// A refusal allocates nothing and uses up no limit. An admission may displace queued work of a
-    /// lower tier; its refusals come out of [`next`](Scheduler::next).
+    /// A refusal allocates nothing and consumes no limit. An admission may evict queued requests,
+    /// of a lower-priority tier or of an account with a longer queue; their refusals are returned
+    /// by [`next`](Scheduler::next).
     pub fn submit(&mut self, arrival: &Arrival, now: Millis) -> Admission {
         let now = self.advance_clock(now);
         match self.admit(arrival, now) {
@@ -60,10 +61,10 @@
             .map_err(|hit| self.refusal(hit.reason, hit.wait))
     }
 
-    /// Refuses early what would only expire in the queue.
+    /// Refuses a request that would expire in the queue.
     ///
-    /// A request that finds nothing ahead of it is always admitted: the prediction learns from
-    /// finished requests alone, so one that refused everybody could never be proved wrong.
+    /// A request with nothing ahead of it is always admitted: the prediction learns only from
+    /// finished requests, so an estimate that refused every request could never be corrected.
     fn check_wait(
         &mut self,
         arrival: &Arrival,
@@ -85,7 +86,7 @@
         Err(self.refusal(Reason::TooLate, wait.since(allowed)))
     }
 
-    /// Frees a queue entry and the memory that the arrival needs.
+    /// Frees the queue entry and the memory that the arrival needs, by evicting queued requests.
     fn make_room(&mut self, arrival: &Arrival) -> Result<(), Refusal> {
         let own = self.tier(arrival.class);
         let evictable: u64 = self.bytes[own + 1..].iter().sum();
@@ -107,10 +108,10 @@
         self.refusal(Reason::QueueFull, wait)
     }
 
-    /// What keeps the arrival out of the queue.
+    /// The bound of the queue that keeps the arrival out, if any.
     fn exceeded_bound(&self, arrival: &Arrival) -> Option<QueueBound> {
         let class = self.classes.get(arrival.class)?;
-        let held: u64 = self.bytes.iter().sum();
+        let used: u64 = self.bytes.iter().sum();
         let limit = self.settings.queue_limit;
         if class.queued >= class.spec.max_queued {
             return Some(QueueBound::Class);
@@ -118,15 +119,16 @@
         if class.queued >= class.reserved_entries && self.queued + self.unused_reserve >= limit {
             return Some(QueueBound::Entries);
         }
-        let over = held + u64::from(arrival.bytes) > self.settings.queue_bytes;
+        let over = used + u64::from(arrival.bytes) > self.settings.queue_bytes;
         over.then_some(QueueBound::Memory)
     }
 
-    /// The queued request that gives way to the arrival.
+    /// The queued request to evict for the arrival.
     ///
-    /// First the lowest tier that holds more than is kept for it, so that the live tier is refused
-    /// only when it fills the queue itself. Inside a class the account with the longest queue gives
-    /// way to one with a shorter queue, so that no account can lock others out.
+    /// The lowest-priority tier that exceeds its reserve is evicted first, so that tier 0 is
+    /// refused only when it fills the queue itself. Inside a class, the account with the longest
+    /// queue is evicted in favour of one with a shorter queue, so that no account can lock others
+    /// out.
     fn find_victim(&self, arrival: &Arrival, bound: QueueBound) -> Option<RequestKey> {
         let class = self.classes.get(arrival.class)?;
         let lowest = match bound {
@@ -186,18 +188,18 @@
     }
 }
 
-/// Which bound of the queue is reached.
+/// A bound of the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum QueueBound {
-    /// The bound of the class itself.
+    /// Maximum number of queued requests of the class.
     Class,
-    /// The number of entries in all.
+    /// Maximum number of queued requests in total.
     Entries,
-    /// The memory in all.
+    /// Maximum memory of queued requests in total.
     Memory,
 }
 
-/// What a request is expected to cost, and until when it can start.
+/// Estimated cost of a request, and the times by which it must start.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Estimate {
     /// Output tokens expected of the class, before the account's bias.
@@ -205,11 +207,11 @@
     /// Cost in output tokens.
     pub(super) charge: u64,
     pub(super) demand: DemandRate,
-    /// Prompt and output tokens, as rate limits count them.
+    /// Prompt and output tokens, as counted by rate limits.
     pub(super) billed_tokens: u64,
-    /// Last start that meets the target.
+    /// Latest start that meets the target.
     pub(super) latest_start: Millis,
-    /// First instant at which a start is of no use.
+    /// Time from which on starting the request is of no use.
     pub(super) expires_at: Millis,
     /// Deadline scaled by the class's weight.
     pub(super) scaled_deadline: Millis,
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -2,30 +2,33 @@
 
 use crocushold_base::Millis;
 
-/// Settings of a [`Scheduler`](crate::Scheduler). All have defaults; override by update syntax.
+/// Settings of a [`Scheduler`](crate::Scheduler). All have defaults; override them by struct update
+/// syntax.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Seed of the jitter on retry times.
+    /// Seed of the jitter on retry-after times.
     pub seed: u64,
-    /// Most requests that may be queued.
+    /// Maximum number of queued requests.
     pub queue_limit: u32,
-    /// Most bytes that queued requests may hold.
+    /// Maximum memory held by queued requests, in bytes.
     pub queue_bytes: u64,
-    /// Prompt tokens that cost as much engine time as one output token.
+    /// Number of prompt tokens that cost as much engine time as one output token.
     pub prompt_ratio: u32,
-    /// Output tokens assumed before any answer of a class was seen.
+    /// Output tokens assumed for a class until enough of its answers were observed.
     pub default_output: u32,
-    /// Quantile of past output lengths that is charged at admission, from 0 to 1.
+    /// Quantile of observed output lengths that is charged at admission, from 0 to 1.
     pub output_quantile: f64,
-    /// Share of the remaining slack that the predicted wait may fill before a request is refused.
+    /// Share of the time left until expiry that the predicted wait may use before a request is
+    /// refused.
     pub wait_margin: f64,
-    /// Shortest retry time that is ever given.
+    /// Lower bound of the retry-after time.
     pub retry_min: Millis,
-    /// Longest retry time that is ever given, before jitter.
+    /// Upper bound of the retry-after time, before jitter.
     pub retry_max: Millis,
-    /// A pause between two events from which on durations that span it teach nothing.
+    /// Interval between two events above which the process is taken to have been suspended;
+    /// durations that span such a pause are not learned from.
     pub pause_threshold: Millis,
-    /// Slots kept free for the live tier.
+    /// Slots kept free for tier 0.
     pub headroom: HeadroomSettings,
 }
 
@@ -47,16 +50,16 @@
     }
 }
 
-/// How many slots lower tiers leave free for bursts of the live tier.
+/// How many slots lower tiers leave free for bursts in tier 0.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeadroomSettings {
-    /// Share of all slots that is always left free, from 0 to 1.
+    /// Minimum share of all slots that is left free, from 0 to 1.
     pub min_share: f64,
-    /// Share of all slots that is left free at most, from 0 to 1: the goodput that bursts may cost.
+    /// Maximum share of all slots that is left free, from 0 to 1; the goodput that bursts may cost.
     pub max_share: f64,
-    /// Length of the windows in which arrivals of the live tier are counted.
+    /// Length of the windows in which arrivals in tier 0 are counted.
     pub window: Millis,
-    /// Time in which the memory of a peak fades to half.
+    /// Half-life of the peak number of arrivals.
     pub half_life: Millis,
 }
 
--- a/crates/admission/src/spec.rs
+++ b/crates/admission/src/spec.rs
@@ -1,31 +1,31 @@
-//! What the configuration says about classes and accounts.
+//! Configuration of classes and accounts.
 
 use crocushold_base::AccountKey;
 use crocushold_base::ClassKey;
 use crocushold_base::Millis;
 
-/// Number of tiers; a higher tier number is clamped to the last.
+/// Number of tiers. A higher tier number is clamped to the last tier.
 pub const MAX_TIERS: usize = 8;
 
-/// A class of requests, as configured.
+/// Configuration of a class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSpec {
-    /// The class.
+    /// Key of the class.
     pub key: ClassKey,
-    /// Tier, 0 being the live one. Tiers are served in strict order, but for the floors.
+    /// Priority tier; 0 is the highest. Tiers are served in strict order, except for floors.
     pub tier: u8,
-    /// Priority among the classes of the tier: the share of its target that a class waits is
-    /// inverse to its weight.
+    /// Weight relative to other classes of the tier: the fraction of its target that a class waits
+    /// is inversely proportional to its weight.
     pub weight: f64,
-    /// Time from arrival to the first token (or to the answer of a plain service) that counts as
-    /// attained. `Millis::MAX` for none.
+    /// Latency target: time from arrival to the first token, or to the answer of a plain service.
+    /// A request attains its target if this takes no longer. `Millis::MAX` for none.
     pub target: Millis,
-    /// Time from arrival after which an answer is of no use and the request is refused instead;
-    /// never taken shorter than `target`. `Millis::MAX` for a class that waits until it is served.
+    /// Time from arrival after which an answer is of no use and the request is refused; at least
+    /// `target` is used. `Millis::MAX` for a class whose requests wait until they are served.
     pub max_wait: Millis,
-    /// Guaranteed share of all dispatched tokens while the class has work queued, from 0 to 1.
+    /// Guaranteed share of all dispatched tokens while the class has queued requests, from 0 to 1.
     pub floor: f64,
-    /// Most requests of the class that may be queued.
+    /// Maximum number of queued requests of the class.
     pub max_queued: u32,
 }
 
@@ -49,23 +49,23 @@
     }
 }
 
-/// A client account, as configured. The limits are those of the whole fleet; see
+/// Configuration of a client account. The limits apply to the whole fleet; see
 /// [`Scheduler::set_share`](crate::Scheduler::set_share).
 #[derive(Clone, Debug, PartialEq)]
 pub struct AccountSpec {
-    /// The account.
+    /// Key of the account.
     pub key: AccountKey,
-    /// Share of a class relative to other accounts.
+    /// Weight in fair queuing relative to the other accounts of a class.
     pub weight: f64,
-    /// Requests a second.
+    /// Requests per second.
     pub request_rate: f64,
-    /// Prompt and output tokens a second.
+    /// Prompt and output tokens per second.
     pub token_rate: f64,
-    /// Time for which an unused rate may be saved up.
+    /// Time over which an unused rate accumulates.
     pub burst: Millis,
-    /// Most requests in flight at once.
+    /// Maximum number of requests in flight.
     pub concurrency: u32,
-    /// Most requests queued at once.
+    /// Maximum number of queued requests.
     pub max_queued: u32,
 }
 
--- a/crates/admission/src/status.rs
+++ b/crates/admission/src/status.rs
@@ -1,35 +1,36 @@
-//! What a scheduler reports about itself.
+//! Statistics reported by a scheduler.
 
 use crocushold_base::ClassKey;
 use crocushold_base::Millis;
 
-/// Figures of a scheduler, for metrics and status pages.
+/// Statistics of a scheduler, for metrics and status pages.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Status {
-    /// Requests queued.
+    /// Number of queued requests.
     pub queued: u32,
-    /// Bytes that queued requests hold.
+    /// Memory held by queued requests, in bytes.
     pub bytes: u64,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub running: u32,
     /// Slots that lower tiers leave free at present.
     pub headroom: u32,
-    /// Learned speed of the service in estimated tokens a second; zero before anything finished.
+    /// Learned throughput of the service in estimated tokens per second; zero until a request has
+    /// finished.
     pub tokens_per_second: f64,
 }
 
-/// Figures of one class.
+/// Statistics of one class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassStatus {
-    /// The class.
+    /// Key of the class.
     pub class: ClassKey,
-    /// Requests queued.
+    /// Number of queued requests.
     pub queued: u32,
-    /// Estimated cost of what is queued, in output tokens.
+    /// Estimated cost of the queued requests, in output tokens.
     pub backlog: u64,
-    /// Accounts with something queued.
+    /// Number of accounts with queued requests.
     pub accounts: u32,
-    /// Accounts that are remembered, queued or not.
+    /// Number of accounts whose fair-queuing state is kept, with or without queued requests.
     pub flows: u32,
     /// Predicted wait of a request that joins the end of the queue now.
     pub predicted_wait: Millis,
--- a/crates/admission/src/throughput.rs
+++ b/crates/admission/src/throughput.rs
@@ -1,4 +1,4 @@
-//! How fast the service works off its queue.
+//! Estimates of the rate at which the service drains its queue.
 
 use crocushold_base::Millis;
 
@@ -7,20 +7,20 @@
 use crate::decay::EwmaRatio;
 use crate::spec::MAX_TIERS;
 
-/// Time in which the memory of a tier's dispatched tokens fades to half.
+/// Half-life of the dispatched tokens counted for each tier.
 const TIER_HALF_LIFE: Millis = Millis::from_secs(10);
 
-/// Smallest share of the drain rate that a lower tier is taken to have.
+/// Minimum share of the drain rate that a lower tier is assumed to have.
 const MIN_DRAIN_SHARE: f64 = 0.01;
 
-/// Tokens that fall due a millisecond, scaled to an integer so that sums don't drift.
+/// Tokens that become due per millisecond, scaled to an integer so that sums don't drift.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct DemandRate(u64);
 
 impl DemandRate {
     const SCALE: u64 = 1024;
 
-    /// Pressure of a request of `charge` tokens that is due `target` after its arrival.
+    /// Demand rate of a request of `charge` tokens that is due `target` after its arrival.
     pub(crate) fn new(charge: u64, target: Millis) -> DemandRate {
         DemandRate(charge.saturating_mul(Self::SCALE) / target.0.max(1))
     }
@@ -33,22 +33,23 @@
         self.0 -= other.0;
     }
 
-    /// Tokens that fall due in `span`.
+    /// Tokens that become due in `span`.
     fn due_within(self, span: Millis) -> u64 {
         self.0.saturating_mul(span.0) / Self::SCALE
     }
 }
 
-/// Speed of the service, learned from finished requests, and the use that each tier makes of it.
+/// Throughput of the service, learned from finished requests, and the share of it that each tier
+/// uses.
 #[derive(Debug)]
 pub(crate) struct Throughput {
-    /// Tokens a millisecond of one occupied slot.
+    /// Tokens per millisecond of one occupied slot.
     slot_rate: EwmaRatio,
-    /// Milliseconds that a request holds its slot.
+    /// Milliseconds that a request occupies its slot.
     service_time: EwmaRatio,
-    /// Tokens dispatched by tier.
+    /// Dispatched tokens by tier.
     dispatched_tokens: [DecayingSum; MAX_TIERS],
-    /// Cost of what is queued by tier.
+    /// Estimated cost of the queued requests by tier.
     backlogs: [u64; MAX_TIERS],
     demands: [DemandRate; MAX_TIERS],
 }
@@ -74,7 +75,7 @@
         self.demands[tier].remove(demand);
     }
 
-    /// Counts dispatched tokens; a negative number takes back.
+    /// Counts dispatched tokens; a negative number undoes a dispatch.
     pub(crate) fn dispatched(&mut self, tier: usize, tokens: f64, now: Millis) {
         self.dispatched_tokens[tier].add(tokens, now);
     }
@@ -85,8 +86,8 @@
         self.service_time.record(service_time, 1.0);
     }
 
-    /// Tokens a millisecond that `tier` can expect of `slots` slots, what higher tiers take being
-    /// off; `None` before anything finished.
+    /// Tokens per millisecond available to `tier` out of `slots` slots, after what higher-priority
+    /// tiers use; `None` until a request has finished.
     pub(crate) fn drain_rate(
         &self,
         tier: usize,
@@ -103,13 +104,13 @@
         Some((total - higher).max(least))
     }
 
-    /// Cost of what is queued in tiers above `tier`.
+    /// Cost of the requests queued in tiers of higher priority than `tier`.
     pub(crate) fn backlog_above(&self, tier: usize) -> u64 {
         self.backlogs[..tier].iter().sum()
     }
 
-    /// Cost of what other classes of `tier` have queued and falls due within `span`, taking each
-    /// queue to be spread evenly over its target.
+    /// Cost of the queued requests of other classes of `tier` that become due within `span`. Each
+    /// queue is assumed to be spread evenly over its target.
     pub(crate) fn due_from_other_classes(&self, tier: usize, span: Millis, class: &Class) -> u64 {
         let mut demand = self.demands[tier];
         demand.remove(class.demand);
@@ -117,12 +118,12 @@
         demand.due_within(span).min(backlog)
     }
 
-    /// Tokens a millisecond of `slots` occupied slots; zero before anything finished.
+    /// Tokens per millisecond of `slots` occupied slots; zero until a request has finished.
     pub(crate) fn rate(&self, slots: u32) -> f64 {
         self.slot_rate.value().unwrap_or(0.0) * f64::from(slots)
     }
 
-    /// Slots that are released in `span` when all of `slots` are taken.
+    /// Number of slots released in `span` when all of `slots` are occupied.
     pub(crate) fn expected_releases(&self, slots: u32, span: Millis) -> f64 {
         let Some(service_time) = self.service_time.value() else {
             return 0.0;
--- a/crates/admission/src/ticket.rs
+++ b/crates/admission/src/ticket.rs
@@ -1,7 +1,7 @@
-//! Tickets of started requests.
+//! Tickets of dispatched requests.
 //!
-//! The state is part of the type: only a request of which nothing can have run may be queued again
-//! or sent elsewhere, and sending it consumes the ticket that allows this.
+//! The state is part of the type. Only a request that can't have run may be queued again or sent to
+//! another server, and sending a request consumes the ticket that permits this.
 
 use std::marker::PhantomData;
 
@@ -9,15 +9,15 @@
 use crocushold_base::ClassKey;
 use crocushold_base::RequestKey;
 
-/// State of a ticket: taken from the queue, nothing written to a backend server yet.
+/// Ticket state: taken from the queue, nothing written to a backend server yet.
 #[derive(Debug)]
 pub enum Dispatched {}
 
-/// State of a ticket: bytes may have reached a backend server.
+/// Ticket state: bytes may have reached a backend server.
 #[derive(Debug)]
 pub enum Sent {}
 
-/// Proof that a request which was sent did not run.
+/// Proof that a request that was sent did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotRun {
     /// The connection failed before a byte was written.
@@ -26,13 +26,14 @@
     ServerRefused,
 }
 
-/// The word of the rule for repeats that a request may be sent again although it may have run.
+/// Permission from the retry policy to send a request again although it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryPermit;
 
-/// A started request. It occupies one slot until it is finished, queued again or cancelled by key.
+/// A dispatched request. It occupies one slot until it is finished, queued again or cancelled by
+/// key.
 ///
-/// A ticket can't be copied, so a request can't be started twice from one dispatch.
+/// A ticket can't be copied, so one dispatch can't start a request twice.
 #[derive(Debug)]
 #[must_use = "a ticket that is dropped leaves its slot taken; cancel the request by its key"]
 pub struct Ticket<S> {
@@ -44,27 +45,27 @@
 }
 
 impl<S> Ticket<S> {
-    /// The request.
+    /// Key of the request.
     pub fn key(&self) -> RequestKey {
         self.key
     }
 
-    /// Its class.
+    /// Class of the request.
     pub fn class(&self) -> ClassKey {
         self.class
     }
 
-    /// The account that sent it.
+    /// Account that sent the request.
     pub fn account(&self) -> AccountKey {
         self.account
     }
 
-    /// The estimated cost in output tokens that was charged.
+    /// Estimated cost charged at dispatch, in output tokens.
     pub fn charge(&self) -> u64 {
         self.charge
     }
 
-    /// Gives the ticket up for the key; nothing else can be done with it afterwards.
+    /// Consumes the ticket and returns its key.
     pub(crate) fn into_key(self) -> RequestKey {
         self.key
     }
@@ -96,21 +97,21 @@
         }
     }
 
-    /// Marks the request as sent, just before the first byte is written. From here on it can't be
-    /// queued again without a proof that it did not run.
+    /// Marks the request as sent; call it just before the first byte is written. From then on the
+    /// request can't be queued again without proof that it did not run.
     pub fn sent(self) -> Ticket<Sent> {
         self.into_state()
     }
 }
 
 impl Ticket<Sent> {
-    /// Takes the request back as one that may be sent a second time although it may have run: it is
-    /// idempotent, and nothing of an answer went to its caller.
+    /// Allows the request to be sent again although it may have run. It must be idempotent, and no
+    /// part of an answer may have reached its caller.
     pub fn retry(self, _permit: RetryPermit) -> Ticket<Dispatched> {
         self.into_state()
     }
 
-    /// Takes the request back as one that may be sent elsewhere, on proof that it did not run.
+    /// Allows the request to be sent to another server, on proof that it did not run.
     pub fn not_run(self, _proof: NotRun) -> Ticket<Dispatched> {
         self.into_state()
     }
