--- a/crates/admission/benches/decisions.rs
+++ b/crates/admission/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! Cost of a decision: time and allocations, and how they grow with each size.
+//! Time and allocations of the scheduler's decisions, and how they grow with each size.
 //!
 //! `cargo bench -p crocushold-admission`
 
@@ -26,7 +26,7 @@
 #[global_allocator]
 static ALLOC: AllocProfiler = AllocProfiler::system();
 
-/// Decisions measured together; the inputs are made anew for each batch.
+/// Decisions per measurement; the inputs are rebuilt for each batch.
 const BATCH: usize = 256;
 
 const TIERS: usize = 5;
@@ -41,52 +41,55 @@
     models: usize,
 }
 
-const USUAL: Size = Size {
+const DEFAULT_SIZE: Size = Size {
     queue: 10_000,
     accounts: 3_700,
     classes: 20,
     models: 39,
 };
 
-/// The usual sizes, and each of them alone in steps of ten.
+/// The default size, and variants in which one dimension changes in steps of ten.
 const SIZES: [Size; 11] = [
-    USUAL,
+    DEFAULT_SIZE,
     Size {
         queue: 100,
-        ..USUAL
+        ..DEFAULT_SIZE
     },
     Size {
         queue: 1_000,
-        ..USUAL
+        ..DEFAULT_SIZE
     },
     Size {
         queue: 100_000,
-        ..USUAL
+        ..DEFAULT_SIZE
     },
     Size {
         accounts: 37,
-        ..USUAL
+        ..DEFAULT_SIZE
     },
     Size {
         accounts: 370,
-        ..USUAL
+        ..DEFAULT_SIZE
     },
     Size {
         accounts: 37_000,
-        ..USUAL
+        ..DEFAULT_SIZE
     },
     Size {
         classes: 5,
-        ..USUAL
+        ..DEFAULT_SIZE
     },
     Size {
         classes: 200,
-        ..USUAL
+        ..DEFAULT_SIZE
+    },
+    Size {
+        models: 4,
+        ..DEFAULT_SIZE
     },
-    Size { models: 4, ..USUAL },
     Size {
         models: 390,
-        ..USUAL
+        ..DEFAULT_SIZE
     },
 ];
 
@@ -110,11 +113,12 @@
     arrivals: Vec<Arrival>,
     classes: Vec<ClassSpec>,
     accounts: Vec<AccountSpec>,
-    live: ClassKey,
+    interactive: ClassKey,
 }
 
 impl Fixture {
-    /// A scheduler with a full queue, that has learned lengths and speed, and a batch of arrivals.
+    /// A scheduler with a full queue and learned output lengths and throughput, and a batch of
+    /// arrivals.
     fn new(size: Size) -> Fixture {
         Fixture::with_limit(size, u32::MAX)
     }
@@ -130,18 +134,18 @@
         });
         scheduler.configure(&classes, &accounts, Millis::ZERO);
         let arrival = |index: usize| Arrival {
-            class: classes[scatter(index, 1) % classes.len()].key,
-            account: accounts[scatter(index, 2) % accounts.len()].key,
-            model: Some(models[scatter(index, 3) % models.len()]),
+            class: classes[pseudo_random(index, 1) % classes.len()].key,
+            account: accounts[pseudo_random(index, 2) % accounts.len()].key,
+            model: Some(models[pseudo_random(index, 3) % models.len()]),
             prompt_tokens: 500,
-            max_tokens: 50 + (scatter(index, 4) % 500) as u32,
+            max_tokens: 50 + (pseudo_random(index, 4) % 500) as u32,
             bytes: 100,
             deadline: Millis::MAX,
         };
         let mut fixture = Fixture {
             scheduler,
             arrivals: (0..BATCH).map(arrival).collect(),
-            live: classes[0].key,
+            interactive: classes[0].key,
             classes: classes.clone(),
             accounts: accounts.clone(),
         };
@@ -177,7 +181,7 @@
     fn finish(&mut self, tickets: Vec<Ticket<Sent>>, now: Millis) {
         for (index, ticket) in tickets.into_iter().enumerate() {
             let completion = Completion {
-                output: 20 + (scatter(index, 5) % 300) as u32,
+                output: 20 + (pseudo_random(index, 5) % 300) as u32,
                 complete: true,
             };
             black_box(self.scheduler.finish(ticket, completion, now));
@@ -209,8 +213,8 @@
     (0..count).map(spec).collect()
 }
 
-/// A fixed pseudo-random number.
-fn scatter(index: usize, salt: usize) -> usize {
+/// A deterministic pseudo-random number.
+fn pseudo_random(index: usize, salt: usize) -> usize {
     let mixed = (index * 8 + salt).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     (mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 33
 }
@@ -250,13 +254,13 @@
         });
 }
 
-/// A request over its account's rate.
+/// Requests over their account's rate limit.
 #[divan::bench(sample_count = 20, sample_size = 1)]
 fn refuse_by_limit(bencher: Bencher<'_, '_>) {
     bencher
         .counter(ItemsCount::new(BATCH))
         .with_inputs(|| {
-            let mut fixture = Fixture::new(USUAL);
+            let mut fixture = Fixture::new(DEFAULT_SIZE);
             for arrival in &fixture.arrivals {
                 fixture.scheduler.set_share(arrival.account, 0.0, NOW);
             }
@@ -266,13 +270,13 @@
         .bench_local_refs(Fixture::submit);
 }
 
-/// A request whose deadline the queue can't meet.
+/// Requests whose deadline is shorter than the predicted wait.
 #[divan::bench(sample_count = 20, sample_size = 1)]
 fn refuse_by_wait(bencher: Bencher<'_, '_>) {
     bencher
         .counter(ItemsCount::new(BATCH))
         .with_inputs(|| {
-            let mut fixture = Fixture::new(USUAL);
+            let mut fixture = Fixture::new(DEFAULT_SIZE);
             for arrival in &mut fixture.arrivals {
                 arrival.deadline = NOW + Millis(1);
             }
@@ -281,29 +285,29 @@
         .bench_local_refs(Fixture::submit);
 }
 
-/// A request of the live tier that displaces one of a lower tier.
+/// Requests of tier 0 that evict requests of a lower tier.
 #[divan::bench(sample_count = 20, sample_size = 1)]
 fn submit_displacing(bencher: Bencher<'_, '_>) {
     bencher
         .counter(ItemsCount::new(BATCH))
         .with_inputs(|| {
-            let mut fixture = Fixture::with_limit(USUAL, USUAL.queue as u32);
-            let live = fixture.live;
+            let mut fixture = Fixture::with_limit(DEFAULT_SIZE, DEFAULT_SIZE.queue as u32);
+            let interactive = fixture.interactive;
             for arrival in &mut fixture.arrivals {
-                arrival.class = live;
+                arrival.class = interactive;
             }
             fixture
         })
         .bench_local_refs(Fixture::submit);
 }
 
-/// Output beyond the estimate, as it streams in.
+/// Output beyond the estimate, reported while it streams.
 #[divan::bench(sample_count = 20, sample_size = 1)]
 fn progress(bencher: Bencher<'_, '_>) {
     bencher
         .counter(ItemsCount::new(BATCH))
         .with_inputs(|| {
-            let mut fixture = Fixture::new(USUAL);
+            let mut fixture = Fixture::new(DEFAULT_SIZE);
             let tickets = fixture.start(BATCH);
             (fixture, tickets)
         })
@@ -314,34 +318,37 @@
         });
 }
 
-/// A change of the configuration, once.
+/// One change of the configuration.
 #[divan::bench(sample_count = 20, sample_size = 1)]
 fn configure(bencher: Bencher<'_, '_>) {
     bencher
-        .with_inputs(|| Fixture::new(USUAL))
+        .with_inputs(|| Fixture::new(DEFAULT_SIZE))
         .bench_local_refs(|fixture| {
             let (classes, accounts) = (&fixture.classes, &fixture.accounts);
             fixture.scheduler.configure(classes, accounts, NOW);
         });
 }
 
-/// Memory of a scheduler: see the bytes of "max alloc". The time is that of all the requests that
-/// fill it.
+/// Memory of a scheduler: see "max alloc". The time is that of all the requests that fill the
+/// scheduler.
 #[divan::bench(args = SIZES, sample_count = 1, sample_size = 1)]
 fn memory(bencher: Bencher<'_, '_>, size: Size) {
     bencher.bench_local(|| Fixture::new(size));
 }
 
-/// Ten thousand overdue requests after a pause: time for all the answers.
+/// Refusal of ten thousand overdue requests after a pause.
 #[divan::bench(sample_count = 10, sample_size = 1)]
 fn answer_overdue(bencher: Bencher<'_, '_>) {
     let timeout = Millis(60_000);
     bencher
-        .counter(ItemsCount::new(USUAL.queue))
+        .counter(ItemsCount::new(DEFAULT_SIZE.queue))
         .with_inputs(|| {
-            let mut fixture = Fixture::new(Size { queue: 0, ..USUAL });
+            let mut fixture = Fixture::new(Size {
+                queue: 0,
+                ..DEFAULT_SIZE
+            });
             let mut arrivals = fixture.arrivals.clone();
-            for index in 0..USUAL.queue {
+            for index in 0..DEFAULT_SIZE.queue {
                 let arrival = &mut arrivals[index % BATCH];
                 arrival.deadline = NOW + timeout;
                 fixture.scheduler.submit(arrival, NOW);
