--- a/crates/admission/examples/overload/main.rs
+++ b/crates/admission/examples/overload/main.rs
@@ -1,4 +1,4 @@
-//! Attainment and goodput of the scheduler beside first come, first served, in a model.
+//! Compares the scheduler with first come, first served: attained targets and goodput in a model.
 //!
 //! `cargo run --release -p crocushold-admission --example overload`
 
@@ -17,7 +17,7 @@
 fn main() {
     println!("Figures of a model with 160 slots, not measurements of the product.");
     println!();
-    print_head(&model::evening());
+    print_header(&model::evening_peak());
     for bursts in [false, true] {
         for factor in FACTORS {
             for scheduler in [true, false] {
@@ -26,14 +26,14 @@
                 } else {
                     Policy::Baseline
                 };
-                let run = shape(factor, bursts);
-                print(factor, bursts, scheduler, &run, &model::run(&run, policy));
+                let run = run_config(factor, bursts);
+                print_row(factor, bursts, scheduler, &run, &model::run(&run, policy));
             }
         }
     }
 }
 
-fn print_head(loads: &[Load]) {
+fn print_header(loads: &[Load]) {
     let names: Vec<&str> = loads[..4].iter().map(|load| load.name).collect();
     let last = loads[4].name;
     let names = names.join(" | ");
@@ -41,8 +41,8 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
 }
 
-fn shape(factor: f64, bursts: bool) -> Run {
-    let mut loads: Vec<Load> = model::evening();
+fn run_config(factor: f64, bursts: bool) -> Run {
+    let mut loads: Vec<Load> = model::evening_peak();
     if bursts {
         loads[0].burst = Some(Burst {
             factor: 4.0,
@@ -61,7 +61,7 @@
     }
 }
 
-fn print(factor: f64, bursts: bool, scheduler: bool, run: &Run, outcome: &Outcome) {
+fn print_row(factor: f64, bursts: bool, scheduler: bool, run: &Run, outcome: &Outcome) {
     let queue = if scheduler { "scheduler" } else { "FCFS" };
     let bursts = if bursts { "4x chat" } else { "none" };
     let mut line = format!("| {factor} | {bursts} | {queue} |");
@@ -72,6 +72,6 @@
     let sheets = &outcome.classes[4];
     let offered = sheets.offered as f64 * run.loads[4].output;
     line += &format!(" {:.1}% |", sheets.tokens as f64 / offered * 100.0);
-    line += &format!(" {:.1}% |", outcome.used * 100.0);
+    line += &format!(" {:.1}% |", outcome.utilization * 100.0);
     println!("{line}");
 }
--- a/crates/admission/examples/overload/model.rs
+++ b/crates/admission/examples/overload/model.rs
@@ -1,7 +1,8 @@
-//! A discrete-event model of one service: arrivals, a queue under test, and slots that work.
+//! A discrete-event model of one service: arrivals, a queue under test, and slots that serve
+//! requests.
 //!
-//! No sockets and no real time. Every slot generates tokens at one speed; what the model leaves out
-//! (batching effects, stragglers, lagging reports) is measured elsewhere.
+//! There are no sockets and no real time. All slots generate tokens at the same constant rate;
+//! batching effects, stragglers and delayed reports are not modelled and are measured elsewhere.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -25,100 +26,101 @@
 use slotmap::SlotMap;
 use twox_hash::XxHash64;
 
-/// Output tokens a second of one slot.
-const SLOT_SPEED: f64 = 50.0;
+/// Output tokens per second of one slot.
+const SLOT_TOKENS_PER_SECOND: f64 = 50.0;
 
-/// Prompt tokens a second of one slot.
-const PREFILL_SPEED: f64 = 5000.0;
+/// Prompt tokens per second of one slot.
+const PREFILL_TOKENS_PER_SECOND: f64 = 5000.0;
 
-/// Tokens between two progress calls.
+/// Tokens between two progress reports.
 const PROGRESS_STEP: u32 = 64;
 
-/// Queue bound of the baseline.
+/// Queue limit of the baseline.
 const BASELINE_QUEUE: usize = 10_000;
 
-/// One class of the workload.
+/// The load of one class.
 #[derive(Clone, Debug)]
 pub(crate) struct Load {
-    /// Name in the table.
+    /// Name in the printed table.
     pub(crate) name: &'static str,
-    /// The class as configured; the key is filled in.
+    /// Configuration of the class; the key is filled in.
     pub(crate) spec: ClassSpec,
-    /// Part of the offered slot time.
-    pub(crate) part: f64,
+    /// Share of the offered slot time.
+    pub(crate) load_share: f64,
     /// Mean prompt length in tokens.
     pub(crate) prompt: f64,
     /// Mean output length in tokens.
     pub(crate) output: f64,
     /// Time after which the caller gives up.
-    pub(crate) leaves: Millis,
-    /// Arrivals are multiplied by `factor` for `length` at the start of every `period`.
+    pub(crate) gives_up_after: Millis,
+    /// Periodic burst, if any.
     pub(crate) burst: Option<Burst>,
 }
 
-/// A periodic burst.
+/// A periodic burst: arrivals are multiplied by `factor` for `length` at the start of every
+/// `period`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Burst {
     /// Multiple of the ordinary rate.
     pub(crate) factor: f64,
-    /// How long it lasts.
+    /// Duration of a burst.
     pub(crate) length: Millis,
-    /// Time from one burst to the next.
+    /// Time from the start of one burst to the next.
     pub(crate) period: Millis,
 }
 
-/// One run of the model.
+/// Parameters of one run of the model.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
-    /// The classes.
+    /// Load of each class.
     pub(crate) loads: Vec<Load>,
-    /// Client accounts; the first ones send the most.
+    /// Number of client accounts; those with low numbers send the most.
     pub(crate) accounts: usize,
-    /// Slots of the service.
+    /// Number of slots of the service.
     pub(crate) slots: u32,
     /// Offered slot time as a multiple of the slots.
     pub(crate) factor: f64,
-    /// How long requests arrive.
+    /// Time during which requests arrive.
     pub(crate) length: Millis,
-    /// Arrivals before this instant aren't counted.
+    /// Arrivals before this time aren't counted.
     pub(crate) warmup: Millis,
     /// Seed of arrivals and lengths.
     pub(crate) seed: u64,
 }
 
-/// What became of the requests of one class.
+/// Results of one class.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Tally {
     /// Counted arrivals.
     pub(crate) offered: u64,
-    /// First token within the target.
+    /// Requests whose first token met the target.
     pub(crate) attained: u64,
-    /// Whole answers before the caller gave up.
+    /// Complete answers before the caller gave up.
     pub(crate) answered: u64,
-    /// Answered with a refusal.
+    /// Requests answered with a refusal.
     pub(crate) refused: u64,
-    /// Left without any answer, the caller having given up.
-    pub(crate) left: u64,
-    /// Output tokens of whole answers, finished in the counted time.
+    /// Requests without an answer, because the caller gave up.
+    pub(crate) abandoned: u64,
+    /// Output tokens of the complete answers that finished in the counted time.
     pub(crate) tokens: u64,
-    /// Slot time in milliseconds, likewise.
-    pub(crate) busy: u64,
+    /// Slot time of these answers in milliseconds.
+    pub(crate) slot_time: u64,
 }
 
 /// Result of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct Outcome {
-    /// One tally a class, in the order of the loads.
+    /// Results by class, in the order of the loads.
     pub(crate) classes: Vec<Tally>,
-    /// Slot time used, as a share of what the slots had.
-    pub(crate) used: f64,
+    /// Slot time used, as a share of the available slot time.
+    pub(crate) utilization: f64,
 }
 
 /// The queue under test.
 pub(crate) enum Policy {
     /// The scheduler with these settings.
     Scheduler(Settings),
-    /// First come, first served: no classes, a bounded queue.
+    /// First come, first served: a bounded queue without classes.
     Baseline,
 }
 
@@ -141,7 +143,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Entry {
+struct ScheduledEvent {
     at: Millis,
     seq: u64,
     event: Event,
@@ -152,10 +154,10 @@
     let mut model = Model::new(run, policy);
     model.execute();
     let time = run.length.since(run.warmup).0 as f64 * f64::from(run.slots);
-    let busy: u64 = model.tallies.iter().map(|tally| tally.busy).sum();
+    let busy: u64 = model.tallies.iter().map(|tally| tally.slot_time).sum();
     Outcome {
         classes: model.tallies,
-        used: busy as f64 / time,
+        utilization: busy as f64 / time,
     }
 }
 
@@ -163,19 +165,19 @@
     run: &'a Run,
     queue: Queue,
     jobs: Vec<Job>,
-    events: BinaryHeap<Reverse<Entry>>,
+    events: BinaryHeap<Reverse<ScheduledEvent>>,
     free: u32,
     seq: u64,
-    draws: u64,
+    random_draws: u64,
     tallies: Vec<Tally>,
 }
 
 enum Queue {
-    Scheduler(Box<Managed>),
+    Scheduler(Box<Driver>),
     Baseline(VecDeque<usize>),
 }
 
-struct Managed {
+struct Driver {
     scheduler: Scheduler,
     classes: Vec<ClassKey>,
     accounts: Vec<AccountKey>,
@@ -188,7 +190,7 @@
     fn new(run: &'a Run, policy: Policy) -> Model<'a> {
         let queue = match policy {
             Policy::Baseline => Queue::Baseline(VecDeque::new()),
-            Policy::Scheduler(settings) => Queue::Scheduler(Box::new(Managed::new(run, settings))),
+            Policy::Scheduler(settings) => Queue::Scheduler(Box::new(Driver::new(run, settings))),
         };
         Model {
             run,
@@ -197,7 +199,7 @@
             events: BinaryHeap::new(),
             free: run.slots,
             seq: 0,
-            draws: 0,
+            random_draws: 0,
             tallies: vec![Tally::default(); run.loads.len()],
         }
     }
@@ -214,20 +216,22 @@
                 Event::Finish { job } => self.finish(job, now),
                 Event::Wake => {}
             }
-            self.pump(now);
+            self.start_jobs(now);
         }
     }
 
     fn push(&mut self, at: Millis, event: Event) {
         self.seq += 1;
         let seq = self.seq;
-        self.events.push(Reverse(Entry { at, seq, event }));
+        self.events.push(Reverse(ScheduledEvent { at, seq, event }));
     }
 
     fn schedule_arrival(&mut self, load: usize, now: Millis) {
         let spec = &self.run.loads[load];
-        let hold = spec.prompt / PREFILL_SPEED + spec.output / SLOT_SPEED;
-        let mut rate = self.run.factor * spec.part * f64::from(self.run.slots) / hold / 1000.0;
+        let service_time =
+            spec.prompt / PREFILL_TOKENS_PER_SECOND + spec.output / SLOT_TOKENS_PER_SECOND;
+        let mut rate =
+            self.run.factor * spec.load_share * f64::from(self.run.slots) / service_time / 1000.0;
         if let Some(burst) = spec.burst
             && now.0 % burst.period.0 < burst.length.0
         {
@@ -244,7 +248,7 @@
         self.schedule_arrival(load, now);
         let spec = &self.run.loads[load];
         let (prompt, output) = (spec.prompt, spec.output);
-        // A few large accounts: the square favours the low numbers.
+        // Skewed towards the low numbers, so that a few accounts send most requests.
         let account = self.uniform().powi(2) * self.run.accounts as f64;
         let job = Job {
             load,
@@ -260,7 +264,7 @@
             self.tallies[load].offered += 1;
         }
         let admitted = match &mut self.queue {
-            Queue::Scheduler(managed) => managed.submit(index, &job, now),
+            Queue::Scheduler(driver) => driver.submit(index, &job, now),
             Queue::Baseline(queue) => {
                 let room = queue.len() < BASELINE_QUEUE;
                 if room {
@@ -280,14 +284,14 @@
         if output == 1 && job.counted && now.since(job.arrived) <= load.spec.target {
             self.tallies[job.load].attained += 1;
         }
-        if let Queue::Scheduler(managed) = &mut self.queue
-            && let Some(ticket) = &managed.tickets[index]
+        if let Queue::Scheduler(driver) = &mut self.queue
+            && let Some(ticket) = &driver.tickets[index]
         {
-            managed.scheduler.progress(ticket, output, now);
+            driver.scheduler.progress(ticket, output, now);
         }
         let next = output + PROGRESS_STEP;
         if next < job.output {
-            let span = f64::from(PROGRESS_STEP) / SLOT_SPEED * 1000.0;
+            let span = f64::from(PROGRESS_STEP) / SLOT_TOKENS_PER_SECOND * 1000.0;
             let event = Event::Progress {
                 job: index,
                 output: next,
@@ -305,37 +309,37 @@
         }
         if now >= self.run.warmup && now < self.run.length {
             tally.tokens += u64::from(job.output);
-            tally.busy += hold(&job).0;
+            tally.slot_time += service_time(&job).0;
         }
-        if let Queue::Scheduler(managed) = &mut self.queue
-            && let Some(ticket) = managed.tickets[index].take()
+        if let Queue::Scheduler(driver) = &mut self.queue
+            && let Some(ticket) = driver.tickets[index].take()
         {
             let completion = Completion {
                 output: job.output,
                 complete: true,
             };
-            managed.scheduler.finish(ticket, completion, now);
+            driver.scheduler.finish(ticket, completion, now);
         }
     }
 
-    fn pump(&mut self, now: Millis) {
+    fn start_jobs(&mut self, now: Millis) {
         while let Some(index) = self.next(now) {
             let job = self.jobs[index];
             self.free -= 1;
-            let first = Millis((f64::from(job.prompt) / PREFILL_SPEED * 1000.0) as u64);
+            let first = Millis((f64::from(job.prompt) / PREFILL_TOKENS_PER_SECOND * 1000.0) as u64);
             let event = Event::Progress {
                 job: index,
                 output: 1,
             };
             self.push(now + first, event);
-            self.push(now + hold(&job), Event::Finish { job: index });
+            self.push(now + service_time(&job), Event::Finish { job: index });
         }
-        let Queue::Scheduler(managed) = &mut self.queue else {
+        let Queue::Scheduler(driver) = &mut self.queue else {
             return;
         };
-        let wake = managed.scheduler.wake_at();
-        if wake != managed.wake && self.free <= self.run.slots {
-            managed.wake = wake;
+        let wake = driver.scheduler.wake_at();
+        if wake != driver.wake && self.free <= self.run.slots {
+            driver.wake = wake;
             if let Some(at) = wake {
                 self.push(at.max(now + Millis(1)), Event::Wake);
             }
@@ -345,20 +349,18 @@
     /// The next job to start.
     fn next(&mut self, now: Millis) -> Option<usize> {
         match &mut self.queue {
-            Queue::Scheduler(managed) => {
-                managed.next(now, self.free, &self.jobs, &mut self.tallies)
-            }
+            Queue::Scheduler(driver) => driver.next(now, self.free, &self.jobs, &mut self.tallies),
             Queue::Baseline(queue) => {
                 if self.free == 0 {
                     return None;
                 }
                 while let Some(index) = queue.pop_front() {
                     let job = self.jobs[index];
-                    if now.since(job.arrived) < self.run.loads[job.load].leaves {
+                    if now.since(job.arrived) < self.run.loads[job.load].gives_up_after {
                         return Some(index);
                     }
                     if job.counted {
-                        self.tallies[job.load].left += 1;
+                        self.tallies[job.load].abandoned += 1;
                     }
                 }
                 None
@@ -366,7 +368,7 @@
         }
     }
 
-    /// A length of the given mean, log-normal with a standard deviation of 0.7 in the logarithm.
+    /// A log-normal length of the given mean, with a standard deviation of 0.7 in the logarithm.
     fn length(&mut self, mean: f64) -> u32 {
         const SIGMA: f64 = 0.7;
         let radius = (-2.0 * (1.0 - self.uniform()).ln()).sqrt();
@@ -376,14 +378,14 @@
     }
 
     fn uniform(&mut self) -> f64 {
-        self.draws += 1;
-        let hash = XxHash64::oneshot(self.run.seed, &self.draws.to_le_bytes());
+        self.random_draws += 1;
+        let hash = XxHash64::oneshot(self.run.seed, &self.random_draws.to_le_bytes());
         (hash >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
-impl Managed {
-    fn new(run: &Run, settings: Settings) -> Managed {
+impl Driver {
+    fn new(run: &Run, settings: Settings) -> Driver {
         let mut class_keys = SlotMap::<ClassKey, ()>::with_key();
         let mut account_keys = SlotMap::<AccountKey, ()>::with_key();
         let classes: Vec<ClassSpec> = run
@@ -402,7 +404,7 @@
             .collect();
         let mut scheduler = Scheduler::new(settings);
         scheduler.configure(&classes, &accounts, Millis::ZERO);
-        Managed {
+        Driver {
             scheduler,
             classes: classes.iter().map(|spec| spec.key).collect(),
             accounts: accounts.iter().map(|spec| spec.key).collect(),
@@ -455,27 +457,28 @@
     }
 }
 
-fn hold(job: &Job) -> Millis {
-    let secs = f64::from(job.prompt) / PREFILL_SPEED + f64::from(job.output) / SLOT_SPEED;
+fn service_time(job: &Job) -> Millis {
+    let secs = f64::from(job.prompt) / PREFILL_TOKENS_PER_SECOND
+        + f64::from(job.output) / SLOT_TOKENS_PER_SECOND;
     Millis((secs * 1000.0) as u64)
 }
 
-/// The evening rush: a live chat, a portal, accountants, reminders and nightly sheets.
-pub(crate) fn evening() -> Vec<Load> {
-    let mut loads = live_loads();
+/// Load of an evening peak: interactive chat and portal, accountants, reminders and nightly sheets.
+pub(crate) fn evening_peak() -> Vec<Load> {
+    let mut loads = interactive_loads();
     loads.extend(lower_loads());
     loads
 }
 
-fn live_loads() -> Vec<Load> {
+fn interactive_loads() -> Vec<Load> {
     let chat = Load {
         spec: spec(0, Millis(2000), Millis(2000), 0.0),
-        leaves: Millis::from_secs(10),
+        gives_up_after: Millis::from_secs(10),
         ..load("chat", 0.2, 500.0, 150.0)
     };
     let portal = Load {
         spec: spec(0, Millis(3000), Millis(10_000), 0.0),
-        leaves: Millis::from_secs(20),
+        gives_up_after: Millis::from_secs(20),
         ..load("portal", 0.1, 800.0, 200.0)
     };
     vec![chat, portal]
@@ -484,7 +487,7 @@
 fn lower_loads() -> Vec<Load> {
     let accountants = Load {
         spec: spec(1, Millis(30_000), Millis(60_000), 0.03),
-        leaves: Millis::from_secs(120),
+        gives_up_after: Millis::from_secs(120),
         ..load("accountants", 0.25, 1500.0, 300.0)
     };
     let reminders = Load {
@@ -508,14 +511,14 @@
     }
 }
 
-fn load(name: &'static str, part: f64, prompt: f64, output: f64) -> Load {
+fn load(name: &'static str, load_share: f64, prompt: f64, output: f64) -> Load {
     Load {
         name,
         spec: ClassSpec::default(),
-        part,
+        load_share,
         prompt,
         output,
-        leaves: Millis::MAX,
+        gives_up_after: Millis::MAX,
         burst: None,
     }
 }
--- a/crates/admission/tests/admission/bursts.rs
+++ b/crates/admission/tests/admission/bursts.rs
@@ -1,4 +1,4 @@
-//! Bursts and a long rush, in the model of a service.
+//! Bursts and sustained overload, in a discrete-event model of a service.
 
 use crocushold_admission::ClassSpec;
 use crocushold_admission::HeadroomSettings;
@@ -6,9 +6,9 @@
 use crocushold_base::Millis;
 use test_case::test_case;
 
-use crate::support::Bed;
+use crate::support::Fixture;
 use crate::support::batch;
-use crate::support::live;
+use crate::support::interactive;
 
 #[expect(dead_code, reason = "the tests use a part of the example's model")]
 #[path = "../../examples/overload/model.rs"]
@@ -18,13 +18,13 @@
     tally.attained as f64 / tally.offered as f64
 }
 
-/// For an hour the live classes alone ask for 1.2 times what the engines can do. Each lower class
-/// still gets its written share of the engine time, so sheets and accountants' batches go on; and
-/// the live classes get all the rest.
+/// For an hour the interactive classes alone offer 1.2 times the capacity of the engines. Each
+/// lower class still gets its configured share of the engine time, and the interactive classes get
+/// all the rest.
 #[test]
-fn no_class_starves_in_an_hour_of_rush() {
+fn no_class_starves_in_an_hour_of_overload() {
     let run = model::Run {
-        loads: model::evening(),
+        loads: model::evening_peak(),
         accounts: 10,
         slots: 40,
         factor: 4.0,
@@ -33,20 +33,20 @@
         seed: 3,
     };
     let outcome = model::run(&run, model::Policy::Scheduler(Settings::default()));
-    let busy: u64 = outcome.classes.iter().map(|tally| tally.busy).sum();
+    let busy: u64 = outcome.classes.iter().map(|tally| tally.slot_time).sum();
     for (load, tally) in run.loads.iter().zip(&outcome.classes).skip(2) {
-        let part = tally.busy as f64 / busy as f64;
+        let share = tally.slot_time as f64 / busy as f64;
         let floor = load.spec.floor;
-        assert!(part > floor * 0.7, "{}: {part} of {floor}", load.name);
-        assert!(part < floor * 1.3, "{}: {part} of {floor}", load.name);
+        assert!(share > floor * 0.7, "{}: {share} of {floor}", load.name);
+        assert!(share < floor * 1.3, "{}: {share} of {floor}", load.name);
     }
-    assert!(outcome.used > 0.97, "{}", outcome.used);
+    assert!(outcome.utilization > 0.97, "{}", outcome.utilization);
 }
 
-/// The tokens of the lowest class of three as a share of all, over `seconds` of a rush at 2.5 times
-/// the capacity that has lasted for a minute.
+/// Share of tokens that the lowest of three classes gets over `seconds` at 2.5 times the capacity,
+/// after one minute of the same load.
 fn lowest_share(floor: f64, seconds: u64, seed: u64) -> f64 {
-    let load = |tier: u8, target: u64, floor: f64, part: f64, output: f64| model::Load {
+    let load = |tier: u8, target: u64, floor: f64, load_share: f64, output: f64| model::Load {
         name: "",
         spec: ClassSpec {
             tier,
@@ -55,10 +55,10 @@
             floor,
             ..ClassSpec::default()
         },
-        part,
+        load_share,
         prompt: 0.0,
         output,
-        leaves: Millis::MAX,
+        gives_up_after: Millis::MAX,
         burst: None,
     };
     let run = model::Run {
@@ -79,13 +79,13 @@
     tokens[2] as f64 / tokens.iter().sum::<u64>() as f64
 }
 
-/// For an hour all classes ask for more than the slots do, and nobody knows how long an answer will
-/// be. Of the tokens that callers get, the lowest class has its written share to a tenth of a point;
-/// in single minutes it is no more than one and a half points short: answers in progress, and the
-/// one that its floor saves up for.
+/// For an hour all classes offer more load than the slots can serve, and output lengths are not
+/// known in advance. The lowest class gets its configured share of the delivered tokens to within a
+/// tenth of a percentage point. In single minutes it is at most one and a half points short,
+/// because of answers in progress and the one for which its floor is still accruing.
 #[test_case(0.05)]
 #[test_case(0.1)]
-fn a_floor_holds_through_an_hour_of_rush(floor: f64) {
+fn a_floor_holds_through_an_hour_of_overload(floor: f64) {
     let hour = lowest_share(floor, 3600, 7);
     assert!((hour - floor).abs() < 0.001, "{hour}");
     for seed in 0..10 {
@@ -94,12 +94,13 @@
     }
 }
 
-/// The whole load rises to 2.5 times capacity, the live part of it staying below. The live classes
-/// attain as they do at 0.7, within a point, and the engines stay busy.
+/// The total load rises to 2.5 times the capacity, while the interactive part stays below it. The
+/// interactive classes meet their target as often as at 0.7 times the capacity, to within a
+/// percentage point, and the engines stay busy.
 #[test]
-fn the_live_tier_attains_under_overload() {
+fn tier_0_meets_its_target_under_overload() {
     let run = |factor| model::Run {
-        loads: model::evening(),
+        loads: model::evening_peak(),
         accounts: 10,
         slots: 160,
         factor,
@@ -110,17 +111,17 @@
     let policy = || model::Policy::Scheduler(Settings::default());
     let low = model::run(&run(0.7), policy());
     let high = model::run(&run(2.5), policy());
-    for live in 0..2 {
-        let (low, high) = (share(&low.classes[live]), share(&high.classes[live]));
-        assert!(high > low - 0.01, "class {live}: {high} after {low}");
+    for class in 0..2 {
+        let (low, high) = (share(&low.classes[class]), share(&high.classes[class]));
+        assert!(high > low - 0.01, "class {class}: {high} after {low}");
     }
-    assert!(high.used > 0.97, "{}", high.used);
+    assert!(high.utilization > 0.97, "{}", high.utilization);
 }
 
-/// Bursts of the live tier that its steady rate doesn't need: the lower tier leaves slots free up
-/// to the share that the operator set, and takes them again when the bursts are forgotten.
+/// Tier 0 arrives in bursts that its average rate wouldn't need slots for. The lower tier leaves
+/// slots free, up to the configured share, and uses them again once the bursts have decayed.
 #[test]
-fn the_headroom_follows_bursts_and_fades() {
+fn the_headroom_follows_bursts_and_decays() {
     let settings = Settings {
         headroom: HeadroomSettings {
             max_share: 0.25,
@@ -129,28 +130,28 @@
         },
         ..Settings::default()
     };
-    let mut bed = Bed::new(settings, &[live(), batch()], 2);
+    let mut fixture = Fixture::new(settings, &[interactive(), batch()], 2);
     let mut tickets = Vec::new();
     let start = Millis::from_secs(20);
     for _ in 0..8 {
-        bed.queue(0, 0, Millis(0));
+        fixture.queue(0, 0, Millis(0));
     }
     for free in (1..=8).rev() {
-        tickets.push(bed.dispatch(Millis(0), free));
+        tickets.push(fixture.dispatch(Millis(0), free));
     }
     for ticket in tickets.drain(..) {
-        bed.finish(ticket, 100, start);
+        fixture.finish(ticket, 100, start);
     }
     for _ in 0..8 {
-        bed.queue(1, 1, start);
+        fixture.queue(1, 1, start);
     }
     for free in (3..=8).rev() {
-        tickets.push(bed.dispatch(start, free));
+        tickets.push(fixture.dispatch(start, free));
     }
-    bed.idle(start, 2);
-    assert_eq!(bed.scheduler.status().headroom, 2);
-    assert!(bed.scheduler.wake_at().is_some());
+    fixture.idle(start, 2);
+    assert_eq!(fixture.scheduler.status().headroom, 2);
+    assert!(fixture.scheduler.wake_at().is_some());
     let later = Millis::from_secs(3600);
-    tickets.push(bed.dispatch(later, 2));
-    assert_eq!(bed.scheduler.status().headroom, 0);
+    tickets.push(fixture.dispatch(later, 2));
+    assert_eq!(fixture.scheduler.status().headroom, 0);
 }
--- a/crates/admission/tests/admission/main.rs
+++ b/crates/admission/tests/admission/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the scheduler's decisions, driven by events and a time that the tests set.
+//! Tests of the scheduler's decisions, with events and time set by the tests.
 
 mod basics;
 mod bursts;
--- a/crates/admission/tests/admission/refusals.rs
+++ b/crates/admission/tests/admission/refusals.rs
@@ -1,4 +1,4 @@
-//! Refusing early, and what is said with a refusal.
+//! Early refusals and their retry-after times.
 
 use std::collections::HashSet;
 
@@ -10,140 +10,153 @@
 use crocushold_base::Millis;
 use test_case::test_case;
 
-use crate::support::Bed;
+use crate::support::Fixture;
 use crate::support::batch;
-use crate::support::live;
+use crate::support::interactive;
 
-/// Teaches the scheduler that one slot makes 100 tokens a second, and fills the slot.
-fn taught(classes: &[ClassSpec]) -> (Bed, Millis) {
-    let mut bed = Bed::new(Settings::default(), classes, 3);
+/// A scheduler that has learned a throughput of 100 tokens per second for its only slot, with that
+/// slot occupied.
+fn trained(classes: &[ClassSpec]) -> (Fixture, Millis) {
+    let mut fixture = Fixture::new(Settings::default(), classes, 3);
     let mut now = Millis(0);
     for _ in 0..100 {
-        bed.queue(0, 0, now);
-        let ticket = bed.dispatch(now, 1);
+        fixture.queue(0, 0, now);
+        let ticket = fixture.dispatch(now, 1);
         now += Millis(1000);
-        bed.finish(ticket, 100, now);
+        fixture.finish(ticket, 100, now);
     }
-    bed.queue(0, 0, now);
-    let _running = bed.dispatch(now, 1);
-    (bed, now)
+    fixture.queue(0, 0, now);
+    let _running = fixture.dispatch(now, 1);
+    (fixture, now)
 }
 
-/// The only slot makes one answer a second and three chats are ahead. A fourth would wait beyond
-/// its target of two seconds: it is told so now, instead of when the parent has got off the bus.
+/// The only slot completes one answer per second and three requests are ahead. A fourth would miss
+/// its target of two seconds, so it is refused on arrival instead of after waiting.
 #[test]
-fn a_request_that_cannot_attain_is_refused_at_once() {
-    let (mut bed, now) = taught(&[live()]);
+fn a_request_that_cannot_meet_its_target_is_refused_at_once() {
+    let (mut fixture, now) = trained(&[interactive()]);
     let mut refusal = None;
     for _ in 0..4 {
-        if let Admission::Refused(refused) = bed.submit(0, 0, now) {
+        if let Admission::Refused(refused) = fixture.submit(0, 0, now) {
             refusal = Some(refused);
         }
     }
-    let refusal: Refusal = refusal.expect("the fourth can't attain");
+    let refusal: Refusal = refusal.expect("the fourth request is refused");
     assert_eq!(refusal.reason, Reason::TooLate);
     assert!(refusal.retry_after >= Millis(1000));
     assert!(refusal.retry_after <= Millis(6000));
 }
 
-/// With nothing ahead of it a request is admitted whatever was learned: only started requests can
-/// correct a wrong estimate, and one that refused everybody would stay wrong for ever.
+/// A request with nothing ahead of it is admitted regardless of the estimate: only requests that
+/// run can correct a wrong estimate, and one that refused every request would stay wrong.
 #[test]
-fn an_empty_queue_admits_whatever_was_learned() {
-    let mut bed = Bed::new(Settings::default(), &[live()], 1);
+fn an_empty_queue_admits_regardless_of_the_estimate() {
+    let mut fixture = Fixture::new(Settings::default(), &[interactive()], 1);
     let mut now = Millis(0);
     for _ in 0..100 {
-        bed.queue(0, 0, now);
-        let ticket = bed.dispatch(now, 1).sent();
+        fixture.queue(0, 0, now);
+        let ticket = fixture.dispatch(now, 1).sent();
         now += Millis(1900);
-        bed.scheduler.progress(&ticket, 1, now);
+        fixture.scheduler.progress(&ticket, 1, now);
         let completion = crocushold_admission::Completion {
             output: 100,
             complete: true,
         };
         now += Millis(1500);
-        bed.scheduler.finish(ticket, completion, now);
-        bed.idle(now, 1);
+        fixture.scheduler.finish(ticket, completion, now);
+        fixture.idle(now, 1);
     }
 }
 
-/// The engines take half a second to the first token. A request that starts with less than that left
-/// can't attain any more, so its last start is half a second before the target.
-#[test_case(Millis(2000); "when it is refused then")]
-#[test_case(Millis::MAX; "when it is served late")]
+/// The engines take half a second to the first token. A request that starts with less time left
+/// can't meet its target, so its latest start is half a second before the target.
+#[test_case(Millis(2000); "when late requests are refused")]
+#[test_case(Millis::MAX; "when late requests are served")]
 fn the_time_to_first_token_is_set_aside(max_wait: Millis) {
-    let class = ClassSpec { max_wait, ..live() };
-    let mut bed = Bed::new(Settings::default(), &[class], 1);
+    let class = ClassSpec {
+        max_wait,
+        ..interactive()
+    };
+    let mut fixture = Fixture::new(Settings::default(), &[class], 1);
     let mut now = Millis(0);
     for _ in 0..20 {
-        bed.queue(0, 0, now);
-        let ticket = bed.dispatch(now, 1).sent();
+        fixture.queue(0, 0, now);
+        let ticket = fixture.dispatch(now, 1).sent();
         now += Millis(500);
-        bed.scheduler.progress(&ticket, 1, now);
-        bed.scheduler.cancel(ticket.key(), 1, now);
+        fixture.scheduler.progress(&ticket, 1, now);
+        fixture.scheduler.cancel(ticket.key(), 1, now);
     }
-    bed.queue(0, 0, now);
-    let last = bed.scheduler.wake_at().expect("it is queued").since(now);
+    fixture.queue(0, 0, now);
+    let last = fixture
+        .scheduler
+        .wake_at()
+        .expect("it is queued")
+        .since(now);
     assert!((1350..=1500).contains(&last.0), "{last}");
 }
 
-/// Batch work far ahead in number but below in tier doesn't get a live request refused.
+/// A large number of batch requests in a lower tier doesn't cause an interactive request to be
+/// refused.
 #[test]
 fn lower_tiers_do_not_count_as_ahead() {
-    let (mut bed, now) = taught(&[live(), batch()]);
+    let (mut fixture, now) = trained(&[interactive(), batch()]);
     for _ in 0..1000 {
-        bed.queue(1, 1, now);
+        fixture.queue(1, 1, now);
     }
-    bed.queue(0, 0, now);
+    fixture.queue(0, 0, now);
 }
 
-/// A class of the same tier has two requests queued that fall due first. They count as ahead.
+/// Another class of the tier has two queued requests that are due first. They count as ahead.
 #[test]
 fn earlier_deadlines_of_the_tier_count_as_ahead() {
-    let (mut bed, now) = taught(&[live(), live()]);
-    bed.queue(0, 0, now);
-    bed.queue(0, 0, now);
-    assert_eq!(bed.refuse(1, 1, now).reason, Reason::TooLate);
+    let (mut fixture, now) = trained(&[interactive(), interactive()]);
+    fixture.queue(0, 0, now);
+    fixture.queue(0, 0, now);
+    assert_eq!(fixture.refuse(1, 1, now).reason, Reason::TooLate);
 }
 
-/// A class of the same tier has a long queue that may wait for an hour. It is not ahead of a request
-/// that falls due in two seconds, and no reason to refuse it.
+/// Another class of the tier has a long queue with a target of an hour. It isn't ahead of a request
+/// that is due in two seconds, so that request isn't refused.
 #[test]
-fn later_deadlines_of_the_tier_do_not() {
+fn later_deadlines_of_the_tier_do_not_count_as_ahead() {
     let patient = ClassSpec {
         target: Millis::from_secs(3600),
         max_wait: Millis::MAX,
-        ..live()
+        ..interactive()
     };
-    let (mut bed, now) = taught(&[live(), patient]);
+    let (mut fixture, now) = trained(&[interactive(), patient]);
     for _ in 0..1000 {
-        bed.queue(1, 1, now);
+        fixture.queue(1, 1, now);
     }
-    bed.queue(0, 0, now);
+    fixture.queue(0, 0, now);
 }
 
-/// One account has filled the live queue as far as it is let. The first request of another account
-/// would be served next but one, so the long queue is no reason to refuse it.
+/// One account has queued as many interactive requests as are admitted. The first request of
+/// another account would be served second, so the long queue is no reason to refuse it.
 #[test]
 fn a_flood_of_one_account_does_not_get_others_refused() {
-    let (mut bed, now) = taught(&[live()]);
-    while let Admission::Queued(_) = bed.submit(0, 0, now) {}
-    bed.queue(0, 1, now);
+    let (mut fixture, now) = trained(&[interactive()]);
+    while let Admission::Queued(_) = fixture.submit(0, 0, now) {}
+    fixture.queue(0, 1, now);
 }
 
-/// Many callers are refused together. Were they all given the same time, they would return
+/// Many callers are refused at the same time. With identical retry-after times they would retry
 /// together and be refused again.
 #[test]
 fn retry_times_are_spread() {
-    let (mut bed, now) = taught(&[live()]);
-    while let Admission::Queued(_) = bed.submit(0, 0, now) {}
+    let (mut fixture, now) = trained(&[interactive()]);
+    while let Admission::Queued(_) = fixture.submit(0, 0, now) {}
     let times: HashSet<Millis> = (0..100)
-        .map(|_| bed.refuse(0, 0, now).retry_after)
+        .map(|_| fixture.refuse(0, 0, now).retry_after)
         .collect();
-    assert!(times.len() > 50, "only {} times", times.len());
+    assert!(
+        times.len() > 50,
+        "only {} distinct retry times",
+        times.len()
+    );
 }
 
-/// The retry time follows the queue: behind ten times the work it is longer.
+/// Behind a queue ten times as long, the retry-after time is longer.
 #[test]
 fn retry_times_grow_with_the_queue() {
     let class = ClassSpec {
@@ -155,9 +168,9 @@
         ..batch()
     };
     let times = [class, longer].map(|spec| {
-        let (mut bed, now) = taught(&[spec]);
+        let (mut fixture, now) = trained(&[spec]);
         loop {
-            if let Admission::Refused(refusal) = bed.submit(0, 0, now) {
+            if let Admission::Refused(refusal) = fixture.submit(0, 0, now) {
                 return refusal.retry_after;
             }
         }
@@ -167,42 +180,42 @@
 }
 
 /// Ten requests missed their target while the engines were slow, and new ones arrive that can still
-/// attain. The late ones go behind, so that they don't make the new ones late in turn; but one
-/// start in eight is theirs, so that they are answered some day.
+/// meet theirs. The late requests are deferred, so that they don't make the new ones late too, but
+/// one start in eight goes to them, so that they are eventually served.
 #[test]
-fn late_requests_go_behind_but_not_for_ever() {
+fn late_requests_are_deferred_but_not_starved() {
     let class = ClassSpec {
         target: Millis(1000),
         max_wait: Millis::MAX,
         ..batch()
     };
-    let mut bed = Bed::new(Settings::default(), &[class], 1);
-    let late: HashSet<_> = (0..10).map(|_| bed.queue(0, 0, Millis(0))).collect();
+    let mut fixture = Fixture::new(Settings::default(), &[class], 1);
+    let late: HashSet<_> = (0..10).map(|_| fixture.queue(0, 0, Millis(0))).collect();
     let now = Millis(1500);
     for _ in 0..100 {
-        bed.queue(0, 0, now);
+        fixture.queue(0, 0, now);
     }
     let starts: Vec<bool> = (0..80)
-        .map(|_| late.contains(&bed.dispatch(now, 8).key()))
+        .map(|_| late.contains(&fixture.dispatch(now, 8).key()))
         .collect();
     assert!(!starts[..7].contains(&true));
     assert_eq!(starts.iter().filter(|&&is_late| is_late).count(), 10);
 }
 
-/// A class of the same tier with a backlog of hopeless requests and an earlier deadline doesn't
-/// hold up one that can still attain.
+/// A class of the same tier with late requests and an earlier deadline doesn't delay a request that
+/// can still meet its target.
 #[test]
-fn late_requests_go_behind_other_classes_of_the_tier() {
+fn late_requests_are_served_after_other_classes_of_the_tier() {
     let patient = ClassSpec {
         max_wait: Millis(60_000),
-        ..live()
+        ..interactive()
     };
-    let mut bed = Bed::new(Settings::default(), &[patient, live()], 2);
+    let mut fixture = Fixture::new(Settings::default(), &[patient, interactive()], 2);
     for _ in 0..10 {
-        bed.queue(0, 0, Millis(0));
+        fixture.queue(0, 0, Millis(0));
     }
     let now = Millis(2500);
-    let fresh = bed.queue(1, 1, now);
-    assert_eq!(bed.dispatch(now, 1).key(), fresh);
-    assert_eq!(bed.dispatch(now, 1).class(), bed.classes[0].key);
+    let fresh = fixture.queue(1, 1, now);
+    assert_eq!(fixture.dispatch(now, 1).key(), fresh);
+    assert_eq!(fixture.dispatch(now, 1).class(), fixture.classes[0].key);
 }
--- a/crates/admission/tests/admission/sequences.rs
+++ b/crates/admission/tests/admission/sequences.rs
@@ -20,17 +20,17 @@
 use proptest::prop_oneof;
 use proptest::proptest;
 
-use crate::support::Bed;
+use crate::support::Fixture;
 use crate::support::batch;
-use crate::support::live;
+use crate::support::interactive;
 
 const ACCOUNTS: usize = 4;
 const CLASSES: usize = 4;
-const QUEUE: u32 = 12;
-const BYTES: u64 = 4000;
+const MAX_QUEUED: u32 = 12;
+const MAX_QUEUE_BYTES: u64 = 4000;
 
-/// Half of the floors' shares of the bytes.
-const KEPT_BYTES: u64 = 240;
+/// Memory reserved for the classes: half of their floors' shares.
+const RESERVED_BYTES: u64 = 240;
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -38,11 +38,11 @@
     Next { free: u32 },
     Finish { pick: usize, output: u32 },
     Progress { pick: usize, output: u32 },
-    Return { pick: usize },
+    Requeue { pick: usize },
     Cancel { pick: usize },
     Wait { span: u64 },
     Share { account: usize, share: f64 },
-    Drop { class: usize },
+    RemoveClass { class: usize },
 }
 
 #[derive(Clone, Debug)]
@@ -73,38 +73,38 @@
         8 => (0u32..4).prop_map(|free| Step::Next { free }),
         4 => (pick.clone(), 1u32..1000).prop_map(|(pick, output)| Step::Finish { pick, output }),
         2 => (pick.clone(), 1u32..1000).prop_map(|(pick, output)| Step::Progress { pick, output }),
-        2 => pick.clone().prop_map(|pick| Step::Return { pick }),
+        2 => pick.clone().prop_map(|pick| Step::Requeue { pick }),
         2 => pick.prop_map(|pick| Step::Cancel { pick }),
         4 => (0u64..3000).prop_map(|span| Step::Wait { span }),
         1 => Just(Step::Wait { span: 40_000 }),
         1 => (0..ACCOUNTS, 0.0..1.0f64).prop_map(|(account, share)| Step::Share { account, share }),
-        1 => (0..CLASSES).prop_map(|class| Step::Drop { class }),
+        1 => (0..CLASSES).prop_map(|class| Step::RemoveClass { class }),
     ]
 }
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct Tracked {
     tier: u8,
     account: usize,
     bytes: u64,
     deadline: Millis,
 }
 
-/// What the test knows beside the scheduler.
-struct Watch {
-    bed: Bed,
+/// The scheduler under test, and the expected state of its requests.
+struct Checker {
+    fixture: Fixture,
     now: Millis,
-    waiting: HashMap<RequestKey, Waiting>,
-    running: Vec<(Ticket<Sent>, Waiting)>,
+    waiting: HashMap<RequestKey, Tracked>,
+    running: Vec<(Ticket<Sent>, Tracked)>,
     submitted: usize,
     ended: usize,
 }
 
-impl Watch {
-    fn new() -> Watch {
+impl Checker {
+    fn new() -> Checker {
         let settings = Settings {
-            queue_limit: QUEUE,
-            queue_bytes: BYTES,
+            queue_limit: MAX_QUEUED,
+            queue_bytes: MAX_QUEUE_BYTES,
             ..Settings::default()
         };
         let middle = ClassSpec {
@@ -116,7 +116,7 @@
         let second = ClassSpec {
             target: Millis(4000),
             max_wait: Millis(9000),
-            ..live()
+            ..interactive()
         };
         let limited = AccountSpec {
             concurrency: 2,
@@ -126,9 +126,9 @@
         };
         let mut accounts = vec![AccountSpec::default(); ACCOUNTS];
         accounts[3] = limited;
-        let classes = [live(), second, middle, batch()];
-        Watch {
-            bed: Bed::with_accounts(settings, &classes, &accounts),
+        let classes = [interactive(), second, middle, batch()];
+        Checker {
+            fixture: Fixture::with_accounts(settings, &classes, &accounts),
             now: Millis::ZERO,
             waiting: HashMap::new(),
             running: Vec::new(),
@@ -143,26 +143,26 @@
             Step::Next { free } => self.next(*free),
             Step::Finish { pick, output } => self.finish(*pick, *output),
             Step::Progress { pick, output } => self.progress(*pick, *output),
-            Step::Return { pick } => self.take_back(*pick),
+            Step::Requeue { pick } => self.requeue_running(*pick),
             Step::Cancel { pick } => self.cancel(*pick),
             Step::Wait { span } => self.now += Millis(*span),
             Step::Share { account, share } => {
-                let key = self.bed.accounts[*account].key;
-                self.bed.scheduler.set_share(key, *share, self.now);
+                let key = self.fixture.accounts[*account].key;
+                self.fixture.scheduler.set_share(key, *share, self.now);
             }
-            Step::Drop { class } => self.drop_and_restore(*class),
+            Step::RemoveClass { class } => self.remove_and_restore_class(*class),
         }
         self.check();
     }
 
     fn submit(&mut self, plan: &Plan) {
-        let mut arrival = self.bed.arrival(plan.class, plan.account);
+        let mut arrival = self.fixture.arrival(plan.class, plan.account);
         arrival.max_tokens = plan.tokens;
         arrival.bytes = plan.bytes;
         arrival.deadline = self.now + Millis(plan.timeout);
         self.submitted += 1;
-        let settled = !self.owes_answers();
-        match self.bed.scheduler.submit(&arrival, self.now) {
+        let settled = !self.refusals_due();
+        match self.fixture.scheduler.submit(&arrival, self.now) {
             Admission::Refused(refusal) => {
                 self.ended += 1;
                 if refusal.reason == Reason::QueueFull && settled {
@@ -170,31 +170,37 @@
                 }
             }
             Admission::Queued(key) => {
-                let waiting = Waiting {
-                    tier: self.bed.classes[plan.class].tier,
+                let tracked = Tracked {
+                    tier: self.fixture.classes[plan.class].tier,
                     account: plan.account,
                     bytes: u64::from(plan.bytes),
                     deadline: arrival.deadline,
                 };
-                assert!(self.waiting.insert(key, waiting).is_none());
+                assert!(self.waiting.insert(key, tracked).is_none());
             }
         }
     }
 
     fn next(&mut self, free: u32) {
-        match self.bed.scheduler.next(self.now, free) {
+        match self.fixture.scheduler.next(self.now, free) {
             None => {}
             Some(Action::Refuse(refused)) => {
                 let known = self.waiting.remove(&refused.key);
-                assert!(known.is_some(), "answered twice or never asked");
+                assert!(
+                    known.is_some(),
+                    "refusal for an unknown or already answered request"
+                );
                 assert!(refused.refusal.retry_after >= Millis::from_secs(1));
                 self.ended += 1;
             }
             Some(Action::Dispatch(ticket)) => {
                 let request = self.waiting.remove(&ticket.key()).expect("it was queued");
-                assert!(self.now < request.deadline, "started after its deadline");
-                let overdue = self.waiting.values().any(|w| w.deadline <= self.now);
-                assert!(!overdue, "started work before an overdue answer");
+                assert!(self.now < request.deadline, "dispatched after its deadline");
+                let overdue = self
+                    .waiting
+                    .values()
+                    .any(|tracked| tracked.deadline <= self.now);
+                assert!(!overdue, "dispatched before an overdue refusal");
                 assert!(free > 0);
                 self.running.push((ticket.sent(), request));
             }
@@ -207,7 +213,7 @@
                 output,
                 complete: !output.is_multiple_of(3),
             };
-            let settled = self.bed.scheduler.finish(ticket, completion, self.now);
+            let settled = self.fixture.scheduler.finish(ticket, completion, self.now);
             assert!(settled.is_some());
             self.ended += 1;
         }
@@ -216,15 +222,15 @@
     fn progress(&mut self, pick: usize, output: u32) {
         if !self.running.is_empty() {
             let (ticket, _) = &self.running[pick % self.running.len()];
-            self.bed.scheduler.progress(ticket, output, self.now);
+            self.fixture.scheduler.progress(ticket, output, self.now);
         }
     }
 
-    fn take_back(&mut self, pick: usize) {
+    fn requeue_running(&mut self, pick: usize) {
         if let Some((ticket, request)) = self.take_running(pick) {
             let key = ticket.key();
             let ticket = ticket.not_run(NotRun::ServerRefused);
-            self.bed.scheduler.requeue(ticket, self.now);
+            self.fixture.scheduler.requeue(ticket, self.now);
             self.waiting.insert(key, request);
         }
     }
@@ -237,66 +243,74 @@
             return;
         }
         let key = keys[pick % keys.len()];
-        // A request whose refusal is on its way out is void already, and comes out of `next`.
-        if self.bed.scheduler.cancel(key, 5, self.now).is_some() {
+        // A request whose refusal is pending is no longer valid; `next` returns it.
+        if self.fixture.scheduler.cancel(key, 5, self.now).is_some() {
             self.waiting.remove(&key);
             self.running.retain(|(ticket, _)| ticket.key() != key);
             self.ended += 1;
         }
     }
 
-    fn drop_and_restore(&mut self, class: usize) {
-        let mut classes = self.bed.classes.clone();
+    fn remove_and_restore_class(&mut self, class: usize) {
+        let mut classes = self.fixture.classes.clone();
         classes.remove(class);
-        let accounts = self.bed.accounts.clone();
-        self.bed.scheduler.configure(&classes, &accounts, self.now);
-        let classes = self.bed.classes.clone();
-        self.bed.scheduler.configure(&classes, &accounts, self.now);
+        let accounts = self.fixture.accounts.clone();
+        self.fixture
+            .scheduler
+            .configure(&classes, &accounts, self.now);
+        let classes = self.fixture.classes.clone();
+        self.fixture
+            .scheduler
+            .configure(&classes, &accounts, self.now);
     }
 
-    fn take_running(&mut self, pick: usize) -> Option<(Ticket<Sent>, Waiting)> {
+    fn take_running(&mut self, pick: usize) -> Option<(Ticket<Sent>, Tracked)> {
         if self.running.is_empty() {
             return None;
         }
         Some(self.running.swap_remove(pick % self.running.len()))
     }
 
-    fn owes_answers(&self) -> bool {
-        let wake = self.bed.scheduler.wake_at();
+    fn refusals_due(&self) -> bool {
+        let wake = self.fixture.scheduler.wake_at();
         wake.is_some_and(|at| at <= self.now)
     }
 
-    /// Takes the answers that are due.
-    fn answer(&mut self) {
-        while self.owes_answers() {
+    /// Takes the refusals that are due.
+    fn take_due_refusals(&mut self) {
+        while self.refusals_due() {
             self.next(0);
         }
     }
 
-    /// A request was refused for want of room. If it is a live one, nothing lower may be queued but
-    /// what is kept for the floors; of this small queue that is no entry and a few bytes.
+    /// Checks a refusal because of a full queue. For a request of tier 0, nothing of a lower tier
+    /// may be queued except the reserve of the floors; in this small queue that is no entry and a
+    /// few bytes.
     fn check_refused(&self, plan: &Plan) {
-        if self.bed.classes[plan.class].tier > 0 {
+        if self.fixture.classes[plan.class].tier > 0 {
             return;
         }
-        let live = self.waiting.values().filter(|w| w.tier == 0);
-        let live: u64 = live.map(|w| w.bytes).sum();
-        let lower = self.waiting.values().any(|w| w.tier > 0);
-        let full = live + u64::from(plan.bytes) + KEPT_BYTES > BYTES;
-        assert!(!lower || full, "refused for a lower tier");
+        let interactive = self.waiting.values().filter(|tracked| tracked.tier == 0);
+        let interactive: u64 = interactive.map(|tracked| tracked.bytes).sum();
+        let lower = self.waiting.values().any(|tracked| tracked.tier > 0);
+        let full = interactive + u64::from(plan.bytes) + RESERVED_BYTES > MAX_QUEUE_BYTES;
+        assert!(
+            !lower || full,
+            "refused while a lower tier could be evicted"
+        );
     }
 
     fn check(&self) {
-        let status = self.bed.scheduler.status();
+        let status = self.fixture.scheduler.status();
         assert_eq!(status.running as usize, self.running.len());
         assert!(status.queued as usize <= self.waiting.len());
-        // Requests that came back unsent may stand above the bound, by what was in flight.
+        // The queue may exceed its bound by requests that were in flight and came back unsent.
         assert_eq!(
             self.submitted,
             self.ended + self.waiting.len() + self.running.len()
         );
-        for class in &self.bed.classes {
-            let status = self.bed.scheduler.class_status(class.key);
+        for class in &self.fixture.classes {
+            let status = self.fixture.scheduler.class_status(class.key);
             let status = status.expect("configured");
             assert!(status.accounts <= status.queued.min(ACCOUNTS as u32));
             assert!(status.flows <= ACCOUNTS as u32);
@@ -306,21 +320,24 @@
     }
 
     fn check_accounts(&self) {
-        for (index, spec) in self.bed.accounts.iter().enumerate() {
-            let running = self.running.iter().filter(|(_, w)| w.account == index);
-            let counted = self.bed.scheduler.account_running(spec.key);
+        for (index, spec) in self.fixture.accounts.iter().enumerate() {
+            let running = self
+                .running
+                .iter()
+                .filter(|(_, tracked)| tracked.account == index);
+            let counted = self.fixture.scheduler.account_running(spec.key);
             assert_eq!(counted as usize, running.count());
         }
     }
 
-    /// Ends all that is left; afterwards nothing may be held.
+    /// Ends all remaining requests; afterwards none may be left in the scheduler.
     fn drain(&mut self) {
         while let Some((ticket, _)) = self.running.pop() {
             let completion = Completion {
                 output: 1,
                 complete: true,
             };
-            self.bed.scheduler.finish(ticket, completion, self.now);
+            self.fixture.scheduler.finish(ticket, completion, self.now);
             self.ended += 1;
         }
         for _ in 0..1000 {
@@ -328,60 +345,65 @@
             self.next(1);
             self.finish(0, 10);
         }
-        assert!(self.waiting.is_empty(), "held for ever: {:?}", self.waiting);
+        assert!(
+            self.waiting.is_empty(),
+            "requests left in the queue: {:?}",
+            self.waiting
+        );
         assert_eq!(self.submitted, self.ended);
-        assert_eq!(self.bed.scheduler.status().queued, 0);
-        assert_eq!(self.bed.scheduler.status().bytes, 0);
+        assert_eq!(self.fixture.scheduler.status().queued, 0);
+        assert_eq!(self.fixture.scheduler.status().bytes, 0);
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(256))]
 
-    /// Whatever happens, each request ends exactly once, none starts after its deadline or before
-    /// an overdue answer, the counts agree and nothing is held in the end.
+    /// For any sequence of events, each request ends exactly once, none starts after its deadline
+    /// or before an overdue refusal, the counts agree, and no request is left at the end.
     #[test]
     fn every_request_ends_exactly_once(steps in proptest::collection::vec(step(), 1..200)) {
-        let mut watch = Watch::new();
+        let mut checker = Checker::new();
         for step in &steps {
-            watch.apply(step);
+            checker.apply(step);
         }
-        watch.drain();
+        checker.drain();
     }
 
-    /// Submissions alone never take the queue above its bounds, and a live request is refused for
-    /// want of room only when nothing of a lower tier could give way.
+    /// Submissions alone never exceed the bounds of the queue, and a request of tier 0 is refused
+    /// because of a full queue only when no request of a lower tier could be evicted.
     #[test]
     fn the_queue_stays_bounded(plans in proptest::collection::vec(plan(), 1..200)) {
-        let mut watch = Watch::new();
+        let mut checker = Checker::new();
         for plan in &plans {
-            watch.submit(plan);
-            watch.answer();
-            let status = watch.bed.scheduler.status();
-            assert!(status.queued <= QUEUE);
-            assert!(status.bytes <= BYTES);
-            watch.check();
+            checker.submit(plan);
+            checker.take_due_refusals();
+            let status = checker.fixture.scheduler.status();
+            assert!(status.queued <= MAX_QUEUED);
+            assert!(status.bytes <= MAX_QUEUE_BYTES);
+            checker.check();
         }
     }
 
-    /// Without floors a lower tier starts nothing while a higher one has a request that could.
+    /// Without floors, a lower tier starts nothing while a higher-priority tier has an eligible
+    /// request.
     #[test]
-    fn tiers_are_strict_but_for_floors(plans in proptest::collection::vec(plan(), 1..60)) {
-        let mut watch = Watch::new();
-        for spec in &mut watch.bed.classes {
+    fn tiers_are_strict_except_for_floors(plans in proptest::collection::vec(plan(), 1..60)) {
+        let mut checker = Checker::new();
+        for spec in &mut checker.fixture.classes {
             spec.floor = 0.0;
         }
-        let (classes, accounts) = (watch.bed.classes.clone(), watch.bed.accounts.clone());
-        watch.bed.scheduler.configure(&classes, &accounts, Millis::ZERO);
+        let (classes, accounts) = (checker.fixture.classes.clone(), checker.fixture.accounts.clone());
+        checker.fixture.scheduler.configure(&classes, &accounts, Millis::ZERO);
         for plan in &plans {
-            watch.submit(plan);
-            watch.answer();
+            checker.submit(plan);
+            checker.take_due_refusals();
         }
-        while let Some(Action::Dispatch(ticket)) = watch.bed.scheduler.next(watch.now, 1) {
-            let request = watch.waiting.remove(&ticket.key()).expect("it was queued");
-            let higher = watch.waiting.values().any(|w| w.tier < request.tier && w.account != 3);
-            assert!(!higher, "tier {} before a higher one", request.tier);
-            watch.running.push((ticket.sent(), request));
+        while let Some(Action::Dispatch(ticket)) = checker.fixture.scheduler.next(checker.now, 1) {
+            let request = checker.waiting.remove(&ticket.key()).expect("it was queued");
+            let higher = checker.waiting.values().any(|tracked| tracked.tier < request.tier && tracked.account != 3);
+            assert!(!higher, "tier {} was dispatched before a higher-priority tier", request.tier);
+            checker.running.push((ticket.sent(), request));
         }
     }
 }
--- a/crates/admission/tests/admission/support.rs
+++ b/crates/admission/tests/admission/support.rs
@@ -1,4 +1,4 @@
-//! A scheduler with keys at hand, and short forms of the usual events.
+//! Test fixture: a scheduler with its keys, and helpers for the usual events.
 
 use crocushold_admission::AccountSpec;
 use crocushold_admission::Action;
@@ -18,25 +18,24 @@
 use crocushold_base::RequestKey;
 use slotmap::SlotMap;
 
-/// A scheduler under test.
-pub(crate) struct Bed {
+pub(crate) struct Fixture {
     pub(crate) scheduler: Scheduler,
     pub(crate) classes: Vec<ClassSpec>,
     pub(crate) accounts: Vec<AccountSpec>,
 }
 
-impl Bed {
-    /// Configures the classes, their keys filled in, and a number of equal accounts.
-    pub(crate) fn new(settings: Settings, classes: &[ClassSpec], accounts: usize) -> Bed {
+impl Fixture {
+    /// Configures the classes, with their keys filled in, and a number of identical accounts.
+    pub(crate) fn new(settings: Settings, classes: &[ClassSpec], accounts: usize) -> Fixture {
         let specs = vec![AccountSpec::default(); accounts];
-        Bed::with_accounts(settings, classes, &specs)
+        Fixture::with_accounts(settings, classes, &specs)
     }
 
     pub(crate) fn with_accounts(
         settings: Settings,
         classes: &[ClassSpec],
         accounts: &[AccountSpec],
-    ) -> Bed {
+    ) -> Fixture {
         let mut class_keys = SlotMap::<ClassKey, ()>::with_key();
         let mut account_keys = SlotMap::<AccountKey, ()>::with_key();
         let with_key = |spec: &ClassSpec| ClassSpec {
@@ -51,7 +50,7 @@
         let accounts: Vec<AccountSpec> = accounts.iter().map(with_key).collect();
         let mut scheduler = Scheduler::new(settings);
         scheduler.configure(&classes, &accounts, Millis::ZERO);
-        Bed {
+        Fixture {
             scheduler,
             classes,
             accounts,
@@ -83,7 +82,7 @@
     /// Submits a request that must be refused.
     pub(crate) fn refuse(&mut self, class: usize, account: usize, now: Millis) -> Refusal {
         match self.submit(class, account, now) {
-            Admission::Queued(_) => panic!("admitted"),
+            Admission::Queued(_) => panic!("admitted, expected a refusal"),
             Admission::Refused(refusal) => refusal,
         }
     }
@@ -92,7 +91,7 @@
     pub(crate) fn dispatch(&mut self, now: Millis, free: u32) -> Ticket<Dispatched> {
         match self.scheduler.next(now, free) {
             Some(Action::Dispatch(ticket)) => ticket,
-            other => panic!("no dispatch but {other:?}"),
+            other => panic!("expected a dispatch, got {other:?}"),
         }
     }
 
@@ -100,13 +99,13 @@
     pub(crate) fn refused(&mut self, now: Millis, free: u32) -> Refused {
         match self.scheduler.next(now, free) {
             Some(Action::Refuse(refused)) => refused,
-            other => panic!("no refusal but {other:?}"),
+            other => panic!("expected a refusal, got {other:?}"),
         }
     }
 
     pub(crate) fn idle(&mut self, now: Millis, free: u32) {
         let action = self.scheduler.next(now, free);
-        assert!(action.is_none(), "unexpected {action:?}");
+        assert!(action.is_none(), "unexpected action: {action:?}");
     }
 
     /// Finishes a started request with a whole answer.
@@ -119,8 +118,8 @@
     }
 }
 
-/// A live class with a target of two seconds.
-pub(crate) fn live() -> ClassSpec {
+/// An interactive class in tier 0 with a target of two seconds.
+pub(crate) fn interactive() -> ClassSpec {
     ClassSpec {
         tier: 0,
         target: Millis(2000),
