--- a/crates/admission/tests/admission/limits.rs
+++ b/crates/admission/tests/admission/limits.rs
@@ -190,7 +190,7 @@
     assert!((9..=11).contains(&count), "{count}");
 }
 
-/// An account at its limit of queued requests is refused, without effect on other accounts.
+/// An account at its limit of queued requests is refused cheaply, without effect on other accounts.
 #[test]
 fn an_account_queue_is_bounded() {
     let mut fixture = fixture(&AccountSpec {
