--- a/crates/admission/src/flow.rs
+++ b/crates/admission/src/flow.rs
@@ -1,27 +1,28 @@
-//! The queue of one account in one class.
+//! Queue of one account in one class.
 
 use std::collections::BTreeSet;
 
 use crocushold_base::AccountKey;
 
 use crate::request::Lane;
-use crate::request::Place;
+use crate::request::QueuePosition;
 
-/// Units of a counter to a token of an account of weight 1.
+/// Counter units per token, for an account of weight 1.
 const SCALE: f64 = 256.0;
 
-/// One account's requests of one class, and the tokens it was served.
+/// The queued requests of one account in one class, and its fair-queuing counter.
 #[derive(Clone, Debug)]
 pub(crate) struct Flow {
-    /// Tokens served, scaled by the account's weight; the account with the least goes next.
+    /// Tokens served, divided by the account's weight. The account with the lowest counter is
+    /// served next.
     pub(crate) counter: u64,
     pub(crate) weight: f64,
     /// The account is at its concurrency limit.
     pub(crate) blocked: bool,
-    /// Estimated cost of what is queued.
+    /// Estimated cost of the queued requests, in output tokens.
     pub(crate) backlog: u64,
-    fresh: BTreeSet<Place>,
-    late: BTreeSet<Place>,
+    on_time: BTreeSet<QueuePosition>,
+    late: BTreeSet<QueuePosition>,
 }
 
 impl Flow {
@@ -31,36 +32,37 @@
             weight,
             blocked: false,
             backlog: 0,
-            fresh: BTreeSet::new(),
+            on_time: BTreeSet::new(),
             late: BTreeSet::new(),
         }
     }
 
     pub(crate) fn len(&self) -> u32 {
-        (self.fresh.len() + self.late.len()) as u32
+        (self.on_time.len() + self.late.len()) as u32
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.fresh.is_empty() && self.late.is_empty()
+        self.on_time.is_empty() && self.late.is_empty()
     }
 
-    pub(crate) fn head(&self, lane: Lane) -> Option<&Place> {
+    pub(crate) fn head(&self, lane: Lane) -> Option<&QueuePosition> {
         self.lane(lane).first()
     }
 
-    /// The request that gives way first: the newest that can still attain, else the newest.
-    pub(crate) fn newest(&self) -> Option<&Place> {
-        self.fresh.last().or_else(|| self.late.last())
+    /// The request that is evicted first: the newest that can still meet its target, otherwise the
+    /// newest.
+    pub(crate) fn newest(&self) -> Option<&QueuePosition> {
+        self.on_time.last().or_else(|| self.late.last())
     }
 
-    pub(crate) fn insert(&mut self, lane: Lane, place: Place) {
-        self.backlog += place.charge;
-        self.lane_mut(lane).insert(place);
+    pub(crate) fn insert(&mut self, lane: Lane, position: QueuePosition) {
+        self.backlog += position.charge;
+        self.lane_mut(lane).insert(position);
     }
 
-    pub(crate) fn remove(&mut self, lane: Lane, place: &Place) {
-        if self.lane_mut(lane).remove(place) {
-            self.backlog -= place.charge;
+    pub(crate) fn remove(&mut self, lane: Lane, position: &QueuePosition) {
+        if self.lane_mut(lane).remove(position) {
+            self.backlog -= position.charge;
         }
     }
 
@@ -76,29 +78,29 @@
         (tokens as f64 * SCALE / self.weight.max(f64::MIN_POSITIVE)) as u64
     }
 
-    fn lane(&self, lane: Lane) -> &BTreeSet<Place> {
+    fn lane(&self, lane: Lane) -> &BTreeSet<QueuePosition> {
         match lane {
-            Lane::Fresh => &self.fresh,
+            Lane::OnTime => &self.on_time,
             Lane::Late => &self.late,
         }
     }
 
-    fn lane_mut(&mut self, lane: Lane) -> &mut BTreeSet<Place> {
+    fn lane_mut(&mut self, lane: Lane) -> &mut BTreeSet<QueuePosition> {
         match lane {
-            Lane::Fresh => &mut self.fresh,
+            Lane::OnTime => &mut self.on_time,
             Lane::Late => &mut self.late,
         }
     }
 }
 
-/// Order of the flows of a class by the tokens they were served.
+/// Order of a class's flows by tokens served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct FlowRank {
     pub(crate) counter: u64,
     pub(crate) account: AccountKey,
 }
 
-/// Order of the flows of a class by the length of their queues.
+/// Order of a class's flows by queue length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct FlowLength {
     pub(crate) queued: u32,
--- a/crates/admission/src/scheduler/mod.rs
+++ b/crates/admission/src/scheduler/mod.rs
@@ -20,24 +20,25 @@
 
 use crate::account::Account;
 use crate::class::Class;
+use crate::class_index::ClassIndexes;
 use crate::headroom::Headroom;
-use crate::pace::Pace;
 use crate::refusal::Refused;
 use crate::request::Request;
 use crate::settings::Settings;
 use crate::spec::MAX_TIERS;
-use crate::standing::Orders;
+use crate::throughput::Throughput;
 
 pub use dispatch::Action;
 pub use settle::Cancelled;
 pub use settle::Completion;
 pub use settle::Settlement;
-pub use submit::Verdict;
+pub use submit::Admission;
 
-/// Admission, scheduling and limits of one service on one entry instance.
+/// Admission control, scheduling and limits of one service on one entry instance.
 ///
-/// A pure state machine: each call takes the time as an argument, and the same calls give the same
-/// results. The time may jump forwards by any amount; a step back is taken as standing still.
+/// A pure state machine: each call takes the current time as an argument, and the same sequence of
+/// calls gives the same results. Time may jump forwards by any amount; if it steps back, the last
+/// time is used.
 #[derive(Debug)]
 pub struct Scheduler {
     settings: Settings,
@@ -45,26 +46,26 @@
     accounts: SecondaryMap<AccountKey, Account>,
     requests: SlotMap<RequestKey, Request>,
     timers: BTreeSet<Timer>,
-    orders: Orders,
-    pace: Pace,
+    class_indexes: ClassIndexes,
+    throughput: Throughput,
     headroom: Headroom,
-    /// Answers that are due, in order.
-    refused: VecDeque<Refused>,
+    /// Refusals to be returned by `next`, in order.
+    pending_refusals: VecDeque<Refused>,
     queued: u32,
     bytes: [u64; MAX_TIERS],
     running: u32,
-    /// Queue entries that are kept for classes and not used by them.
-    spare: u32,
-    /// Free slots at the last call of `next`, less what was started since.
+    /// Queue entries reserved for classes and not in use.
+    unused_reserve: u32,
+    /// Free slots at the last call of `next`, less the requests started since.
     free: u32,
     seq: u64,
-    draws: u64,
+    jitter_draws: u64,
     now: Millis,
-    /// Number of pauses seen in the sequence of events.
+    /// Number of pauses detected between events.
     pauses: u32,
 }
 
-/// When a queued request changes its state by waiting.
+/// Time at which a queued request becomes late or expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     at: Millis,
@@ -81,29 +82,29 @@
             accounts: SecondaryMap::new(),
             requests: SlotMap::with_key(),
             timers: BTreeSet::new(),
-            orders: Orders::default(),
-            pace: Pace::new(),
+            class_indexes: ClassIndexes::default(),
+            throughput: Throughput::new(),
             headroom,
-            refused: VecDeque::new(),
+            pending_refusals: VecDeque::new(),
             queued: 0,
             bytes: [0; MAX_TIERS],
             running: 0,
-            spare: 0,
+            unused_reserve: 0,
             free: 0,
             seq: 0,
-            draws: 0,
+            jitter_draws: 0,
             now: Millis::ZERO,
             pauses: 0,
         }
     }
 
-    /// Takes note of the time of an event.
+    /// Advances the clock to the time of an event and counts pauses.
     ///
-    /// A process that was suspended sees its requests end long after they did. Durations that span
-    /// a pause are therefore not learned from; otherwise one suspension would make the service look
-    /// slow, and requests would be refused that could well attain.
-    fn observe(&mut self, now: Millis) -> Millis {
-        if now.since(self.now) > self.settings.gap {
+    /// A process that was suspended sees its requests end long after they did, so durations that
+    /// span a pause are not learned from. Otherwise one suspension would make the service appear
+    /// slow, and requests would be refused that could meet their target.
+    fn advance_clock(&mut self, now: Millis) -> Millis {
+        if now.since(self.now) > self.settings.pause_threshold {
             self.pauses = self.pauses.wrapping_add(1);
         }
         self.now = self.now.max(now);
--- a/crates/admission/src/scheduler/report.rs
+++ b/crates/admission/src/scheduler/report.rs
@@ -1,4 +1,4 @@
-//! Figures for metrics and status pages.
+//! Statistics for metrics and status pages.
 
 use crocushold_base::AccountKey;
 use crocushold_base::ClassKey;
@@ -8,31 +8,31 @@
 use crate::status::Status;
 
 impl Scheduler {
-    /// Figures of the whole.
+    /// Statistics of the scheduler.
     pub fn status(&self) -> Status {
         Status {
             queued: self.queued,
             bytes: self.bytes.iter().sum(),
             running: self.running,
-            headroom: self.headroom.kept(),
-            speed: self.pace.speed(self.slots()) * 1000.0,
+            headroom: self.headroom.reserved(),
+            tokens_per_second: self.throughput.rate(self.slots()) * 1000.0,
         }
     }
 
-    /// Figures of one class; `None` if it isn't configured.
+    /// Statistics of one class; `None` if it isn't configured.
     pub fn class_status(&self, key: ClassKey) -> Option<ClassStatus> {
         let class = self.classes.get(key)?;
         Some(ClassStatus {
             class: key,
             queued: class.queued,
             backlog: class.backlog,
-            accounts: class.active() as u32,
+            accounts: class.active_accounts() as u32,
             flows: class.flow_count() as u32,
-            wait: self.predict(key, AccountKey::default(), class.backlog, self.now),
+            predicted_wait: self.predict_wait(key, AccountKey::default(), class.backlog, self.now),
         })
     }
 
-    /// Requests of the account in flight; zero for one that isn't configured.
+    /// Number of requests of the account in flight; zero if it isn't configured.
     pub fn account_running(&self, key: AccountKey) -> u32 {
         self.accounts.get(key).map_or(0, |account| account.running)
     }
--- a/crates/admission/src/scheduler/settle.rs
+++ b/crates/admission/src/scheduler/settle.rs
@@ -1,61 +1,63 @@
-//! Progress and end of started requests.
+//! Progress and completion of running requests.
 
 use crocushold_base::Millis;
 use crocushold_base::RequestKey;
 
 use super::Scheduler;
-use crate::class::clock_span;
-use crate::class::floor_span;
+use crate::class::clock_ticks;
+use crate::class::floor_ticks;
 use crate::histogram::DecayingHistogram;
 use crate::request::Request;
 use crate::request::Run;
+use crate::request::SelectedBy;
 use crate::request::Stage;
-use crate::request::Turn;
 use crate::ticket::Sent;
 use crate::ticket::Ticket;
 
-/// Tokens by which an output that outruns its estimate is charged in advance, so that a long
-/// stream updates the order every so many tokens and not at each.
+/// Tokens charged in advance when the output exceeds its estimate, so that a long stream updates
+/// the indexes once per step instead of at every token.
 const CHARGE_STEP: u64 = 64;
 
-/// How a started request ended.
+/// How a running request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Completion {
-    /// Output tokens that were generated, as far as known.
+    /// Output tokens generated, as far as known.
     pub output: u32,
-    /// The answer is whole. A cut answer is charged but teaches nothing about lengths.
-    pub whole: bool,
+    /// Whether the answer is complete. An incomplete answer is charged but not used to learn output
+    /// lengths.
+    pub complete: bool,
 }
 
-/// What a finished request cost.
+/// Cost and times of a finished request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settlement {
-    /// Cost charged until the end, in output tokens.
+    /// Cost charged until the request ended, in output tokens.
     pub charged: u64,
-    /// Real cost, in output tokens.
+    /// Actual cost, in output tokens.
     pub used: u64,
-    /// Time that it held its slot.
-    pub held: Millis,
+    /// Time for which the request occupied its slot.
+    pub service_time: Millis,
     /// Time from arrival to start.
-    pub waited: Millis,
+    pub queue_time: Millis,
 }
 
-/// What a cancellation ended.
+/// State of a request when it was cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cancelled {
-    /// The request was queued; it did not run.
+    /// The request was queued and did not run.
     Queued,
-    /// The request was started; its slot is free again.
+    /// The request was running; its slot is free again.
     Running,
 }
 
 impl Scheduler {
-    /// Takes note of the output tokens received so far.
+    /// Records the output tokens received so far.
     ///
-    /// The first call tells the time to first token. Output beyond the estimate is charged as it
-    /// comes, so that an account whose answers turn out long falls back in order while they run.
+    /// The first call gives the time to first token. Output beyond the estimate is charged as it
+    /// arrives, so that an account with unexpectedly long answers loses precedence while they are
+    /// still running.
     pub fn progress(&mut self, ticket: &Ticket<Sent>, output: u32, now: Millis) {
-        let now = self.observe(now);
+        let now = self.advance_clock(now);
         let pauses = self.pauses;
         let Some(request) = self.requests.get_mut(ticket.key()) else {
             return;
@@ -63,49 +65,51 @@
         let Stage::Running(run) = &mut request.stage else {
             return;
         };
-        let first = !run.answered && run.pauses == pauses;
-        let since = run.since;
-        run.answered = true;
+        let first = !run.first_token_seen && run.pauses_at_start == pauses;
+        let started = run.started;
+        run.first_token_seen = true;
         let request = *request;
         if first && let Some(class) = self.classes.get_mut(request.class) {
-            class.starts.record(clamp(now.since(since).0));
+            class
+                .first_token_times
+                .record(saturating_u32(now.since(started).0));
         }
         self.charge_excess(&request, output);
     }
 
-    /// Ends a started request and settles its cost; `None` if it was cancelled before.
+    /// Ends a running request and settles its cost; `None` if it was cancelled before.
     pub fn finish(
         &mut self,
         ticket: Ticket<Sent>,
         completion: Completion,
         now: Millis,
     ) -> Option<Settlement> {
-        let now = self.observe(now);
-        let key = ticket.redeem();
-        let run = self.end_run(key)?;
+        let now = self.advance_clock(now);
+        let key = ticket.into_key();
+        let run = self.release_slot(key)?;
         let request = self.requests.remove(key)?;
-        if completion.whole {
+        if completion.complete {
             self.learn(&request, &run, completion.output, now);
         }
         Some(self.settle(&request, &run, completion.output, now))
     }
 
-    /// Ends a request at any point, with the output tokens generated so far; `None` if it has
-    /// ended before.
+    /// Cancels a queued or running request; `output` is the number of output tokens generated so
+    /// far. `None` if it has already ended.
     ///
-    /// A driver that cancels a started request also stops the backend server's work.
+    /// A driver that cancels a running request must also stop the work on the backend server.
     pub fn cancel(&mut self, key: RequestKey, output: u32, now: Millis) -> Option<Cancelled> {
-        let now = self.observe(now);
+        let now = self.advance_clock(now);
         let request = *self.requests.get(key)?;
         match request.stage {
             Stage::Queued(lane) => {
                 self.remove_queued(&request, lane);
                 self.requests.remove(key);
-                self.give_back(&request);
+                self.refund_limits(&request);
                 Some(Cancelled::Queued)
             }
             Stage::Running(run) => {
-                self.end_run(key);
+                self.release_slot(key);
                 self.requests.remove(key);
                 self.settle(&request, &run, output, now);
                 Some(Cancelled::Running)
@@ -113,8 +117,8 @@
         }
     }
 
-    /// Frees the slot of a started request, which stays held.
-    pub(super) fn end_run(&mut self, key: RequestKey) -> Option<Run> {
+    /// Frees the slot of a running request; the request remains stored.
+    pub(super) fn release_slot(&mut self, key: RequestKey) -> Option<Run> {
         let request = self.requests.get(key)?;
         let Stage::Running(run) = request.stage else {
             return None;
@@ -128,25 +132,25 @@
         Some(run)
     }
 
-    /// Takes back all that a start charged.
+    /// Undoes all charges made when the request was started.
     pub(super) fn undo_charge(&mut self, request: &Request, run: &Run, now: Millis) {
-        self.correct(request, run, 0);
+        self.adjust_charge(request, run, 0);
         let tier = self.tier(request.class);
         let tokens = run.charged as f64;
-        self.pace.dispatched(tier, -tokens, now);
+        self.throughput.dispatched(tier, -tokens, now);
     }
 
     fn charge_excess(&mut self, request: &Request, output: u32) {
         let Stage::Running(run) = request.stage else {
             return;
         };
-        let used = self.cost(request.prompt, output);
+        let used = self.cost(request.prompt_tokens, output);
         if used <= run.charged {
             return;
         }
-        self.correct(request, &run, used + CHARGE_STEP);
-        if let Some(held) = self.requests.get_mut(request.place.key) {
-            held.stage = Stage::Running(Run {
+        self.adjust_charge(request, &run, used + CHARGE_STEP);
+        if let Some(stored) = self.requests.get_mut(request.position.key) {
+            stored.stage = Stage::Running(Run {
                 charged: used + CHARGE_STEP,
                 ..run
             });
@@ -154,25 +158,25 @@
     }
 
     fn settle(&mut self, request: &Request, run: &Run, output: u32, now: Millis) -> Settlement {
-        let used = self.cost(request.prompt, output);
-        self.correct(request, run, used);
+        let used = self.cost(request.prompt_tokens, output);
+        self.adjust_charge(request, run, used);
         if let Some(account) = self.accounts.get_mut(request.account) {
-            let real = u64::from(request.prompt) + u64::from(output);
-            account.settle(request.billed, real);
+            let real = u64::from(request.prompt_tokens) + u64::from(output);
+            account.settle(request.billed_tokens, real);
         }
         Settlement {
             charged: run.charged,
             used,
-            held: now.since(run.since),
-            waited: run.since.since(request.arrived),
+            service_time: now.since(run.started),
+            queue_time: run.started.since(request.arrived),
         }
     }
 
-    /// Replaces what a run was charged by `used`: in the account's counter, on the clock of the
-    /// floors and, if the run was started by the floor, against the floor of its class.
-    fn correct(&mut self, request: &Request, run: &Run, used: u64) {
-        let clock = &mut self.orders.clock;
-        *clock = (*clock + clock_span(used)).saturating_sub(clock_span(run.charged));
+    /// Replaces the cost charged for a run by `used`: in the account's counter, in the token clock
+    /// and, if the run was selected by the floor, in the floor clock of its class.
+    fn adjust_charge(&mut self, request: &Request, run: &Run, used: u64) {
+        let clock = &mut self.class_indexes.token_clock;
+        *clock = (*clock + clock_ticks(used)).saturating_sub(clock_ticks(run.charged));
         let Some(class) = self.classes.get_mut(request.class) else {
             return;
         };
@@ -180,44 +184,46 @@
         if used <= run.charged {
             class.refund(request.account, run.charged - used);
         } else if let Some(account) = self.accounts.get(request.account) {
-            // The flow may be forgotten by now; a debt must outlive that.
-            class.ensure(request.account, account.spec.weight);
+            // The flow may have been dropped meanwhile; create it again so that the debt is kept.
+            class.ensure_flow(request.account, account.spec.weight);
             class.charge(request.account, used - run.charged);
         }
-        if run.turn == Turn::Floor && floor > 0.0 {
-            let clock = class.floor_clock + floor_span(used, floor);
-            class.floor_clock = clock.saturating_sub(floor_span(run.charged, floor));
+        if run.selected_by == SelectedBy::Floor && floor > 0.0 {
+            let clock = class.floor_clock + floor_ticks(used, floor);
+            class.floor_clock = clock.saturating_sub(floor_ticks(run.charged, floor));
         }
-        self.orders.refresh(request.class, class);
+        self.class_indexes.refresh(request.class, class);
     }
 
     fn learn(&mut self, request: &Request, run: &Run, output: u32, now: Millis) {
-        if run.pauses == self.pauses {
-            // In estimated tokens, because the queue is counted in these too: an estimate that is
-            // too high on the whole then cancels out of the predicted wait.
-            self.pace
-                .finished(request.place.charge, now.since(run.since));
+        if run.pauses_at_start == self.pauses {
+            // Estimated tokens rather than actual ones: the queue is counted in estimates too, so a
+            // systematic error of the estimates cancels out of the predicted wait.
+            self.throughput
+                .finished(request.position.charge, now.since(run.started));
         }
         if let Some(account) = self.accounts.get_mut(request.account) {
-            account.learn(request.expected, output);
+            account.learn(request.expected_output, output);
         }
         let Some(class) = self.classes.get_mut(request.class) else {
             return;
         };
-        class.outputs.record(output);
+        class.output_lengths.record(output);
         let Some(model) = request.model else {
             return;
         };
         let quantile = self.settings.output_quantile;
-        if !class.models.contains_key(model) {
-            class.models.insert(model, DecayingHistogram::new(quantile));
+        if !class.model_output_lengths.contains_key(model) {
+            class
+                .model_output_lengths
+                .insert(model, DecayingHistogram::new(quantile));
         }
-        if let Some(lengths) = class.models.get_mut(model) {
+        if let Some(lengths) = class.model_output_lengths.get_mut(model) {
             lengths.record(output);
         }
     }
 }
 
-fn clamp(value: u64) -> u32 {
+fn saturating_u32(value: u64) -> u32 {
     u32::try_from(value).unwrap_or(u32::MAX)
 }
--- a/crates/admission/tests/admission/support.rs
+++ b/crates/admission/tests/admission/support.rs
@@ -1,7 +1,8 @@
-//! A scheduler with keys at hand, and short forms of the usual events.
+//! Test fixture: a scheduler with its keys, and helpers for the usual events.
 
 use crocushold_admission::AccountSpec;
 use crocushold_admission::Action;
+use crocushold_admission::Admission;
 use crocushold_admission::Arrival;
 use crocushold_admission::ClassSpec;
 use crocushold_admission::Completion;
@@ -11,32 +12,30 @@
 use crocushold_admission::Scheduler;
 use crocushold_admission::Settings;
 use crocushold_admission::Ticket;
-use crocushold_admission::Verdict;
 use crocushold_base::AccountKey;
 use crocushold_base::ClassKey;
 use crocushold_base::Millis;
 use crocushold_base::RequestKey;
 use slotmap::SlotMap;
 
-/// A scheduler under test.
-pub(crate) struct Bed {
+pub(crate) struct Fixture {
     pub(crate) scheduler: Scheduler,
     pub(crate) classes: Vec<ClassSpec>,
     pub(crate) accounts: Vec<AccountSpec>,
 }
 
-impl Bed {
-    /// Configures the classes, their keys filled in, and a number of equal accounts.
-    pub(crate) fn new(settings: Settings, classes: &[ClassSpec], accounts: usize) -> Bed {
+impl Fixture {
+    /// Configures the classes, with their keys filled in, and a number of identical accounts.
+    pub(crate) fn new(settings: Settings, classes: &[ClassSpec], accounts: usize) -> Fixture {
         let specs = vec![AccountSpec::default(); accounts];
-        Bed::with_accounts(settings, classes, &specs)
+        Fixture::with_accounts(settings, classes, &specs)
     }
 
     pub(crate) fn with_accounts(
         settings: Settings,
         classes: &[ClassSpec],
         accounts: &[AccountSpec],
-    ) -> Bed {
+    ) -> Fixture {
         let mut class_keys = SlotMap::<ClassKey, ()>::with_key();
         let mut account_keys = SlotMap::<AccountKey, ()>::with_key();
         let with_key = |spec: &ClassSpec| ClassSpec {
@@ -51,7 +50,7 @@
         let accounts: Vec<AccountSpec> = accounts.iter().map(with_key).collect();
         let mut scheduler = Scheduler::new(settings);
         scheduler.configure(&classes, &accounts, Millis::ZERO);
-        Bed {
+        Fixture {
             scheduler,
             classes,
             accounts,
@@ -67,7 +66,7 @@
         }
     }
 
-    pub(crate) fn submit(&mut self, class: usize, account: usize, now: Millis) -> Verdict {
+    pub(crate) fn submit(&mut self, class: usize, account: usize, now: Millis) -> Admission {
         let arrival = self.arrival(class, account);
         self.scheduler.submit(&arrival, now)
     }
@@ -75,16 +74,16 @@
     /// Submits a request that must be admitted.
     pub(crate) fn queue(&mut self, class: usize, account: usize, now: Millis) -> RequestKey {
         match self.submit(class, account, now) {
-            Verdict::Queued(key) => key,
-            Verdict::Refused(refusal) => panic!("refused: {}", refusal.reason),
+            Admission::Queued(key) => key,
+            Admission::Refused(refusal) => panic!("refused: {}", refusal.reason),
         }
     }
 
     /// Submits a request that must be refused.
     pub(crate) fn refuse(&mut self, class: usize, account: usize, now: Millis) -> Refusal {
         match self.submit(class, account, now) {
-            Verdict::Queued(_) => panic!("admitted"),
-            Verdict::Refused(refusal) => refusal,
+            Admission::Queued(_) => panic!("admitted, expected a refusal"),
+            Admission::Refused(refusal) => refusal,
         }
     }
 
@@ -92,7 +91,7 @@
     pub(crate) fn dispatch(&mut self, now: Millis, free: u32) -> Ticket<Dispatched> {
         match self.scheduler.next(now, free) {
             Some(Action::Dispatch(ticket)) => ticket,
-            other => panic!("no dispatch but {other:?}"),
+            other => panic!("expected a dispatch, got {other:?}"),
         }
     }
 
@@ -100,31 +99,31 @@
     pub(crate) fn refused(&mut self, now: Millis, free: u32) -> Refused {
         match self.scheduler.next(now, free) {
             Some(Action::Refuse(refused)) => refused,
-            other => panic!("no refusal but {other:?}"),
+            other => panic!("expected a refusal, got {other:?}"),
         }
     }
 
     pub(crate) fn idle(&mut self, now: Millis, free: u32) {
         let action = self.scheduler.next(now, free);
-        assert!(action.is_none(), "unexpected {action:?}");
+        assert!(action.is_none(), "unexpected action: {action:?}");
     }
 
     /// Finishes a started request with a whole answer.
     pub(crate) fn finish(&mut self, ticket: Ticket<Dispatched>, output: u32, now: Millis) {
         let completion = Completion {
             output,
-            whole: true,
+            complete: true,
         };
         self.scheduler.finish(ticket.sent(), completion, now);
     }
 }
 
-/// A live class with a target of two seconds.
-pub(crate) fn live() -> ClassSpec {
+/// An interactive class in tier 0 with a target of two seconds.
+pub(crate) fn interactive() -> ClassSpec {
     ClassSpec {
         tier: 0,
         target: Millis(2000),
-        patience: Millis(2000),
+        max_wait: Millis(2000),
         floor: 0.0,
         ..ClassSpec::default()
     }
