--- a/crates/entry/src/coordination/suspects.rs
+++ b/crates/entry/src/coordination/suspects.rs
@@ -99,7 +99,7 @@
             server,
             sent,
         };
-        let unwatched = state.quarantine.cut(run, now);
+        let unwatched = state.quarantine.run_cut(run, now);
         self.note_quarantined(state);
         if unwatched {
             task::spawn(self.clone().look(address, server));
@@ -120,14 +120,14 @@
         let now = self.clock.now();
         let mut state = self.state();
         for suspicion in suspicions {
-            state.quarantine.hear(suspicion, now);
+            state.quarantine.apply_suspicion(suspicion, now);
         }
         self.note_quarantined(state);
     }
 
     async fn look(self: Arc<Self>, address: SocketAddr, server: Incarnation) {
         if !refuses_connections(address).await {
-            self.state().quarantine.undecided(server);
+            self.state().quarantine.mark_inconclusive(server);
             return;
         }
         let now = self.clock.now();
@@ -150,7 +150,7 @@
     }
 
     fn note_quarantined(&self, mut state: MutexGuard<'_, State>) {
-        let placed = state.quarantine.take_placed();
+        let placed = state.quarantine.take_quarantined();
         drop(state);
         for quarantined in placed {
             let event = Event::new("content-quarantined")
@@ -167,9 +167,9 @@
         let quarantine = &mut self.state().quarantine;
         quarantine.expire(now);
         if reminds {
-            quarantine.known(now)
+            quarantine.all_suspicions(now)
         } else {
-            quarantine.news(now)
+            quarantine.unsent_suspicions(now)
         }
     }
 }
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -376,7 +376,7 @@
     /// that hangs would hold a slot for nobody.
     fn head_timeout(&self, pick: &Pick) -> Millis {
         let bound = if self.job.stream {
-            pick.patience
+            pick.first_byte_timeout
         } else {
             self.job.answer_timeout
         };
--- a/crates/entry/src/loads.rs
+++ b/crates/entry/src/loads.rs
@@ -245,7 +245,7 @@
             if polled.cause == Cause::Watched {
                 state.router.load_report(polled.key, report, now);
             } else {
-                state.router.occupancy(polled.key, report);
+                state.router.record_occupancy(polled.key, report);
             }
         }
         if let Some(loaded) = loaded {
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -188,7 +188,7 @@
             continue;
         };
         for &key in &service.servers {
-            let Some(standing) = state.router.why(key) else {
+            let Some(standing) = state.router.standing(key) else {
                 continue;
             };
             let server = &world.catalog.servers[key];
--- a/crates/entry/src/pool.rs
+++ b/crates/entry/src/pool.rs
@@ -32,12 +32,12 @@
 use crocushold_routing::HealthSettings;
 use crocushold_routing::Outcome;
 use crocushold_routing::Pick;
-use crocushold_routing::Reach;
 use crocushold_routing::RequestFacts;
 use crocushold_routing::RetryPolicy;
 use crocushold_routing::RetrySettings;
 use crocushold_routing::Router;
 use crocushold_routing::ServerSpec;
+use crocushold_routing::ServerSubset;
 use crocushold_routing::Stage;
 use futures::channel::oneshot;
 
@@ -85,7 +85,7 @@
     /// The servers as configured: each holds every model of the service.
     servers: Vec<ServerSpec>,
     /// Which of them this instance uses.
-    pub(crate) reach: Reach,
+    pub(crate) reach: ServerSubset,
     /// The model that last lacked a server.
     lacking: Option<ModelKey>,
     /// Whether some model is to be held by some of the servers only.
@@ -142,7 +142,7 @@
             service: settings.service.clone(),
             servers: Vec::new(),
             mixed: false,
-            reach: Reach::new(settings.senders),
+            reach: ServerSubset::new(settings.senders),
             lacking: None,
             loaded: HashMap::new(),
             retry: RetryPolicy::new(RetrySettings::default(), clock.now()),
--- a/crates/entry/src/pool/dispatch.rs
+++ b/crates/entry/src/pool/dispatch.rs
@@ -121,7 +121,7 @@
                 Ok(())
             }
             // Else a server that isn't in reach, or hasn't reported yet, may hold the model.
-            Err(none) if none.reason == Reason::NoModel && self.reach.is_searched(now) => {
+            Err(none) if none.reason == Reason::NoModel && self.reach.is_exhausted(now) => {
                 self.scheduler.cancel(key, 0, now);
                 self.tell(key, Turn::Refused(Refusal::from_routing(&none)));
                 Ok(())
--- a/crates/entry/src/pool/reach.rs
+++ b/crates/entry/src/pool/reach.rs
@@ -9,11 +9,11 @@
 use crocushold_base::ServerKey;
 use crocushold_routing::Allotment;
 use crocushold_routing::EntryFleet;
-use crocushold_routing::Lack;
 use crocushold_routing::NoServer;
 use crocushold_routing::Pick;
 use crocushold_routing::Reason;
 use crocushold_routing::ServerSpec;
+use crocushold_routing::Shortage;
 use log::info;
 
 use super::Need;
@@ -72,7 +72,7 @@
 
     /// Why a server in reach is polled where there are many.
     pub(crate) fn poll_cause(&self, server: ServerKey) -> Cause {
-        let standing = self.router.why(server);
+        let standing = self.router.standing(server);
         if standing.is_some_and(|standing| standing.borrowed) {
             Cause::Borrowed
         } else if self.mixed {
@@ -122,16 +122,16 @@
         let lack = lack.or_else(|| self.blocked());
         let Some((reason, model)) = lack else {
             let serves = self.reach.is_widened() && self.own_serve();
-            if self.reach.on_ease(serves, now) {
+            if self.reach.on_relief(serves, now) {
                 self.log_reach("reach-narrowed");
                 self.configure_router(now);
             }
             return false;
         };
         let lack = match reason {
-            Reason::NoModel | Reason::Out => Lack::Down,
+            Reason::NoModel | Reason::Out => Shortage::Down,
             Reason::Busy | Reason::Late { .. } | Reason::Cold | Reason::Region | Reason::Tried => {
-                Lack::Full
+                Shortage::Full
             }
             Reason::Stale => return false,
         };
@@ -142,7 +142,7 @@
     /// none has a free slot.
     fn blocked(&self) -> Option<(Reason, Option<ModelKey>)> {
         let waiting = !self.waiting.is_empty();
-        let reason = self.router.shortage(None).filter(|_| waiting);
+        let reason = self.router.unavailable_reason(None).filter(|_| waiting);
         reason.map(|reason| (reason, None))
     }
 
@@ -155,16 +155,16 @@
                     .is_none_or(|held| held.contains(&model))
             };
             let free = |key| {
-                let standing = self.router.why(key);
+                let standing = self.router.standing(key);
                 standing.is_some_and(|standing| standing.in_flight < standing.limit)
             };
             self.lacking.is_none_or(holds) && free(key)
         })
     }
 
-    fn widen(&mut self, lack: Lack, model: Option<ModelKey>, now: Millis) -> bool {
+    fn widen(&mut self, lack: Shortage, model: Option<ModelKey>, now: Millis) -> bool {
         self.lacking = model;
-        let widened = self.reach.on_lack(lack, now);
+        let widened = self.reach.on_shortage(lack, now);
         if widened {
             self.log_reach("reach-widened");
             self.configure_router(now);
@@ -192,7 +192,7 @@
         now: Millis,
     ) -> Result<(Pick, SocketAddr), NoServer> {
         if tried.len() >= FAILED_WITHIN && !self.reach.is_whole() {
-            self.widen(Lack::Retry, need.model, now);
+            self.widen(Shortage::Retry, need.model, now);
             let own = self.own_servers();
             let exclude: Vec<ServerKey> = own.chain(tried.iter().copied()).collect();
             if let Ok(picked) = self.pick(need, &exclude, now) {
@@ -203,7 +203,7 @@
         let Err(none) = &picked else {
             return picked;
         };
-        if none.reason != Reason::Stale && self.widen(Lack::Retry, need.model, now) {
+        if none.reason != Reason::Stale && self.widen(Shortage::Retry, need.model, now) {
             return self.pick(need, tried, now);
         }
         picked
--- a/crates/entry/src/pool/tests.rs
+++ b/crates/entry/src/pool/tests.rs
@@ -90,7 +90,12 @@
     }
 
     fn in_flight(&self) -> u32 {
-        self.pool.lock().router.why(self.server).unwrap().in_flight
+        self.pool
+            .lock()
+            .router
+            .standing(self.server)
+            .unwrap()
+            .in_flight
     }
 }
 
@@ -240,7 +245,7 @@
 fn fleet(instances: Range<u64>) -> EntryFleet {
     EntryFleet {
         instances: instances.collect(),
-        me: 1,
+        local_id: 1,
         ..EntryFleet::default()
     }
 }
@@ -437,13 +442,16 @@
     assert!(on_left.count() > 0);
     for start in starts {
         let server = start.pick.server;
-        let standing = shared.pool.lock().router.why(server);
+        let standing = shared.pool.lock().router.standing(server);
         assert!(standing.is_some_and(|standing| standing.in_flight > 0));
         shared.end(&start, Outcome::Complete);
     }
     let state = shared.pool.lock();
-    assert!(left.iter().all(|key| state.router.why(**key).is_none()));
+    assert!(
+        left.iter()
+            .all(|key| state.router.standing(**key).is_none())
+    );
     for key in after {
-        assert_eq!(state.router.why(key).unwrap().in_flight, 0);
+        assert_eq!(state.router.standing(key).unwrap().in_flight, 0);
     }
 }
--- a/crates/entry/src/sent_run.rs
+++ b/crates/entry/src/sent_run.rs
@@ -37,7 +37,7 @@
     }
 
     fn is_leaving(&self) -> bool {
-        let standing = self.pool.lock().router.why(self.server);
+        let standing = self.pool.lock().router.standing(self.server);
         standing.is_none_or(|standing| matches!(standing.state, State::Leaving | State::Removed))
     }
 }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -155,7 +155,7 @@
         let live = view.instances.iter();
         let fleet = EntryFleet {
             instances: live.map(|instance| identity(&instance.id)).collect(),
-            me: identity(&view.me),
+            local_id: identity(&view.me),
             share,
         };
         self.coordinator.take_view(view);
--- a/crates/gateway/src/fleet/choose.rs
+++ b/crates/gateway/src/fleet/choose.rs
@@ -6,7 +6,7 @@
 use crocushold_routing::Lane;
 use crocushold_routing::NoServer;
 use crocushold_routing::Pick;
-use crocushold_routing::Placed;
+use crocushold_routing::Placement;
 use crocushold_routing::Reason;
 use slotmap::SlotMap;
 
@@ -74,11 +74,11 @@
             return None;
         }
         let source = place.source.and_then(|hash| self.hashes.get(&hash));
-        let placed = Placed {
+        let placed = Placement {
             server,
             source: source.copied(),
             wait: place.wait,
-            read: place.read,
+            prefill_tokens: place.read,
         };
         let service = self.services.get_mut(&need.service)?;
         let demand = demand(service, &self.models, need, tried);
@@ -115,14 +115,14 @@
             retry_after: UNKNOWN_RETRY,
         })?;
         if tried.is_empty() {
-            let work = need.work(service.router.reading_speed(), service.slots);
-            service.lanes.note(need.lane(), work, now);
+            let work = need.work(service.router.prefill_rate(), service.slots);
+            service.lanes.record_work(need.lane(), work, now);
             service.take_pause(need);
         }
         let demand = Demand {
             zone,
             central,
-            paced: self.places || self.settings.alone,
+            allow_cold: self.places || self.settings.alone,
             ..demand(service, &self.models, need, tried)
         };
         let pick = service.router.pick(&demand, now)?;
@@ -172,11 +172,11 @@
         priority: need.priority,
         idempotent: need.idempotent,
         tokens: need.prompt.saturating_add(need.output),
-        own: need.own,
-        shared: need.shared(),
-        pause: need.pause,
+        unique_tokens: need.own,
+        prefix_tokens: need.shared(),
+        max_pause: need.pause,
         spill,
-        limit: need.limit,
+        max_wait: need.limit,
         regions: need.regions.as_deref(),
         exclude: tried,
         ..Demand::default()
@@ -206,7 +206,7 @@
         source_hash: source.map(|source| source.hash),
         wait: pick.wait,
         ticket: None,
-        read: pick.read,
+        read: pick.prefill_tokens,
         lane,
         attempt: pick.attempt,
         service: service.name.clone(),
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -22,7 +22,7 @@
 use crocushold_routing::Incarnation;
 use crocushold_routing::LANES;
 use crocushold_routing::Lane;
-use crocushold_routing::LaneNews;
+use crocushold_routing::LaneStats;
 use crocushold_routing::LoadReport;
 use crocushold_routing::Outcome;
 use crocushold_routing::RegionKey;
@@ -125,7 +125,7 @@
     /// Tokens that an engine reads in a millisecond.
     pub speed: f64,
     /// What the fleet saw of late.
-    pub news: LaneNews,
+    pub news: LaneStats,
 }
 
 /// What an entry of the registry said.
@@ -318,7 +318,7 @@
             let name = &self.servers[key].record.service;
             if let Some(service) = self.services.get_mut(name) {
                 let prefix = u64::from(entry.prefix);
-                service.router.kept_elsewhere(key, prefix, now);
+                service.router.record_remote_prefix(key, prefix, now);
             }
         }
     }
@@ -352,7 +352,7 @@
         let Some(service) = self.services.get_mut(&*choice.service) else {
             return;
         };
-        service.router.paused(choice.attempt, longest);
+        service.router.record_longest_pause(choice.attempt, longest);
         if choice.lane == Lane::Heavy {
             service.note_pause(longest, now);
         }
@@ -361,7 +361,7 @@
     /// The same of a stream of another instance, which tells itself what divides the engines.
     pub fn paused_elsewhere(&mut self, choice: &Choice, longest: Millis) {
         if let Some(service) = self.services.get_mut(&*choice.service) {
-            service.router.paused(choice.attempt, longest);
+            service.router.record_longest_pause(choice.attempt, longest);
         }
     }
 
@@ -383,7 +383,7 @@
     pub fn load_told(&mut self, now: Millis) -> Load {
         let mut load = Load::default();
         for service in self.services.values_mut() {
-            for (key, reading) in service.router.pending() {
+            for (key, reading) in service.router.pending_prefill() {
                 if let Some(server) = self.servers.get(key) {
                     load.waiting.push(Waiting {
                         engine: server.hash,
@@ -391,7 +391,7 @@
                     });
                 }
             }
-            let work = Work::new(short_hash(&service.name), &service.lanes.told(now));
+            let work = Work::new(short_hash(&service.name), &service.lanes.local_stats(now));
             if !work.is_empty() {
                 load.work.push(work);
             }
@@ -408,12 +408,12 @@
             }
             if let Some(service) = self.services.get_mut(&server.record.service) {
                 let reading = others.waiting_at(server.hash);
-                service.router.pending_elsewhere(key, reading);
+                service.router.set_remote_pending(key, reading);
             }
         }
         for service in self.services.values_mut() {
             let work = others.work.get(&short_hash(&service.name)).copied();
-            service.lanes.take_others(work.unwrap_or_default());
+            service.lanes.set_remote_stats(work.unwrap_or_default());
         }
     }
 
@@ -424,7 +424,7 @@
         for service in self.services.values_mut() {
             service.router.tick(now);
             let engines = service.engines.iter().sum();
-            if service.lanes.review(engines) {
+            if service.lanes.rebalance(engines) {
                 moved.push(service.name.clone());
             }
         }
@@ -433,8 +433,8 @@
             let service = &self.services[&*name];
             Borders {
                 engines: service.engines,
-                speed: service.router.reading_speed(),
-                news: service.lanes.fleet(),
+                speed: service.router.prefill_rate(),
+                news: service.lanes.fleet_stats(),
                 service: name,
             }
         });
--- a/crates/gateway/src/fleet/service.rs
+++ b/crates/gateway/src/fleet/service.rs
@@ -99,8 +99,9 @@
     /// Takes in what is published of its engines.
     pub(super) fn take_engine(&mut self, spec: Option<&EngineSpec>) {
         self.router
-            .set_transfer(spec.and_then(|spec| spec.transfer));
-        self.router.set_room(spec.and_then(|spec| spec.room));
+            .set_transfer_rate(spec.and_then(|spec| spec.transfer));
+        self.router
+            .set_engine_capacity(spec.and_then(|spec| spec.room));
     }
 
     /// Takes in how its servers start.
@@ -118,7 +119,7 @@
     /// Notes the longest pause of a long prompt's stream.
     pub(super) fn note_pause(&mut self, longest: Millis, now: Millis) {
         if let Some(pause) = self.pause {
-            self.lanes.note_stream(longest > pause, now);
+            self.lanes.record_stream(longest > pause, now);
         }
     }
 
@@ -194,7 +195,7 @@
     routing::Settings {
         cache_hints: PREFIXES,
         health: HealthSettings {
-            strikes: STRIKES,
+            max_failures: STRIKES,
             eject_base: EJECT_BASE,
             eject_max: EJECT_MAX,
             refused_max: EJECT_MAX,
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -374,7 +374,7 @@
         .with("light-work", light_work as u64)
         .with("heavy-work", heavy_work as u64)
         .with("streams", news.streams as u64)
-        .with("strained", news.strained as u64);
+        .with("strained", news.slow_streams as u64);
     info!("{event}");
 }
 
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -52,7 +52,7 @@
         sent: choice.chosen,
     };
     let mut quarantine = shared.quarantine();
-    let unwatched = quarantine.cut(run, now);
+    let unwatched = quarantine.run_cut(run, now);
     note_quarantined(shared, quarantine);
     if unwatched {
         task::spawn(look(shared.clone(), choice.clone()));
@@ -91,7 +91,7 @@
     let now = shared.clock.now();
     let mut quarantine = shared.quarantine();
     for suspicion in suspicions {
-        quarantine.hear(suspicion, now);
+        quarantine.apply_suspicion(suspicion, now);
     }
     note_quarantined(shared, quarantine);
 }
@@ -101,19 +101,19 @@
     let now = shared.clock.now();
     let mut quarantine = shared.quarantine();
     quarantine.expire(now);
-    shared.report.quarantined(quarantine.held(now));
+    shared.report.quarantined(quarantine.quarantined_count(now));
 }
 
 async fn look(shared: Arc<Shared>, choice: Choice) {
     if refuses_connections(choice.address).await {
         server_ended(&shared, &choice.id, choice.incarnation, Evidence::Refused);
     } else {
-        shared.quarantine().undecided(choice.incarnation);
+        shared.quarantine().mark_inconclusive(choice.incarnation);
     }
 }
 
 fn note_quarantined(shared: &Shared, mut quarantine: MutexGuard<'_, Quarantine>) {
-    let placed = quarantine.take_placed();
+    let placed = quarantine.take_quarantined();
     drop(quarantine);
     for quarantined in placed {
         let servers: Vec<String> = quarantined.servers.into_iter().map(name).collect();
--- a/crates/gateway/src/routes.rs
+++ b/crates/gateway/src/routes.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use crocushold_base::Millis;
+use crocushold_routing::EngineCapacity;
 use crocushold_routing::RegionKey;
-use crocushold_routing::Room;
 
 use crate::era::EntryVersion;
 
@@ -149,7 +149,7 @@
     /// can't.
     pub transfer: Option<f64>,
     /// What an engine runs at a time; `None` where that isn't published.
-    pub room: Option<Room>,
+    pub room: Option<EngineCapacity>,
 }
 
 /// What is published of a service whose servers start slowly.
--- a/crates/gateway/src/sharing/message.rs
+++ b/crates/gateway/src/sharing/message.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use crocushold_routing::LANES;
-use crocushold_routing::LaneNews;
+use crocushold_routing::LaneStats;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -67,8 +67,8 @@
 const STREAM_PARTS: f64 = 16.0;
 
 impl Work {
-    pub(crate) fn new(service: u32, news: &LaneNews) -> Work {
-        let streams = [news.streams, news.strained];
+    pub(crate) fn new(service: u32, news: &LaneStats) -> Work {
+        let streams = [news.streams, news.slow_streams];
         Work {
             service,
             lanes: news.work.map(|work| work.round() as u32),
@@ -76,12 +76,12 @@
         }
     }
 
-    pub(crate) fn news(&self) -> LaneNews {
-        let [streams, strained] = self.streams.map(|count| f64::from(count) / STREAM_PARTS);
-        LaneNews {
+    pub(crate) fn news(&self) -> LaneStats {
+        let [streams, slow_streams] = self.streams.map(|count| f64::from(count) / STREAM_PARTS);
+        LaneStats {
             work: self.lanes.map(f64::from),
             streams,
-            strained,
+            slow_streams,
         }
     }
 
--- a/crates/gateway/src/sharing/state.rs
+++ b/crates/gateway/src/sharing/state.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use crocushold_base::Millis;
-use crocushold_routing::LaneNews;
+use crocushold_routing::LaneStats;
 use twox_hash::XxHash3_64;
 
 use super::holdings::Holdings;
@@ -82,7 +82,7 @@
     /// had too many to name.
     pub unnamed: f64,
     /// The work of late of each service, by a hash of its name.
-    pub work: HashMap<u32, LaneNews>,
+    pub work: HashMap<u32, LaneStats>,
 }
 
 impl Sums {
--- a/crates/gateway/src/sharing/suspicions.rs
+++ b/crates/gateway/src/sharing/suspicions.rs
@@ -22,7 +22,7 @@
     now: Millis,
 ) -> Vec<(SocketAddr, Packet)> {
     let mut packets = Vec::new();
-    let news = quarantine.news(now);
+    let news = quarantine.unsent_suspicions(now);
     if !news.is_empty() {
         let audience = sharing.audience().into_iter();
         packets.extend(audience.map(|to| (to, Packet::Suspicions(news.clone()))));
@@ -31,7 +31,7 @@
         .iter()
         .filter(|(_, message)| matches!(message.content, Content::Names));
     for (asker, _) in askers {
-        let known = quarantine.known(now);
+        let known = quarantine.all_suspicions(now);
         if !known.is_empty() {
             packets.push((*asker, Packet::Suspicions(known)));
         }
--- a/crates/gateway/tests/quarantine.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -46,7 +46,7 @@
             Packet::News(message) => self.sharing.hear(from, message, now),
             Packet::Suspicions(told) => {
                 for suspicion in &told {
-                    self.quarantine.hear(suspicion, now);
+                    self.quarantine.apply_suspicion(suspicion, now);
                 }
             }
             _ => {}
@@ -96,7 +96,7 @@
             server: Incarnation(server),
             sent: Millis(sent),
         };
-        instance.quarantine.cut(run, self.now);
+        instance.quarantine.run_cut(run, self.now);
         instance
             .quarantine
             .server_ended(Incarnation(server), self.now);
@@ -238,7 +238,7 @@
                         server: incarnation,
                         sent: *sent,
                     };
-                    quarantine.cut(run, now);
+                    quarantine.run_cut(run, now);
                 }
             }
             quarantine.server_ended(incarnation, now);
--- a/crates/gateway/tests/sharing.rs
+++ b/crates/gateway/tests/sharing.rs
@@ -341,7 +341,7 @@
             (600.0..=830.0).contains(&news.work[0]),
             "{address} {news:?}"
         );
-        let part = news.strained / news.streams;
+        let part = news.slow_streams / news.streams;
         assert!((0.45..=0.55).contains(&part), "{address} {news:?}");
     }
 }
--- a/crates/peers/src/coordination/wire.rs
+++ b/crates/peers/src/coordination/wire.rs
@@ -19,8 +19,8 @@
 use crocushold_ownership::Vote;
 use crocushold_routing::Fingerprint;
 use crocushold_routing::Incarnation;
+use crocushold_routing::ReportedEnd;
 use crocushold_routing::Suspicion;
-use crocushold_routing::ToldEnd;
 
 use crate::peer_capnp::claim;
 use crate::peer_capnp::mark;
@@ -244,7 +244,7 @@
     }
 }
 
-fn write_end(from: &ToldEnd, mut to: server_end::Builder<'_>) {
+fn write_end(from: &ReportedEnd, mut to: server_end::Builder<'_>) {
     to.set_server(from.server.0);
     to.set_sent_ago(from.sent_ago);
     to.set_ended_ago(from.ended_ago);
@@ -252,7 +252,7 @@
 }
 
 pub(crate) fn read_suspicion(from: suspicion::Reader<'_>) -> capnp::Result<Suspicion> {
-    let ends = from.get_ends()?.iter().map(|end| ToldEnd {
+    let ends = from.get_ends()?.iter().map(|end| ReportedEnd {
         server: Incarnation(end.get_server()),
         sent_ago: end.get_sent_ago(),
         ended_ago: end.get_ended_ago(),
--- a/crates/routing/benches/quarantine.rs
+++ b/crates/routing/benches/quarantine.rs
@@ -27,7 +27,7 @@
                 server,
                 sent,
             };
-            quarantine.cut(run, sent + Millis(50));
+            quarantine.run_cut(run, sent + Millis(50));
             quarantine.server_ended(server, sent + Millis(55));
         }
     }
--- a/crates/routing/benches/router.rs
+++ b/crates/routing/benches/router.rs
@@ -121,8 +121,8 @@
     let mut fleet = Fleet::new(servers, 0.3);
     bencher.bench_local(|| {
         let demand = Demand {
-            own: 2900,
-            shared: 6300,
+            unique_tokens: 2900,
+            prefix_tokens: 6300,
             ..fleet.demand()
         };
         fleet.serve(&demand, Outcome::Complete);
@@ -135,8 +135,8 @@
     let mut fleet = Fleet::new(servers, 0.3);
     bencher.bench_local(|| {
         let demand = Demand {
-            own: 2900,
-            shared: 6300,
+            unique_tokens: 2900,
+            prefix_tokens: 6300,
             central: true,
             ..fleet.demand()
         };
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -124,12 +124,12 @@
         if self.is_out() {
             return Verdict::Keep;
         }
-        let apart = now.since(self.struck) >= settings.strike_gap;
+        let apart = now.since(self.struck) >= settings.min_failure_gap;
         if self.strikes == 0 || apart {
             self.strikes += 1;
             self.struck = now;
         }
-        if self.on_trial || self.strikes >= settings.strikes {
+        if self.on_trial || self.strikes >= settings.max_failures {
             Verdict::Eject
         } else {
             Verdict::Keep
@@ -154,7 +154,7 @@
         let gain = (sample.ratio / limit - REFERENCE) / (1.0 - REFERENCE);
         // One pause of the server slows every stream on it: were their samples counted apart, it
         // would go out for a moment that is over. All of them end soon after the pause.
-        if gain > 0.0 && self.slow > 0.0 && now.since(self.slowed) < settings.strike_gap {
+        if gain > 0.0 && self.slow > 0.0 && now.since(self.slowed) < settings.min_failure_gap {
             return Verdict::Keep;
         }
         if gain > 0.0 {
@@ -260,7 +260,7 @@
             Phase::Out { until, .. } => Some(until),
             _ if self.strikes == 0 => None,
             _ => {
-                let due = self.struck + settings.strike_memory;
+                let due = self.struck + settings.failure_memory;
                 if due <= now {
                     self.strikes = 0;
                     return None;
@@ -272,6 +272,6 @@
 
     /// When the first failure is forgotten, if this one is the first.
     pub(crate) fn memory_ends(&self, settings: &HealthSettings) -> Option<Millis> {
-        (self.strikes == 1).then(|| self.struck + settings.strike_memory)
+        (self.strikes == 1).then(|| self.struck + settings.failure_memory)
     }
 }
--- a/crates/routing/src/lanes.rs
+++ b/crates/routing/src/lanes.rs
@@ -35,30 +35,30 @@
 
 /// What one instance or several saw of late.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LaneNews {
+pub struct LaneStats {
     /// The work that came, by lane, in milliseconds of an engine.
     pub work: [f64; LANES],
     /// Streams of long prompts that ended.
     pub streams: f64,
     /// Those of them that paused for longer than a live stream may.
-    pub strained: f64,
+    pub slow_streams: f64,
 }
 
-impl LaneNews {
+impl LaneStats {
     /// Adds what others saw, with a weight.
-    pub fn add(&mut self, other: &LaneNews, weight: f64) {
+    pub fn add(&mut self, other: &LaneStats, weight: f64) {
         for (sum, work) in self.work.iter_mut().zip(other.work) {
             *sum = (*sum + work * weight).max(0.0);
         }
         self.streams = (self.streams + other.streams * weight).max(0.0);
-        self.strained = (self.strained + other.strained * weight).max(0.0);
+        self.slow_streams = (self.slow_streams + other.slow_streams * weight).max(0.0);
     }
 
     /// Forgets all but a part of the work, and of the streams.
     fn fade(&mut self, work: f64, streams: f64) {
         self.work = self.work.map(|held| held * work);
         self.streams *= streams;
-        self.strained *= streams;
+        self.slow_streams *= streams;
     }
 }
 
@@ -107,8 +107,8 @@
 #[derive(Clone, Debug)]
 pub struct Lanes {
     settings: LaneSettings,
-    own: LaneNews,
-    others: LaneNews,
+    own: LaneStats,
+    others: LaneStats,
     faded: Millis,
     /// Whether live streams have engines of their own.
     apart: bool,
@@ -121,8 +121,8 @@
     pub fn new(settings: LaneSettings) -> Lanes {
         Lanes {
             settings,
-            own: LaneNews::default(),
-            others: LaneNews::default(),
+            own: LaneStats::default(),
+            others: LaneStats::default(),
             faded: Millis::ZERO,
             apart: false,
             parts: [0.0, 1.0],
@@ -139,39 +139,39 @@
     }
 
     /// Notes a request and the work that it brings, in milliseconds of an engine.
-    pub fn note(&mut self, lane: Lane, work: f64, now: Millis) {
+    pub fn record_work(&mut self, lane: Lane, work: f64, now: Millis) {
         self.fade(now);
         self.own.work[lane as usize] += work;
     }
 
     /// Notes the stream of a long prompt, and whether it paused for longer than a live stream may.
-    pub fn note_stream(&mut self, strained: bool, now: Millis) {
+    pub fn record_stream(&mut self, strained: bool, now: Millis) {
         self.fade(now);
         self.own.streams += 1.0;
-        self.own.strained += f64::from(u8::from(strained));
+        self.own.slow_streams += f64::from(u8::from(strained));
     }
 
     /// What this instance saw of late, to tell the others.
-    pub fn told(&mut self, now: Millis) -> LaneNews {
+    pub fn local_stats(&mut self, now: Millis) -> LaneStats {
         self.fade(now);
         self.own
     }
 
     /// Takes in what all other instances saw, from now on until the next call.
-    pub fn take_others(&mut self, others: LaneNews) {
+    pub fn set_remote_stats(&mut self, others: LaneStats) {
         self.others = others;
     }
 
     /// What all instances saw of late.
-    pub fn fleet(&self) -> LaneNews {
+    pub fn fleet_stats(&self) -> LaneStats {
         let mut all = self.own;
         all.add(&self.others, 1.0);
         all
     }
 
     /// Whether the borders between `engines` should move, and moves them.
-    pub fn review(&mut self, engines: usize) -> bool {
-        let fleet = self.fleet();
+    pub fn rebalance(&mut self, engines: usize) -> bool {
+        let fleet = self.fleet_stats();
         self.apart = self.keeps_apart(&fleet);
         let parts = self.wanted(&fleet, engines);
         let pairs = parts.iter().zip(&self.parts);
@@ -231,16 +231,16 @@
     }
 
     /// Whether live streams should have engines of their own.
-    fn keeps_apart(&self, fleet: &LaneNews) -> bool {
+    fn keeps_apart(&self, fleet: &LaneStats) -> bool {
         let settings = &self.settings;
         if fleet.streams < settings.least_streams {
             return self.apart;
         }
-        let part = fleet.strained / fleet.streams;
+        let part = fleet.slow_streams / fleet.streams;
         part > settings.strained || (self.apart && part * 2.0 > settings.strained)
     }
 
-    fn wanted(&self, fleet: &LaneNews, engines: usize) -> [f64; 2] {
+    fn wanted(&self, fleet: &LaneStats, engines: usize) -> [f64; 2] {
         let settings = &self.settings;
         let [mut live, mut light, heavy] = fleet.work;
         if !self.apart {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -12,7 +12,7 @@
 //!   consumed by the first byte written.
 //! * [`Quarantine`] holds requests back under which servers end.
 //! * [`subset()`] assigns each entry instance a share of a large group of servers, without messages.
-//!   [`Reach`] keeps that share for one service, and widens it while it can't serve.
+//!   [`ServerSubset`] keeps that share for one service, and widens it while it can't serve.
 //!
 //! # Driving a router
 //!
@@ -50,8 +50,8 @@
 pub use health::Fault;
 pub use lanes::LANES;
 pub use lanes::Lane;
-pub use lanes::LaneNews;
 pub use lanes::LaneSettings;
+pub use lanes::LaneStats;
 pub use lanes::Lanes;
 pub use list::ListSnapshot;
 pub use list::ListVerdict;
@@ -63,12 +63,12 @@
 pub use quarantine::Quarantine;
 pub use quarantine::QuarantineSettings;
 pub use quarantine::Quarantined;
+pub use quarantine::ReportedEnd;
 pub use quarantine::Run;
 pub use quarantine::Suspicion;
-pub use quarantine::ToldEnd;
 pub use reach::EntryFleet;
-pub use reach::Lack;
-pub use reach::Reach;
+pub use reach::ServerSubset;
+pub use reach::Shortage;
 pub use region::RegionKey;
 pub use retry::Attempt;
 pub use retry::Budget;
@@ -84,12 +84,12 @@
 pub use retry::Unsent;
 pub use router::AttemptKey;
 pub use router::Demand;
+pub use router::EngineCapacity;
 pub use router::NoServer;
 pub use router::Outcome;
 pub use router::Pick;
-pub use router::Placed;
+pub use router::Placement;
 pub use router::Reason;
-pub use router::Room;
 pub use router::Router;
 pub use router::Spill;
 pub use server::Allotment;
--- a/crates/routing/src/pool.rs
+++ b/crates/routing/src/pool.rs
@@ -82,7 +82,7 @@
     }
 
     /// How long to wait for a first byte.
-    pub(crate) fn patience(&self, settings: &Settings) -> Millis {
+    pub(crate) fn first_byte_timeout(&self, settings: &Settings) -> Millis {
         let Some(quantile) = self.first_byte.value() else {
             return settings.first_byte_ceiling;
         };
--- a/crates/routing/src/quarantine/mod.rs
+++ b/crates/routing/src/quarantine/mod.rs
@@ -93,12 +93,12 @@
     /// What is asked.
     pub content: Fingerprint,
     /// The servers that ended under it.
-    pub ends: Vec<ToldEnd>,
+    pub ends: Vec<ReportedEnd>,
 }
 
 /// The end of a server under a request, with times that hold at any clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldEnd {
+pub struct ReportedEnd {
     /// Which server.
     pub server: Incarnation,
     /// How long ago the request was sent there, in milliseconds.
@@ -194,8 +194,8 @@
     }
 
     /// A run was cut by its server. Returns whether to look if the server is still there: nobody does yet. What is
-    /// found is told to [`Quarantine::server_ended`] or [`Quarantine::undecided`].
-    pub fn cut(&mut self, run: Run, now: Millis) -> bool {
+    /// found is told to [`Quarantine::server_ended`] or [`Quarantine::mark_inconclusive`].
+    pub fn run_cut(&mut self, run: Run, now: Millis) -> bool {
         self.forget_cuts(now);
         if let Some(ended) = self.ended.get(&run.server) {
             if run.sent < *ended {
@@ -220,7 +220,7 @@
 
     /// A server was looked for and may live. Its next cut is looked into anew: a server that resets a connection
     /// may end a second later.
-    pub fn undecided(&mut self, server: Incarnation) {
+    pub fn mark_inconclusive(&mut self, server: Incarnation) {
         for cut in &mut self.cuts {
             cut.undecided |= cut.run.server == server;
         }
@@ -253,7 +253,7 @@
     }
 
     /// Another instance tells of a suspect.
-    pub fn hear(&mut self, suspicion: &Suspicion, now: Millis) {
+    pub fn apply_suspicion(&mut self, suspicion: &Suspicion, now: Millis) {
         let ends = suspicion.ends.iter().map(|told| End {
             server: told.server,
             sent: signed(now) - i64::from(told.sent_ago),
@@ -264,7 +264,7 @@
     }
 
     /// What to tell others that they may not know yet, the gravest first.
-    pub fn news(&mut self, now: Millis) -> Vec<Suspicion> {
+    pub fn unsent_suspicions(&mut self, now: Millis) -> Vec<Suspicion> {
         let fresh = self.records.iter().filter(|(_, record)| record.is_news());
         let chosen = told(fresh, now);
         for suspicion in &chosen {
@@ -276,18 +276,18 @@
     }
 
     /// What to tell one who may know nothing, the gravest first.
-    pub fn known(&self, now: Millis) -> Vec<Suspicion> {
+    pub fn all_suspicions(&self, now: Millis) -> Vec<Suspicion> {
         let open = self.records.iter();
         told(open.filter(|(_, record)| record.ends_in_turn() > 0), now)
     }
 
     /// The requests that are held back since the last call.
-    pub fn take_placed(&mut self) -> Vec<Quarantined> {
+    pub fn take_quarantined(&mut self) -> Vec<Quarantined> {
         std::mem::take(&mut self.placed)
     }
 
     /// How many requests are held back.
-    pub fn held(&self, now: Millis) -> usize {
+    pub fn quarantined_count(&self, now: Millis) -> usize {
         let contents = self.records.keys();
         let held = contents.filter(|content| self.admit(**content, now).is_err());
         held.count()
--- a/crates/routing/src/quarantine/record.rs
+++ b/crates/routing/src/quarantine/record.rs
@@ -2,7 +2,7 @@
 
 use super::Incarnation;
 use super::QuarantineSettings;
-use super::ToldEnd;
+use super::ReportedEnd;
 
 /// Maximum number of ends kept per request. Also bounds how often its span is doubled.
 const MOST_ENDS: usize = 6;
@@ -163,8 +163,8 @@
         CONTENT_BYTES + self.ends.len() * END_BYTES
     }
 
-    pub(super) fn tell(&self, now: i64) -> Vec<ToldEnd> {
-        let ends = self.ends.iter().map(|end| ToldEnd {
+    pub(super) fn tell(&self, now: i64) -> Vec<ReportedEnd> {
+        let ends = self.ends.iter().map(|end| ReportedEnd {
             server: end.server,
             sent_ago: ago(now, end.sent),
             ended_ago: ago(now, end.ended),
--- a/crates/routing/src/reach.rs
+++ b/crates/routing/src/reach.rs
@@ -28,7 +28,7 @@
     /// The hashed identities of the live ones.
     pub instances: Vec<u64>,
     /// This one's.
-    pub me: u64,
+    pub local_id: u64,
     /// This one's part where all use all servers.
     pub share: Share,
 }
@@ -37,7 +37,7 @@
     fn default() -> EntryFleet {
         EntryFleet {
             instances: vec![0],
-            me: 0,
+            local_id: 0,
             share: Share::default(),
         }
     }
@@ -45,7 +45,7 @@
 
 /// What the reach lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Lack {
+pub enum Shortage {
     /// No server takes work, or none holds the model.
     Down,
     /// All slots are taken, and requests wait.
@@ -62,7 +62,7 @@
 /// step by step, each time to twice as many senders a server, and the servers beyond the own subset
 /// are borrowed: [`Allotment::Borrowed`].
 #[derive(Debug)]
-pub struct Reach {
+pub struct ServerSubset {
     /// Senders that a server has at least, if there are as many instances.
     senders: usize,
     /// Servers that an instance is to have.
@@ -78,11 +78,11 @@
     eased: Option<Millis>,
 }
 
-impl Reach {
+impl ServerSubset {
     /// The reach of an instance that is alone, before it knows any server. A server is to have
     /// `senders` at least, the same number on all instances.
-    pub fn new(senders: usize) -> Reach {
-        Reach {
+    pub fn new(senders: usize) -> ServerSubset {
+        ServerSubset {
             senders,
             wanted: 0,
             fleet: EntryFleet::default(),
@@ -134,7 +134,7 @@
 
     /// Whether every server is in reach, and has been for long enough to have reported: what none
     /// holds now isn't there.
-    pub fn is_searched(&self, now: Millis) -> bool {
+    pub fn is_exhausted(&self, now: Millis) -> bool {
         let looked = self.widened.is_none_or(|at| now.since(at) >= STEP_GAP);
         self.is_whole() && looked
     }
@@ -148,15 +148,15 @@
     ///
     /// Fullness widens by one step only, since in an overload of the whole fleet every instance is
     /// full, and there is nothing to be found further out.
-    pub fn on_lack(&mut self, lack: Lack, now: Millis) -> bool {
+    pub fn on_shortage(&mut self, lack: Shortage, now: Millis) -> bool {
         self.eased = None;
         if self.is_whole() {
             return false;
         }
         let due = match lack {
-            Lack::Down => self.widened.is_none_or(|at| now.since(at) >= STEP_GAP),
-            Lack::Retry => self.step == 0,
-            Lack::Full => {
+            Shortage::Down => self.widened.is_none_or(|at| now.since(at) >= STEP_GAP),
+            Shortage::Retry => self.step == 0,
+            Shortage::Full => {
                 let since = *self.full.get_or_insert(now);
                 self.step == 0 && now.since(since) >= FULL_FOR
             }
@@ -172,7 +172,7 @@
 
     /// Says that no request lacks a server, and whether the own ones could serve what was lacking;
     /// true when the reach was narrowed.
-    pub fn on_ease(&mut self, own_serve: bool, now: Millis) -> bool {
+    pub fn on_relief(&mut self, own_serve: bool, now: Millis) -> bool {
         self.full = None;
         if !own_serve || self.step == 0 {
             self.eased = None;
@@ -209,14 +209,14 @@
 
     /// The subset after so many steps.
     fn subset(&self, step: u32) -> Vec<(usize, Allotment)> {
-        let peers = members(&self.fleet.instances, self.fleet.me);
+        let peers = members(&self.fleet.instances, self.fleet.local_id);
         let covers = self.covers(peers.len(), step);
         if covers.iter().all(|&cover| cover == peers.len()) {
             let all = Allotment::Own(self.fleet.share);
             return (0..covers.len()).map(|at| (at, all)).collect();
         }
         let ids: Vec<u64> = self.servers.iter().map(|&(id, _)| id).collect();
-        let mine = covered(&ids, &covers, &peers, self.fleet.me);
+        let mine = covered(&ids, &covers, &peers, self.fleet.local_id);
         let mine = mine.into_iter();
         mine.map(|(at, share)| (at, Allotment::Own(share)))
             .collect()
--- a/crates/routing/src/router/choice.rs
+++ b/crates/routing/src/router/choice.rs
@@ -10,7 +10,7 @@
 use crate::router::Demand;
 use crate::router::NoServer;
 use crate::router::Pick;
-use crate::router::Placed;
+use crate::router::Placement;
 use crate::router::Reason;
 use crate::router::Router;
 use crate::router::types::InFlight;
@@ -61,7 +61,7 @@
         let Some(pool) = self.pool_of(demand.model) else {
             return Err(self.refusal(Reason::NoModel, now));
         };
-        if demand.own > 0 {
+        if demand.unique_tokens > 0 {
             let kept = self.kept(pool, demand, now);
             let Some(best) = self.soonest(pool, demand, &kept, now) else {
                 return Err(self.none_found(pool, demand, now));
@@ -83,9 +83,9 @@
 
     /// Takes a slot of the server that another instance chose; `None` where this router knows better: the
     /// server is gone, leaving, out or full, or was tried.
-    pub fn adopt(&mut self, placed: &Placed, demand: &Demand<'_>, now: Millis) -> Option<Pick> {
+    pub fn adopt(&mut self, placed: &Placement, demand: &Demand<'_>, now: Millis) -> Option<Pick> {
         self.tick(now);
-        let Placed { server, source, .. } = *placed;
+        let Placement { server, source, .. } = *placed;
         if demand.exclude.contains(&server) || !self.is_allowed(server, demand) {
             return None;
         }
@@ -93,7 +93,7 @@
         let wanted = self.pool_of(demand.model).filter(takes);
         let pool = wanted.or_else(|| Some(ALL).filter(takes))?;
         let reading = Reading {
-            read: f64::from(placed.read),
+            read: f64::from(placed.prefill_tokens),
             source: source.filter(|&source| self.is_allowed(source, demand)),
             wait: placed.wait.0 as f64,
             told: true,
@@ -229,7 +229,7 @@
             pool,
             tokens,
             read,
-            sure: read <= f64::from(demand.own) && source.is_none(),
+            sure: read <= f64::from(demand.unique_tokens) && source.is_none(),
             ahead: wait * self.speed.tokens(),
             prefix: demand.prefix,
             picked: now,
@@ -256,14 +256,14 @@
         }
         self.note_warming(server, now);
         self.settle(server);
-        let patience = self.pools[pool].patience(&self.settings);
+        let first_byte_timeout = self.pools[pool].first_byte_timeout(&self.settings);
         Pick {
             server,
             attempt,
-            patience,
+            first_byte_timeout,
             source,
             wait: Millis(wait as u64),
-            read: read as u32,
+            prefill_tokens: read as u32,
         }
     }
 
@@ -323,7 +323,7 @@
 /// all of it grows until every answer is late. Bounded by the target, the queue keeps the engines just
 /// as busy, and what they do is on time; the rest is told at once and can come back.
 fn check_wait(best: &Scored, demand: &Demand<'_>) -> Result<(), NoServer> {
-    let Some(limit) = demand.limit else {
+    let Some(limit) = demand.max_wait else {
         return Ok(());
     };
     let limit = limit.0 as f64;
--- a/crates/routing/src/router/expected.rs
+++ b/crates/routing/src/router/expected.rs
@@ -110,8 +110,8 @@
             return None;
         }
         let state = &self.servers[server];
-        let own = self.speed.reading(f64::from(demand.own));
-        let shared = self.cost_of_shared(server, f64::from(demand.shared), kept);
+        let own = self.speed.reading(f64::from(demand.unique_tokens));
+        let shared = self.cost_of_shared(server, f64::from(demand.prefix_tokens), kept);
         let ttl = self.settings.report_ttl;
         let running = f64::from(state.in_flight) + state.others(self.others.mean(), ttl, now);
         let queue = state.queued(ttl, now) * WAITING_COST * self.reading.mean();
@@ -132,20 +132,20 @@
             let busy = state.delay.estimate(now).max(queue);
             (busy, busy)
         };
-        let strain = strain(state, demand.pause);
+        let strain = strain(state, demand.max_pause);
         let expected = strain + busy + own + shared + running * RUNNING_COST + distance;
         let cost = (expected + 1.0) * self.doubt(state, demand) + extra;
         Some(Scored { server, cost, wait })
     }
 
     /// How many tokens an engine reads in a millisecond, as learned from answers.
-    pub fn reading_speed(&self) -> f64 {
+    pub fn prefill_rate(&self) -> f64 {
         self.speed.tokens()
     }
 
     /// How long this instance's requests that have no answer yet take to be read at each server that has
     /// any, in milliseconds.
-    pub fn pending(&self) -> impl Iterator<Item = (ServerKey, f64)> {
+    pub fn pending_prefill(&self) -> impl Iterator<Item = (ServerKey, f64)> {
         let pending = self
             .servers
             .iter()
@@ -155,7 +155,7 @@
 
     /// Takes in how much other instances have waiting at a server, in milliseconds of reading, from now
     /// on until the next call.
-    pub fn pending_elsewhere(&mut self, server: ServerKey, reading: f64) {
+    pub fn set_remote_pending(&mut self, server: ServerKey, reading: f64) {
         if let Some(server) = self.servers.get_mut(server) {
             server.delay.take_others(reading);
         }
--- a/crates/routing/src/router/feedback.rs
+++ b/crates/routing/src/router/feedback.rs
@@ -81,7 +81,7 @@
     }
 
     /// The longest pause of the attempt's stream is known.
-    pub fn paused(&mut self, attempt: AttemptKey, longest: Millis) {
+    pub fn record_longest_pause(&mut self, attempt: AttemptKey, longest: Millis) {
         let Some(flight) = self.attempts.get(attempt).copied() else {
             return;
         };
@@ -141,7 +141,7 @@
 
     /// Takes in a report that comes too rarely to choose by: it only says whether a borrowed server
     /// has a free slot.
-    pub fn occupancy(&mut self, server: ServerKey, report: LoadReport) {
+    pub fn record_occupancy(&mut self, server: ServerKey, report: LoadReport) {
         if let Some(state) = self.servers.get_mut(server) {
             state.take_occupancy(report);
         }
--- a/crates/routing/src/router/kept.rs
+++ b/crates/routing/src/router/kept.rs
@@ -83,12 +83,12 @@
 impl Router {
     /// Sets how many tokens of a prompt's memory a server brings from another in a millisecond; `None` where
     /// servers can't.
-    pub fn set_transfer(&mut self, speed: Option<f64>) {
+    pub fn set_transfer_rate(&mut self, speed: Option<f64>) {
         self.transfer = speed.filter(|speed| *speed > 0.0);
     }
 
     /// Another instance sent a request with the prefix to the server, which holds it from then on.
-    pub fn kept_elsewhere(&mut self, server: ServerKey, prefix: u64, now: Millis) {
+    pub fn record_remote_prefix(&mut self, server: ServerKey, prefix: u64, now: Millis) {
         self.note_kept(server, Some(prefix), now);
     }
 
@@ -107,7 +107,7 @@
 
     /// Takes in how long a request is expected to wait where it is sent.
     pub(super) fn note_load(&mut self, demand: &Demand<'_>, wait: f64) {
-        if demand.shared >= LEAST_SHARED {
+        if demand.prefix_tokens >= LEAST_SHARED {
             self.waits.add(wait, WAIT_ALPHA);
         }
     }
@@ -172,8 +172,8 @@
 
     /// What the chosen server is expected to read of the demand, and whence it should bring the rest.
     pub(super) fn reading_at(&self, chosen: &Scored, demand: &Demand<'_>, kept: &Kept) -> Reading {
-        let shared = f64::from(demand.shared);
-        let brings = self.transfer.is_some() && demand.shared >= LEAST_SHARED;
+        let shared = f64::from(demand.prefix_tokens);
+        let brings = self.transfer.is_some() && demand.prefix_tokens >= LEAST_SHARED;
         let source = kept.source.filter(|_| brings);
         let (shared, source) = if demand.central && !kept.has_hints {
             // Engines that have just started hold nothing. Assuming that they hold the shared part would
@@ -189,7 +189,7 @@
             (shared, None)
         };
         Reading {
-            read: f64::from(demand.own) + shared,
+            read: f64::from(demand.unique_tokens) + shared,
             source,
             wait: chosen.wait,
             told: false,
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -23,14 +23,14 @@
 use slotmap::SlotMap;
 
 use self::listing::Freshness;
-pub use self::room::Room;
+pub use self::room::EngineCapacity;
 pub use self::types::AttemptKey;
 pub use self::types::Demand;
 use self::types::InFlight;
 pub use self::types::NoServer;
 pub use self::types::Outcome;
 pub use self::types::Pick;
-pub use self::types::Placed;
+pub use self::types::Placement;
 pub use self::types::Reason;
 pub use self::types::Spill;
 use crate::cache::Hints;
@@ -91,7 +91,7 @@
     /// can't.
     transfer: Option<f64>,
     /// What each server runs at a time, where that is known.
-    room: Option<Room>,
+    room: Option<EngineCapacity>,
     /// Requests a second that a cold server takes from all instances together; none where it takes as many as a
     /// warm one.
     cold_rate: Option<f64>,
@@ -203,7 +203,7 @@
     }
 
     /// Why a pick for `model` would find no server now; `None` when one has a free slot.
-    pub fn shortage(&self, model: Option<ModelKey>) -> Option<Reason> {
+    pub fn unavailable_reason(&self, model: Option<ModelKey>) -> Option<Reason> {
         let Some(pool) = self.pool_of(model) else {
             return Some(Reason::NoModel);
         };
@@ -214,7 +214,7 @@
     }
 
     /// How `server` stands, and why; `None` for one that isn't known.
-    pub fn why(&self, server: ServerKey) -> Option<Standing> {
+    pub fn standing(&self, server: ServerKey) -> Option<Standing> {
         self.servers.get(server).map(Server::standing)
     }
 
@@ -224,9 +224,9 @@
     }
 
     /// How long to wait for a first byte from a server that holds `model`.
-    pub fn patience(&self, model: Option<ModelKey>) -> Millis {
+    pub fn first_byte_timeout(&self, model: Option<ModelKey>) -> Millis {
         let pool = self.pool_of(model).unwrap_or(ALL);
-        self.pools[pool].patience(&self.settings)
+        self.pools[pool].first_byte_timeout(&self.settings)
     }
 
     fn free_in(&mut self, pool: Option<usize>, now: Millis) -> usize {
--- a/crates/routing/src/router/room.rs
+++ b/crates/routing/src/router/room.rs
@@ -10,7 +10,7 @@
 
 /// What an engine of a service runs at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct EngineCapacity {
     /// Requests.
     pub slots: u32,
     /// Tokens of their prompts and answers.
@@ -19,7 +19,7 @@
 
 impl Router {
     /// Sets how much each engine runs at a time; `None` where that isn't known.
-    pub fn set_room(&mut self, room: Option<Room>) {
+    pub fn set_engine_capacity(&mut self, room: Option<EngineCapacity>) {
         self.room = room.filter(|room| room.slots > 0 && room.tokens > 0);
     }
 
--- a/crates/routing/src/router/types.rs
+++ b/crates/routing/src/router/types.rs
@@ -34,16 +34,16 @@
     pub tokens: u32,
     /// Tokens of the prompt that no other request shares. Where these are known, the choice goes by
     /// when the answer is expected to begin, else by the number of requests.
-    pub own: u32,
+    pub unique_tokens: u32,
     /// Tokens of the prompt's prefix, which a server that keeps it doesn't read.
-    pub shared: u32,
+    pub prefix_tokens: u32,
     /// The longest pause that its answer may make, where it is a live stream.
-    pub pause: Option<Millis>,
+    pub max_pause: Option<Millis>,
     /// Servers that hold this model, too, may take the request where those of `model` have a queue.
     pub spill: Option<Spill>,
     /// The longest wait at a server with which the answer is of use; `None` for any. Kept to only where
     /// `own` is known.
-    pub limit: Option<Millis>,
+    pub max_wait: Option<Millis>,
     /// The regions in which it may run; `None` for any.
     pub regions: Option<&'a [RegionKey]>,
     /// Servers that were tried already.
@@ -55,7 +55,7 @@
     /// don't all choose the same one.
     pub central: bool,
     /// Whether this router spends the rate at which cold servers take requests. All others pass them over.
-    pub paced: bool,
+    pub allow_cold: bool,
 }
 
 /// Servers that take a request where its own have a queue.
@@ -76,18 +76,18 @@
     /// The attempt, for its events.
     pub attempt: AttemptKey,
     /// How long to wait for the first byte of an answer, from the connection on.
-    pub patience: Millis,
+    pub first_byte_timeout: Millis,
     /// Another server, from which this one should bring the prefix instead of reading it.
     pub source: Option<ServerKey>,
     /// How long the request is expected to wait at the server; zero where that isn't estimated.
     pub wait: Millis,
     /// Tokens of the prompt that the server is expected to read; zero where that isn't known.
-    pub read: u32,
+    pub prefill_tokens: u32,
 }
 
 /// A server that another instance chose for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Placed {
+pub struct Placement {
     /// The server.
     pub server: ServerKey,
     /// Another server, from which this one should bring the prefix instead of reading it.
@@ -95,7 +95,7 @@
     /// How long the request is expected to wait at the server.
     pub wait: Millis,
     /// Tokens of the prompt that the server is expected to read.
-    pub read: u32,
+    pub prefill_tokens: u32,
 }
 
 /// No server can take the request now.
--- a/crates/routing/src/router/warming.rs
+++ b/crates/routing/src/router/warming.rs
@@ -28,7 +28,7 @@
     /// Whether the server takes the request now, as far as that hangs on its being cold.
     pub(super) fn is_warm_for(&self, server: ServerKey, demand: &Demand<'_>, now: Millis) -> bool {
         let slow_start = &self.servers[server].slow_start;
-        self.cold_rate.is_none() || slow_start.takes(demand.paced, now)
+        self.cold_rate.is_none() || slow_start.takes(demand.allow_cold, now)
     }
 
     /// Notes that a request is sent to a server, which may be cold.
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -128,7 +128,7 @@
     /// The most attempts this instance gives it now; zero while it is out.
     pub limit: u32,
     /// Consecutive failures that stand against it.
-    pub strikes: u32,
+    pub failures: u32,
     /// Its time for each token relative to its peers; 1 is the fleet's mean.
     pub slowness: f64,
     /// Whether it is lent to this instance, whose own servers can't serve.
@@ -368,7 +368,7 @@
             state,
             in_flight: self.in_flight,
             limit: self.limit(),
-            strikes: self.health.strikes(),
+            failures: self.health.strikes(),
             slowness: self.slowness.mean().exp(),
             borrowed: self.borrowed,
         }
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -67,12 +67,12 @@
 #[derive(Clone, Debug)]
 pub struct HealthSettings {
     /// Consecutive failures that eject a server.
-    pub strikes: u32,
+    pub max_failures: u32,
     /// The least span between two failures, or two slow samples, that count apart; those closer
     /// together are one event, such as a crash that cuts every connection.
-    pub strike_gap: Millis,
+    pub min_failure_gap: Millis,
     /// How long a failure is remembered without a further one.
-    pub strike_memory: Millis,
+    pub failure_memory: Millis,
     /// How many times slower than its peers a straggler is.
     pub straggler_ratio: f64,
     /// Slow samples that eject a straggler; one as fast as the peers takes four away.
@@ -93,9 +93,9 @@
 impl Default for HealthSettings {
     fn default() -> HealthSettings {
         HealthSettings {
-            strikes: 3,
-            strike_gap: Millis(200),
-            strike_memory: Millis::from_secs(10),
+            max_failures: 3,
+            min_failure_gap: Millis(200),
+            failure_memory: Millis::from_secs(10),
             straggler_ratio: 3.0,
             slow_samples: 5,
             eject_base: Millis::from_secs(2),
--- a/crates/routing/tests/central.rs
+++ b/crates/routing/tests/central.rs
@@ -4,10 +4,10 @@
 use crocushold_base::Millis;
 use crocushold_base::ServerKey;
 use crocushold_routing::Demand;
+use crocushold_routing::EngineCapacity;
 use crocushold_routing::Outcome;
 use crocushold_routing::Pick;
-use crocushold_routing::Placed;
-use crocushold_routing::Room;
+use crocushold_routing::Placement;
 use crocushold_routing::Router;
 use crocushold_routing::ServerSpec;
 use crocushold_routing::Settings;
@@ -37,7 +37,7 @@
 
 fn demand(tokens: u32) -> Demand<'static> {
     Demand {
-        own: tokens,
+        unique_tokens: tokens,
         tokens,
         priority: 2,
         central: true,
@@ -123,17 +123,17 @@
 #[test]
 fn an_adopted_server_takes_a_slot_and_is_not_told() {
     let (mut router, keys) = router(2);
-    let placed = Placed {
+    let placed = Placement {
         server: keys[0],
         source: None,
         wait: Millis(40),
-        read: LONG,
+        prefill_tokens: LONG,
     };
     let pick = router.adopt(&placed, &demand(LONG), START).expect("in");
     assert_eq!(pick.server, keys[0]);
     assert_eq!(pick.wait, Millis(40));
-    assert_eq!(router.pending().count(), 0);
-    assert_eq!(router.why(keys[0]).map(|why| why.in_flight), Some(1));
+    assert_eq!(router.pending_prefill().count(), 0);
+    assert_eq!(router.standing(keys[0]).map(|why| why.in_flight), Some(1));
     router.done(pick.attempt, Outcome::Refused, 0, START + Millis(5));
     assert!(
         router
@@ -141,7 +141,7 @@
             .is_none()
     );
     let tried = [keys[1]];
-    let other = Placed {
+    let other = Placement {
         server: keys[1],
         ..placed
     };
@@ -160,20 +160,20 @@
     let (mut router, keys) = router(4);
     let live = Demand {
         priority: 0,
-        pause: Some(Millis(120)),
+        max_pause: Some(Millis(120)),
         ..demand(500)
     };
     for at in 0..40 {
         let now = START + Millis(at * 10);
-        let placed = Placed {
+        let placed = Placement {
             server: keys[at as usize % 4],
             source: None,
             wait: Millis::ZERO,
-            read: 500,
+            prefill_tokens: 500,
         };
         let pick = router.adopt(&placed, &live, now).expect("free");
         let slow = pick.server == keys[0] || pick.server == keys[1];
-        router.paused(pick.attempt, Millis(if slow { 123 } else { 95 }));
+        router.record_longest_pause(pick.attempt, Millis(if slow { 123 } else { 95 }));
         router.done(pick.attempt, Outcome::Complete, 30, now + Millis(5));
     }
     let now = START + Millis(500);
@@ -194,16 +194,16 @@
 #[test_case(12, 20_000; "by memory")]
 fn a_full_server_is_a_wait(running: usize, tokens: u32) {
     let (mut router, keys) = router(2);
-    router.set_room(Some(Room {
+    router.set_engine_capacity(Some(EngineCapacity {
         slots: 24,
         tokens: 240_000,
     }));
     let fill = |router: &mut Router, server: ServerKey| {
-        let placed = Placed {
+        let placed = Placement {
             server,
             source: None,
             wait: Millis::ZERO,
-            read: 500,
+            prefill_tokens: 500,
         };
         for _ in 0..running {
             let pick = router.adopt(&placed, &demand(tokens), START).expect("free");
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -116,7 +116,7 @@
     }
 
     pub(crate) fn state(&self, at: usize) -> State {
-        self.router.why(self.keys[at]).unwrap().state
+        self.router.standing(self.keys[at]).unwrap().state
     }
 
     pub(crate) fn wait(&mut self, ms: u64) {
--- a/crates/routing/tests/faults.rs
+++ b/crates/routing/tests/faults.rs
@@ -115,7 +115,7 @@
 #[test]
 fn hung_server_is_ejected_by_an_adapted_timeout() {
     let mut fleet = Fleet::new(5);
-    assert_eq!(fleet.pick_on(0).patience, Millis::from_secs(30));
+    assert_eq!(fleet.pick_on(0).first_byte_timeout, Millis::from_secs(30));
     for _ in 0..50 {
         let pick = fleet.pick_on(1);
         fleet
@@ -123,14 +123,14 @@
             .first_byte(pick.attempt, fleet.now + Millis(600));
         fleet.end(pick.attempt, Outcome::Complete);
     }
-    let patience = fleet.pick_on(2).patience;
+    let first_byte_timeout = fleet.pick_on(2).first_byte_timeout;
     assert!(
-        (Millis(1000)..Millis(2500)).contains(&patience),
-        "{patience}"
+        (Millis(1000)..Millis(2500)).contains(&first_byte_timeout),
+        "{first_byte_timeout}"
     );
     for _ in 0..3 {
         let pick = fleet.pick_on(3);
-        fleet.wait(patience.0);
+        fleet.wait(first_byte_timeout.0);
         fleet.end(pick.attempt, Outcome::TimedOut);
     }
     assert!(is_out(fleet.state(3), Fault::Hung));
@@ -146,7 +146,7 @@
         fleet.end(pick.attempt, Outcome::Cut);
     }
     assert_eq!(fleet.state(0), State::Serving);
-    assert_eq!(fleet.router.why(fleet.keys[0]).unwrap().strikes, 1);
+    assert_eq!(fleet.router.standing(fleet.keys[0]).unwrap().failures, 1);
 }
 
 // Callers see timeouts everywhere. Demand exceeds what the fleet does, so every server is slow;
@@ -157,7 +157,7 @@
     for _ in 0..4 {
         (0..10).for_each(|at| fleet.answer(at, 20));
     }
-    let before = fleet.router.patience(Some(fleet.model));
+    let before = fleet.router.first_byte_timeout(Some(fleet.model));
     for _ in 0..20 {
         let picks: Vec<_> = (0..10).map(|at| fleet.pick_on(at)).collect();
         fleet.wait(1500);
@@ -166,7 +166,7 @@
         }
     }
     assert!((0..10).all(|at| fleet.state(at) == State::Serving));
-    let after = fleet.router.patience(Some(fleet.model));
+    let after = fleet.router.first_byte_timeout(Some(fleet.model));
     assert!(after > before, "{before} {after}");
 }
 
@@ -229,7 +229,7 @@
     assert_eq!(fleet.list(&[1, 2, 3], &[0]), ListVerdict::Accepted);
     assert_eq!(fleet.state(0), State::Leaving);
     assert!(fleet.try_on(0).is_err());
-    assert_eq!(fleet.router.why(pick.server).unwrap().in_flight, 1);
+    assert_eq!(fleet.router.standing(pick.server).unwrap().in_flight, 1);
     fleet.end(pick.attempt, Outcome::Complete);
     fleet.list(&[0, 1, 2, 3], &[]);
     assert_eq!(fleet.state(0), State::Recovering);
@@ -309,7 +309,7 @@
     let mut fleet = Fleet::new(5);
     let picks: Vec<_> = (0..SLOTS).map(|_| fleet.pick_on(0)).collect();
     fleet.end(picks[0].attempt, Outcome::Overloaded);
-    let limit = |fleet: &Fleet| fleet.router.why(fleet.keys[0]).unwrap().limit;
+    let limit = |fleet: &Fleet| fleet.router.standing(fleet.keys[0]).unwrap().limit;
     assert_eq!(limit(&fleet), 1);
     fleet.end(picks[1].attempt, Outcome::Complete);
     assert_eq!(limit(&fleet), 2);
@@ -335,7 +335,7 @@
     let pick = fleet.pick_on(0);
     fleet.end(pick.attempt, Outcome::Cut);
     (0..11).for_each(|_| fleet.wait(1000));
-    assert_eq!(fleet.router.why(fleet.keys[0]).unwrap().strikes, 0);
+    assert_eq!(fleet.router.standing(fleet.keys[0]).unwrap().failures, 0);
 }
 
 // Leaving servers would get work for ever. The list service restarted and counts from the start
@@ -421,7 +421,7 @@
         fleet.end(pick.attempt, Outcome::TimedOut);
     }
     for key in fleet.keys.clone() {
-        assert_eq!(fleet.router.why(key).unwrap().strikes, 0);
+        assert_eq!(fleet.router.standing(key).unwrap().failures, 0);
     }
 }
 
@@ -473,7 +473,7 @@
         fleet.router.pick(&demand, now).unwrap();
     }
     let keys = fleet.keys.iter();
-    let loads = keys.map(|&key| fleet.router.why(key).unwrap().in_flight);
+    let loads = keys.map(|&key| fleet.router.standing(key).unwrap().in_flight);
     let busiest = loads.max().unwrap();
     assert!((2..=3).contains(&busiest), "{busiest}");
 }
@@ -527,7 +527,7 @@
         running: 1000,
         ..LoadReport::default()
     };
-    fleet.router.occupancy(fleet.keys[0], report);
+    fleet.router.record_occupancy(fleet.keys[0], report);
     assert!(fleet.is_picked(0));
     assert!(fleet.is_picked(1));
 }
--- a/crates/routing/tests/invariants.rs
+++ b/crates/routing/tests/invariants.rs
@@ -196,7 +196,7 @@
         let free = router.free(now);
         let standings: Vec<Standing> = router
             .servers()
-            .map(|key| router.why(key).unwrap())
+            .map(|key| router.standing(key).unwrap())
             .collect();
         let slots = standings
             .iter()
@@ -213,7 +213,7 @@
         );
         let loads = self.loads.iter().filter(|(_, load)| **load > 0);
         for (key, load) in loads {
-            assert_eq!(router.why(key).unwrap().in_flight, *load);
+            assert_eq!(router.standing(key).unwrap().in_flight, *load);
         }
     }
 }
@@ -251,8 +251,8 @@
             let pick = fleet.pick();
             fleet.router.first_byte(pick.attempt, fleet.now + Millis(span));
             fleet.end(pick.attempt, Outcome::Cancelled);
-            let patience = fleet.router.patience(Some(fleet.model));
-            prop_assert!((1000..=30_000).contains(&patience.0));
+            let first_byte_timeout = fleet.router.first_byte_timeout(Some(fleet.model));
+            prop_assert!((1000..=30_000).contains(&first_byte_timeout.0));
         }
     }
 }
--- a/crates/routing/tests/lanes.rs
+++ b/crates/routing/tests/lanes.rs
@@ -2,8 +2,8 @@
 
 use crocushold_base::Millis;
 use crocushold_routing::Lane;
-use crocushold_routing::LaneNews;
 use crocushold_routing::LaneSettings;
+use crocushold_routing::LaneStats;
 use crocushold_routing::Lanes;
 
 fn lanes() -> Lanes {
@@ -25,14 +25,14 @@
                 .into_iter()
                 .zip(self.work)
             {
-                lanes.note(lane, work, now);
+                lanes.record_work(lane, work, now);
             }
             if self.work[2] > 0.0 {
                 for _ in 0..2 {
-                    lanes.note_stream(at / 100 % 10 < self.strained, now);
+                    lanes.record_stream(at / 100 % 10 < self.strained, now);
                 }
             }
-            lanes.review(engines);
+            lanes.rebalance(engines);
         }
     }
 }
@@ -49,8 +49,8 @@
 fn without_long_prompts_all_engines_are_light() {
     let mut lanes = lanes();
     assert_eq!(lanes.counts(18), [0, 18, 0]);
-    lanes.note(Lane::Light, 10.0, Millis(0));
-    assert!(!lanes.review(18));
+    lanes.record_work(Lane::Light, 10.0, Millis(0));
+    assert!(!lanes.rebalance(18));
     assert_eq!(lanes.counts(18), [0, 18, 0]);
 }
 
@@ -84,8 +84,8 @@
 fn small_changes_move_nothing() {
     let mut lanes = lanes();
     run(&mut lanes, 1.0, 3.0, 0, 10_000);
-    lanes.note(Lane::Heavy, 1.0, Millis(10_000));
-    assert!(!lanes.review(18));
+    lanes.record_work(Lane::Heavy, 1.0, Millis(10_000));
+    assert!(!lanes.rebalance(18));
 }
 
 #[test]
@@ -165,17 +165,17 @@
 /// An instance sees an eightieth of the work. Told of the rest, it divides the engines as all others do.
 #[test]
 fn all_instances_divide_alike() {
-    let news = LaneNews {
+    let news = LaneStats {
         work: [11_000.0, 1000.0, 30_000.0],
         streams: 60.0,
-        strained: 50.0,
+        slow_streams: 50.0,
     };
     let counts: Vec<_> = (0..4)
         .map(|number| {
             let mut lanes = lanes();
-            lanes.note(Lane::Light, f64::from(number) * 100.0, Millis(1000));
-            lanes.take_others(news);
-            lanes.review(40);
+            lanes.record_work(Lane::Light, f64::from(number) * 100.0, Millis(1000));
+            lanes.set_remote_stats(news);
+            lanes.rebalance(40);
             lanes.counts(40)
         })
         .collect();
--- a/crates/routing/tests/quarantine.rs
+++ b/crates/routing/tests/quarantine.rs
@@ -5,9 +5,9 @@
 use crocushold_routing::Incarnation;
 use crocushold_routing::Quarantine;
 use crocushold_routing::QuarantineSettings;
+use crocushold_routing::ReportedEnd;
 use crocushold_routing::Run;
 use crocushold_routing::Suspicion;
-use crocushold_routing::ToldEnd;
 use proptest::prelude::*;
 use test_case::test_case;
 
@@ -26,7 +26,7 @@
 /// A run of `content` that is cut `span` after it was sent, as its server ends.
 fn end(quarantine: &mut Quarantine, content: Fingerprint, server: u64, sent: u64, span: u64) {
     let cut = Millis(sent + span);
-    quarantine.cut(run(content, server, sent), cut);
+    quarantine.run_cut(run(content, server, sent), cut);
     quarantine.server_ended(Incarnation(server), cut + Millis(5));
 }
 
@@ -50,7 +50,7 @@
     assert_eq!(held.ends, 2);
     assert_eq!(held.retry_after, Millis(span() - 10));
     assert!(!is_held(&quarantine, OTHER, START + 600));
-    let placed = quarantine.take_placed();
+    let placed = quarantine.take_quarantined();
     assert_eq!(placed.len(), 1);
     assert_eq!(placed[0].servers, [Incarnation(1), Incarnation(2)]);
 }
@@ -95,7 +95,7 @@
 fn requests_that_ran_beside_are_cleared_by_being_served() {
     let mut quarantine = Quarantine::default();
     for content in [CONTENT, OTHER] {
-        quarantine.cut(run(content, 1, START), Millis(START + 80));
+        quarantine.run_cut(run(content, 1, START), Millis(START + 80));
     }
     assert_eq!(
         quarantine.server_ended(Incarnation(1), Millis(START + 90)),
@@ -115,7 +115,7 @@
 fn runs_at_the_same_time_count_once() {
     let mut quarantine = Quarantine::default();
     for server in 1..=3 {
-        quarantine.cut(run(CONTENT, server, START + server), Millis(START + 100));
+        quarantine.run_cut(run(CONTENT, server, START + server), Millis(START + 100));
     }
     for server in 1..=3 {
         quarantine.server_ended(Incarnation(server), Millis(START + 110));
@@ -143,7 +143,7 @@
     let mut quarantine = Quarantine::default();
     for server in 1..=5 {
         let sent = START + server * 100;
-        quarantine.cut(run(CONTENT, server, sent), Millis(sent + 50));
+        quarantine.run_cut(run(CONTENT, server, sent), Millis(sent + 50));
     }
     assert!(!is_held(&quarantine, CONTENT, START + 1000));
     // An end long after is another matter.
@@ -164,9 +164,9 @@
     let mut quarantine = Quarantine::default();
     for server in 1..=3 {
         let sent = START + server * 1000;
-        quarantine.cut(run(CONTENT, server, sent), Millis(sent + 80));
+        quarantine.run_cut(run(CONTENT, server, sent), Millis(sent + 80));
         if server < 3 {
-            quarantine.cut(run(OTHER, server, sent), Millis(sent + 80));
+            quarantine.run_cut(run(OTHER, server, sent), Millis(sent + 80));
         }
         quarantine.server_ended(Incarnation(server), Millis(sent + 90));
     }
@@ -189,7 +189,7 @@
     for server in 1..=3 {
         let sent = START + server * 1000;
         for content in [CONTENT, OTHER] {
-            quarantine.cut(run(content, server, sent), Millis(sent + 80));
+            quarantine.run_cut(run(content, server, sent), Millis(sent + 80));
         }
         quarantine.server_ended(Incarnation(server), Millis(sent + 90));
     }
@@ -207,11 +207,11 @@
     let mut second = Quarantine::default();
     second.served(CONTENT, Millis(START - 1000));
     let now = Millis(START + 700);
-    for suspicion in first.news(now) {
-        second.hear(&suspicion, now);
+    for suspicion in first.unsent_suspicions(now) {
+        second.apply_suspicion(&suspicion, now);
     }
-    for suspicion in second.news(now) {
-        first.hear(&suspicion, now);
+    for suspicion in second.unsent_suspicions(now) {
+        first.apply_suspicion(&suspicion, now);
     }
     assert!(!is_held(&first, CONTENT, now.0));
     assert!(!is_held(&second, CONTENT, now.0));
@@ -224,10 +224,10 @@
     let mut quarantine = Quarantine::default();
     for server in 1..=2 {
         let ended = START + server * 1000;
-        quarantine.cut(run(CONTENT, server, ended - 80), Millis(ended));
-        quarantine.cut(run(OTHER, server, ended + 100), Millis(ended + 101));
+        quarantine.run_cut(run(CONTENT, server, ended - 80), Millis(ended));
+        quarantine.run_cut(run(OTHER, server, ended + 100), Millis(ended + 101));
         quarantine.server_ended(Incarnation(server), Millis(ended + 500));
-        quarantine.cut(run(OTHER, server, ended + 600), Millis(ended + 601));
+        quarantine.run_cut(run(OTHER, server, ended + 600), Millis(ended + 601));
     }
     assert!(is_held(&quarantine, CONTENT, START + 4000));
     assert!(!is_held(&quarantine, OTHER, START + 4000));
@@ -240,9 +240,9 @@
     let mut quarantine = Quarantine::default();
     for server in 1..=2 {
         let sent = START + server * 1000;
-        assert!(quarantine.cut(run(OTHER, server, sent - 900), Millis(sent - 800)));
-        quarantine.undecided(Incarnation(server));
-        assert!(quarantine.cut(run(CONTENT, server, sent), Millis(sent + 80)));
+        assert!(quarantine.run_cut(run(OTHER, server, sent - 900), Millis(sent - 800)));
+        quarantine.mark_inconclusive(Incarnation(server));
+        assert!(quarantine.run_cut(run(CONTENT, server, sent), Millis(sent + 80)));
         quarantine.server_ended(Incarnation(server), Millis(sent + 85));
     }
     assert!(is_held(&quarantine, CONTENT, START + 4000));
@@ -253,11 +253,11 @@
 #[test]
 fn a_server_is_looked_for_once() {
     let mut quarantine = Quarantine::default();
-    assert!(quarantine.cut(run(CONTENT, 1, START), Millis(START + 80)));
-    assert!(!quarantine.cut(run(OTHER, 1, START), Millis(START + 81)));
+    assert!(quarantine.run_cut(run(CONTENT, 1, START), Millis(START + 80)));
+    assert!(!quarantine.run_cut(run(OTHER, 1, START), Millis(START + 81)));
     quarantine.server_ended(Incarnation(1), Millis(START + 90));
     let third = Fingerprint(9);
-    assert!(!quarantine.cut(run(third, 1, START), Millis(START + 95)));
+    assert!(!quarantine.run_cut(run(third, 1, START), Millis(START + 95)));
     for (content, server) in [(CONTENT, 2), (OTHER, 3), (third, 4)] {
         end(&mut quarantine, content, server, START + 1000, 50);
         assert!(is_held(&quarantine, content, START + 1100));
@@ -269,7 +269,7 @@
 #[test]
 fn evidence_that_comes_after_the_request_was_served_is_too_late() {
     let mut quarantine = Quarantine::default();
-    quarantine.cut(run(CONTENT, 1, START), Millis(START + 80));
+    quarantine.run_cut(run(CONTENT, 1, START), Millis(START + 80));
     quarantine.served(CONTENT, Millis(START + 500));
     quarantine.server_ended(Incarnation(1), Millis(START + 3500));
     end(&mut quarantine, CONTENT, 2, START + 4000, 80);
@@ -302,7 +302,7 @@
     let mut quarantine = Quarantine::default();
     end(&mut quarantine, CONTENT, 1, START, 80);
     quarantine.expire(Millis(START + 80 + 2 * span()));
-    assert!(quarantine.known(Millis(START)).is_empty());
+    assert!(quarantine.all_suspicions(Millis(START)).is_empty());
 }
 
 /// Somebody floods the instances with requests, so that those that are held back are forgotten and can end servers
@@ -338,17 +338,17 @@
     end(&mut first, CONTENT, 1, START, 80);
     end(&mut second, CONTENT, 2, START + 500, 80);
     let now = START + 700;
-    for suspicion in first.news(Millis(now)) {
-        second.hear(&suspicion, Millis(now));
+    for suspicion in first.unsent_suspicions(Millis(now)) {
+        second.apply_suspicion(&suspicion, Millis(now));
     }
     assert!(is_held(&second, CONTENT, now));
     let mut third = Quarantine::default();
-    for suspicion in second.known(Millis(now)) {
-        third.hear(&suspicion, Millis(40));
+    for suspicion in second.all_suspicions(Millis(now)) {
+        third.apply_suspicion(&suspicion, Millis(40));
     }
     let held = third.admit(CONTENT, Millis(40)).unwrap_err();
     assert_eq!(held.retry_after, Millis(span() - (now - (START + 580))));
-    assert_eq!(third.held(Millis(40)), 1);
+    assert_eq!(third.quarantined_count(Millis(40)), 1);
 }
 
 /// An instance hears that a request was served, and then, from one that didn't know yet, of the ends before. They
@@ -358,11 +358,15 @@
     let mut first = Quarantine::default();
     end(&mut first, CONTENT, 1, START, 80);
     end(&mut first, CONTENT, 2, START + 500, 80);
-    let old = first.known(Millis(START + 600));
+    let old = first.all_suspicions(Millis(START + 600));
     assert!(first.served(CONTENT, Millis(START + 700)));
     let mut second = Quarantine::default();
-    for suspicion in first.news(Millis(START + 800)).iter().chain(&old) {
-        second.hear(suspicion, Millis(START + 900));
+    for suspicion in first
+        .unsent_suspicions(Millis(START + 800))
+        .iter()
+        .chain(&old)
+    {
+        second.apply_suspicion(suspicion, Millis(START + 900));
     }
     assert!(!is_held(&second, CONTENT, START + 1000));
 }
@@ -374,7 +378,7 @@
     let mut quarantine = Quarantine::default();
     let told = |age| Suspicion {
         content: CONTENT,
-        ends: vec![ToldEnd {
+        ends: vec![ReportedEnd {
             server: Incarnation(1),
             sent_ago: age + 80,
             ended_ago: age,
@@ -382,9 +386,9 @@
         }],
     };
     end(&mut quarantine, CONTENT, 2, START, 80);
-    quarantine.hear(&told(200), Millis(START + 300));
+    quarantine.apply_suspicion(&told(200), Millis(START + 300));
     assert!(!is_held(&quarantine, CONTENT, START + 300));
-    quarantine.hear(&told(310), Millis(START + 300));
+    quarantine.apply_suspicion(&told(310), Millis(START + 300));
     assert!(is_held(&quarantine, CONTENT, START + 300));
 }
 
@@ -424,20 +428,20 @@
                 source.served(CONTENT, now);
             }
         }
-        news.extend(source.news(now));
+        news.extend(source.unsent_suspicions(now));
     }
     let mut in_turn = Quarantine::default();
     let mut shuffled = Quarantine::default();
     for suspicion in &news {
-        in_turn.hear(suspicion, now);
+        in_turn.apply_suspicion(suspicion, now);
     }
     for index in order {
         if !news.is_empty() {
-            shuffled.hear(index.get(&news), now);
+            shuffled.apply_suspicion(index.get(&news), now);
         }
     }
     for suspicion in news.iter().rev() {
-        shuffled.hear(suspicion, now);
+        shuffled.apply_suspicion(suspicion, now);
     }
     prop_assert_eq!(in_turn.admit(CONTENT, now), shuffled.admit(CONTENT, now));
     prop_assert_eq!(in_turn.admit(CONTENT, now), source.admit(CONTENT, now));
--- a/crates/routing/tests/reach.rs
+++ b/crates/routing/tests/reach.rs
@@ -7,10 +7,10 @@
 use crocushold_base::ServerKey;
 use crocushold_routing::Allotment;
 use crocushold_routing::EntryFleet;
-use crocushold_routing::Lack;
-use crocushold_routing::Reach;
 use crocushold_routing::ServerSpec;
+use crocushold_routing::ServerSubset;
 use crocushold_routing::Share;
+use crocushold_routing::Shortage;
 use proptest::prelude::*;
 use slotmap::SlotMap;
 use test_case::test_case;
@@ -39,13 +39,13 @@
     (0..count).map(|at| 2 + at * 7_919).collect()
 }
 
-fn reach(servers: &[ServerSpec], live: &[u64], me: u64, senders: usize) -> Reach {
-    let mut reach = Reach::new(senders);
+fn reach(servers: &[ServerSpec], live: &[u64], local_id: u64, senders: usize) -> ServerSubset {
+    let mut reach = ServerSubset::new(senders);
     reach.set_servers(servers, WANTED);
-    let index = live.iter().position(|&id| id == me).unwrap_or(0);
+    let index = live.iter().position(|&id| id == local_id).unwrap_or(0);
     reach.set_fleet(&EntryFleet {
         instances: live.to_vec(),
-        me,
+        local_id,
         share: Share {
             instances: live.len() as u32,
             index: index as u32,
@@ -55,7 +55,7 @@
 }
 
 /// The requests that an instance may have in flight on each server, of its own right.
-fn limits(reach: &Reach, servers: &[ServerSpec]) -> Vec<u32> {
+fn limits(reach: &ServerSubset, servers: &[ServerSpec]) -> Vec<u32> {
     let mut limits = vec![0; servers.len()];
     for &(at, allotment) in reach.allotted() {
         limits[at] = allotment.of(servers[at].concurrency, servers[at].id);
@@ -67,7 +67,7 @@
     all.iter().map(|limits| limits[at]).sum()
 }
 
-fn borrowed(reach: &Reach) -> usize {
+fn borrowed(reach: &ServerSubset) -> usize {
     let all = reach.allotted().iter();
     all.filter(|(_, allotment)| *allotment == Allotment::Borrowed)
         .count()
@@ -180,14 +180,17 @@
     let mut reach = reach(&servers, &live, live[3], 1);
     let own: Vec<_> = reach.allotted().to_vec();
     let mut now = NOW;
-    assert!(reach.on_lack(Lack::Down, now), "at once");
-    assert!(!reach.on_lack(Lack::Down, now), "but one step at a time");
+    assert!(reach.on_shortage(Shortage::Down, now), "at once");
+    assert!(
+        !reach.on_shortage(Shortage::Down, now),
+        "but one step at a time"
+    );
     assert!(borrowed(&reach) >= own.len() / 2);
     assert_eq!(reach.own(), own.len(), "the own part stays as it is");
     let mut steps = 1;
     while !reach.is_whole() {
         now += Millis(2_000);
-        assert!(reach.on_lack(Lack::Down, now));
+        assert!(reach.on_shortage(Shortage::Down, now));
         steps += 1;
     }
     println!("{steps} steps to all servers");
@@ -195,7 +198,7 @@
     let mut narrowed = 0;
     while reach.is_widened() {
         now += Millis(500);
-        narrowed += u32::from(reach.on_ease(true, now));
+        narrowed += u32::from(reach.on_relief(true, now));
         assert!(now < NOW + Millis::from_secs(80));
     }
     assert_eq!(narrowed, steps);
@@ -209,21 +212,21 @@
     let servers = servers(590, SLOTS);
     let live = instances(40);
     let mut reach = reach(&servers, &live, live[3], 1);
-    assert!(!reach.on_lack(Lack::Full, NOW));
-    assert!(!reach.on_ease(true, NOW + Millis(900)));
+    assert!(!reach.on_shortage(Shortage::Full, NOW));
+    assert!(!reach.on_relief(true, NOW + Millis(900)));
     assert!(
-        !reach.on_lack(Lack::Full, NOW + Millis(1_100)),
+        !reach.on_shortage(Shortage::Full, NOW + Millis(1_100)),
         "it had eased"
     );
-    assert!(reach.on_lack(Lack::Full, NOW + Millis(2_200)));
-    assert!(!reach.on_lack(Lack::Full, NOW + Millis(9_000)));
-    assert!(!reach.on_lack(Lack::Full, NOW + Millis(12_000)));
+    assert!(reach.on_shortage(Shortage::Full, NOW + Millis(2_200)));
+    assert!(!reach.on_shortage(Shortage::Full, NOW + Millis(9_000)));
+    assert!(!reach.on_shortage(Shortage::Full, NOW + Millis(12_000)));
     // Two senders a server in place of one: 590 x 2 / 40, and a quarter.
     assert!(borrowed(&reach) <= 37, "{}", borrowed(&reach));
-    assert!(!reach.on_ease(false, NOW + Millis(30_000)), "still full");
-    assert!(!reach.on_ease(true, NOW + Millis(30_500)));
-    assert!(!reach.on_ease(true, NOW + Millis(40_200)));
-    assert!(reach.on_ease(true, NOW + Millis(40_500)));
+    assert!(!reach.on_relief(false, NOW + Millis(30_000)), "still full");
+    assert!(!reach.on_relief(true, NOW + Millis(30_500)));
+    assert!(!reach.on_relief(true, NOW + Millis(40_200)));
+    assert!(reach.on_relief(true, NOW + Millis(40_500)));
     assert!(!reach.is_widened());
 }
 
--- a/crates/routing/tests/regions.rs
+++ b/crates/routing/tests/regions.rs
@@ -3,7 +3,7 @@
 use crocushold_base::Millis;
 use crocushold_base::ServerKey;
 use crocushold_routing::Demand;
-use crocushold_routing::Placed;
+use crocushold_routing::Placement;
 use crocushold_routing::Reason;
 use crocushold_routing::RegionKey;
 use crocushold_routing::Router;
@@ -37,14 +37,14 @@
     let specs: Vec<ServerSpec> = specs.collect();
     let mut router = Router::new(Settings::default(), "here", 7);
     router.configure(&specs, START);
-    router.set_transfer(Some(TRANSFER));
+    router.set_transfer_rate(Some(TRANSFER));
     (router, specs.iter().map(|spec| spec.key).collect())
 }
 
-fn demand(regions: &[RegionKey], own: u32) -> Demand<'_> {
+fn demand(regions: &[RegionKey], unique_tokens: u32) -> Demand<'_> {
     Demand {
-        own,
-        shared: SHARED,
+        unique_tokens,
+        prefix_tokens: SHARED,
         prefix: Some(PREFIX),
         tokens: OWN + SHARED,
         central: true,
@@ -59,7 +59,7 @@
 fn all_go_to_the_allowed_region(own: u32) {
     let (mut router, keys) = router();
     let south = [RegionKey::new("south")];
-    router.kept_elsewhere(keys[0], PREFIX, START);
+    router.record_remote_prefix(keys[0], PREFIX, START);
     for _ in 0..20 {
         let pick = router.pick(&demand(&south, own), LATER);
         assert_eq!(pick.map(|pick| pick.server), Ok(keys[1]));
@@ -70,7 +70,7 @@
 #[test]
 fn no_prompt_is_brought_from_another_region() {
     let (mut router, keys) = router();
-    router.kept_elsewhere(keys[0], PREFIX, START);
+    router.record_remote_prefix(keys[0], PREFIX, START);
     let anywhere = Demand {
         regions: None,
         exclude: &[keys[0]],
@@ -79,7 +79,7 @@
     let pick = router.pick(&anywhere, LATER).expect("servers are free");
     assert_eq!(pick.source, Some(keys[0]), "else the check is void");
     let (mut router, keys) = self::router();
-    router.kept_elsewhere(keys[0], PREFIX, START);
+    router.record_remote_prefix(keys[0], PREFIX, START);
     let south = [RegionKey::new("south")];
     let pick = router.pick(&demand(&south, OWN), LATER);
     assert_eq!(pick.map(|pick| pick.source), Ok(None));
@@ -90,16 +90,16 @@
 fn a_server_that_another_instance_chose_must_be_in_an_allowed_region() {
     let (mut router, keys) = router();
     let south = [RegionKey::new("south")];
-    let placed = |server| Placed {
+    let placed = |server| Placement {
         server,
         source: None,
         wait: Millis::ZERO,
-        read: OWN,
+        prefill_tokens: OWN,
     };
     let demand = demand(&south, OWN);
     assert_eq!(router.adopt(&placed(keys[0]), &demand, START), None);
     assert_eq!(router.adopt(&placed(keys[2]), &demand, START), None);
-    let abroad = Placed {
+    let abroad = Placement {
         source: Some(keys[0]),
         ..placed(keys[1])
     };
--- a/crates/routing/tests/restart.rs
+++ b/crates/routing/tests/restart.rs
@@ -23,8 +23,8 @@
 fn prompt(fleet: &Fleet) -> Demand<'static> {
     Demand {
         prefix: Some(PREFIX),
-        own: 100,
-        shared: 6000,
+        unique_tokens: 100,
+        prefix_tokens: 6000,
         ..fleet.demand()
     }
 }
@@ -109,9 +109,9 @@
                 .router
                 .done(pick.attempt, Outcome::Refused, 0, fleet.now);
         }
-        let standing = fleet.router.why(server).unwrap();
+        let standing = fleet.router.standing(server).unwrap();
         assert_eq!(standing.state, State::Serving);
-        assert_eq!(standing.strikes, 0);
+        assert_eq!(standing.failures, 0);
         assert_eq!(standing.in_flight, 0);
     }
 }
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -5,7 +5,7 @@
 use crocushold_routing::Demand;
 use crocushold_routing::NoServer;
 use crocushold_routing::Outcome;
-use crocushold_routing::Placed;
+use crocushold_routing::Placement;
 use crocushold_routing::Reason;
 use crocushold_routing::Router;
 use crocushold_routing::ServerSpec;
@@ -80,12 +80,12 @@
     }
 }
 
-fn demand(paced: bool, own: u32) -> Demand<'static> {
+fn demand(allow_cold: bool, unique_tokens: u32) -> Demand<'static> {
     Demand {
-        own,
+        unique_tokens,
         tokens: OWN,
-        central: paced,
-        paced,
+        central: allow_cold,
+        allow_cold,
         ..Demand::default()
     }
 }
@@ -153,11 +153,11 @@
 #[test]
 fn a_cold_server_takes_what_was_placed_there() {
     let mut rush = Rush::new(1, 1);
-    let placed = Placed {
+    let placed = Placement {
         server: rush.keys[1],
         source: None,
         wait: Millis::ZERO,
-        read: OWN,
+        prefill_tokens: OWN,
     };
     let pick = rush.router.adopt(&placed, &demand(false, OWN), START);
     assert_eq!(pick.map(|pick| pick.server), Some(rush.keys[1]));
--- a/crates/routing/tests/speed.rs
+++ b/crates/routing/tests/speed.rs
@@ -22,7 +22,7 @@
 fn answers(fleet: &mut Fleet, speed: u64, count: usize) {
     for _ in 0..count {
         let demand = Demand {
-            own: PROMPT,
+            unique_tokens: PROMPT,
             ..fleet.demand()
         };
         let pick = fleet.router.pick(&demand, fleet.now).unwrap();
@@ -42,7 +42,7 @@
 fn ten_answers_tell_the_speed(speed: u64) {
     let mut fleet = Fleet::new(4);
     answers(&mut fleet, speed, 10);
-    let learned = fleet.router.reading_speed() / speed as f64;
+    let learned = fleet.router.prefill_rate() / speed as f64;
     assert!((0.6..=1.6).contains(&learned), "{learned} of {speed}");
 }
 
@@ -51,8 +51,8 @@
 fn a_single_odd_answer_changes_little() {
     let mut fleet = Fleet::new(4);
     answers(&mut fleet, 50, 60);
-    let before = fleet.router.reading_speed();
+    let before = fleet.router.prefill_rate();
     answers(&mut fleet, 4, 1);
-    let after = fleet.router.reading_speed();
+    let after = fleet.router.prefill_rate();
     assert!((0.9..=1.1).contains(&(after / before)), "{before} {after}");
 }
--- a/crates/routing/tests/stragglers.rs
+++ b/crates/routing/tests/stragglers.rs
@@ -80,7 +80,7 @@
     }
     assert_eq!(fleet.state(0), State::Serving);
     fleet.answer(0, 20);
-    let slowness = fleet.router.why(fleet.keys[0]).unwrap().slowness;
+    let slowness = fleet.router.standing(fleet.keys[0]).unwrap().slowness;
     assert!(slowness < 4.0, "{slowness}");
 }
 
