--- a/crates/routing/src/lanes.rs
+++ b/crates/routing/src/lanes.rs
@@ -1,42 +1,44 @@
-//! How the engines of a service are divided between live streams, other short requests and long prompts.
+//! Divides the engines of a service between live streams, other short requests and long prompts.
 //!
-//! The load it answers: live streams beside bursts of prompts. An engine reads a prompt in pieces between
-//! the tokens of all others that it runs, and what comes behind a long one waits until it was read. Kept
-//! apart, short requests wait for short prompts only.
+//! An engine prefills a prompt in chunks between the decode steps of all other requests that it
+//! runs, and a request behind a long prompt waits until that prompt is prefilled. With separate
+//! engines, short requests wait for short prompts only. This matters where live streams run beside
+//! bursts of prompts.
 //!
-//! Beside prompts that are read, a stream's events come with a pause of as many pieces as an event has tokens.
-//! On some deployments that is more than live streams bear, however the prompts are divided; then they get
-//! engines of their own, where they wait only for each other's short prompts. Whether it is so is seen from
-//! the streams of long prompts, which always run beside others: where more than a part of them paused for
-//! longer than a live stream may. It isn't seen from the live streams, which are well as soon as they are
-//! alone.
+//! While prompts are prefilled, the gap between two events of a stream is as many chunks as an
+//! event has tokens. On some deployments that exceeds the pause that live streams tolerate, however
+//! the prompts are divided. Live streams then get engines of their own, where they wait only for
+//! each other's short prompts. The streams of long prompts, which always run beside others, decide
+//! this: more than a given share of them must have paused for longer than a live stream may. The
+//! live streams can't decide it, because their pauses are short again as soon as they are isolated.
 //!
-//! Each instance divides the engines by itself, in the same order on all of them, by what the whole fleet
-//! sees: its own work and pauses, and what the others tell. Their borders lie a server or two apart.
+//! Each instance divides the engines on its own, in the same order on all of them, from fleet-wide
+//! statistics: its own work and pauses and those that the others report. The resulting boundaries
+//! differ by a server or two.
 
 use crocushold_base::Millis;
 
-/// Which engines a request prefers.
+/// The group of engines that a request prefers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Lane {
-    /// Those that run streams whose pauses must be short.
+    /// Engines that run streams with a limit on their pauses.
     Live,
-    /// Those that read no long prompts.
+    /// Engines that prefill no long prompts.
     Light,
-    /// Those that read long prompts.
+    /// Engines that prefill long prompts.
     Heavy,
 }
 
-/// How many lanes there are.
+/// The number of lanes.
 pub const LANES: usize = 3;
 
-/// A part below this is none: what is left of work that ended a minute ago.
-const LEAST_PART: f64 = 1e-6;
+/// Shares below this count as zero. They are the remainder of work that ended a minute ago.
+const MIN_SHARE: f64 = 1e-6;
 
-/// What one instance or several saw of late.
+/// Recent statistics of one or several instances, with exponential decay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LaneStats {
-    /// The work that came, by lane, in milliseconds of an engine.
+    /// The work that arrived for each lane, in milliseconds of an engine.
     pub work: [f64; LANES],
     /// Streams of long prompts that ended.
     pub streams: f64,
@@ -45,7 +47,7 @@
 }
 
 impl LaneStats {
-    /// Adds what others saw, with a weight.
+    /// Adds the statistics of another instance, multiplied by `weight`.
     pub fn add(&mut self, other: &LaneStats, weight: f64) {
         for (sum, work) in self.work.iter_mut().zip(other.work) {
             *sum = (*sum + work * weight).max(0.0);
@@ -54,9 +56,9 @@
         self.slow_streams = (self.slow_streams + other.slow_streams * weight).max(0.0);
     }
 
-    /// Forgets all but a part of the work, and of the streams.
-    fn fade(&mut self, work: f64, streams: f64) {
-        self.work = self.work.map(|held| held * work);
+    /// Multiplies the work and the stream counts by the given factors.
+    fn decay(&mut self, work: f64, streams: f64) {
+        self.work = self.work.map(|current| current * work);
         self.streams *= streams;
         self.slow_streams *= streams;
     }
@@ -65,27 +67,28 @@
 /// Settings of [`Lanes`].
 #[derive(Clone, Debug)]
 pub struct LaneSettings {
-    /// The time in which the memory of past work fades to half. Shorter than a burst, so that the
-    /// borders follow it, and long enough to even out the fleet's arrivals.
+    /// The half-life of past work. It is shorter than a burst, so that the boundaries follow it,
+    /// and long enough to even out the fleet's arrivals.
     pub half_life: Millis,
-    /// The same for the streams whose pauses were seen. What a pause beside prompts takes is a matter of the
-    /// engines and hardly changes.
+    /// The half-life of the stream counts. The pauses beside prefills depend on the engines and
+    /// hardly change.
     pub stream_half_life: Millis,
-    /// How much room live and light work get for their part of the work. Their tokens are made in the same
-    /// steps in which prompts are read, so that they take less than they count.
-    pub light_room: f64,
-    /// The part of an engine's time that live streams may fill where they have engines of their own.
-    pub full: f64,
-    /// The part of the engines that long prompts keep in any case.
-    pub least_heavy: f64,
-    /// The part of the streams of long prompts that must pause for too long before live streams get engines
-    /// of their own; below half of it they lose them.
-    pub strained: f64,
-    /// Streams that must have ended before that is said.
-    pub least_streams: f64,
-    /// The least change of a lane's part for which the borders move. Each move takes the home of some
-    /// prompts elsewhere, where they are read anew.
-    pub least_move: f64,
+    /// The weight of live and light work relative to heavy work. Their tokens are decoded in the
+    /// same steps as prefill chunks, so they take less time than they count for.
+    pub light_weight: f64,
+    /// The fraction of an engine's time that live streams may fill where they have engines of their
+    /// own.
+    pub max_live_utilization: f64,
+    /// The fraction of the engines that long prompts always keep.
+    pub min_heavy_share: f64,
+    /// The fraction of long prompts' streams with too long a pause above which live streams get
+    /// engines of their own. They lose them below half of it.
+    pub slow_stream_share: f64,
+    /// The number of ended streams required for that decision.
+    pub min_streams: f64,
+    /// The smallest change of a lane's share that moves the boundaries. Each move changes the home
+    /// of some prompts, which must be prefilled again.
+    pub min_share_change: f64,
 }
 
 impl Default for LaneSettings {
@@ -93,122 +96,124 @@
         LaneSettings {
             half_life: Millis::from_secs(1),
             stream_half_life: Millis::from_secs(10),
-            light_room: 0.5,
-            full: 0.8,
-            least_heavy: 0.4,
-            strained: 0.3,
-            least_streams: 10.0,
-            least_move: 0.05,
+            light_weight: 0.5,
+            max_live_utilization: 0.8,
+            min_heavy_share: 0.4,
+            slow_stream_share: 0.3,
+            min_streams: 10.0,
+            min_share_change: 0.05,
         }
     }
 }
 
-/// Divides the engines of one service.
+/// Divides the engines of one service into lanes.
 #[derive(Clone, Debug)]
 pub struct Lanes {
     settings: LaneSettings,
-    own: LaneStats,
-    others: LaneStats,
-    faded: Millis,
+    local: LaneStats,
+    remote: LaneStats,
+    decayed_at: Millis,
     /// Whether live streams have engines of their own.
-    apart: bool,
-    /// The parts of the live and of the light lane.
-    parts: [f64; 2],
+    live_isolated: bool,
+    /// The shares of the live and the light lane.
+    shares: [f64; 2],
 }
 
 impl Lanes {
-    /// No work was seen yet: all engines are light.
+    /// Creates a division in which all engines are light, as no work has arrived yet.
     pub fn new(settings: LaneSettings) -> Lanes {
         Lanes {
             settings,
-            own: LaneStats::default(),
-            others: LaneStats::default(),
-            faded: Millis::ZERO,
-            apart: false,
-            parts: [0.0, 1.0],
+            local: LaneStats::default(),
+            remote: LaneStats::default(),
+            decayed_at: Millis::ZERO,
+            live_isolated: false,
+            shares: [0.0, 1.0],
         }
     }
 
-    /// The lane that a request is sent to: where live streams have no engines of their own, they go with
-    /// the other short requests.
+    /// Returns the lane that a request is sent to. Where live streams have no engines of their own,
+    /// they share those of the other short requests.
     pub fn lane(&self, wanted: Lane) -> Lane {
         match wanted {
-            Lane::Live if !self.apart => Lane::Light,
+            Lane::Live if !self.live_isolated => Lane::Light,
             wanted => wanted,
         }
     }
 
-    /// Notes a request and the work that it brings, in milliseconds of an engine.
+    /// Records the work of a request, in milliseconds of an engine.
     pub fn record_work(&mut self, lane: Lane, work: f64, now: Millis) {
-        self.fade(now);
-        self.own.work[lane as usize] += work;
+        self.decay(now);
+        self.local.work[lane as usize] += work;
     }
 
-    /// Notes the stream of a long prompt, and whether it paused for longer than a live stream may.
-    pub fn record_stream(&mut self, strained: bool, now: Millis) {
-        self.fade(now);
-        self.own.streams += 1.0;
-        self.own.slow_streams += f64::from(u8::from(strained));
+    /// Records the end of a long prompt's stream, and whether it paused for longer than a live
+    /// stream may.
+    pub fn record_stream(&mut self, slow: bool, now: Millis) {
+        self.decay(now);
+        self.local.streams += 1.0;
+        self.local.slow_streams += f64::from(u8::from(slow));
     }
 
-    /// What this instance saw of late, to tell the others.
+    /// Returns this instance's recent statistics, for the other instances.
     pub fn local_stats(&mut self, now: Millis) -> LaneStats {
-        self.fade(now);
-        self.own
+        self.decay(now);
+        self.local
     }
 
-    /// Takes in what all other instances saw, from now on until the next call.
-    pub fn set_remote_stats(&mut self, others: LaneStats) {
-        self.others = others;
+    /// Sets the combined statistics of all other instances until the next call.
+    pub fn set_remote_stats(&mut self, remote: LaneStats) {
+        self.remote = remote;
     }
 
-    /// What all instances saw of late.
+    /// Returns the recent statistics of all instances.
     pub fn fleet_stats(&self) -> LaneStats {
-        let mut all = self.own;
-        all.add(&self.others, 1.0);
+        let mut all = self.local;
+        all.add(&self.remote, 1.0);
         all
     }
 
-    /// Whether the borders between `engines` should move, and moves them.
+    /// Moves the boundaries between `engines` if their shares changed enough. Returns whether it
+    /// did.
     pub fn rebalance(&mut self, engines: usize) -> bool {
         let fleet = self.fleet_stats();
-        self.apart = self.keeps_apart(&fleet);
-        let parts = self.wanted(&fleet, engines);
-        let pairs = parts.iter().zip(&self.parts);
-        let moves = pairs.into_iter().any(|(part, held)| {
+        self.live_isolated = self.should_isolate_live(&fleet);
+        let shares = self.target_shares(&fleet, engines);
+        let pairs = shares.iter().zip(&self.shares);
+        let changed = pairs.into_iter().any(|(share, current)| {
             let bounds = [0.0, 1.0];
             let emptied = bounds
                 .iter()
-                .any(|bound| (part == bound) != (held == bound));
-            emptied || (part - held).abs() >= self.settings.least_move
+                .any(|bound| (share == bound) != (current == bound));
+            emptied || (share - current).abs() >= self.settings.min_share_change
         });
-        if moves {
-            self.parts = parts;
+        if changed {
+            self.shares = shares;
         }
-        moves
+        changed
     }
 
-    /// How many of `engines` each lane has. Where a lane has work, it has an engine at least, as far as
-    /// there are enough.
+    /// Returns the number of engines of each lane. A lane with work has at least one engine if
+    /// there are enough engines.
     pub fn counts(&self, engines: usize) -> [usize; LANES] {
-        let [live, light] = self.parts;
+        let [live, light] = self.shares;
         let heavy = 1.0 - live - light;
-        let wanted = [live, light, heavy].map(|part| part > LEAST_PART);
+        let wanted = [live, light, heavy].map(|share| share > MIN_SHARE);
         let lanes = wanted.iter().filter(|wanted| **wanted).count();
         if engines < lanes {
-            // Too few to keep anything apart but long prompts.
+            // There are too few engines to isolate anything but long prompts.
             let heavy = usize::from(wanted[Lane::Heavy as usize] && engines > 1);
             return [0, engines - heavy, heavy];
         }
         let mut left = engines;
         let mut rest = lanes;
         let mut counts = [0; LANES];
-        for (lane, part) in [live, light].into_iter().enumerate() {
+        for (lane, share) in [live, light].into_iter().enumerate() {
             if !wanted[lane] {
                 continue;
             }
             rest -= 1;
-            let share = (engines as f64 * part).round() as usize;
+            let share = (engines as f64 * share).round() as usize;
             counts[lane] = if rest == 0 {
                 left
             } else {
@@ -220,30 +225,31 @@
         counts
     }
 
-    fn fade(&mut self, now: Millis) {
-        let span = now.since(self.faded).0 as f64;
+    fn decay(&mut self, now: Millis) {
+        let span = now.since(self.decayed_at).0 as f64;
         let left = |half_life: Millis| 0.5_f64.powf(span / half_life.0.max(1) as f64);
         let settings = &self.settings;
         let work = left(settings.half_life);
         let streams = left(settings.stream_half_life);
-        self.faded = self.faded.max(now);
-        self.own.fade(work, streams);
+        self.decayed_at = self.decayed_at.max(now);
+        self.local.decay(work, streams);
     }
 
     /// Whether live streams should have engines of their own.
-    fn keeps_apart(&self, fleet: &LaneStats) -> bool {
+    fn should_isolate_live(&self, fleet: &LaneStats) -> bool {
         let settings = &self.settings;
-        if fleet.streams < settings.least_streams {
-            return self.apart;
+        if fleet.streams < settings.min_streams {
+            return self.live_isolated;
         }
-        let part = fleet.slow_streams / fleet.streams;
-        part > settings.strained || (self.apart && part * 2.0 > settings.strained)
+        let share = fleet.slow_streams / fleet.streams;
+        share > settings.slow_stream_share
+            || (self.live_isolated && share * 2.0 > settings.slow_stream_share)
     }
 
-    fn wanted(&self, fleet: &LaneStats, engines: usize) -> [f64; 2] {
+    fn target_shares(&self, fleet: &LaneStats, engines: usize) -> [f64; 2] {
         let settings = &self.settings;
         let [mut live, mut light, heavy] = fleet.work;
-        if !self.apart {
+        if !self.live_isolated {
             light += live;
             live = 0.0;
         }
@@ -255,19 +261,19 @@
                 [0.0, 1.0]
             };
         }
-        let all = (live + light) * settings.light_room + heavy;
-        let mut parts = [live, light].map(|work| work * settings.light_room / all);
-        if self.apart {
-            // Work that fades with a half-life adds up to its rate times this span.
+        let all = (live + light) * settings.light_weight + heavy;
+        let mut shares = [live, light].map(|work| work * settings.light_weight / all);
+        if self.live_isolated {
+            // The sum of work that decays with a half-life is its rate times this span.
             let span = settings.half_life.0 as f64 / std::f64::consts::LN_2;
             let engine = span * engines.max(1) as f64;
-            parts[0] = parts[0].max(live / engine / settings.full);
+            shares[0] = shares[0].max(live / engine / settings.max_live_utilization);
         }
-        let most = 1.0 - settings.least_heavy.min(heavy / all);
-        let taken = parts[0] + parts[1];
-        if taken > most {
-            parts = parts.map(|part| part * most / taken);
+        let max = 1.0 - settings.min_heavy_share.min(heavy / all);
+        let used = shares[0] + shares[1];
+        if used > max {
+            shares = shares.map(|share| share * max / used);
         }
-        parts
+        shares
     }
 }
--- a/crates/routing/src/list.rs
+++ b/crates/routing/src/list.rs
@@ -2,41 +2,41 @@
 
 use crocushold_base::ServerKey;
 
-/// One reading of the instance list, cut down to the servers that the router knows.
+/// A snapshot of the instance list, restricted to the servers that the router knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListSnapshot {
     /// The list's revision.
     pub revision: u64,
-    /// The servers that it names.
+    /// The servers in the list.
     pub servers: Vec<Listed>,
 }
 
-/// One server in the list.
+/// A server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Listed {
     /// The server.
     pub server: ServerKey,
-    /// What the list says of it.
+    /// Its listed state.
     pub presence: Presence,
 }
 
-/// What the list says of a server.
+/// The listed state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Presence {
-    /// It takes work.
+    /// It accepts requests.
     Live,
     /// It is shutting down.
     Leaving,
 }
 
-/// What the router made of a list.
+/// How the router treated a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ListVerdict {
-    /// Taken as it stands.
+    /// The list was applied.
     Accepted,
-    /// Older than one already seen; nothing was taken from it.
+    /// The list is older than one already seen; nothing of it was applied.
     Outdated,
-    /// It is empty, or lacks over half of the servers it should name. Only its explicit leavings
-    /// were taken.
+    /// The list is empty or lacks over half of the expected servers. Only the servers explicitly
+    /// listed as leaving were applied.
     Suspect,
 }
--- a/crates/routing/src/retry/attempt.rs
+++ b/crates/routing/src/retry/attempt.rs
@@ -1,51 +1,51 @@
-//! One attempt as a typestate.
+//! An attempt as a typestate.
 //!
-//! The type that may still be sent elsewhere is consumed by the first write, so a non-idempotent
-//! request can't be sent twice by a slip in the daemon: the code wouldn't compile.
+//! The value that allows sending the request elsewhere is consumed by the first write. A caller
+//! that sends a non-idempotent request twice by mistake doesn't compile.
 //!
 //! ```compile_fail,E0382
 //! use crocushold_routing::Attempt;
 //! use crocushold_routing::Permit;
 //! let attempt = Attempt::new(Permit::new(false));
 //! let sent = attempt.write();
-//! attempt.release(); // moved: a byte may have left
+//! attempt.release(); // moved: a byte may have been sent
 //! ```
 
 use crate::retry::Stage;
 
-/// The right to send a request once. Not `Clone`: whoever holds it is the only one that may send.
+/// The right to send a request once. It isn't `Clone`, so only its holder may send the request.
 #[derive(Debug)]
 pub struct Permit {
     idempotent: bool,
 }
 
 impl Permit {
-    /// The permit of a request that was just accepted. Make one for each request.
+    /// Creates the permit of a newly accepted request. Create exactly one for each request.
     pub fn new(idempotent: bool) -> Permit {
         Permit { idempotent }
     }
 
-    /// Whether the request is idempotent.
+    /// Returns whether the request is idempotent.
     pub fn idempotent(&self) -> bool {
         self.idempotent
     }
 }
 
-/// No byte of the request was written.
+/// State of an attempt of which no byte was written.
 #[derive(Debug)]
 pub struct Unsent {
     permit: Permit,
     connected: bool,
 }
 
-/// A byte of the request may have left.
+/// State of an attempt of which a byte may have been sent.
 #[derive(Debug)]
 pub struct Sent {
     idempotent: bool,
     stage: Stage,
 }
 
-/// One attempt at a request.
+/// An attempt to send a request.
 #[derive(Debug)]
 pub struct Attempt<S> {
     state: S,
@@ -60,14 +60,15 @@
         }
     }
 
-    /// The connection stands.
+    /// Records that the connection is established.
     #[must_use]
     pub fn connected(mut self) -> Attempt<Unsent> {
         self.state.connected = true;
         self
     }
 
-    /// Call before the first byte is handed to the socket, not after it succeeded.
+    /// Records a write. Call it before the first byte is handed to the socket, not after the write
+    /// succeeded.
     pub fn write(self) -> Attempt<Sent> {
         Attempt {
             state: Sent {
@@ -77,12 +78,12 @@
         }
     }
 
-    /// Gives the permit back: the request provably didn't run and may be sent elsewhere.
+    /// Returns the permit: the request provably didn't run and may be sent elsewhere.
     pub fn release(self) -> Permit {
         self.state.permit
     }
 
-    /// How far it got.
+    /// Returns the stage that the attempt reached.
     pub fn stage(&self) -> Stage {
         if self.state.connected {
             Stage::Connected
@@ -93,26 +94,27 @@
 }
 
 impl Attempt<Sent> {
-    /// The head of an answer came.
+    /// Records that the head of an answer arrived.
     pub fn answered(&mut self) {
         self.state.stage = self.state.stage.max(Stage::Answered);
     }
 
-    /// Call before the first byte of the answer is handed to the caller.
+    /// Records that the answer is relayed. Call it before the first byte of the answer is handed to
+    /// the caller.
     pub fn relayed(&mut self) {
         self.state.stage = Stage::Relayed;
     }
 
-    /// How far it got.
+    /// Returns the stage that the attempt reached.
     pub fn stage(&self) -> Stage {
         self.state.stage
     }
 
-    /// A permit to run the request again, for an idempotent one of which nothing was relayed.
+    /// Returns a permit to run the request again if it is idempotent and nothing was relayed.
     ///
     /// # Errors
     ///
-    /// The stage, when the request may not be sent again.
+    /// Returns the stage if the request may not be sent again.
     pub fn reissue(self) -> Result<Permit, Stage> {
         let Sent { idempotent, stage } = self.state;
         if idempotent && stage < Stage::Relayed {
--- a/crates/routing/src/retry/budget.rs
+++ b/crates/routing/src/retry/budget.rs
@@ -5,11 +5,11 @@
 /// Settings of a retry budget.
 #[derive(Clone, Debug)]
 pub struct BudgetSettings {
-    /// Retries allowed for each first attempt.
+    /// Retries allowed per first attempt.
     pub ratio: f64,
-    /// Retries allowed each second whatever the traffic, so that a quiet service can retry at all.
+    /// Retries allowed per second regardless of traffic, so that a quiet service can retry at all.
     pub floor: f64,
-    /// Retries saved up at most.
+    /// Maximum number of accumulated retries.
     pub burst: f64,
 }
 
@@ -25,9 +25,9 @@
 
 /// A token bucket of retries.
 ///
-/// Without it, servers that fail under overload get every request several times over, which keeps
-/// them overloaded after the burst that started it. With it, repeats add at most `ratio` to the
-/// traffic however much fails.
+/// Without it, servers that fail under overload receive every request several times, which keeps
+/// them overloaded after the burst that caused it. With it, retries add at most `ratio` to the
+/// traffic however many requests fail.
 #[derive(Clone, Debug)]
 pub struct Budget {
     settings: BudgetSettings,
@@ -36,7 +36,7 @@
 }
 
 impl Budget {
-    /// A bucket with `burst` retries in it.
+    /// Creates a bucket with `burst` retries.
     pub fn new(settings: BudgetSettings, now: Millis) -> Budget {
         Budget {
             tokens: settings.burst,
@@ -45,13 +45,13 @@
         }
     }
 
-    /// Counts a first attempt.
+    /// Records a first attempt.
     pub fn deposit(&mut self, now: Millis) {
         self.refill(now);
         self.add(self.settings.ratio);
     }
 
-    /// Takes one retry; false when there is none.
+    /// Takes one retry. Returns false if there is none.
     pub fn withdraw(&mut self, now: Millis) -> bool {
         self.refill(now);
         if self.tokens < 1.0 {
@@ -61,7 +61,7 @@
         true
     }
 
-    /// How long until the floor alone has filled one retry.
+    /// Returns how long the floor alone takes to add one retry.
     pub fn wait(&self) -> Millis {
         let lacking = (1.0 - self.tokens).max(0.0);
         Millis((lacking / self.settings.floor.max(0.001) * 1000.0).ceil() as u64)
--- a/crates/routing/src/retry/mod.rs
+++ b/crates/routing/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! Whether a failed attempt may be repeated.
+//! Decides whether a failed attempt may be retried.
 
 mod attempt;
 mod budget;
--- a/crates/routing/src/retry/policy.rs
+++ b/crates/routing/src/retry/policy.rs
@@ -1,65 +1,66 @@
-//! The rule for repeating a failed attempt.
+//! The rule for retrying a failed attempt.
 
 use crocushold_base::Millis;
 
 use crate::retry::Budget;
 use crate::retry::BudgetSettings;
 
-/// How far an attempt got.
+/// The stage that an attempt reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
-    /// No connection was made.
+    /// No connection was established.
     NotConnected,
-    /// Connected on a connection of its own; no byte of the request was written.
+    /// A connection of its own was established, but no byte of the request was written.
     Connected,
-    /// The server answered by a protocol that says so that it didn't run the request and won't.
+    /// The server answered, by a protocol that can express it, that it didn't and won't run the
+    /// request.
     Rejected,
-    /// At least one byte of the request may have left. A write that failed counts too: the kernel
-    /// may have sent part of it.
+    /// At least one byte of the request may have been sent. This includes a failed write, since the
+    /// kernel may have sent part of it.
     Written,
-    /// The head of an answer came.
+    /// The head of an answer arrived.
     ///
-    /// That proves nothing about the work, whatever the status: a server may answer `503` after it
-    /// began, and an intermediate may answer for it. Where a protocol marks the answers that promise
-    /// it, those are [`Stage::Rejected`].
+    /// This proves nothing about the work, whatever the status: a server may answer `503` after it
+    /// started, and an intermediary may answer on its behalf. Where a protocol marks answers that
+    /// promise that the request didn't run, those are [`Stage::Rejected`].
     Answered,
-    /// A byte of the answer went to the caller.
+    /// A byte of the answer was sent to the caller.
     Relayed,
 }
 
 impl Stage {
-    /// True where not one byte of the request reached a server.
+    /// Returns true if no byte of the request reached a server.
     pub fn proves_unsent(self) -> bool {
         self <= Stage::Connected
     }
 
-    /// True where the request provably didn't run.
+    /// Returns true if the request provably didn't run.
     pub fn proves_not_run(self) -> bool {
         self <= Stage::Rejected
     }
 }
 
-/// Whether a request that was given up on has run.
+/// Whether an abandoned request has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Ran {
-    /// It provably didn't.
+    /// It provably didn't run.
     No,
-    /// It may have, in part or whole.
+    /// It may have run, partly or completely.
     Unknown,
 }
 
-/// What the policy needs to know of a request.
+/// The properties of a request that the policy needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestFacts {
-    /// Running it twice does no harm.
+    /// Running it twice is harmless.
     pub idempotent: bool,
-    /// A byte of an answer went to the caller.
+    /// A byte of an answer was sent to the caller.
     pub relayed: bool,
-    /// An earlier attempt wrote a byte of it, whose fate is unknown.
+    /// An earlier attempt wrote a byte of it, with unknown outcome.
     pub written: bool,
-    /// Attempts so far, the failed one included.
+    /// Number of attempts so far, including the failed one.
     pub attempts: u32,
-    /// When the caller's patience ends.
+    /// When the caller stops waiting.
     pub deadline: Millis,
 }
 
@@ -68,12 +69,12 @@
 pub enum Decision {
     /// Send it again now, to another server.
     Retry,
-    /// Give the caller a final answer now.
+    /// Send the caller a final answer now.
     GiveUp {
-        /// What may be said about the work.
+        /// What the answer may claim about the request.
         ran: Ran,
-        /// When to come back. Never given where the request may have run: the caller would take
-        /// it for a promise that it hadn't.
+        /// When the caller may retry. `None` if the request may have run, because the caller would
+        /// take a time as a promise that it hadn't.
         retry_after: Option<Millis>,
     },
 }
@@ -81,18 +82,18 @@
 /// Settings of a [`RetryPolicy`].
 #[derive(Clone, Debug)]
 pub struct RetrySettings {
-    /// Attempts for each request, the first included.
+    /// Maximum number of attempts per request, including the first.
     pub max_attempts: u32,
-    /// What the caller is told at least when nothing ran.
+    /// The minimum retry time sent to the caller when nothing ran.
     pub retry_after: Millis,
     /// The retry budget.
     pub budget: BudgetSettings,
-    /// Whether the budget is also charged for the repeat of an attempt of which nothing left. Such a
-    /// repeat adds no load to any server: without the charge, the requests that a crashed server
-    /// turned away go to its peers at once, however small the budget is.
+    /// Whether a retry also uses the budget after an attempt of which no byte was sent. Such a
+    /// retry adds no load to any server. Without the charge, all requests that a crashed server
+    /// refused go to its peers at once, however small the budget is.
     pub charge_unsent: bool,
-    /// How long to wait for a first byte before a second attempt starts beside the first; `None`
-    /// switches hedging off.
+    /// How long an attempt waits for a first byte before a second attempt starts in parallel;
+    /// `None` disables hedging.
     pub hedge_after: Option<Millis>,
 }
 
@@ -108,7 +109,7 @@
     }
 }
 
-/// Decides about repeats; one for each service on each entry instance.
+/// Decides about retries; one for each service on each entry instance.
 #[derive(Clone, Debug)]
 pub struct RetryPolicy {
     settings: RetrySettings,
@@ -116,7 +117,7 @@
 }
 
 impl RetryPolicy {
-    /// A policy with a full budget.
+    /// Creates a policy with a full budget.
     pub fn new(settings: RetrySettings, now: Millis) -> RetryPolicy {
         RetryPolicy {
             budget: Budget::new(settings.budget.clone(), now),
@@ -124,12 +125,12 @@
         }
     }
 
-    /// Counts a request's first attempt, which fills the budget.
+    /// Records a request's first attempt, which fills the budget.
     pub fn first_attempt(&mut self, now: Millis) {
         self.budget.deposit(now);
     }
 
-    /// Decides after an attempt failed at `stage`.
+    /// Decides whether to retry after an attempt failed at `stage`.
     pub fn after_failure(&mut self, facts: &RequestFacts, stage: Stage, now: Millis) -> Decision {
         let clean = stage.proves_not_run() && !facts.written && !facts.relayed;
         if !may_repeat(facts, stage, clean) {
@@ -147,9 +148,11 @@
         Decision::Retry
     }
 
-    /// Whether to start a second attempt beside one that has waited `waited` for a first byte.
+    /// Returns whether to start a second attempt in parallel to one that has waited `waited` for a
+    /// first byte.
     ///
-    /// Only for idempotent requests, once, from the same budget, and never when switched off.
+    /// Only an idempotent request is hedged, at most once, from the retry budget, and only if
+    /// hedging is enabled.
     pub fn hedge(&mut self, facts: &RequestFacts, waited: Millis, now: Millis) -> bool {
         let Some(after) = self.settings.hedge_after else {
             return false;
@@ -164,10 +167,11 @@
     }
 }
 
-/// The rule itself: nothing after a byte was relayed, nothing non-idempotent after a byte left.
+/// Returns whether the request may be retried: never after a byte was relayed, and not after a byte
+/// was sent if it isn't idempotent.
 ///
-/// The failure: a booking whose connection was cut after it was written is sent again, and two
-/// families get one slot. A byte that left is the only sign there is, so it decides.
+/// If a booking whose connection was cut after the write were sent again, two families could get
+/// the same slot. Whether a byte was sent is the only available evidence.
 fn may_repeat(facts: &RequestFacts, stage: Stage, clean: bool) -> bool {
     if facts.relayed || stage == Stage::Relayed {
         return false;
--- a/crates/routing/src/ring.rs
+++ b/crates/routing/src/ring.rs
@@ -4,14 +4,15 @@
 use slotmap::SecondaryMap;
 use twox_hash::XxHash3_64;
 
-/// Points of each server on the ring: enough for homes of about the same size, at a kilobyte a server.
+/// Points of each server on the ring. This many distribute the prefixes about evenly, at a kilobyte
+/// per server.
 const POINTS: u64 = 64;
 
 /// Servers on a ring of hashes.
 ///
-/// The points derive from the servers' published identities alone, so every entry instance sends a
-/// prefix to the same server without a word between them, and a server that comes or goes moves
-/// only its own share of prefixes.
+/// The points derive only from the servers' published identities, so all entry instances send a
+/// prefix to the same server without communication. A server that comes or goes moves only its own
+/// share of the prefixes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Ring {
     points: Vec<Point>,
@@ -25,7 +26,8 @@
 }
 
 impl Ring {
-    /// Lays out the ring for servers given by identity and key. Those that stay keep their points.
+    /// Updates the ring to the servers given by identity and key. Remaining servers keep their
+    /// points.
     pub(crate) fn update(&mut self, servers: &[(u64, ServerKey)]) {
         let named = servers.iter().map(|&(_, server)| (server, ()));
         let named: SecondaryMap<ServerKey, ()> = named.collect();
@@ -41,14 +43,15 @@
                 server,
             }));
         }
-        // The points that stay are one sorted run, which this sort merges with the new ones.
+        // The remaining points are one sorted run, which this sort merges with the new ones.
         self.points.sort_by_key(|point| point.hash);
     }
 
-    /// The servers clockwise from `prefix`, each as often as it has points, once around.
+    /// Iterates once around the ring over the servers clockwise from `prefix`, each as often as it
+    /// has points.
     pub(crate) fn walk(&self, prefix: u64) -> impl Iterator<Item = ServerKey> {
-        // Prefixes are hashes already, but of a function whose low quality this crate can't rule
-        // out; a second hash costs nanoseconds.
+        // Prefixes are already hashes, but this crate can't rule out that their hash function is
+        // weak. A second hash costs nanoseconds.
         let hash = XxHash3_64::oneshot(&prefix.to_le_bytes());
         let start = self.points.partition_point(|point| point.hash < hash);
         let (before, after) = self.points.split_at(start);
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -5,40 +5,41 @@
 /// Settings of a [`Router`](crate::Router).
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Servers sampled for each choice; 1 is a random choice, 2 the power of two choices.
+    /// Number of servers sampled for each choice: 1 is a random choice, 2 the power of two choices.
     pub choices: usize,
-    /// The cost of a server in another availability zone, in requests of load; below 1, so that the
+    /// Cost of a server in another availability zone, in requests of load. Less than 1, so that the
     /// zone never outweighs one request.
     pub zone_cost: f64,
-    /// How many times the cost of the best sampled server the prefix's home may have and still be
-    /// preferred.
+    /// The prefix's home is preferred if its cost is at most this multiple of the best sampled
+    /// server's.
     pub affinity_bound: f64,
-    /// Prefixes remembered from cache events, at most.
+    /// Maximum number of prefixes remembered from cache events.
     pub cache_hints: usize,
-    /// How far a choice among sampled servers follows the load reports, 0 to 1.
+    /// How far a choice among sampled servers follows the load reports, from 0 to 1.
     ///
-    /// A lagged report tells all instances alike which servers were idle, so all send there: with
-    /// the full gain a choice is worse than without reports.
+    /// A lagged report tells all instances that the same servers were idle, so all of them send
+    /// there. With a gain of 1, choices are worse than without reports.
     pub report_gain: f64,
-    /// How long a load report counts; its weight falls linearly to zero over this span.
+    /// Lifetime of a load report. Its weight falls linearly to zero over this span.
     pub report_ttl: Millis,
-    /// How long after the last attempt to read the instance list the held list may be acted on.
+    /// How long after the last attempt to read the instance list the current list remains valid.
     /// `Millis::MAX` for a service without an instance list.
     pub list_lease: Millis,
-    /// How long the list's revisions must have gone back before the count is taken to have
+    /// How long the list's revisions must have been lower than before until they are taken to have
     /// restarted.
     pub list_reset: Millis,
-    /// How long picks are refused when the lease was found expired, unless a read of the list ends.
+    /// How long picks are refused after the lease was found expired, unless a read of the list ends
+    /// earlier.
     pub wake_grace: Millis,
-    /// A gap between two calls that means that the process was stopped.
+    /// A gap between two calls that indicates that the process was suspended.
     pub wake_gap: Millis,
-    /// The least first-byte timeout.
+    /// Minimum first-byte timeout.
     pub first_byte_floor: Millis,
-    /// The greatest first-byte timeout, also used before anything was measured.
+    /// Maximum first-byte timeout, which also applies before the first measurement.
     pub first_byte_ceiling: Millis,
-    /// The first-byte timeout as a multiple of the 99th percentile observed.
+    /// The first-byte timeout as a multiple of the observed 99th percentile.
     pub first_byte_multiple: f64,
-    /// When a server is taken out, and when it returns.
+    /// When a server is ejected and when it returns.
     pub health: HealthSettings,
 }
 
@@ -63,30 +64,30 @@
     }
 }
 
-/// When a server is ejected, and when it returns.
+/// When a server is ejected and when it returns.
 #[derive(Clone, Debug)]
 pub struct HealthSettings {
     /// Consecutive failures that eject a server.
     pub max_failures: u32,
-    /// The least span between two failures, or two slow samples, that count apart; those closer
-    /// together are one event, such as a crash that cuts every connection.
+    /// Minimum time between two failures, or two slow samples, that are counted separately. Those
+    /// closer together are one event, such as a crash that cuts every connection.
     pub min_failure_gap: Millis,
-    /// How long a failure is remembered without a further one.
+    /// How long a failure is remembered if no other follows.
     pub failure_memory: Millis,
-    /// How many times slower than its peers a straggler is.
+    /// A straggler is at least this many times slower than its peers.
     pub straggler_ratio: f64,
-    /// Slow samples that eject a straggler; one as fast as the peers takes four away.
+    /// Slow samples that eject a straggler. One as fast as its peers cancels four.
     pub slow_samples: u32,
-    /// The first ejection's length; doubles with each further one.
+    /// The first ejection's duration, which doubles with each further one.
     pub eject_base: Millis,
-    /// The longest ejection.
+    /// Maximum duration of an ejection.
     pub eject_max: Millis,
-    /// The first wait after a refused connection; doubles with each further one.
+    /// The first backoff after a refused connection, which doubles with each further one.
     pub refused_base: Millis,
-    /// The longest wait after refused connections.
+    /// Maximum backoff after refused connections.
     pub refused_max: Millis,
-    /// The greatest share of servers ejected on suspicion; at least one server where there are two
-    /// or more.
+    /// Maximum fraction of servers ejected on suspicion; at least one server if there are two or
+    /// more.
     pub max_ejected: f64,
 }
 
