--- a/crates/routing/src/quarantine/mod.rs
+++ b/crates/routing/src/quarantine/mod.rs
@@ -1,16 +1,18 @@
-//! Requests under which servers end, kept from the servers that are left.
+//! Quarantine of requests that end the processes of the servers that run them.
 //!
-//! The load it answers: a request crashes each server that begins to run it, with all that runs there beside it,
-//! and its caller sends it again, to any instance and under another name. Each try looks like a request of its own.
+//! Such a request crashes each server that starts to run it, along with everything else that runs
+//! there, and its caller sends it again to any instance and under another name. Each retry looks
+//! like an independent request.
 //!
-//! A run that is cut makes its request a suspect once there is evidence that the server's process has ended, since a
-//! reset, a lost answer and an end look alike to the one that waits for it. All that ran there becomes suspect with
-//! it. What tells them apart is other runs: one that ended well, lately or after, clears its request, and one whose
-//! server ends again is counted. From [`QuarantineSettings::limit`] such runs on, one after the other, the request is
-//! held back.
+//! A run that is cut makes its request a suspect once there is evidence that the server's process
+//! has ended. Evidence is needed because a reset, a lost answer and the end of the process look the
+//! same to the instance that waits for the answer. Everything that ran on the server becomes
+//! suspect with it, and further runs tell the requests apart: a run that succeeds, shortly before
+//! or afterwards, clears its request, and a run whose server ends again is counted. After
+//! [`QuarantineSettings::limit`] such runs, one after the other, the request is quarantined.
 //!
-//! Instances tell each other of suspects. What they tell merges in any order and may be heard twice: a set of ended
-//! servers for each request, and whether it was served after.
+//! Instances exchange their suspicions. These can be merged in any order and received repeatedly:
+//! for each request, they are a set of ended servers and whether the request was served afterwards.
 
 mod fingerprint;
 mod record;
@@ -25,23 +27,26 @@
 pub use self::fingerprint::Fingerprint;
 use self::record::End;
 use self::record::Record;
-use self::served::Served;
+use self::served::RecentlyServed;
 
-/// One life of a server's process, as a hash of its identity and its start.
+/// One incarnation of a server's process, as a hash of its identity and its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
 /// Settings of a [`Quarantine`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuarantineSettings {
-    /// Runs, one after the other, whose servers ended, from which on a request is held back. One end makes suspects
-    /// of all that ran there; a second one under the same request is hardly chance.
+    /// Number of consecutive runs with ended servers from which on a request is quarantined. One
+    /// end makes everything that ran there a suspect; a second end under the same request is hardly
+    /// a coincidence.
     pub limit: usize,
-    /// How long a request is held back at first. Each further end doubles it, up to sixteen times.
+    /// Initial duration of a quarantine. Each further end doubles it, up to a
+    /// factor of sixteen.
     pub span: Millis,
-    /// How long after a run was cut its server's end counts: until a registry's lease has lapsed and that was read.
+    /// How long after a run was cut the end of its server still counts. This covers the expiry of a
+    /// registry's lease and the next read of the registry.
     pub evidence: Millis,
-    /// Requests that are remembered at most.
+    /// Maximum number of remembered requests.
     pub capacity: usize,
 }
 
@@ -59,81 +64,83 @@
 /// A run of a request at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// What was asked.
+    /// The request's content.
     pub content: Fingerprint,
-    /// Where it ran.
+    /// The server that ran it.
     pub server: Incarnation,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: Millis,
 }
 
-/// A request that is held back.
+/// The refusal of a quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
-    /// When it may come back.
+pub struct QuarantineRefusal {
+    /// When the request may be retried.
     pub retry_after: Millis,
-    /// Runs, one after the other, whose servers ended.
+    /// Consecutive runs whose servers ended.
     pub ends: usize,
 }
 
-/// A request that is held back from now on, for the log.
+/// A newly quarantined request, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Quarantined {
-    /// What is asked.
+    /// The request's content.
     pub content: Fingerprint,
-    /// The servers that ended under it, as far as they are remembered.
+    /// The remembered servers that ended while running it.
     pub servers: Vec<Incarnation>,
-    /// For how long it is held back.
+    /// Duration of the quarantine.
     pub span: Millis,
 }
 
-/// What one instance tells others of a suspect.
+/// A suspect request as reported to other instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspicion {
-    /// What is asked.
+    /// The request's content.
     pub content: Fingerprint,
-    /// The servers that ended under it.
+    /// The servers that ended while running it.
     pub ends: Vec<ReportedEnd>,
 }
 
-/// The end of a server under a request, with times that hold at any clock.
+/// The end of a server that ran a suspect request, with ages instead of times so that it is valid
+/// on any clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedEnd {
-    /// Which server.
+    /// The server.
     pub server: Incarnation,
-    /// How long ago the request was sent there, in milliseconds.
+    /// How long ago the request was sent to it, in milliseconds.
     pub sent_ago: u32,
-    /// How long ago its run was cut, in milliseconds.
+    /// How long ago the run was cut, in milliseconds.
     pub ended_ago: u32,
-    /// Whether the request was served after.
+    /// Whether the request was served afterwards.
     pub cleared: bool,
 }
 
-/// A run that was cut; whether its server ended isn't known.
+/// A run that was cut, without knowing whether its server ended.
 #[derive(Clone, Copy, Debug)]
-struct Cut {
+struct CutRun {
     run: Run,
     at: Millis,
-    /// Whether its server was looked for since, and may live.
-    undecided: bool,
+    /// Whether the server has been checked since without proof that it ended.
+    inconclusive: bool,
 }
 
-/// Cuts that wait for evidence at most: those of some hundred streams at each of several servers.
-const MOST_CUTS: usize = 2048;
+/// Maximum number of cut runs that wait for evidence: some hundred streams on each of several
+/// servers.
+const MAX_PENDING_CUTS: usize = 2048;
 
-/// Bytes of what is told at once: one packet on every usual network.
-const MOST_BYTES: usize = 1300;
+/// Maximum size of a report in bytes. It fits into one packet on all common networks.
+const MAX_REPORT_BYTES: usize = 1300;
 
-/// Which requests servers ended under, as one instance knows it.
+/// One instance's knowledge of the requests that end servers.
 #[derive(Debug)]
 pub struct Quarantine {
     settings: QuarantineSettings,
     records: HashMap<Fingerprint, Record>,
-    cuts: Vec<Cut>,
-    /// Servers that ended lately, and when: cuts of their runs may be noticed later.
+    cuts: Vec<CutRun>,
+    /// Servers that ended recently, and when. Cuts of their runs may be noticed later.
     ended: HashMap<Incarnation, Millis>,
-    placed: Vec<Quarantined>,
-    served: Served,
+    newly_quarantined: Vec<Quarantined>,
+    served: RecentlyServed,
 }
 
 impl Default for Quarantine {
@@ -143,162 +150,170 @@
 }
 
 impl Quarantine {
-    /// Suspects nothing.
+    /// Creates a quarantine without suspects.
     pub fn new(settings: QuarantineSettings) -> Quarantine {
         Quarantine {
             settings,
             records: HashMap::new(),
             cuts: Vec::new(),
             ended: HashMap::new(),
-            placed: Vec::new(),
-            served: Served::default(),
+            newly_quarantined: Vec::new(),
+            served: RecentlyServed::default(),
         }
     }
 
-    /// Whether a request may be sent to a server.
+    /// Checks whether a request may be sent to a server.
     ///
     /// # Errors
     ///
-    /// It is held back, as servers ended under it.
-    pub fn admit(&self, content: Fingerprint, now: Millis) -> Result<(), Held> {
+    /// Returns a refusal if the request is quarantined.
+    pub fn admit(&self, content: Fingerprint, now: Millis) -> Result<(), QuarantineRefusal> {
         let Some(record) = self.records.get(&content) else {
             return Ok(());
         };
         let ends = self.unexplained_ends(record);
-        let until = record.held_until(ends, &self.settings);
+        let until = record.quarantined_until(ends, &self.settings);
         let left = until.map_or(0, |until| until - signed(now));
         if left <= 0 {
             return Ok(());
         }
-        Err(Held {
+        Err(QuarantineRefusal {
             retry_after: Millis(left.unsigned_abs()),
             ends,
         })
     }
 
-    /// How many ends are held against a request that no graver one explains.
+    /// Returns the number of ends counted against a request that no graver request explains.
     ///
-    /// A request that ends servers takes others with it that happen to be there, and may take the same one twice. It
-    /// was on more of the servers that ended than any of them.
+    /// A request that ends servers takes down other requests that happen to run there, possibly the
+    /// same one twice. But it ran on more of the ended servers than any of the others.
     fn unexplained_ends(&self, record: &Record) -> usize {
-        let ends = record.ends_in_turn();
+        let ends = record.consecutive_ends();
         let limit = self.settings.limit;
         if ends < limit {
             return ends;
         }
         let graver = self.records.values().filter(|other| {
-            other.open_ends() > record.open_ends() && other.ends_in_turn() >= limit
+            other.open_ends() > record.open_ends() && other.consecutive_ends() >= limit
         });
         let explained: Vec<Incarnation> = graver.flat_map(Record::servers).collect();
         record.unexplained(&explained)
     }
 
-    /// A run was cut by its server. Returns whether to look if the server is still there: nobody does yet. What is
-    /// found is told to [`Quarantine::server_ended`] or [`Quarantine::mark_inconclusive`].
+    /// Records that a server cut a run. Returns whether the caller should check if the server still
+    /// exists, because no check is in progress. Report the result to [`Quarantine::server_ended`]
+    /// or [`Quarantine::mark_inconclusive`].
     pub fn run_cut(&mut self, run: Run, now: Millis) -> bool {
         self.forget_cuts(now);
         if let Some(ended) = self.ended.get(&run.server) {
             if run.sent < *ended {
-                self.count(run, now, now);
+                self.count_end(run, now, now);
             }
             return false;
         }
-        let mut open = self.cuts.iter().filter(|cut| !cut.undecided);
+        let mut open = self.cuts.iter().filter(|cut| !cut.inconclusive);
         let first = open.find(|cut| cut.run.server == run.server);
-        // If the server had ended at the first cut, what was sent after it found no server.
+        // If the server had ended at the first cut, later requests never reached it.
         let sent_after = first.is_some_and(|cut| cut.at <= run.sent);
-        let looked_for = first.is_some();
-        if !sent_after && self.cuts.len() < MOST_CUTS {
-            self.cuts.push(Cut {
+        let check_pending = first.is_some();
+        if !sent_after && self.cuts.len() < MAX_PENDING_CUTS {
+            self.cuts.push(CutRun {
                 run,
                 at: now,
-                undecided: false,
+                inconclusive: false,
             });
         }
-        !looked_for
+        !check_pending
     }
 
-    /// A server was looked for and may live. Its next cut is looked into anew: a server that resets a connection
-    /// may end a second later.
+    /// Records that a check didn't prove the server's end. Its next cut is checked again, because a
+    /// server that resets a connection may end a second later.
     pub fn mark_inconclusive(&mut self, server: Incarnation) {
         for cut in &mut self.cuts {
-            cut.undecided |= cut.run.server == server;
+            cut.inconclusive |= cut.run.server == server;
         }
     }
 
-    /// There is evidence that a server's process has ended without having said so before. Returns how many requests
-    /// it makes suspect.
+    /// Records evidence that a server's process has ended without announcing it. Returns the number
+    /// of requests that become suspect.
     pub fn server_ended(&mut self, server: Incarnation, now: Millis) -> usize {
         self.forget_cuts(now);
         let cuts = std::mem::take(&mut self.cuts);
-        let (its, others): (Vec<Cut>, Vec<Cut>) =
+        let (matching, others): (Vec<CutRun>, Vec<CutRun>) =
             cuts.into_iter().partition(|cut| cut.run.server == server);
         self.cuts = others;
-        let first = its.iter().map(|cut| (cut.undecided, cut.at)).min();
+        let first = matching.iter().map(|cut| (cut.inconclusive, cut.at)).min();
         self.ended.insert(server, first.map_or(now, |(_, at)| at));
-        for cut in &its {
-            self.count(cut.run, cut.at, now);
+        for cut in &matching {
+            self.count_end(cut.run, cut.at, now);
         }
-        its.len()
+        matching.len()
     }
 
-    /// A request was served whole: no server ended under it this time. Returns whether it was held back until now.
+    /// Records that a request was served without ending its server. Returns whether it was
+    /// quarantined until now.
     pub fn served(&mut self, content: Fingerprint, now: Millis) -> bool {
-        // The end of a server that is noticed later came before this.
+        // If the end of a server is noticed later, it happened before this success.
         self.cuts.retain(|cut| cut.run.content != content);
-        self.served.note(content, now);
-        let held = self.admit(content, now).is_err();
+        self.served.insert(content, now);
+        let quarantined = self.admit(content, now).is_err();
         let record = self.records.get_mut(&content);
-        record.is_some_and(Record::clear) && held
+        record.is_some_and(Record::clear) && quarantined
     }
 
-    /// Another instance tells of a suspect.
+    /// Merges a suspicion that another instance reported.
     pub fn apply_suspicion(&mut self, suspicion: &Suspicion, now: Millis) {
-        let ends = suspicion.ends.iter().map(|told| End {
-            server: told.server,
-            sent: signed(now) - i64::from(told.sent_ago),
-            ended: signed(now) - i64::from(told.ended_ago),
-            cleared: told.cleared,
+        let ends = suspicion.ends.iter().map(|reported| End {
+            server: reported.server,
+            sent: signed(now) - i64::from(reported.sent_ago),
+            ended: signed(now) - i64::from(reported.ended_ago),
+            cleared: reported.cleared,
         });
         self.merge(suspicion.content, ends.collect(), now);
     }
 
-    /// What to tell others that they may not know yet, the gravest first.
+    /// Returns the suspicions that other instances may not know yet, the gravest first.
     pub fn unsent_suspicions(&mut self, now: Millis) -> Vec<Suspicion> {
-        let fresh = self.records.iter().filter(|(_, record)| record.is_news());
-        let chosen = told(fresh, now);
+        let fresh = self
+            .records
+            .iter()
+            .filter(|(_, record)| record.needs_gossip());
+        let chosen = select_for_report(fresh, now);
         for suspicion in &chosen {
             if let Some(record) = self.records.get_mut(&suspicion.content) {
-                record.told();
+                record.mark_sent();
             }
         }
         chosen
     }
 
-    /// What to tell one who may know nothing, the gravest first.
+    /// Returns the suspicions for an instance that may know nothing yet, the gravest first.
     pub fn all_suspicions(&self, now: Millis) -> Vec<Suspicion> {
         let open = self.records.iter();
-        told(open.filter(|(_, record)| record.ends_in_turn() > 0), now)
+        select_for_report(
+            open.filter(|(_, record)| record.consecutive_ends() > 0),
+            now,
+        )
     }
 
-    /// The requests that are held back since the last call.
+    /// Returns the requests quarantined since the last call.
     pub fn take_quarantined(&mut self) -> Vec<Quarantined> {
-        std::mem::take(&mut self.placed)
+        std::mem::take(&mut self.newly_quarantined)
     }
 
-    /// How many requests are held back.
+    /// Returns the number of quarantined requests.
     pub fn quarantined_count(&self, now: Millis) -> usize {
         let contents = self.records.keys();
-        let held = contents.filter(|content| self.admit(**content, now).is_err());
-        held.count()
+        let quarantined = contents.filter(|content| self.admit(**content, now).is_err());
+        quarantined.count()
     }
 
-    /// Forgets what is too old to matter.
+    /// Drops expired state.
     pub fn expire(&mut self, now: Millis) {
         self.forget_cuts(now);
         let settings = &self.settings;
         self.records
-            .retain(|_, record| record.kept_until(settings) > signed(now));
+            .retain(|_, record| record.expires_at(settings) > signed(now));
     }
 
     fn forget_cuts(&mut self, now: Millis) {
@@ -307,7 +322,7 @@
         self.ended.retain(|_, at| now.since(*at) < span);
     }
 
-    fn count(&mut self, run: Run, cut: Millis, now: Millis) {
+    fn count_end(&mut self, run: Run, cut: Millis, now: Millis) {
         let end = End {
             server: run.server,
             sent: signed(run.sent),
@@ -318,9 +333,9 @@
     }
 
     fn merge(&mut self, content: Fingerprint, mut ends: Vec<End>, now: Millis) {
-        // Many callers may ask the same, and one of them is on each server that ends for another reason. Held back,
-        // all of them would be refused for minutes.
-        if self.served.holds(content, now) {
+        // Many callers may send the same request, and a copy of it runs on each server that ends
+        // for another reason. Quarantining it would refuse all of them for minutes.
+        if self.served.contains(content, now) {
             for end in &mut ends {
                 end.cleared = true;
             }
@@ -328,53 +343,55 @@
         if !self.records.contains_key(&content) {
             self.make_room();
         }
-        let before = self.admit(content, now).is_err();
+        let was_quarantined = self.admit(content, now).is_err();
         let record = self.records.entry(content).or_default();
         record.merge(ends);
         let servers = record.servers();
-        if let (false, Err(held)) = (before, self.admit(content, now)) {
-            self.placed.push(Quarantined {
+        if let (false, Err(refusal)) = (was_quarantined, self.admit(content, now)) {
+            self.newly_quarantined.push(Quarantined {
                 content,
                 servers,
-                span: held.retry_after,
+                span: refusal.retry_after,
             });
         }
     }
 
-    /// Drops the record that matters least. Records come from servers that ended alone, so that a flood of requests
-    /// drops none; and those that are held back go last.
+    /// Drops the least important record. Only ended servers create records, so a flood of requests
+    /// evicts none, and quarantined requests are evicted last.
     fn make_room(&mut self) {
         if self.records.len() < self.settings.capacity {
             return;
         }
         let records = self.records.iter();
-        let least = records.min_by_key(|(_, record)| (record.ends_in_turn(), record.last_end()));
+        let least =
+            records.min_by_key(|(_, record)| (record.consecutive_ends(), record.last_end()));
         if let Some(content) = least.map(|(content, _)| *content) {
             self.records.remove(&content);
         }
     }
 }
 
-/// As many of the records as a packet holds, the gravest and latest first.
-fn told<'a>(
+/// Returns as many of the records as fit into a packet, the gravest and latest first.
+fn select_for_report<'a>(
     records: impl Iterator<Item = (&'a Fingerprint, &'a Record)>,
     now: Millis,
 ) -> Vec<Suspicion> {
     let mut records: Vec<_> = records.collect();
-    records.sort_unstable_by_key(|(_, record)| (record.ends_in_turn(), record.last_end()));
+    records.sort_unstable_by_key(|(_, record)| (record.consecutive_ends(), record.last_end()));
     let mut bytes = 0;
     let fitting = records.into_iter().rev().take_while(|(_, record)| {
-        bytes += record.told_bytes();
-        bytes <= MOST_BYTES
+        bytes += record.encoded_bytes();
+        bytes <= MAX_REPORT_BYTES
     });
     let suspicions = fitting.map(|(content, record)| Suspicion {
         content: *content,
-        ends: record.tell(signed(now)),
+        ends: record.report(signed(now)),
     });
     suspicions.collect()
 }
 
-/// Times as signed numbers: an end that another instance tells of may lie before the start of this one's clock.
+/// Converts a time to a signed number, since an end reported by another instance may lie before the
+/// start of this instance's clock.
 fn signed(time: Millis) -> i64 {
     i64::try_from(time.0).unwrap_or(i64::MAX)
 }
--- a/crates/routing/src/quarantine/record.rs
+++ b/crates/routing/src/quarantine/record.rs
@@ -1,40 +1,42 @@
-//! What is remembered of one request under which servers ended.
+//! The record of one request that ran on servers whose processes ended.
 
 use super::Incarnation;
 use super::QuarantineSettings;
 use super::ReportedEnd;
 
 /// Maximum number of ends kept per request. Also bounds how often its span is doubled.
-const MOST_ENDS: usize = 6;
+const MAX_ENDS: usize = 6;
 
-/// Rounds in which something new is told. Told to three others in each, and told on by whoever hears it, it reaches
-/// every one of some hundred instances, also where a third of the packets is lost.
-const TELLING_ROUNDS: u8 = 5;
+/// Number of gossip rounds that repeat a change. Sent to three instances per round and passed on by
+/// each receiver, it reaches every one of some hundred instances even if a third of the packets is
+/// lost.
+const GOSSIP_ROUNDS: u8 = 5;
 
-/// Bytes of a fingerprint and of an end, encoded, at most.
+/// Maximum encoded sizes of a fingerprint and of an end, in bytes.
 const CONTENT_BYTES: usize = 20;
 const END_BYTES: usize = 21;
 
-/// The end of a server under a request.
+/// The end of a server that ran the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct End {
     pub(super) server: Incarnation,
     pub(super) sent: i64,
     pub(super) ended: i64,
-    /// Whether the request was served after.
+    /// Whether the request was served afterwards.
     pub(super) cleared: bool,
 }
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct Record {
-    /// By the time of the end, the latest last; one for each server.
+    /// Sorted by time of the end; one for each server.
     ends: Vec<End>,
-    /// Rounds in which it is still to be told.
-    rounds: u8,
+    /// Remaining gossip rounds.
+    remaining_rounds: u8,
 }
 
 impl Record {
-    /// Adds what is known from elsewhere. The same again changes nothing, and the order doesn't matter.
+    /// Merges ends that are known from elsewhere. The operation is idempotent and independent of
+    /// the order.
     pub(super) fn merge(&mut self, ends: Vec<End>) {
         let mut changed = false;
         for end in ends {
@@ -43,7 +45,7 @@
                 Some(known) => {
                     changed |= end.cleared && !known.cleared;
                     known.cleared |= end.cleared;
-                    // Each way from one instance to the next makes an age too small by its delay.
+                    // Each hop between instances makes an age too small by its delay.
                     known.sent = known.sent.min(end.sent);
                     known.ended = known.ended.min(end.ended);
                 }
@@ -51,64 +53,67 @@
             }
         }
         if changed {
-            self.rounds = TELLING_ROUNDS;
+            self.remaining_rounds = GOSSIP_ROUNDS;
         }
         self.ends.sort_by_key(|end| end.ended);
     }
 
-    /// Inserts the end of a server that isn't known and returns whether it was kept.
+    /// Inserts the end of an unknown server and returns whether it was kept.
     ///
     /// Over the limit, evicts the oldest overlapping end or, if there is none, the oldest end.
     fn add(&mut self, end: End) -> bool {
-        let place = self.ends.partition_point(|known| known.ended <= end.ended);
-        self.ends.insert(place, end);
-        if self.ends.len() <= MOST_ENDS {
+        let index = self.ends.partition_point(|known| known.ended <= end.ended);
+        self.ends.insert(index, end);
+        if self.ends.len() <= MAX_ENDS {
             return true;
         }
         let evicted = self.oldest_overlapping().unwrap_or(0);
         self.ends.remove(evicted);
-        place != evicted
+        index != evicted
     }
 
-    /// Returns the index of the oldest end that isn't counted because its run overlaps with a counted one.
+    /// Returns the index of the oldest end that isn't counted because its run overlaps with a
+    /// counted one.
     ///
-    /// Evicting by age alone would leave only overlapping ends when many copies of a request run concurrently, so the
-    /// request would never be held back.
+    /// Evicting by age alone would leave only overlapping ends when many copies of a request run
+    /// concurrently, so the request would never be held back.
     fn oldest_overlapping(&self) -> Option<usize> {
         let mut last = i64::MIN;
-        for (place, end) in self.ends.iter().enumerate() {
+        for (index, end) in self.ends.iter().enumerate() {
             if end.cleared {
                 continue;
             }
             if end.sent < last {
-                return Some(place);
+                return Some(index);
             }
             last = end.ended;
         }
         None
     }
 
-    /// The request was served; returns whether anything was held against it.
+    /// Clears all ends because the request was served. Returns whether any end counted against it.
     pub(super) fn clear(&mut self) -> bool {
         let open = self.ends.iter().any(|end| !end.cleared);
         for end in &mut self.ends {
             end.cleared = true;
         }
         if open {
-            self.rounds = TELLING_ROUNDS;
+            self.remaining_rounds = GOSSIP_ROUNDS;
         }
         open
     }
 
-    /// How many of its runs ended their servers, each sent after the one before had ended.
+    /// Returns the number of runs that ended their servers, each sent after the previous one had
+    /// ended.
     ///
-    /// Runs at the same time count once. A rack that loses power ends several servers at a moment, and an impatient
-    /// caller has copies of its request on all of them; counted each, they would have it held back for nothing.
-    pub(super) fn ends_in_turn(&self) -> usize {
+    /// Overlapping runs count once. A rack that loses power ends several servers at once, and an
+    /// impatient caller may have copies of its request on all of them. Counting each copy would
+    /// quarantine the request without cause.
+    pub(super) fn consecutive_ends(&self) -> usize {
         self.unexplained(&[])
     }
 
-    /// The same without servers whose ends are explained by another request.
+    /// Like `consecutive_ends`, without the servers whose ends another request explains.
     pub(super) fn unexplained(&self, explained: &[Incarnation]) -> usize {
         let mut count = 0;
         let mut last = i64::MIN;
@@ -122,24 +127,29 @@
         count
     }
 
-    /// Until when the request is held back after so many ends, if it is.
-    pub(super) fn held_until(&self, ends: usize, settings: &QuarantineSettings) -> Option<i64> {
-        let over = ends.checked_sub(settings.limit)?;
-        Some(self.last_end() + span(settings, over))
+    /// Returns until when the request is quarantined after `ends` ends, or `None` if it isn't.
+    pub(super) fn quarantined_until(
+        &self,
+        ends: usize,
+        settings: &QuarantineSettings,
+    ) -> Option<i64> {
+        let excess = ends.checked_sub(settings.limit)?;
+        Some(self.last_end() + span(settings, excess))
     }
 
-    /// Until when it matters: as long again as it is held back, so that the next end after that doubles the span.
-    pub(super) fn kept_until(&self, settings: &QuarantineSettings) -> i64 {
-        let over = self.ends_in_turn().saturating_sub(settings.limit);
-        self.last_end() + 2 * span(settings, over)
+    /// Returns when the record expires. It is kept for twice the quarantine, so that another end
+    /// after the quarantine doubles the span.
+    pub(super) fn expires_at(&self, settings: &QuarantineSettings) -> i64 {
+        let excess = self.consecutive_ends().saturating_sub(settings.limit);
+        self.last_end() + 2 * span(settings, excess)
     }
 
-    /// When the last server ended under it.
+    /// Returns when the last server ended.
     pub(super) fn last_end(&self) -> i64 {
         self.ends.last().map_or(i64::MIN / 2, |end| end.ended)
     }
 
-    /// How many servers ended under it.
+    /// Returns the number of ends that aren't cleared.
     pub(super) fn open_ends(&self) -> usize {
         self.ends.iter().filter(|end| !end.cleared).count()
     }
@@ -149,21 +159,21 @@
         open.map(|end| end.server).collect()
     }
 
-    /// Whether others may not know it yet.
-    pub(super) fn is_news(&self) -> bool {
-        self.rounds > 0
+    /// Returns whether other instances may not know the record yet.
+    pub(super) fn needs_gossip(&self) -> bool {
+        self.remaining_rounds > 0
     }
 
-    /// It was told in one round.
-    pub(super) fn told(&mut self) {
-        self.rounds = self.rounds.saturating_sub(1);
+    /// Records that the record was sent in one round.
+    pub(super) fn mark_sent(&mut self) {
+        self.remaining_rounds = self.remaining_rounds.saturating_sub(1);
     }
 
-    pub(super) fn told_bytes(&self) -> usize {
+    pub(super) fn encoded_bytes(&self) -> usize {
         CONTENT_BYTES + self.ends.len() * END_BYTES
     }
 
-    pub(super) fn tell(&self, now: i64) -> Vec<ReportedEnd> {
+    pub(super) fn report(&self, now: i64) -> Vec<ReportedEnd> {
         let ends = self.ends.iter().map(|end| ReportedEnd {
             server: end.server,
             sent_ago: ago(now, end.sent),
@@ -174,9 +184,9 @@
     }
 }
 
-fn span(settings: &QuarantineSettings, over: usize) -> i64 {
+fn span(settings: &QuarantineSettings, excess: usize) -> i64 {
     let span = i64::try_from(settings.span.0).unwrap_or(i64::MAX);
-    span.saturating_mul(1 << over.min(MOST_ENDS))
+    span.saturating_mul(1 << excess.min(MAX_ENDS))
 }
 
 fn ago(now: i64, time: i64) -> u32 {
--- a/crates/routing/src/quarantine/served.rs
+++ b/crates/routing/src/quarantine/served.rs
@@ -1,4 +1,4 @@
-//! Requests that were served lately.
+//! Recently served requests.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -7,35 +7,36 @@
 
 use super::Fingerprint;
 
-/// Requests that are remembered at most: those of about a minute at an instance of a large fleet.
+/// Maximum number of remembered requests: about a minute of them at an instance of a large fleet.
 const CAPACITY: usize = 2048;
 
-/// How long one is remembered. A new version of the servers may not bear what the one before did.
+/// How long a request is remembered. A new version of the servers may not withstand what the
+/// previous version did.
 const SPAN: Millis = Millis::from_secs(60);
 
-/// What was served lately, by when.
+/// Recently served requests with their times.
 #[derive(Debug, Default)]
-pub(super) struct Served {
+pub(super) struct RecentlyServed {
     times: HashMap<Fingerprint, Millis>,
-    /// In the order of the times; one that was served again stands here more than once.
+    /// Sorted by time. A request that was served repeatedly appears more than once.
     order: VecDeque<(Fingerprint, Millis)>,
 }
 
-impl Served {
-    pub(super) fn note(&mut self, content: Fingerprint, now: Millis) {
+impl RecentlyServed {
+    pub(super) fn insert(&mut self, content: Fingerprint, now: Millis) {
         self.times.insert(content, now);
         self.order.push_back((content, now));
         if self.order.len() > CAPACITY {
-            self.forget_first();
+            self.evict_oldest();
         }
     }
 
-    pub(super) fn holds(&self, content: Fingerprint, now: Millis) -> bool {
+    pub(super) fn contains(&self, content: Fingerprint, now: Millis) -> bool {
         let time = self.times.get(&content);
         time.is_some_and(|time| now.since(*time) < SPAN)
     }
 
-    fn forget_first(&mut self) {
+    fn evict_oldest(&mut self) {
         let Some((content, time)) = self.order.pop_front() else {
             return;
         };
