--- a/crates/routing/src/cache.rs
+++ b/crates/routing/src/cache.rs
@@ -1,35 +1,36 @@
-//! Which server holds which prompt prefix in its cache: hints from late, gapped events.
+//! Hints about which server has which prompt prefix cached, from cache events that arrive late and
+//! may be lost.
 
 use std::collections::HashMap;
 
 use crocushold_base::Millis;
 use crocushold_base::ServerKey;
 
-/// One cache event of an engine.
+/// A cache event of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// The engine's number of the event.
+    /// The engine's sequence number of the event.
     pub seq: u64,
-    /// What happened.
+    /// The change.
     pub change: CacheChange,
     /// The hash of the prompt prefix.
     pub prefix: u64,
 }
 
-/// What happened to a prefix in an engine's cache.
+/// A change to a prefix in an engine's cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheChange {
-    /// The prefix is cached now.
+    /// The prefix is now cached.
     Stored,
-    /// The prefix was dropped.
+    /// The prefix was evicted.
     Evicted,
 }
 
-/// A server's position in its stream of events.
+/// A server's position in its stream of cache events.
 ///
-/// The epoch moves on when an event is missed: the missed one may have been an eviction, so every
-/// earlier hint of that server is void. The symptom would be traffic drawn to a cold cache; dropping
-/// hints costs no more than the fallback to the ring.
+/// A missed event advances the epoch. The missed event may have been an eviction, so all earlier
+/// hints for that server become invalid. Keeping them could send traffic to a cold cache; dropping
+/// them only costs a fallback to the ring.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Cursor {
     last: Option<u64>,
@@ -37,7 +38,8 @@
 }
 
 impl Cursor {
-    /// Moves to event `seq`; false for a repeated or reordered event, which is to be ignored.
+    /// Moves to event `seq`. Returns false for a repeated or reordered event, which must be
+    /// ignored.
     pub(crate) fn advance(&mut self, seq: u64) -> bool {
         let Some(last) = self.last else {
             self.last = Some(seq);
@@ -53,7 +55,8 @@
         true
     }
 
-    /// Voids every hint so far and accepts any number next: the engine restarted.
+    /// Invalidates all hints so far and accepts any sequence number next, since the engine
+    /// restarted.
     pub(crate) fn restart(&mut self) {
         self.last = None;
         self.epoch += 1;
@@ -65,75 +68,76 @@
     }
 }
 
-/// A hint that a server holds a prefix.
+/// A hint that a server has a prefix cached.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Hint {
     /// The server.
     pub(crate) server: ServerKey,
-    /// The server's epoch at the time; another one voids the hint.
+    /// The server's epoch when the hint was stored. The hint is invalid in any other epoch.
     pub(crate) epoch: u32,
-    /// Since when it is said to hold it, or to read it.
+    /// When the server was first reported to hold the prefix or to be prefilling it.
     pub(crate) since: Millis,
 }
 
-/// Servers remembered of one prefix. A popular one is held by several; the hint that was confirmed longest
-/// ago yields.
-const HOLDERS: usize = 4;
+/// Maximum number of servers remembered for a prefix. Several servers hold a popular prefix; the
+/// hint that was confirmed longest ago is replaced.
+const MAX_HOLDERS: usize = 4;
 
-/// Hints by prefix, bounded: two generations, of which the older is dropped when the younger fills.
+/// A bounded map from prefix to hints, in two generations. The older generation is dropped when the
+/// younger one is full.
 #[derive(Clone, Debug)]
 pub(crate) struct Hints {
     young: HashMap<u64, Vec<Hint>>,
     old: HashMap<u64, Vec<Hint>>,
-    half: usize,
+    generation_limit: usize,
 }
 
 impl Hints {
-    /// Holds the hints of at most `limit` prefixes.
+    /// Creates a map that holds the hints of at most `limit` prefixes.
     pub(crate) fn new(limit: usize) -> Hints {
         Hints {
             young: HashMap::new(),
             old: HashMap::new(),
-            half: limit / 2,
+            generation_limit: limit / 2,
         }
     }
 
-    /// Remembers `hint` for `prefix` as the one that was confirmed last.
+    /// Stores `hint` as the most recently confirmed hint for `prefix`.
     pub(crate) fn store(&mut self, prefix: u64, hint: Hint) {
-        if self.half == 0 {
+        if self.generation_limit == 0 {
             return;
         }
-        let held = self.young_entry(prefix);
-        let same = |held: &Hint| held.server == hint.server && held.epoch == hint.epoch;
-        let before = held.iter().copied().find(same);
+        let stored = self.young_entry(prefix);
+        let same = |stored: &Hint| stored.server == hint.server && stored.epoch == hint.epoch;
+        let before = stored.iter().copied().find(same);
         let since = before.map_or(hint.since, |before| before.since.min(hint.since));
-        held.retain(|held| held.server != hint.server);
-        held.insert(0, Hint { since, ..hint });
-        held.truncate(HOLDERS);
+        stored.retain(|stored| stored.server != hint.server);
+        stored.insert(0, Hint { since, ..hint });
+        stored.truncate(MAX_HOLDERS);
     }
 
-    /// Forgets that `server` holds `prefix`.
+    /// Removes the hint that `server` holds `prefix`.
     pub(crate) fn evict(&mut self, prefix: u64, server: ServerKey) {
         for generation in [&mut self.young, &mut self.old] {
-            if let Some(held) = generation.get_mut(&prefix) {
-                held.retain(|held| held.server != server);
+            if let Some(stored) = generation.get_mut(&prefix) {
+                stored.retain(|stored| stored.server != server);
             }
         }
     }
 
-    /// The hints for `prefix`, the one that was confirmed last first.
+    /// Returns the hints for `prefix`, most recently confirmed first.
     pub(crate) fn get(&self, prefix: u64) -> &[Hint] {
-        let held = self.young.get(&prefix).or_else(|| self.old.get(&prefix));
-        held.map_or(&[], Vec::as_slice)
+        let stored = self.young.get(&prefix).or_else(|| self.old.get(&prefix));
+        stored.map_or(&[], Vec::as_slice)
     }
 
     fn young_entry(&mut self, prefix: u64) -> &mut Vec<Hint> {
         if !self.young.contains_key(&prefix) {
-            let held = self.old.remove(&prefix).unwrap_or_default();
-            if self.young.len() >= self.half {
+            let stored = self.old.remove(&prefix).unwrap_or_default();
+            if self.young.len() >= self.generation_limit {
                 self.old = std::mem::take(&mut self.young);
             }
-            self.young.insert(prefix, held);
+            self.young.insert(prefix, stored);
         }
         self.young.entry(prefix).or_default()
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,45 +1,46 @@
-//! Which backend server a request goes to, and whether a failed attempt may be repeated.
+//! Chooses the backend server for a request and decides whether a failed attempt may be retried.
 //!
-//! Everything here is a pure state machine: no I/O, no clock, seeded randomness. The daemon feeds
-//! events and the time in and acts on what comes out; tests do the same.
+//! Everything here is a pure state machine: no I/O, no clock, seeded randomness. The caller passes
+//! in events and the time and acts on the results; tests do the same.
 //!
 //! * [`Router`] chooses a server. One router serves one service on one entry instance; the routers
-//!   of different instances don't talk. It knows the servers from [`Router::configure`], who is
-//!   leaving from [`Router::instance_list`], and how each fares from the events of its own attempts.
-//!   Load reports and cache events are lagged hints that shift a choice and never forbid one.
-//! * [`RetryPolicy`] decides whether a failed attempt may be repeated, from its [`Stage`], within a
-//!   budget. [`Attempt`] and [`Permit`] carry the same rule in types: the right to send a request is
-//!   consumed by the first byte written.
-//! * [`Quarantine`] holds requests back under which servers end.
-//! * [`subset()`] assigns each entry instance a share of a large group of servers, without messages.
-//!   [`ServerSubset`] keeps that share for one service, and widens it while it can't serve.
+//!   of different instances don't communicate. It learns the servers from [`Router::configure`],
+//!   which of them are leaving from [`Router::instance_list`], and their health from the events of
+//!   its own attempts. Load reports and cache events are lagged hints that influence a choice and
+//!   never forbid one.
+//! * [`RetryPolicy`] decides from the [`Stage`] of a failed attempt whether it may be retried,
+//!   within a budget. [`Attempt`] and [`Permit`] express the same rule in types: the right to send
+//!   a request is consumed by the first byte written.
+//! * [`Quarantine`] blocks requests that end the processes of the servers that run them.
+//! * [`subset()`] assigns each entry instance a share of a large group of servers, without
+//!   communication. [`ServerSubset`] keeps that share for one service and widens it while the
+//!   assigned servers can't serve.
 //!
 //! # Driving a router
 //!
-//! Call [`Router::tick`] about once a second even when idle, and every event of an attempt in the
-//! order it happens: [`Router::pick`], [`Router::connected`], [`Router::first_byte`],
-//! [`Router::progress`], and once [`Router::done`]. After `done`, or for a server that was removed,
-//! a late event finds nothing and changes nothing.
+//! Call [`Router::tick`] about once a second even when idle, and report every event of an attempt
+//! in order: [`Router::pick`], [`Router::connected`], [`Router::first_byte`], [`Router::progress`],
+//! and once [`Router::done`]. Events after `done`, or for a removed server, have no effect.
 //!
-//! Where there is an instance list, read it about once a second and report the end of every read:
-//! [`Router::instance_list`] or [`Router::list_unavailable`]. A read needs a timeout well below
-//! [`Settings::list_lease`]; a longer silence looks like a process that was stopped, and picks are
-//! refused. Configure a server before handing in the list that names it first.
+//! Where there is an instance list, read it about once a second and report the end of every read
+//! with [`Router::instance_list`] or [`Router::list_unavailable`]. A read needs a timeout well
+//! below [`Settings::list_lease`]; a longer gap looks like a suspended process, and picks are
+//! refused. Configure a server before passing in the first list that names it.
 
+mod answer_times;
 mod cache;
-mod delay;
 mod health;
 mod lanes;
 mod list;
-mod peers;
 mod pool;
 mod quarantine;
-mod reach;
+mod queue_delay;
 mod region;
 mod retry;
 mod ring;
 mod router;
 mod server;
+mod server_subset;
 mod settings;
 mod slow_start;
 mod stats;
@@ -66,9 +67,6 @@
 pub use quarantine::ReportedEnd;
 pub use quarantine::Run;
 pub use quarantine::Suspicion;
-pub use reach::EntryFleet;
-pub use reach::ServerSubset;
-pub use reach::Shortage;
 pub use region::RegionKey;
 pub use retry::Attempt;
 pub use retry::Budget;
@@ -98,6 +96,9 @@
 pub use server::Share;
 pub use server::Standing;
 pub use server::State;
+pub use server_subset::EntryFleet;
+pub use server_subset::ServerSubset;
+pub use server_subset::Shortage;
 pub use settings::HealthSettings;
 pub use settings::Settings;
 pub use subset::coverage;
--- a/crates/routing/src/queue_delay.rs
+++ b/crates/routing/src/queue_delay.rs
@@ -1,209 +1,235 @@
-//! How long a request waits at an engine before it is read, as one instance can tell.
+//! Estimates how long a request waits at an engine before its prefill starts, from what one
+//! instance observes.
 //!
-//! The load it answers: several instances send to the same engines, each sees a part of the requests,
-//! and the engines' reports are late. What a request of one's own has waited tells the whole queue, the
-//! others' part included, and it is at hand with the first token. Until the next such answer the queue
-//! is taken to shrink; what was sent since then is added, and a request that is overdue says that the
-//! queue is at least as long as it has waited.
+//! Several instances send to the same engines, each sees only a part of the requests, and the
+//! engines' load reports are late. The wait that one of this instance's own requests experienced
+//! covers the whole queue, including other instances' requests, and is known at its first token.
+//! Until the next such sample, the queue is assumed to drain, requests sent since are added, and an
+//! overdue request shows that the queue is at least as long as that request has waited.
 
 use crocushold_base::Millis;
 
 use crate::router::AttemptKey;
 use crate::stats::Median;
 
-/// What an idle engine takes to the first token beside the reading, in milliseconds: a step, and the
-/// way there and back.
-const BASE: f64 = 20.0;
+/// Time to first token of an idle engine excluding prefill, in milliseconds: one engine step and
+/// the network round trip.
+const BASE_LATENCY: f64 = 20.0;
 
-/// How much of a queue that was seen is gone after as long a time. An engine that is fully used stands
-/// still at 0, one that gets nothing more drains at 1.
-const DRAIN: f64 = 0.5;
+/// How fast an observed queue is assumed to drain, in milliseconds per millisecond. The queue of a
+/// fully used engine drains at 0, that of an engine that receives no more requests at 1.
+const DRAIN_RATE: f64 = 0.5;
 
-/// What is added to the wait at an engine that turned a request away, in milliseconds: about the time
-/// in which a place comes free.
-const REJECTED: f64 = 300.0;
+/// Added to the wait at an engine that rejected a request, in milliseconds. A slot frees up in
+/// about this time.
+const REJECTION_WAIT: f64 = 300.0;
 
-/// How much earlier a request must have been sent than one whose answer has begun to count as read itself, in
-/// milliseconds. Sent at the same time by different instances, they may overtake each other on their way.
-const OVERTAKEN: Millis = Millis(50);
+/// How much earlier than an answered request another one must have been sent to count as prefilled
+/// too. Requests that different instances send at the same time may overtake each other on the
+/// network.
+const REORDER_TOLERANCE: Millis = Millis(50);
 
-/// How far a server is believed to be behind at most for a request that is overdue, in milliseconds. The
-/// instance that sent it may be gone, and nothing more come of it; nobody would send there to find out.
-const MOST_OVERDUE: f64 = 500.0;
+/// Maximum lag attributed to a server because of an overdue request, in milliseconds. The instance
+/// that sent the request may be gone, so that no answer is ever reported. With a larger value
+/// nobody would send to the server again to find out.
+const MAX_OVERDUE: f64 = 500.0;
 
-/// A request that is sent to be read.
+/// A request sent to an engine for prefill.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sent {
+pub(crate) struct QueuedPrompt {
     pub(crate) attempt: AttemptKey,
-    /// How long it takes to be read, in milliseconds.
-    pub(crate) reading: f64,
-    /// The wait that is expected before, in milliseconds.
-    pub(crate) ahead: f64,
-    /// Its rank in the server's queue; lower is sooner.
-    pub(crate) rank: u8,
-    /// Whether another instance chose the server, and tells of the request. Told twice, the queue would seem
-    /// to be twice as long.
-    pub(crate) told: bool,
+    /// Expected duration of its prefill, in milliseconds.
+    pub(crate) prefill_ms: f64,
+    /// Expected wait before its prefill, in milliseconds.
+    pub(crate) expected_wait: f64,
+    /// Its priority in the server's queue; lower values go first.
+    pub(crate) priority: u8,
+    /// Whether another instance chose the server and reports the request itself. If both reported
+    /// it, the queue would appear twice as long.
+    pub(crate) remote: bool,
 }
 
-/// A request that has no answer yet.
+/// A request without an answer yet.
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
-    sent: Sent,
+    sent: QueuedPrompt,
     since: Millis,
 }
 
-/// The wait at one engine.
+/// The queueing delay at one engine.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Delay {
+pub(crate) struct QueueDelay {
     waiting: Vec<Waiting>,
-    /// The wait that was seen last, in milliseconds, and when.
-    seen: f64,
-    seen_at: Millis,
-    /// Since when the server reads the prompt that is first in its queue.
-    reads_since: Millis,
-    /// What other instances have waiting there, in milliseconds of reading.
-    others: f64,
+    /// The most recently observed wait, in milliseconds, and when it was observed.
+    last_wait: f64,
+    last_wait_at: Millis,
+    /// When the server started the prefill of the first prompt in its queue.
+    prefill_since: Millis,
+    /// Pending prefill of other instances' requests, in milliseconds.
+    remote_pending: f64,
 }
 
-impl Delay {
-    /// A request was sent.
-    pub(crate) fn sent(&mut self, sent: Sent, now: Millis) {
+impl QueueDelay {
+    /// Records that a request was sent.
+    pub(crate) fn on_sent(&mut self, sent: QueuedPrompt, now: Millis) {
         if self.waiting.is_empty() {
-            self.reads_since = now;
+            self.prefill_since = now;
         }
         self.waiting.push(Waiting { sent, since: now });
     }
 
-    /// The request's answer has begun; returns how long it took beyond what an idle engine takes.
+    /// Records that the request's answer has begun. Returns the time this took beyond an idle
+    /// engine's latency, in milliseconds.
     ///
-    /// Engines read in the order of rank and arrival, so that those before it were read, too. Where nothing was
-    /// heard of one, its instance is gone or the word was lost; kept, it would make the engine seem busy until
-    /// its time is over.
-    pub(crate) fn answered(&mut self, attempt: AttemptKey, now: Millis) -> Option<f64> {
-        let Waiting { sent, since } = self.take(attempt)?;
-        self.waiting
-            .retain(|other| other.sent.rank > sent.rank || other.since + OVERTAKEN >= since);
-        let span = now.since(since).0 as f64 - BASE;
-        self.seen = (span - sent.reading).max(0.0);
-        self.seen_at = now;
-        self.reads_since = now;
+    /// Engines prefill by priority and then in order of arrival, so the requests ahead of this one
+    /// have been prefilled as well. If no answer was reported for one of them, its instance is gone
+    /// or the report was lost. Keeping it would make the engine seem busy until the request's
+    /// deadline.
+    pub(crate) fn on_first_byte(&mut self, attempt: AttemptKey, now: Millis) -> Option<f64> {
+        let Waiting { sent, since } = self.remove(attempt)?;
+        self.waiting.retain(|other| {
+            other.sent.priority > sent.priority || other.since + REORDER_TOLERANCE >= since
+        });
+        let span = now.since(since).0 as f64 - BASE_LATENCY;
+        self.last_wait = (span - sent.prefill_ms).max(0.0);
+        self.last_wait_at = now;
+        self.prefill_since = now;
         Some(span)
     }
 
-    /// The request ended without an answer.
-    pub(crate) fn ended(&mut self, attempt: AttemptKey) {
-        self.take(attempt);
+    /// Records that the request ended without an answer.
+    pub(crate) fn on_end(&mut self, attempt: AttemptKey) {
+        self.remove(attempt);
     }
 
-    /// The engine turned a request away for lack of room.
-    pub(crate) fn rejected(&mut self, now: Millis) {
-        self.seen = self.left(now) + REJECTED;
-        self.seen_at = now;
+    /// Records that the engine rejected a request for lack of capacity.
+    pub(crate) fn on_rejection(&mut self, now: Millis) {
+        self.last_wait = self.remaining_wait(now) + REJECTION_WAIT;
+        self.last_wait_at = now;
     }
 
-    /// How long a request that is sent now waits before it is read, in milliseconds.
+    /// Returns how long a request sent now waits before its prefill, in milliseconds.
     pub(crate) fn estimate(&self, now: Millis) -> f64 {
         let overdue = self.overdue(now, |_| 0.0);
-        self.left(now).max(overdue).max(self.others) + self.pending()
+        self.remaining_wait(now)
+            .max(overdue)
+            .max(self.remote_pending)
+            + self.pending()
     }
 
-    /// The same for a router that chooses for all instances: it knows all that waits and when each answer
-    /// began, so that the queue is what was placed, less what was read of it since.
+    /// Like `estimate`, for a router that chooses for all instances. It knows every waiting request
+    /// and when each answer began, so the queue is what it placed less what has been prefilled
+    /// since.
     ///
-    /// A request that is overdue by its own expectation says how far the server is behind what is believed.
-    pub(crate) fn exact(&self, now: Millis) -> f64 {
-        self.others + self.ahead_of(u8::MAX, now)
-    }
-
-    /// How long a request of `rank` waits there behind those that this router placed, in milliseconds.
-    pub(crate) fn ahead_of(&self, rank: u8, now: Millis) -> f64 {
-        let ahead = self.waiting.iter().filter(|other| other.sent.rank <= rank);
-        let ahead: f64 = ahead.map(|other| other.sent.reading).sum();
-        let first = self.waiting.first().map_or(0.0, |first| first.sent.reading);
-        let read = (now.since(self.reads_since).0 as f64).min(first);
-        let overdue = self.overdue(now, |sent| sent.ahead).min(MOST_OVERDUE);
-        (ahead - read).max(0.0) + overdue
+    /// A request that is overdue by its own estimate shows how far the server lags behind the
+    /// estimate.
+    pub(crate) fn central_estimate(&self, now: Millis) -> f64 {
+        self.remote_pending + self.wait_at_priority(u8::MAX, now)
     }
 
-    /// By how much the request is late that is latest by its reading and what was `expected` before.
-    fn overdue(&self, now: Millis, expected: impl Fn(&Sent) -> f64) -> f64 {
+    /// Returns how long a request of priority `priority` waits behind the requests that this router
+    /// placed, in milliseconds.
+    pub(crate) fn wait_at_priority(&self, priority: u8, now: Millis) -> f64 {
+        let ahead = self
+            .waiting
+            .iter()
+            .filter(|other| other.sent.priority <= priority);
+        let ahead: f64 = ahead.map(|other| other.sent.prefill_ms).sum();
+        let first = self
+            .waiting
+            .first()
+            .map_or(0.0, |first| first.sent.prefill_ms);
+        let prefilled = (now.since(self.prefill_since).0 as f64).min(first);
+        let overdue = self
+            .overdue(now, |sent| sent.expected_wait)
+            .min(MAX_OVERDUE);
+        (ahead - prefilled).max(0.0) + overdue
+    }
+
+    /// Returns the largest delay of a waiting request beyond its prefill time and the wait
+    /// `expected` before it, in milliseconds.
+    fn overdue(&self, now: Millis, expected: impl Fn(&QueuedPrompt) -> f64) -> f64 {
         let overdue = self.waiting.iter().map(|request| {
             let span = now.since(request.since).0 as f64;
-            span - BASE - request.sent.reading - expected(&request.sent)
+            span - BASE_LATENCY - request.sent.prefill_ms - expected(&request.sent)
         });
         overdue.fold(0.0, f64::max)
     }
 
-    /// How long the requests that this router placed and that have no answer yet take to be read, in
+    /// Returns the total prefill time of the unanswered requests that this router placed itself, in
     /// milliseconds.
     pub(crate) fn pending(&self) -> f64 {
-        let placed = self.waiting.iter().filter(|request| !request.sent.told);
-        placed.map(|request| request.sent.reading).sum()
+        let placed = self.waiting.iter().filter(|request| !request.sent.remote);
+        placed.map(|request| request.sent.prefill_ms).sum()
     }
 
-    /// Other instances have this much waiting.
-    pub(crate) fn take_others(&mut self, reading: f64) {
-        self.others = reading;
+    /// Sets the pending prefill of other instances' requests.
+    pub(crate) fn set_remote_pending(&mut self, prefill_ms: f64) {
+        self.remote_pending = prefill_ms;
     }
 
-    fn left(&self, now: Millis) -> f64 {
-        let span = now.since(self.seen_at).0 as f64;
-        (self.seen - DRAIN * span).max(0.0)
+    fn remaining_wait(&self, now: Millis) -> f64 {
+        let span = now.since(self.last_wait_at).0 as f64;
+        (self.last_wait - DRAIN_RATE * span).max(0.0)
     }
 
-    fn take(&mut self, attempt: AttemptKey) -> Option<Waiting> {
-        let place = self
+    fn remove(&mut self, attempt: AttemptKey) -> Option<Waiting> {
+        let index = self
             .waiting
             .iter()
             .position(|w| w.sent.attempt == attempt)?;
-        Some(self.waiting.remove(place))
+        Some(self.waiting.remove(index))
     }
 }
 
-/// The least and the greatest speed that is believed, in tokens a millisecond.
-const SPEEDS: (f64, f64) = (2.0, 1000.0);
+/// Minimum and maximum accepted prefill rate, in tokens per millisecond.
+const PREFILL_RATE_BOUNDS: (f64, f64) = (2.0, 1000.0);
 
-/// The speed that is assumed before any answer: low, so that the first estimates are cautious.
-const FIRST_SPEED: f64 = 25.0;
+/// Prefill rate assumed before the first answer. It is low so that the first estimates are
+/// cautious.
+const INITIAL_PREFILL_RATE: f64 = 25.0;
 
-/// Samples of fewer tokens measure the way, not the reading: at 50 tokens a millisecond an error of 10 ms
-/// in [`BASE`] makes 540 tokens look as if they were read twice as fast or slow as they are, 1,500 by a third.
-const LEAST_TOKENS: f64 = 1500.0;
+/// Minimum number of tokens for a sample. Shorter prompts measure network latency rather than
+/// prefill: at 50 tokens per millisecond, an error of 10 ms in [`BASE_LATENCY`] makes the rate for
+/// 540 tokens wrong by a factor of two, and for 1,500 tokens by a third.
+const MIN_SAMPLE_TOKENS: f64 = 1500.0;
 
-/// How fast engines read, learned from answers.
+/// The prefill rate of engines, learned from answers.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Speed(Median);
+pub(crate) struct PrefillRate(Median);
 
-impl Default for Speed {
-    fn default() -> Speed {
-        Speed(Median::from(FIRST_SPEED))
+impl Default for PrefillRate {
+    fn default() -> PrefillRate {
+        PrefillRate(Median::with_initial(INITIAL_PREFILL_RATE))
     }
 }
 
-impl Speed {
-    /// An answer began `span` milliseconds after `tokens` were sent to be read, behind `ahead` others.
+impl PrefillRate {
+    /// Adds a sample: an answer began `span` milliseconds after `tokens` were sent for prefill
+    /// behind `ahead` other tokens.
     ///
-    /// The estimate follows the median of the samples. Those ahead are counted: without them each wait
-    /// made an engine look slow, so that in a rush all prompts seemed to take twice their time. Nothing is
-    /// to be learned from a request with a part that others may have had read at that engine: it
-    /// makes the engine look four times as fast, reading again looks cheap, and more prompts are sent away
-    /// from where they are kept.
-    pub(crate) fn sample(&mut self, tokens: f64, ahead: f64, span: f64) {
-        if tokens < LEAST_TOKENS {
+    /// The estimate follows the median of the samples. The tokens ahead are counted because
+    /// otherwise each wait makes an engine look slow, and during a burst all prompts seem to take
+    /// twice their time. A request whose prefix another request may already have had prefilled at
+    /// that engine must not be sampled: it makes the engine look four times as fast, so prefilling
+    /// a prefix again looks cheap and more prompts are sent away from the engines that have them
+    /// cached.
+    pub(crate) fn add_sample(&mut self, tokens: f64, tokens_ahead: f64, span: f64) {
+        if tokens < MIN_SAMPLE_TOKENS {
             return;
         }
-        let speed = (tokens + ahead) / span.max(1.0);
-        self.0.add(speed.clamp(SPEEDS.0, SPEEDS.1));
+        let rate = (tokens + tokens_ahead) / span.max(1.0);
+        self.0
+            .add(rate.clamp(PREFILL_RATE_BOUNDS.0, PREFILL_RATE_BOUNDS.1));
     }
 
-    /// How long `tokens` take, in milliseconds.
-    pub(crate) fn reading(&self, tokens: f64) -> f64 {
-        tokens / self.tokens()
+    /// Returns how long the prefill of `tokens` takes, in milliseconds.
+    pub(crate) fn prefill_ms(&self, tokens: f64) -> f64 {
+        tokens / self.tokens_per_ms()
     }
 
-    /// Tokens that are read in a millisecond.
-    pub(crate) fn tokens(&self) -> f64 {
-        self.0.get()
+    /// Returns the prefill rate, in tokens per millisecond.
+    pub(crate) fn tokens_per_ms(&self) -> f64 {
+        self.0.value()
     }
 }
--- a/crates/routing/src/router/choice.rs
+++ b/crates/routing/src/router/choice.rs
@@ -1,12 +1,12 @@
-//! The choice of a server.
+//! Choice of a server.
 
 use crocushold_base::Millis;
 use crocushold_base::ServerKey;
 use rand::RngExt;
 
 use super::ALL;
-use super::kept::Reading;
-use crate::delay::Sent;
+use super::prefix::PrefillPlan;
+use crate::queue_delay::QueuedPrompt;
 use crate::router::Demand;
 use crate::router::NoServer;
 use crate::router::Pick;
@@ -16,36 +16,36 @@
 use crate::router::types::InFlight;
 use crate::server::Server;
 
-/// Points of the ring that are looked at for a prefix's home.
+/// Number of ring points searched for a prefix's home.
 const RING_STEPS: usize = 12;
 
-/// The slowness that the cost follows at most; beyond, ejection is the remedy.
+/// Maximum slowness that the cost takes into account. Slower servers are handled by ejection.
 const MAX_SLOWNESS: f64 = 8.0;
 
-/// How much dearer each strike makes a server, in multiples of its cost.
+/// How much each failure adds to a server's cost, as a multiple of its cost.
 ///
-/// A server that fails at once has nothing in flight, so it would look like the best choice and draw
-/// all traffic until it is ejected.
-const STRIKE_COST: f64 = 4.0;
+/// A server that fails immediately has nothing in flight, so without this it would look like the
+/// best choice and attract all traffic until it is ejected.
+const FAILURE_COST: f64 = 4.0;
 
-/// How many times dearer a server on trial is for a request that should not be the one to try it.
+/// Cost factor of a server on trial for a request that shouldn't be used to test it.
 const TRIAL_COST: f64 = 8.0;
 
-/// Weight of one request in the mean time that a prompt takes to be read.
-const READING_ALPHA: f64 = 0.05;
+/// Weight of one request in the mean prefill time.
+const PREFILL_TIME_ALPHA: f64 = 0.05;
 
-/// The shortest wait that a refusal for a long queue names.
-pub(super) const LEAST_RETURN: Millis = Millis(200);
+/// Minimum retry time in a refusal because of a long queue.
+pub(super) const MIN_RETRY_AFTER: Millis = Millis(200);
 
-/// The longest wait that a refusal names.
-pub(super) const MAX_WAIT: Millis = Millis::from_secs(30);
+/// Maximum retry time in a refusal.
+pub(super) const MAX_RETRY_AFTER: Millis = Millis::from_secs(30);
 
-/// A server and its cost for a demand: requests ahead for each slot, weighted.
+/// A server and its cost for a demand: requests ahead per slot, weighted.
 #[derive(Clone, Copy)]
 pub(super) struct Scored {
     pub(super) server: ServerKey,
     pub(super) cost: f64,
-    /// The expected wait before it is read, in milliseconds; zero where it isn't estimated.
+    /// The expected wait before its prefill, in milliseconds; zero if it isn't estimated.
     pub(super) wait: f64,
 }
 
@@ -54,54 +54,61 @@
     ///
     /// # Errors
     ///
-    /// Says why no server can take the request, and when to come back.
+    /// Returns why no server can take the request and when to retry.
     pub fn pick(&mut self, demand: &Demand<'_>, now: Millis) -> Result<Pick, NoServer> {
         self.tick(now);
-        self.check_fresh(now)?;
+        self.check_lease(now)?;
         let Some(pool) = self.pool_of(demand.model) else {
             return Err(self.refusal(Reason::NoModel, now));
         };
         if demand.unique_tokens > 0 {
-            let kept = self.kept(pool, demand, now);
-            let Some(best) = self.soonest(pool, demand, &kept, now) else {
-                return Err(self.none_found(pool, demand, now));
+            let locations = self.locate_prefix(pool, demand, now);
+            let Some(best) = self.earliest_first_token(pool, demand, &locations, now) else {
+                return Err(self.no_server_error(pool, demand, now));
             };
-            self.note_load(demand, best.wait);
+            self.record_wait(demand, best.wait);
             check_wait(&best, demand)?;
-            let reading = self.reading_at(&best, demand, &kept);
-            return Ok(self.start(best.server, pool, demand, &reading, now));
+            let plan = self.plan_prefill(&best, demand, &locations);
+            return Ok(self.start_attempt(best.server, pool, demand, &plan, now));
         }
         let Some(best) = self.sample(pool, demand, now) else {
-            return Err(self.none_found(pool, demand, now));
+            return Err(self.no_server_error(pool, demand, now));
         };
-        let home = self.home(pool, demand);
+        let home = self.prefix_home(pool, demand);
         let home = home.filter(|&home| self.is_eligible(home, demand, now));
-        let near = home.filter(|&home| self.is_near(home, best.server, demand, now));
+        let near =
+            home.filter(|&home| self.is_within_affinity_bound(home, best.server, demand, now));
         let server = near.unwrap_or(best.server);
-        Ok(self.start(server, pool, demand, &Reading::default(), now))
+        Ok(self.start_attempt(server, pool, demand, &PrefillPlan::default(), now))
     }
 
-    /// Takes a slot of the server that another instance chose; `None` where this router knows better: the
-    /// server is gone, leaving, out or full, or was tried.
-    pub fn adopt(&mut self, placed: &Placement, demand: &Demand<'_>, now: Millis) -> Option<Pick> {
+    /// Takes a slot of the server that another instance chose. Returns `None` if this router knows
+    /// that it is unsuitable: the server is unknown, leaving, ejected or full, or was tried
+    /// already.
+    pub fn adopt(
+        &mut self,
+        placement: &Placement,
+        demand: &Demand<'_>,
+        now: Millis,
+    ) -> Option<Pick> {
         self.tick(now);
-        let Placement { server, source, .. } = *placed;
+        let Placement { server, source, .. } = *placement;
         if demand.exclude.contains(&server) || !self.is_allowed(server, demand) {
             return None;
         }
-        let takes = |pool: &usize| self.takes(server, *pool);
-        let wanted = self.pool_of(demand.model).filter(takes);
-        let pool = wanted.or_else(|| Some(ALL).filter(takes))?;
-        let reading = Reading {
-            read: f64::from(placed.prefill_tokens),
+        let accepts = |pool: &usize| self.accepts(server, *pool);
+        let wanted = self.pool_of(demand.model).filter(accepts);
+        let pool = wanted.or_else(|| Some(ALL).filter(accepts))?;
+        let plan = PrefillPlan {
+            prefill_tokens: f64::from(placement.prefill_tokens),
             source: source.filter(|&source| self.is_allowed(source, demand)),
-            wait: placed.wait.0 as f64,
-            told: true,
+            wait: placement.wait.0 as f64,
+            remote: true,
         };
-        Some(self.start(server, pool, demand, &reading, now))
+        Some(self.start_attempt(server, pool, demand, &plan, now))
     }
 
-    /// The cheapest of a few servers drawn at random from those with a free slot.
+    /// Returns the cheapest of a few servers drawn at random from those with a free slot.
     fn sample(&mut self, pool: usize, demand: &Demand<'_>, now: Millis) -> Option<Scored> {
         let open = self.pools[pool].open.len();
         if open == 0 {
@@ -117,11 +124,11 @@
             last = at;
             best = cheaper(best, self.scored(pool, at, demand, now));
         }
-        best.or_else(|| self.first_that_takes(pool, last, demand, now))
+        best.or_else(|| self.first_eligible(pool, last, demand, now))
     }
 
-    /// The first server from `start` on that may be sent the request.
-    fn first_that_takes(
+    /// Returns the first server, starting at index `start`, that is eligible for the request.
+    fn first_eligible(
         &self,
         pool: usize,
         start: usize,
@@ -147,115 +154,122 @@
         Some(Scored { server, cost, wait })
     }
 
-    /// Requests ahead of this one for each of the server's slots, times its slowness.
+    /// The requests ahead of this one per slot of the server, multiplied by its slowness.
     ///
-    /// Own requests are counted by their outstanding tokens, in mean requests. Others' come from
-    /// the last report, which counts with `gain` and decays to the fleet's mean as it ages.
+    /// This instance's own requests are counted by their outstanding tokens, in mean requests. The
+    /// requests of others come from the last report, which is weighted with `gain` and decays to
+    /// the mean of the fleet as it ages.
     fn cost(&self, server: &Server, demand: &Demand<'_>, gain: f64, now: Millis) -> f64 {
-        let usual = self.others.mean();
-        let known = server.others(usual, self.settings.report_ttl, now);
-        let others = usual + gain * (known - usual);
-        let own = server.tokens as f64 / self.volume.mean().max(1.0);
-        let distance = if server.local {
+        let fleet_mean = self.remote_load.mean();
+        let known = server.remote_requests(fleet_mean, self.settings.report_ttl, now);
+        let others = fleet_mean + gain * (known - fleet_mean);
+        let own = server.tokens as f64 / self.request_tokens.mean().max(1.0);
+        let distance = if server.same_zone {
             0.0
         } else {
             self.settings.zone_cost
         };
         let ahead = 1.0 + own + others + distance;
-        ahead * self.doubt(server, demand) / f64::from(server.spec.concurrency.max(1))
+        ahead * self.health_factor(server, demand) / f64::from(server.spec.concurrency.max(1))
     }
 
-    /// How many times dearer a server's slowness and failures make it.
-    pub(super) fn doubt(&self, server: &Server, demand: &Demand<'_>) -> f64 {
+    /// Returns the cost factor for a server's slowness and failures.
+    pub(super) fn health_factor(&self, server: &Server, demand: &Demand<'_>) -> f64 {
         let slowness = server.slowness.mean().exp().clamp(1.0, MAX_SLOWNESS);
-        let strikes = 1.0 + STRIKE_COST * f64::from(server.health.strikes());
+        let failures = 1.0 + FAILURE_COST * f64::from(server.health.failures());
         let trial = server.health.on_trial() && (demand.priority == 0 || !demand.idempotent);
         let caution = if trial { TRIAL_COST } else { 1.0 };
-        slowness * strikes * caution
+        slowness * failures * caution
     }
 
-    /// True if the prefix's home costs little more than the sampled server.
+    /// Returns true if the prefix's home costs little more than the sampled server.
     ///
-    /// Here load reports count in full. All instances send a prefix to the same home, so the load
-    /// that the others put on it isn't the usual one, and this instance's own requests don't show
-    /// it; without the reports, a popular prefix overloads its home.
-    fn is_near(&self, home: ServerKey, best: ServerKey, demand: &Demand<'_>, now: Millis) -> bool {
+    /// Here load reports are fully weighted. All instances send a prefix to the same home, so other
+    /// instances put an unusual load on it that this instance's own requests don't show. Without
+    /// the reports, a popular prefix overloads its home.
+    fn is_within_affinity_bound(
+        &self,
+        home: ServerKey,
+        best: ServerKey,
+        demand: &Demand<'_>,
+        now: Millis,
+    ) -> bool {
         let cost = |key| self.cost(&self.servers[key], demand, 1.0, now);
         cost(home) <= cost(best) * self.settings.affinity_bound
     }
 
-    /// The server that holds the demand's prefix, by a cache event or else by the ring.
-    fn home(&self, pool: usize, demand: &Demand<'_>) -> Option<ServerKey> {
+    /// Returns the server that holds the demand's prefix, by a cache hint or else by the ring.
+    fn prefix_home(&self, pool: usize, demand: &Demand<'_>) -> Option<ServerKey> {
         let prefix = demand.prefix?;
         let mut holders = self.valid_hints(prefix).map(|hint| hint.server);
-        let hinted = holders.find(|&holder| self.takes(holder, pool));
+        let hinted = holders.find(|&holder| self.accepts(holder, pool));
         let ring = &self.pools[pool].ring;
-        let placed = || {
+        let from_ring = || {
             let mut near = ring.walk(prefix).take(RING_STEPS);
-            near.find(|&server| self.takes(server, pool))
+            near.find(|&server| self.accepts(server, pool))
         };
-        let server = hinted.or_else(placed)?;
+        let server = hinted.or_else(from_ring)?;
         (!demand.exclude.contains(&server)).then_some(server)
     }
 
-    pub(super) fn takes(&self, server: ServerKey, pool: usize) -> bool {
+    pub(super) fn accepts(&self, server: ServerKey, pool: usize) -> bool {
         self.servers
             .get(server)
-            .is_some_and(|server| takes_from(server, pool))
+            .is_some_and(|server| has_free_slot(server, pool))
     }
 
-    fn start(
+    fn start_attempt(
         &mut self,
         server: ServerKey,
         pool: usize,
         demand: &Demand<'_>,
-        reading: &Reading,
+        plan: &PrefillPlan,
         now: Millis,
     ) -> Pick {
         let tokens = match demand.tokens {
-            0 => self.volume.mean().max(1.0) as u32,
+            0 => self.request_tokens.mean().max(1.0) as u32,
             known => known,
         };
-        self.volume.add(f64::from(tokens), 0.01);
-        let &Reading {
-            read,
+        self.request_tokens.add(f64::from(tokens), 0.01);
+        let &PrefillPlan {
+            prefill_tokens,
             source,
             wait,
-            told,
-        } = reading;
+            remote,
+        } = plan;
         let attempt = self.attempts.insert(InFlight {
             server,
-            life: self.servers[server].life,
+            generation: self.servers[server].generation,
             pool,
             tokens,
-            read,
-            sure: read <= f64::from(demand.unique_tokens) && source.is_none(),
-            ahead: wait * self.speed.tokens(),
+            prefill_tokens,
+            is_exact: prefill_tokens <= f64::from(demand.unique_tokens) && source.is_none(),
+            tokens_ahead: wait * self.prefill_rate.tokens_per_ms(),
             prefix: demand.prefix,
-            picked: now,
-            waits: now,
-            first: None,
-            sampled: 0,
+            picked_at: now,
+            waiting_since: now,
+            first_byte_at: None,
+            sampled_tokens: 0,
             sampled_at: now,
         });
         let chosen = &mut self.servers[server];
         chosen.in_flight += 1;
         chosen.tokens += u64::from(tokens);
-        if read > 0.0 {
-            let reading = self.speed.reading(read);
-            self.reading.add(reading, READING_ALPHA);
-            let sent = Sent {
+        if prefill_tokens > 0.0 {
+            let prefill_ms = self.prefill_rate.prefill_ms(prefill_tokens);
+            self.prefill_time.add(prefill_ms, PREFILL_TIME_ALPHA);
+            let sent = QueuedPrompt {
                 attempt,
-                reading,
-                ahead: wait,
-                rank: demand.priority,
-                told,
+                prefill_ms,
+                expected_wait: wait,
+                priority: demand.priority,
+                remote,
             };
-            chosen.delay.sent(sent, now);
-            self.note_kept(server, demand.prefix, now);
+            chosen.queue_delay.on_sent(sent, now);
+            self.record_prefix(server, demand.prefix, now);
         }
-        self.note_warming(server, now);
-        self.settle(server);
+        self.record_cold_request(server, now);
+        self.update_slots(server);
         let first_byte_timeout = self.pools[pool].first_byte_timeout(&self.settings);
         Pick {
             server,
@@ -263,13 +277,13 @@
             first_byte_timeout,
             source,
             wait: Millis(wait as u64),
-            prefill_tokens: read as u32,
+            prefill_tokens: prefill_tokens as u32,
         }
     }
 
-    fn none_found(&self, pool: usize, demand: &Demand<'_>, now: Millis) -> NoServer {
+    fn no_server_error(&self, pool: usize, demand: &Demand<'_>, now: Millis) -> NoServer {
         self.cold_refusal(pool, demand, now).unwrap_or_else(|| {
-            let reason = match self.why_none(pool, demand.exclude) {
+            let reason = match self.pool_unavailable_reason(pool, demand.exclude) {
                 Reason::Busy | Reason::Tried if !self.has_region(pool, demand) => Reason::Region,
                 reason => reason,
             };
@@ -277,7 +291,7 @@
         })
     }
 
-    pub(super) fn why_none(&self, pool: usize, exclude: &[ServerKey]) -> Reason {
+    pub(super) fn pool_unavailable_reason(&self, pool: usize, exclude: &[ServerKey]) -> Reason {
         let tried = exclude.iter();
         let tried = tried.filter(|&&server| self.is_usable(server, pool));
         match (self.pools[pool].usable, tried.count()) {
@@ -290,38 +304,39 @@
     pub(super) fn is_usable(&self, server: ServerKey, pool: usize) -> bool {
         let server = self.servers.get(server);
         server.is_some_and(|server| {
-            server.counted.usable && server.members.iter().any(|m| m.pool == pool)
+            server.pool_counts.usable && server.members.iter().any(|m| m.pool == pool)
         })
     }
 
     fn refusal(&self, reason: Reason, now: Millis) -> NoServer {
         let wait = match reason {
             Reason::Busy => {
-                let ends = self.lasting.mean() / self.attempts.len().max(1) as f64;
+                let ends = self.request_duration.mean() / self.attempts.len().max(1) as f64;
                 Millis(ends.ceil() as u64)
             }
             Reason::Out => self
                 .timers
                 .peek()
-                .map_or(MAX_WAIT, |timer| timer.0.0.since(now)),
-            Reason::NoModel => MAX_WAIT,
-            // Told where it is found, from the wait itself.
+                .map_or(MAX_RETRY_AFTER, |timer| timer.0.0.since(now)),
+            Reason::NoModel => MAX_RETRY_AFTER,
+            // `check_wait` sets the actual time from the wait.
             Reason::Late { .. } => self.settings.wake_grace,
-            Reason::Region => MAX_WAIT,
+            Reason::Region => MAX_RETRY_AFTER,
             Reason::Cold | Reason::Tried | Reason::Stale => self.settings.wake_grace,
         };
         NoServer {
             reason,
-            retry_after: wait.max(Millis(1)).min(MAX_WAIT),
+            retry_after: wait.max(Millis(1)).min(MAX_RETRY_AFTER),
         }
     }
 }
 
 /// Refuses a request that would wait longer than its limit at the best server.
 ///
-/// The load it answers: more work than the engines do, for longer than the target. A queue that takes
-/// all of it grows until every answer is late. Bounded by the target, the queue keeps the engines just
-/// as busy, and what they do is on time; the rest is told at once and can come back.
+/// When more work arrives than the engines can do for longer than the target latency, a queue that
+/// accepts all of it grows until every answer is late. A queue bounded by the target keeps the
+/// engines just as busy and their answers in time; the other requests are refused at once and can
+/// be retried.
 fn check_wait(best: &Scored, demand: &Demand<'_>) -> Result<(), NoServer> {
     let Some(limit) = demand.max_wait else {
         return Ok(());
@@ -330,13 +345,14 @@
     if best.wait <= limit {
         return Ok(());
     }
-    // Back when the queue is half as long as it may be: at the limit itself it would be refused again.
+    // Retry when the queue has shrunk to half of its limit. At the limit itself the request would
+    // be refused again.
     let span = Millis((best.wait - limit / 2.0) as u64);
     Err(NoServer {
         reason: Reason::Late {
             wait: Millis(best.wait as u64),
         },
-        retry_after: span.max(LEAST_RETURN).min(MAX_WAIT),
+        retry_after: span.max(MIN_RETRY_AFTER).min(MAX_RETRY_AFTER),
     })
 }
 
@@ -348,6 +364,6 @@
     }
 }
 
-fn takes_from(server: &Server, pool: usize) -> bool {
-    server.counted.free > 0 && server.members.iter().any(|m| m.pool == pool)
+fn has_free_slot(server: &Server, pool: usize) -> bool {
+    server.pool_counts.free > 0 && server.members.iter().any(|m| m.pool == pool)
 }
--- a/crates/routing/src/router/expected.rs
+++ b/crates/routing/src/router/expected.rs
@@ -1,4 +1,4 @@
-//! The choice among engines, by when the answer is expected to begin.
+//! Choice among engines by the expected time to first token.
 
 use crocushold_base::Millis;
 use crocushold_base::ServerKey;
@@ -6,103 +6,112 @@
 
 use super::choice::Scored;
 use super::choice::cheaper;
-use super::kept::Kept;
+use super::prefix::PrefixLocations;
 use crate::router::Demand;
 use crate::router::Router;
 use crate::server::Server;
 
-/// Servers drawn at random from a lane.
-const DRAWN: usize = 8;
+/// Number of servers drawn at random from a lane.
+const SAMPLE_SIZE: usize = 8;
 
-/// What a request that an engine runs adds to the expected time, in milliseconds. It slows each step a
-/// little; mainly it spreads streams evenly where nothing waits.
+/// Cost of a request running on an engine, in milliseconds. It slows each step a little; its main
+/// purpose is to distribute streams evenly while nothing waits.
 const RUNNING_COST: f64 = 1.0;
 
-/// What the way to another availability zone adds, in milliseconds: there and back, and the price of
-/// the bytes.
-const DISTANCE: f64 = 4.0;
+/// Cost of another availability zone, in milliseconds: the round trip and the price of the traffic.
+const ZONE_COST: f64 = 4.0;
 
-/// What a request that waits at an engine adds, by its last report, in mean readings.
+/// Cost of a request that waits at an engine by its last report, in mean prefill times.
 const WAITING_COST: f64 = 1.0;
 
-/// Streams of a server that must have ended before its pauses are gone by.
-const LEAST_STREAMS: u32 = 4;
+/// Number of ended streams that are required before a server's pauses are considered.
+const MIN_STREAMS: u32 = 4;
 
-/// The part of the longest pause that a live stream bears from which on a server's pauses count. Half of its
-/// streams pause for longer than the median.
-const EASY_PART: f64 = 0.85;
+/// Fraction of a live stream's maximum pause above which a server's median pause has a cost. Half
+/// of its streams pause for longer than the median.
+const PAUSE_TOLERANCE: f64 = 0.85;
 
-/// What a server costs a live stream whose usual pauses are all that the stream bears, in milliseconds: more than
-/// the time to the first token that could be gained, as a stream that pauses for too long is late whatever its
-/// first token was.
-const STRAIN_COST: f64 = 300.0;
+/// Cost for a live stream of a server whose median pause reaches the stream's maximum, in
+/// milliseconds. It exceeds any possible gain in time to first token, because a stream with too
+/// long a pause is late whatever its first token was.
+const PAUSE_COST: f64 = 300.0;
 
-/// From which expected time on engines of the other lane are weighed too, in milliseconds.
-const SPILL: f64 = 200.0;
+/// Expected time above which engines of the spill-over lane are considered too, in milliseconds.
+const SPILL_THRESHOLD: f64 = 200.0;
 
 impl Router {
-    /// The engine at which the answer is expected to begin first.
-    pub(super) fn soonest(
+    /// Returns the engine with the earliest expected first token.
+    pub(super) fn earliest_first_token(
         &mut self,
         pool: usize,
         demand: &Demand<'_>,
-        kept: &Kept,
+        locations: &PrefixLocations,
         now: Millis,
     ) -> Option<Scored> {
-        let best = self.soonest_in(pool, demand, kept, 0.0, now);
+        let best = self.earliest_in_pool(pool, demand, locations, 0.0, now);
         let Some(spill) = demand.spill else {
             return best;
         };
-        if best.is_some_and(|best| best.cost < SPILL) {
+        if best.is_some_and(|best| best.cost < SPILL_THRESHOLD) {
             return best;
         }
         let Some(other) = self.pool_of(Some(spill.model)) else {
             return best;
         };
-        let kept = self.kept(other, demand, now);
-        cheaper(best, self.soonest_in(other, demand, &kept, spill.cost, now))
+        let locations = self.locate_prefix(other, demand, now);
+        cheaper(
+            best,
+            self.earliest_in_pool(other, demand, &locations, spill.cost, now),
+        )
     }
 
-    fn soonest_in(
+    fn earliest_in_pool(
         &mut self,
         pool: usize,
         demand: &Demand<'_>,
-        kept: &Kept,
+        locations: &PrefixLocations,
         extra: f64,
         now: Millis,
     ) -> Option<Scored> {
         let mut best = None;
-        for &server in kept.holders.iter().chain(&kept.homes) {
-            if self.takes(server, pool) {
-                best = cheaper(best, self.expect(server, demand, kept, extra, now));
+        for &server in locations.holders.iter().chain(&locations.homes) {
+            if self.accepts(server, pool) {
+                best = cheaper(
+                    best,
+                    self.score_first_token(server, demand, locations, extra, now),
+                );
             }
         }
         let open = self.pools[pool].open.len();
-        let drawn = if demand.central { open } else { DRAWN };
+        let drawn = if demand.central { open } else { SAMPLE_SIZE };
         let start = if open > 0 {
             self.rng.random_range(0..open)
         } else {
             0
         };
         let drawn = drawn + demand.exclude.len();
-        // A stride through the array draws different servers; with few all are drawn.
+        // The stride through the array yields different servers. If there are few, all are drawn.
         for step in 0..open {
-            // It goes on where none of those that were drawn takes the request.
+            // The search continues while none of the drawn servers takes the request.
             if step >= drawn && best.is_some() {
                 break;
             }
             let server = self.pools[pool].open[(start + step) % open].server;
-            best = cheaper(best, self.expect(server, demand, kept, extra, now));
+            best = cheaper(
+                best,
+                self.score_first_token(server, demand, locations, extra, now),
+            );
         }
         best
     }
 
-    /// When an answer of `server` is expected to begin, in milliseconds, weighted by its health.
-    fn expect(
+    /// Returns the expected time to first token at `server`, in milliseconds, weighted by its
+    /// health.
+    fn score_first_token(
         &self,
         server: ServerKey,
         demand: &Demand<'_>,
-        kept: &Kept,
+        locations: &PrefixLocations,
         extra: f64,
         now: Millis,
     ) -> Option<Scored> {
@@ -110,68 +119,75 @@
             return None;
         }
         let state = &self.servers[server];
-        let own = self.speed.reading(f64::from(demand.unique_tokens));
-        let shared = self.cost_of_shared(server, f64::from(demand.prefix_tokens), kept);
+        let own = self
+            .prefill_rate
+            .prefill_ms(f64::from(demand.unique_tokens));
+        let shared = self.prefix_cost(server, f64::from(demand.prefix_tokens), locations);
         let ttl = self.settings.report_ttl;
-        let running = f64::from(state.in_flight) + state.others(self.others.mean(), ttl, now);
-        let queue = state.queued(ttl, now) * WAITING_COST * self.reading.mean();
-        let local = demand
+        let running =
+            f64::from(state.in_flight) + state.remote_requests(self.remote_load.mean(), ttl, now);
+        let queue = state.queue_length(ttl, now) * WAITING_COST * self.prefill_time.mean();
+        let same_zone = demand
             .zone
-            .map_or(state.local, |zone| zone == state.spec.zone);
-        let distance = if local { 0.0 } else { DISTANCE };
-        // All that is read there counts for the choice, also what the request would overtake: its own tokens
-        // come between the pieces of that.
+            .map_or(state.same_zone, |zone| zone == state.spec.zone);
+        let zone_cost = if same_zone { 0.0 } else { ZONE_COST };
+        // All pending prefill counts for the choice, including that of requests which this one
+        // would overtake, because its own tokens are decoded between their prefill chunks.
         let (busy, wait) = if demand.central {
-            let delay = &state.delay;
-            let place = self.wait_for_room(state, demand);
+            let queue_delay = &state.queue_delay;
+            let capacity_wait = self.wait_for_capacity(state, demand);
             (
-                delay.exact(now) + place,
-                delay.ahead_of(demand.priority, now) + place,
+                queue_delay.central_estimate(now) + capacity_wait,
+                queue_delay.wait_at_priority(demand.priority, now) + capacity_wait,
             )
         } else {
-            let busy = state.delay.estimate(now).max(queue);
+            let busy = state.queue_delay.estimate(now).max(queue);
             (busy, busy)
         };
-        let strain = strain(state, demand.max_pause);
-        let expected = strain + busy + own + shared + running * RUNNING_COST + distance;
-        let cost = (expected + 1.0) * self.doubt(state, demand) + extra;
+        let pause_cost = pause_cost(state, demand.max_pause);
+        let expected = pause_cost + busy + own + shared + running * RUNNING_COST + zone_cost;
+        let cost = (expected + 1.0) * self.health_factor(state, demand) + extra;
         Some(Scored { server, cost, wait })
     }
 
-    /// How many tokens an engine reads in a millisecond, as learned from answers.
+    /// Returns the prefill rate of the engines in tokens per millisecond, as learned from answers.
     pub fn prefill_rate(&self) -> f64 {
-        self.speed.tokens()
+        self.prefill_rate.tokens_per_ms()
     }
 
-    /// How long this instance's requests that have no answer yet take to be read at each server that has
-    /// any, in milliseconds.
+    /// Returns the prefill time of this instance's unanswered requests at each server that has any,
+    /// in milliseconds.
     pub fn pending_prefill(&self) -> impl Iterator<Item = (ServerKey, f64)> {
         let pending = self
             .servers
             .iter()
-            .map(|(key, server)| (key, server.delay.pending()));
-        pending.filter(|(_, reading)| *reading > 0.0)
+            .map(|(key, server)| (key, server.queue_delay.pending()));
+        pending.filter(|(_, prefill_ms)| *prefill_ms > 0.0)
     }
 
-    /// Takes in how much other instances have waiting at a server, in milliseconds of reading, from now
-    /// on until the next call.
-    pub fn set_remote_pending(&mut self, server: ServerKey, reading: f64) {
+    /// Sets the prefill time of other instances' pending requests at a server, in milliseconds,
+    /// until the next call.
+    pub fn set_remote_pending(&mut self, server: ServerKey, prefill_ms: f64) {
         if let Some(server) = self.servers.get_mut(server) {
-            server.delay.take_others(reading);
+            server.queue_delay.set_remote_pending(prefill_ms);
         }
     }
 }
 
-/// What the server's usual pauses cost a stream that bears `pause`, in milliseconds.
+/// Returns the cost of the server's usual pauses for a stream that tolerates `max_pause`, in
+/// milliseconds.
 ///
-/// The load it answers: live streams beside prompts on engines of two kinds. On a third of them an event came
-/// after 123 ms in the middle, on the others after 95, where 120 are borne.
-fn strain(server: &Server, pause: Option<Millis>) -> f64 {
-    let known = server.pauses.filter(|seen| seen.samples() >= LEAST_STREAMS);
-    let (Some(pause), Some(seen)) = (pause, known) else {
+/// This matters for live streams beside prompts on engines of two kinds. In one such fleet the
+/// median gap between events was 123 ms on a third of the engines and 95 ms on the others, where
+/// 120 ms were tolerated.
+fn pause_cost(server: &Server, max_pause: Option<Millis>) -> f64 {
+    let known = server
+        .median_pause
+        .filter(|observed| observed.samples() >= MIN_STREAMS);
+    let (Some(max_pause), Some(observed)) = (max_pause, known) else {
         return 0.0;
     };
-    let part = seen.get() / pause.0.max(1) as f64;
-    let over = (part - EASY_PART) / (1.0 - EASY_PART);
-    STRAIN_COST * over.clamp(0.0, 1.0)
+    let ratio = observed.value() / max_pause.0.max(1) as f64;
+    let excess = (ratio - PAUSE_TOLERANCE) / (1.0 - PAUSE_TOLERANCE);
+    PAUSE_COST * excess.clamp(0.0, 1.0)
 }
--- a/crates/routing/src/router/feedback.rs
+++ b/crates/routing/src/router/feedback.rs
@@ -1,4 +1,4 @@
-//! What the attempts, the engines' reports and their cache events tell.
+//! Feedback from attempts, load reports and cache events.
 
 use std::cmp::Reverse;
 
@@ -10,94 +10,95 @@
 use crate::cache::Hint;
 use crate::health::Fault;
 use crate::health::Health;
-use crate::health::Kind;
-use crate::health::Sample;
+use crate::health::SampleKind;
+use crate::health::SpeedSample;
 use crate::health::Verdict;
 use crate::pool::SERVER_ALPHA;
 use crate::router::AttemptKey;
 use crate::router::Outcome;
 use crate::router::Router;
 use crate::router::types::InFlight;
+use crate::server::LeftoverGaps;
 use crate::server::LoadReport;
-use crate::server::Rest;
 use crate::stats::Median;
 
-/// Tokens between two samples of a stream's pace; fewer measure the network's jitter.
-const PACE_TOKENS: u32 = 16;
+/// Number of tokens between two samples of a stream's time per token. Fewer tokens measure network
+/// jitter.
+const SAMPLE_TOKENS: u32 = 16;
 
-/// The greatest logarithm of a ratio of paces that one sample may tell; twelvefold.
-const MAX_RATIO: f64 = 2.5;
+/// Maximum log ratio of speeds in one sample; a factor of twelve.
+const MAX_LOG_RATIO: f64 = 2.5;
 
 impl Router {
-    /// The attempt has a connection; the wait for a first byte counts from here. False when the
-    /// attempt isn't known, as of the other events.
+    /// Records that the attempt has a connection; its wait for a first byte starts here. Returns
+    /// false if the attempt is unknown, as do the methods for the other events.
     pub fn connected(&mut self, attempt: AttemptKey, now: Millis) -> bool {
-        self.notice_gap(now);
+        self.detect_suspension(now);
         let flight = self.attempts.get_mut(attempt);
-        flight.map(|flight| flight.waits = now).is_some()
+        flight.map(|flight| flight.waiting_since = now).is_some()
     }
 
-    /// The first byte of an answer came.
+    /// Records the first byte of an answer.
     pub fn first_byte(&mut self, attempt: AttemptKey, now: Millis) -> bool {
-        self.notice_gap(now);
+        self.detect_suspension(now);
         let Some(flight) = self.attempts.get_mut(attempt) else {
             return false;
         };
-        if flight.first.is_some() {
+        if flight.first_byte_at.is_some() {
             return true;
         }
-        flight.first = Some(now);
+        flight.first_byte_at = Some(now);
         flight.sampled_at = now;
         let flight = *flight;
-        if self.is_stale(&flight) {
+        if self.is_from_old_process(&flight) {
             return true;
         }
-        self.note_wait(attempt, &flight, now);
-        if flight.picked >= self.woke {
-            self.judge_first(&flight, now);
+        self.record_prefill_wait(attempt, &flight, now);
+        if flight.picked_at >= self.resumed_at {
+            self.record_first_byte_time(&flight, now);
         }
         true
     }
 
-    /// `tokens` of the answer have come so far.
+    /// Records that `tokens` tokens of the answer have arrived so far.
     pub fn progress(&mut self, attempt: AttemptKey, tokens: u32, now: Millis) -> bool {
-        self.notice_gap(now);
+        self.detect_suspension(now);
         let Some(flight) = self.attempts.get_mut(attempt) else {
             return false;
         };
-        let fresh = tokens.saturating_sub(flight.sampled);
-        if flight.first.is_none() || fresh < PACE_TOKENS {
+        let fresh = tokens.saturating_sub(flight.sampled_tokens);
+        if flight.first_byte_at.is_none() || fresh < SAMPLE_TOKENS {
             return true;
         }
         let span = now.since(flight.sampled_at);
-        let trusted = flight.sampled_at >= self.woke;
-        flight.sampled = tokens;
+        let trusted = flight.sampled_at >= self.resumed_at;
+        flight.sampled_tokens = tokens;
         flight.sampled_at = now;
         let flight = *flight;
-        if trusted && !self.is_stale(&flight) {
-            self.pace(&flight, span.0 as f64 / f64::from(fresh), now);
+        if trusted && !self.is_from_old_process(&flight) {
+            self.record_token_time(&flight, span.0 as f64 / f64::from(fresh), now);
         }
         true
     }
 
-    /// The longest pause of the attempt's stream is known.
+    /// Records the longest pause of the attempt's stream.
     pub fn record_longest_pause(&mut self, attempt: AttemptKey, longest: Millis) {
         let Some(flight) = self.attempts.get(attempt).copied() else {
             return;
         };
-        if self.is_stale(&flight) {
+        if self.is_from_old_process(&flight) {
             return;
         }
         if let Some(server) = self.servers.get_mut(flight.server) {
             let sample = longest.0.max(1) as f64;
             server
-                .pauses
-                .get_or_insert(Median::from(sample))
+                .median_pause
+                .get_or_insert(Median::with_initial(sample))
                 .add(sample);
         }
     }
 
-    /// The attempt ended after `tokens` of an answer; its slot is free again.
+    /// Records the end of the attempt after `tokens` tokens of an answer and frees its slot.
     pub fn done(
         &mut self,
         attempt: AttemptKey,
@@ -109,46 +110,47 @@
         let Some(flight) = self.attempts.remove(attempt) else {
             return false;
         };
-        if self.is_stale(&flight) {
-            self.finish(&flight);
+        if self.is_from_old_process(&flight) {
+            self.release_slot(&flight);
             return true;
         }
         if outcome == Outcome::Complete {
-            self.lasting.add(now.since(flight.picked).0 as f64, 0.05);
-            self.judge_answer(&flight, tokens, now);
+            self.request_duration
+                .add(now.since(flight.picked_at).0 as f64, 0.05);
+            self.record_answer_speed(&flight, tokens, now);
         }
         if let Some(server) = self.servers.get_mut(flight.server) {
-            server.delay.ended(attempt);
+            server.queue_delay.on_end(attempt);
             if outcome == Outcome::Overloaded {
-                server.delay.rejected(now);
+                server.queue_delay.on_rejection(now);
             }
         }
-        self.finish(&flight);
-        self.judge_outcome(&flight, outcome, now);
+        self.release_slot(&flight);
+        self.apply_outcome(&flight, outcome, now);
         true
     }
 
-    /// Takes in a server's load report.
+    /// Records a server's load report.
     pub fn load_report(&mut self, server: ServerKey, report: LoadReport, now: Millis) {
-        self.notice_gap(now);
+        self.detect_suspension(now);
         let alpha = 1.0 / self.present.max(1) as f64;
         if let Some(state) = self.servers.get_mut(server) {
-            let others = state.take_report(report, now);
-            self.others.add(others, alpha);
+            let others = state.record_report(report, now);
+            self.remote_load.add(others, alpha);
         }
-        self.settle(server);
+        self.update_slots(server);
     }
 
-    /// Takes in a report that comes too rarely to choose by: it only says whether a borrowed server
-    /// has a free slot.
+    /// Records a report that is too infrequent for the choice. It is used only to tell whether a
+    /// borrowed server has a free slot.
     pub fn record_occupancy(&mut self, server: ServerKey, report: LoadReport) {
         if let Some(state) = self.servers.get_mut(server) {
-            state.take_occupancy(report);
+            state.update_occupancy(report);
         }
-        self.settle(server);
+        self.update_slots(server);
     }
 
-    /// Takes in a cache event of a server.
+    /// Records a cache event of a server.
     pub fn cache_event(&mut self, server: ServerKey, event: CacheEvent) {
         let Some(state) = self.servers.get_mut(server) else {
             return;
@@ -159,7 +161,7 @@
         let epoch = state.cursor.epoch();
         match event.change {
             CacheChange::Stored => {
-                // It says that the server holds it, not since when.
+                // The event shows that the server holds the prefix, but not since when.
                 let since = Millis::ZERO;
                 let hint = Hint {
                     server,
@@ -172,18 +174,21 @@
         }
     }
 
-    /// A server's cache events start anew, as after its restart: earlier hints are void.
+    /// Records that a server's cache events restarted, as after a restart of the server. Earlier
+    /// hints become invalid.
     pub fn cache_restart(&mut self, server: ServerKey) {
         if let Some(state) = self.servers.get_mut(server) {
             state.cursor.restart();
         }
     }
 
-    /// The server's process has started anew under its name: what was learned of it is void.
+    /// Records that the server's process restarted under its name, which invalidates what was
+    /// learned about it.
     ///
-    /// Kept, its hints would draw prompts to an empty cache, its strikes keep a sound process out, and
-    /// the wait that was seen last send requests away from an idle one. Attempts that are under way belong to
-    /// the process before; their ends free their slots and tell nothing of this one.
+    /// Otherwise old hints would attract prompts to an empty cache, old failures would keep a
+    /// healthy process ejected, and the last observed wait would send requests away from an idle
+    /// server. Attempts in flight belong to the previous process; their ends free their slots but
+    /// aren't evidence about the new one.
     pub fn server_restarted(&mut self, server: ServerKey) {
         let Some(state) = self.servers.get_mut(server) else {
             return;
@@ -192,47 +197,48 @@
         self.change_health(server, |health| *health = Health::default());
     }
 
-    /// Takes in how long an engine took to begin an answer, and that it keeps the prompt now.
-    fn note_wait(&mut self, attempt: AttemptKey, flight: &InFlight, now: Millis) {
+    /// Records how long an engine took to begin an answer, and that it now has the prompt cached.
+    fn record_prefill_wait(&mut self, attempt: AttemptKey, flight: &InFlight, now: Millis) {
         let Some(server) = self.servers.get_mut(flight.server) else {
             return;
         };
-        if let Some(span) = server.delay.answered(attempt, now)
-            && flight.picked >= self.woke
-            && flight.sure
+        if let Some(span) = server.queue_delay.on_first_byte(attempt, now)
+            && flight.picked_at >= self.resumed_at
+            && flight.is_exact
         {
-            self.speed.sample(flight.read, flight.ahead, span);
+            self.prefill_rate
+                .add_sample(flight.prefill_tokens, flight.tokens_ahead, span);
         }
-        if flight.read > 0.0 {
-            self.note_kept(flight.server, flight.prefix, flight.picked);
+        if flight.prefill_tokens > 0.0 {
+            self.record_prefix(flight.server, flight.prefix, flight.picked_at);
         }
     }
 
-    /// Whether the attempt went to a process that has ended since: its server has started anew.
-    fn is_stale(&self, flight: &InFlight) -> bool {
+    /// Returns whether the attempt was sent to a previous process of its server.
+    fn is_from_old_process(&self, flight: &InFlight) -> bool {
         let server = self.servers.get(flight.server);
-        server.is_some_and(|server| server.life != flight.life)
+        server.is_some_and(|server| server.generation != flight.generation)
     }
 
-    /// Frees the slot; forgets a removed server with its last attempt.
-    fn finish(&mut self, flight: &InFlight) {
+    /// Frees the slot. Forgets a removed server with its last attempt.
+    fn release_slot(&mut self, flight: &InFlight) {
         let key = flight.server;
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
         server.in_flight = server.in_flight.saturating_sub(1);
         server.tokens = server.tokens.saturating_sub(u64::from(flight.tokens));
-        let over = server.departure == Some(crate::server::Departure::Removed);
-        if over && server.in_flight == 0 {
+        let removed = server.departure == Some(crate::server::Departure::Removed);
+        if removed && server.in_flight == 0 {
             self.servers.remove(key);
             return;
         }
-        self.settle(key);
+        self.update_slots(key);
     }
 
-    fn judge_outcome(&mut self, flight: &InFlight, outcome: Outcome, now: Millis) {
+    fn apply_outcome(&mut self, flight: &InFlight, outcome: Outcome, now: Millis) {
         let fault = match outcome {
-            Outcome::Complete => return self.succeed(flight.server),
+            Outcome::Complete => return self.record_success(flight.server),
             Outcome::Cancelled => return,
             Outcome::Overloaded => Fault::Overloaded,
             Outcome::Refused => return self.eject(flight.server, Fault::Refused, now),
@@ -241,122 +247,138 @@
             Outcome::TimedOut => Fault::Hung,
         };
         let late = matches!(outcome, Outcome::TimedOut | Outcome::Unreachable);
-        if late && flight.picked < self.woke {
+        if late && flight.picked_at < self.resumed_at {
             return;
         }
-        self.strike(flight, fault, now);
+        self.record_failure(flight, fault, now);
     }
 
-    fn succeed(&mut self, key: ServerKey) {
+    fn record_success(&mut self, key: ServerKey) {
         let Some(share) = self.servers.get(key).map(|server| server.share) else {
             return;
         };
-        self.change_health(key, |health| health.succeed(share));
+        self.change_health(key, |health| health.record_success(share));
     }
 
-    fn strike(&mut self, flight: &InFlight, fault: Fault, now: Millis) {
+    fn record_failure(&mut self, flight: &InFlight, fault: Fault, now: Millis) {
         let key = flight.server;
         let settings = self.settings.health.clone();
         let mut verdict = Verdict::Keep;
-        let mut memory = None;
+        let mut expiry = None;
         let in_flight = self.servers.get(key).map_or(0, |server| server.in_flight);
         self.change_health(key, |health| {
-            let before = health.strikes();
-            verdict = health.strike(&settings, now);
-            memory = health.memory_ends(&settings).filter(|_| before == 0);
-            if fault == Fault::Overloaded && health.strikes() > before {
-                health.back_off(in_flight);
+            let before = health.failures();
+            verdict = health.record_failure(&settings, now);
+            expiry = health.failure_expires(&settings).filter(|_| before == 0);
+            if fault == Fault::Overloaded && health.failures() > before {
+                health.halve_limit(in_flight);
             }
         });
-        if let Some(due) = memory {
+        if let Some(due) = expiry {
             self.timers.push(Reverse((due, key)));
         }
-        // When all time out together, the estimate behind the timeout is what is wrong: without
-        // this sample it would never learn that answers take longer now.
+        // When most servers time out together, the timeout's estimate is wrong. Without this sample
+        // it would never learn that answers now take longer.
         if fault == Fault::Hung && self.suspects * 2 > self.present {
-            let span = now.since(flight.waits);
-            self.pools[flight.pool].first_byte(span);
+            let span = now.since(flight.waiting_since);
+            self.pools[flight.pool].record_first_byte(span);
         }
         if verdict == Verdict::Eject {
             self.eject(key, fault, now);
         }
     }
 
-    fn judge_first(&mut self, flight: &InFlight, now: Millis) {
-        let span = now.since(flight.waits);
+    fn record_first_byte_time(&mut self, flight: &InFlight, now: Millis) {
+        let span = now.since(flight.waiting_since);
         let pool = &mut self.pools[flight.pool];
-        let usual = pool.is_usual(span);
-        pool.first_byte(span);
+        let typical = pool.is_typical(span);
+        pool.record_first_byte(span);
         let server = self.servers.get(flight.server);
-        if let (true, Some(share)) = (usual, server.map(|server| server.share)) {
-            self.change_health(flight.server, |health| health.begin(share));
+        if let (true, Some(share)) = (typical, server.map(|server| server.share)) {
+            self.change_health(flight.server, |health| health.record_first_byte(share));
         }
     }
 
-    /// Takes the rest of the pace from an answer that has ended.
+    /// Takes the remaining speed sample from an ended answer.
     ///
-    /// Streams too short for a sample add up to one. An answer that wasn't streamed, or has no gap
-    /// between tokens, is compared with others of its size as a whole: else a server that only gets
-    /// such requests could never be seen to be slow.
-    fn judge_answer(&mut self, flight: &InFlight, tokens: u32, now: Millis) {
-        if flight.picked < self.woke {
+    /// The gaps of streams too short for a sample are accumulated. An answer that wasn't streamed,
+    /// or has no gap between tokens, is compared as a whole with others of its size. Otherwise a
+    /// server that only gets such requests could never be detected as slow.
+    fn record_answer_speed(&mut self, flight: &InFlight, tokens: u32, now: Millis) {
+        if flight.picked_at < self.resumed_at {
             return;
         }
-        if flight.first.is_none() || tokens <= 1 {
-            return self.judge_whole(flight, tokens, now);
+        if flight.first_byte_at.is_none() || tokens <= 1 {
+            return self.record_answer_time(flight, tokens, now);
         }
-        // The first token came with the first byte, before any gap.
-        let gaps = tokens.saturating_sub(flight.sampled.max(1));
+        // The first token arrived with the first byte, before any gap.
+        let gaps = tokens.saturating_sub(flight.sampled_tokens.max(1));
         let span = now.since(flight.sampled_at);
-        if let Some(rest) = self.gather(flight, gaps, span) {
-            self.pace(flight, rest.span.0 as f64 / f64::from(rest.gaps), now);
+        if let Some(leftover) = self.accumulate_gaps(flight, gaps, span) {
+            self.record_token_time(
+                flight,
+                leftover.span.0 as f64 / f64::from(leftover.gaps),
+                now,
+            );
         }
     }
 
-    fn judge_whole(&mut self, flight: &InFlight, tokens: u32, now: Millis) {
-        // Behind a queue inside the server the time tells its load: ejecting it would push that
-        // onto its peers.
+    fn record_answer_time(&mut self, flight: &InFlight, tokens: u32, now: Millis) {
+        // With a queue inside the server, the time measures its load. Ejecting it would move that
+        // load to its peers.
         let ttl = self.settings.report_ttl;
         let server = self.servers.get(flight.server);
-        if server.is_some_and(|server| server.queues(ttl, now)) {
+        if server.is_some_and(|server| server.has_queue(ttl, now)) {
             return;
         }
-        let span = now.since(flight.waits).0 as f64;
-        let ratio = self.pools[flight.pool].whole(flight.tokens, tokens, span);
-        self.judge_speed(flight, Kind::Whole, ratio, now);
+        let span = now.since(flight.waiting_since).0 as f64;
+        let log_ratio = self.pools[flight.pool].record_answer_time(flight.tokens, tokens, span);
+        self.apply_speed_sample(flight, SampleKind::WholeAnswer, log_ratio, now);
     }
 
-    /// Adds gaps to the server's rest; returns it, and starts anew, when it is enough for a sample.
-    fn gather(&mut self, flight: &InFlight, gaps: u32, span: Millis) -> Option<Rest> {
+    /// Adds gaps to the server's leftover gaps. Returns and resets them when they are enough for a
+    /// sample.
+    fn accumulate_gaps(
+        &mut self,
+        flight: &InFlight,
+        gaps: u32,
+        span: Millis,
+    ) -> Option<LeftoverGaps> {
         let server = self.servers.get_mut(flight.server)?;
         let mut members = server.members.iter_mut();
-        let rest = &mut members.find(|member| member.pool == flight.pool)?.rest;
-        rest.gaps += gaps;
-        rest.span += span;
-        (rest.gaps >= PACE_TOKENS).then(|| std::mem::take(rest))
+        let leftover = &mut members.find(|member| member.pool == flight.pool)?.leftover;
+        leftover.gaps += gaps;
+        leftover.span += span;
+        (leftover.gaps >= SAMPLE_TOKENS).then(|| std::mem::take(leftover))
     }
 
-    /// Takes in the time for each token, in milliseconds.
-    fn pace(&mut self, flight: &InFlight, sample: f64, now: Millis) {
-        let ratio = self.pools[flight.pool].pace(sample);
-        self.judge_speed(flight, Kind::Pace, ratio, now);
+    /// Records a time per token, in milliseconds.
+    fn record_token_time(&mut self, flight: &InFlight, sample: f64, now: Millis) {
+        let log_ratio = self.pools[flight.pool].record_token_time(sample);
+        self.apply_speed_sample(flight, SampleKind::TokenTime, log_ratio, now);
     }
 
-    /// Takes in a sample relative to the peers', as a logarithm; none while too little is known.
-    fn judge_speed(&mut self, flight: &InFlight, kind: Kind, ratio: Option<f64>, now: Millis) {
-        let Some(ratio) = ratio else {
+    /// Records a speed sample relative to the peers, as a logarithm; `None` if too little is known.
+    fn apply_speed_sample(
+        &mut self,
+        flight: &InFlight,
+        kind: SampleKind,
+        log_ratio: Option<f64>,
+        now: Millis,
+    ) {
+        let Some(log_ratio) = log_ratio else {
             return;
         };
         let Some(server) = self.servers.get_mut(flight.server) else {
             return;
         };
-        // Bounded, so that a server that was stuck once forgets it in a few samples.
-        let bounded = ratio.clamp(-MAX_RATIO, MAX_RATIO);
+        // The ratio is bounded so that a server that was stuck once recovers within a few samples.
+        let bounded = log_ratio.clamp(-MAX_LOG_RATIO, MAX_LOG_RATIO);
         server.slowness.add(bounded, SERVER_ALPHA);
         let settings = self.settings.health.clone();
         let mut verdict = Verdict::Keep;
         self.change_health(flight.server, |health| {
-            verdict = health.speed(&settings, Sample { kind, ratio }, now);
+            verdict = health.record_speed(&settings, SpeedSample { kind, log_ratio }, now);
         });
         if verdict == Verdict::Eject {
             self.eject(flight.server, Fault::Straggling, now);
--- a/crates/routing/src/router/instance_list.rs
+++ b/crates/routing/src/router/instance_list.rs
@@ -1,4 +1,4 @@
-//! The instance list, and how far what is known may still be acted on.
+//! The instance list, and how long it may be acted on.
 
 use crocushold_base::Millis;
 use crocushold_base::ServerKey;
@@ -12,80 +12,82 @@
 use crate::router::Router;
 use crate::server::Departure;
 
-/// How far the held instance list may be acted on.
+/// Whether the current instance list may be acted on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Freshness {
-    /// No list was ever given: the servers come from the configuration alone.
-    Untold,
-    /// A read ended then, with a list or without.
+    /// No list was ever provided; the servers come from the configuration alone.
+    NoList,
+    /// A read ended at this time, with or without a list.
     Read { at: Millis },
-    /// The lease was found expired then; picks wait for a read.
-    Waiting { since: Millis },
-    /// No read ended in the grace; servers are tried one request at a time.
-    Trying,
+    /// The lease was found expired at this time; picks wait for a read.
+    AwaitingRead { since: Millis },
+    /// No read ended within the grace period; servers are tried with one request at a time.
+    Probing,
 }
 
 impl Router {
-    /// Takes in a reading of the instance list.
+    /// Applies a snapshot of the instance list.
     ///
-    /// A server that it calls leaving gets no new work from now on. One that vanished from a sane
-    /// list counts as leaving too. An empty list, or one that lacks over half of the servers, is
-    /// suspect: the list lags and can be empty, and a service that stops at an empty list has no
-    /// other fault. If the servers really are gone, their refused connections say so.
+    /// A server listed as leaving gets no new requests from now on. A server that vanished from a
+    /// valid list counts as leaving too. A list that is empty or lacks over half of the servers is
+    /// suspect, because the list lags and can be empty by mistake, and acting on it would cause an
+    /// outage of a service without any other fault. If the servers are really gone, they refuse
+    /// connections.
     pub fn instance_list(&mut self, list: &ListSnapshot, now: Millis) -> ListVerdict {
-        let lapsed = !self.held(now);
-        self.notice_gap(now);
-        if list.revision < self.revision && !self.restarted(now) {
+        let expired = !self.lease_valid(now);
+        self.detect_suspension(now);
+        if list.revision < self.revision && !self.revisions_restarted(now) {
             self.list_unavailable(now);
             return ListVerdict::Outdated;
         }
-        self.outdated = None;
+        self.outdated_since = None;
         self.revision = list.revision;
-        let verdict = self.apply(list);
-        if lapsed && verdict == ListVerdict::Suspect {
-            self.distrust();
+        let verdict = self.apply_list(list);
+        if expired && verdict == ListVerdict::Suspect {
+            self.limit_to_probes();
         }
         self.freshness = Freshness::Read { at: now };
         self.recount(now);
         verdict
     }
 
-    /// True when the revisions have been lower than one already seen for so long that the service
-    /// must have restarted its count. Before, a replica that lags would undo a leaving.
-    fn restarted(&mut self, now: Millis) -> bool {
-        let since = *self.outdated.get_or_insert(now);
+    /// Returns true if the revisions have been lower than one already seen for so long that the
+    /// list service must have restarted its count. If they were accepted earlier, a lagging replica
+    /// would undo a leave.
+    fn revisions_restarted(&mut self, now: Millis) -> bool {
+        let since = *self.outdated_since.get_or_insert(now);
         now.since(since) >= self.settings.list_reset
     }
 
-    /// Says that a read of the instance list ended without one.
+    /// Reports that a read of the instance list ended without a list.
     ///
-    /// While the process was awake, the list held last stays in force however long the service is
-    /// down. After a late wake it is older than its lease: servers are then tried one request at a
-    /// time.
+    /// While the process was running, the last list remains in force however long the list service
+    /// is down. After the process was suspended, the list is older than its lease, and servers are
+    /// then tried with one request at a time.
     pub fn list_unavailable(&mut self, now: Millis) {
-        self.notice_gap(now);
-        if !self.held(now) {
-            self.distrust();
+        self.detect_suspension(now);
+        if !self.lease_valid(now) {
+            self.limit_to_probes();
         }
-        self.renew(now);
+        self.renew_lease(now);
         self.recount(now);
     }
 
-    /// Refuses a pick while the held list is past its lease.
+    /// Refuses a pick while the lease of the current list is expired.
     ///
-    /// The failure: a process stopped for a minute wakes and sends requests to servers that have
-    /// shut down since, or whose address has another owner. Waiting for the next read, which is a
-    /// second away at most, is cheaper than either; when no read ends within the grace, carefully
-    /// trying beats refusing all.
-    pub(super) fn check_fresh(&mut self, now: Millis) -> Result<(), NoServer> {
-        if self.held(now) || self.freshness == Freshness::Trying {
+    /// A process that was suspended for a minute would otherwise send requests to servers that have
+    /// shut down since or whose address has another owner. Waiting for the next read, at most a
+    /// second, costs less than either. If no read ends within the grace period, careful probing is
+    /// better than refusing everything.
+    pub(super) fn check_lease(&mut self, now: Millis) -> Result<(), NoServer> {
+        if self.lease_valid(now) || self.freshness == Freshness::Probing {
             return Ok(());
         }
         let since = match self.freshness {
-            Freshness::Waiting { since } => since,
+            Freshness::AwaitingRead { since } => since,
             _ => now,
         };
-        self.freshness = Freshness::Waiting { since };
+        self.freshness = Freshness::AwaitingRead { since };
         let waited = now.since(since);
         let grace = self.settings.wake_grace;
         if waited < grace {
@@ -96,52 +98,53 @@
                 retry_after,
             });
         }
-        self.distrust();
-        self.freshness = Freshness::Trying;
+        self.limit_to_probes();
+        self.freshness = Freshness::Probing;
         self.recount(now);
         Ok(())
     }
 
-    /// Notes a gap between two calls, which means that the process was stopped.
+    /// Detects a gap between two calls, which means that the process was suspended.
     ///
-    /// Time-outs that end then say nothing about the servers: their answers may lie unread in the
-    /// sockets' buffers. Without this, a process that wakes ejects every server it was waiting for.
-    pub(super) fn notice_gap(&mut self, now: Millis) {
-        if self.called != Millis::ZERO && now.since(self.called) > self.settings.wake_gap {
-            self.woke = now;
+    /// Timeouts that expire then aren't evidence against the servers, since their answers may be
+    /// unread in the socket buffers. Without this, a resumed process ejects every server that it
+    /// was waiting for.
+    pub(super) fn detect_suspension(&mut self, now: Millis) {
+        if self.last_call != Millis::ZERO && now.since(self.last_call) > self.settings.wake_gap {
+            self.resumed_at = now;
         }
-        self.called = self.called.max(now);
+        self.last_call = self.last_call.max(now);
     }
 
-    fn held(&self, now: Millis) -> bool {
+    fn lease_valid(&self, now: Millis) -> bool {
         match self.freshness {
-            Freshness::Untold => true,
+            Freshness::NoList => true,
             Freshness::Read { at } => now.since(at) <= self.settings.list_lease,
-            Freshness::Waiting { .. } | Freshness::Trying => false,
+            Freshness::AwaitingRead { .. } | Freshness::Probing => false,
         }
     }
 
-    fn renew(&mut self, now: Millis) {
-        if self.freshness != Freshness::Untold {
+    fn renew_lease(&mut self, now: Millis) {
+        if self.freshness != Freshness::NoList {
             self.freshness = Freshness::Read { at: now };
         }
     }
 
     /// Limits every server to one request at a time until it has answered one.
-    fn distrust(&mut self) {
+    fn limit_to_probes(&mut self) {
         for server in self.servers.values_mut() {
             if !server.health.is_out() {
-                server.health.probe();
+                server.health.start_recovery();
             }
         }
     }
 
-    fn apply(&mut self, list: &ListSnapshot) -> ListVerdict {
+    fn apply_list(&mut self, list: &ListSnapshot) -> ListVerdict {
         let mut named: SecondaryMap<ServerKey, Presence> = SecondaryMap::new();
         for listed in &list.servers {
             named.insert(listed.server, listed.presence);
         }
-        let verdict = self.judge(&named);
+        let verdict = self.assess_list(&named);
         if verdict == ListVerdict::Accepted {
             self.leaving.clear();
         }
@@ -161,9 +164,10 @@
                 (_, ListVerdict::Suspect) => {}
                 (None, _) => server.departure = Some(Departure::Vanished),
                 (Some(Presence::Live), _) if server.departure == Some(Departure::Leaving) => {
-                    // It was restarted under its old address: cold, so it gets its share slowly.
+                    // It was restarted at its old address, so it is cold and gets its share
+                    // gradually.
                     server.departure = None;
-                    server.health.probe();
+                    server.health.start_recovery();
                     server.cursor.restart();
                 }
                 (Some(Presence::Live), _) => server.departure = None,
@@ -172,8 +176,8 @@
         verdict
     }
 
-    /// A list is judged by what it lacks: a server that it calls leaving isn't lacking.
-    fn judge(&self, named: &SecondaryMap<ServerKey, Presence>) -> ListVerdict {
+    /// Assesses a list by the servers that it lacks. A server listed as leaving isn't lacking.
+    fn assess_list(&self, named: &SecondaryMap<ServerKey, Presence>) -> ListVerdict {
         let present = self.servers.iter().filter(|(_, s)| s.departure.is_none());
         let lacking = present.filter(|(key, _)| !named.contains_key(*key)).count();
         if named.is_empty() || lacking * 2 > self.present {
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -1,15 +1,15 @@
-//! The router: one service's servers as one entry instance sees them.
+//! The router: the servers of one service from the view of one entry instance.
 
+mod capacity;
 mod choice;
+mod cold;
 mod expected;
 mod feedback;
-mod kept;
-mod listing;
+mod instance_list;
 mod placement;
-mod room;
+mod prefix;
 mod slots;
 mod types;
-mod warming;
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -22,8 +22,8 @@
 use slotmap::SecondaryMap;
 use slotmap::SlotMap;
 
-use self::listing::Freshness;
-pub use self::room::EngineCapacity;
+pub use self::capacity::EngineCapacity;
+use self::instance_list::Freshness;
 pub use self::types::AttemptKey;
 pub use self::types::Demand;
 use self::types::InFlight;
@@ -34,20 +34,20 @@
 pub use self::types::Reason;
 pub use self::types::Spill;
 use crate::cache::Hints;
-use crate::delay::Speed;
 use crate::pool::Pool;
+use crate::queue_delay::PrefillRate;
 use crate::server::Allotment;
-use crate::server::Counted;
 use crate::server::Departure;
 use crate::server::Member;
 use crate::server::Server;
 use crate::server::ServerSpec;
 use crate::server::Share;
+use crate::server::SlotCounts;
 use crate::server::Standing;
 use crate::settings::Settings;
 use crate::stats::Ewma;
 
-/// The pool of all servers, for demands that name no model.
+/// The pool of all servers, for demands without a model.
 const ALL: usize = 0;
 
 /// Chooses servers for one service on one entry instance.
@@ -57,7 +57,7 @@
     zone: String,
     rng: Xoshiro256PlusPlus,
     share: Share,
-    /// Where they differ from the share.
+    /// Allotments that differ from the share.
     allotments: SecondaryMap<ServerKey, Allotment>,
     servers: SecondaryMap<ServerKey, Server>,
     pools: Vec<Pool>,
@@ -68,41 +68,41 @@
     freshness: Freshness,
     revision: u64,
     /// Since when the list's revisions have been lower than one already seen.
-    outdated: Option<Millis>,
-    /// Servers that the list called leaving, those that aren't configured included: one that is
-    /// configured again must not take work until a list calls it live.
+    outdated_since: Option<Millis>,
+    /// Servers that the list showed as leaving, including ones that aren't configured. A server
+    /// that is configured again must not get requests until a list shows it as live.
     leaving: SecondaryMap<ServerKey, ()>,
-    /// Servers that aren't departing.
+    /// Number of servers without a departure.
     present: usize,
-    /// Present servers that are out on suspicion.
+    /// Present servers that are ejected on suspicion.
     ejected: usize,
-    /// Present servers with a failure or slow sample against them.
+    /// Present servers with a failure or slow sample counted against them.
     suspects: usize,
-    others: Ewma,
-    lasting: Ewma,
-    volume: Ewma,
-    /// How fast engines read prompts.
-    speed: Speed,
-    /// How long the reading of a prompt takes, in milliseconds.
-    reading: Ewma,
-    /// How long long prompts are expected to wait where they are sent, in milliseconds.
-    waits: Ewma,
-    /// Tokens of a prompt's memory that a server brings from another in a millisecond; none where servers
-    /// can't.
-    transfer: Option<f64>,
-    /// What each server runs at a time, where that is known.
-    room: Option<EngineCapacity>,
-    /// Requests a second that a cold server takes from all instances together; none where it takes as many as a
-    /// warm one.
+    remote_load: Ewma,
+    request_duration: Ewma,
+    request_tokens: Ewma,
+    /// Prefill rate of the engines.
+    prefill_rate: PrefillRate,
+    /// Mean prefill time of a prompt, in milliseconds.
+    prefill_time: Ewma,
+    /// Mean expected wait of long prompts, in milliseconds.
+    long_prompt_wait: Ewma,
+    /// Transfer rate of cached prompts between servers, in tokens per millisecond; `None` if they
+    /// can't transfer.
+    transfer_rate: Option<f64>,
+    /// The capacity of each engine, if known.
+    capacity: Option<EngineCapacity>,
+    /// Requests per second that a cold server tolerates from all instances together; `None` if it
+    /// tolerates as many as a warm one.
     cold_rate: Option<f64>,
-    called: Millis,
-    woke: Millis,
+    last_call: Millis,
+    resumed_at: Millis,
 }
 
 impl Router {
-    /// A router without servers, for an instance in availability zone `zone`.
+    /// Creates a router without servers, for an instance in availability zone `zone`.
     ///
-    /// The same seed and the same calls give the same choices.
+    /// The same seed and calls give the same choices.
     pub fn new(settings: Settings, zone: &str, seed: u64) -> Router {
         Router {
             hints: Hints::new(settings.cache_hints),
@@ -116,37 +116,37 @@
             models: SecondaryMap::new(),
             attempts: SlotMap::with_key(),
             timers: BinaryHeap::new(),
-            freshness: Freshness::Untold,
+            freshness: Freshness::NoList,
             revision: 0,
-            outdated: None,
+            outdated_since: None,
             leaving: SecondaryMap::new(),
             present: 0,
             ejected: 0,
             suspects: 0,
-            others: Ewma::default(),
-            lasting: Ewma::default(),
-            volume: Ewma::default(),
-            speed: Speed::default(),
-            reading: Ewma::default(),
-            waits: Ewma::default(),
-            transfer: None,
-            room: None,
+            remote_load: Ewma::default(),
+            request_duration: Ewma::default(),
+            request_tokens: Ewma::default(),
+            prefill_rate: PrefillRate::default(),
+            prefill_time: Ewma::default(),
+            long_prompt_wait: Ewma::default(),
+            transfer_rate: None,
+            capacity: None,
             cold_rate: None,
-            called: Millis::ZERO,
-            woke: Millis::ZERO,
+            last_call: Millis::ZERO,
+            resumed_at: Millis::ZERO,
         }
     }
 
-    /// Takes over a set of servers, this instance's subset where it uses one.
+    /// Sets the servers, or this instance's subset of them.
     ///
-    /// Servers that stay keep their state; those that are no longer named get no new work and are
-    /// forgotten with their last attempt. Don't leave a server out because an instance list lacks
-    /// it, unless [`Router::instance_list`] accepted that list: the check for a list that is empty
-    /// by mistake would be bypassed. Costs a pass over all servers.
+    /// Remaining servers keep their state. Servers that are no longer named get no new requests and
+    /// are forgotten with their last attempt. Don't omit a server because an instance list lacks it
+    /// unless [`Router::instance_list`] accepted that list, as this would bypass the check for a
+    /// list that is empty by mistake. Takes time linear in the number of servers.
     pub fn configure(&mut self, specs: &[ServerSpec], now: Millis) {
         let mut named: SecondaryMap<ServerKey, ()> = SecondaryMap::new();
         for spec in specs {
-            self.admit(spec);
+            self.add_server(spec);
             named.insert(spec.key, ());
         }
         for (key, server) in &mut self.servers {
@@ -157,31 +157,31 @@
         self.servers.retain(|_, server| {
             server.departure != Some(Departure::Removed) || server.in_flight > 0
         });
-        self.rebuild();
+        self.rebuild_pools();
         self.recount(now);
     }
 
-    /// Sets this instance's part of each server's concurrency, the same for all.
+    /// Sets this instance's share of each server's concurrency, the same for all servers.
     pub fn set_share(&mut self, share: Share) {
         self.share = share;
         self.allot(&[]);
     }
 
-    /// Sets how much of each server this instance may use, also of servers that are configured
-    /// later; [`Router::set_share`] holds for those that aren't named.
+    /// Sets how much of each server this instance may use, including servers that are configured
+    /// later. [`Router::set_share`] applies to the servers that aren't named.
     pub fn allot(&mut self, allotments: &[(ServerKey, Allotment)]) {
         self.allotments = allotments.iter().copied().collect();
         let keys: Vec<ServerKey> = self.servers.keys().collect();
         for key in keys {
             let allotment = self.allotment(key);
             self.servers[key].allot(allotment);
-            self.settle(key);
+            self.update_slots(key);
         }
     }
 
-    /// Runs timers out. Call it once a second at least; `pick` and `free` do it too.
+    /// Runs expired timers. Call it at least once a second; `pick` and `free` call it too.
     pub fn tick(&mut self, now: Millis) {
-        self.notice_gap(now);
+        self.detect_suspension(now);
         while let Some(&Reverse((due, key))) = self.timers.peek() {
             if due > now {
                 break;
@@ -191,18 +191,19 @@
         }
     }
 
-    /// Attempts that could be started now, over all servers; none while the instance list is stale.
+    /// Returns the number of attempts that could start now on all servers; zero while the instance
+    /// list is stale.
     pub fn free(&mut self, now: Millis) -> usize {
         self.free_in(Some(ALL), now)
     }
 
-    /// Attempts that could be started now on servers that hold `model`.
+    /// Returns the number of attempts that could start now on servers that hold `model`.
     pub fn free_for(&mut self, model: ModelKey, now: Millis) -> usize {
         let pool = self.pool_of(Some(model));
         self.free_in(pool, now)
     }
 
-    /// Why a pick for `model` would find no server now; `None` when one has a free slot.
+    /// Returns why a pick for `model` would find no server now; `None` if a server has a free slot.
     pub fn unavailable_reason(&self, model: Option<ModelKey>) -> Option<Reason> {
         let Some(pool) = self.pool_of(model) else {
             return Some(Reason::NoModel);
@@ -210,20 +211,20 @@
         self.pools[pool]
             .open
             .is_empty()
-            .then(|| self.why_none(pool, &[]))
+            .then(|| self.pool_unavailable_reason(pool, &[]))
     }
 
-    /// How `server` stands, and why; `None` for one that isn't known.
+    /// Returns the status of `server`; `None` if it is unknown.
     pub fn standing(&self, server: ServerKey) -> Option<Standing> {
         self.servers.get(server).map(Server::standing)
     }
 
-    /// The servers that are known, those that finish their last attempts included.
+    /// Iterates over the known servers, including removed ones with attempts in flight.
     pub fn servers(&self) -> impl Iterator<Item = ServerKey> {
         self.servers.keys()
     }
 
-    /// How long to wait for a first byte from a server that holds `model`.
+    /// Returns the first-byte timeout for servers that hold `model`.
     pub fn first_byte_timeout(&self, model: Option<ModelKey>) -> Millis {
         let pool = self.pool_of(model).unwrap_or(ALL);
         self.pools[pool].first_byte_timeout(&self.settings)
@@ -231,7 +232,7 @@
 
     fn free_in(&mut self, pool: Option<usize>, now: Millis) -> usize {
         self.tick(now);
-        let fresh = self.check_fresh(now).is_ok();
+        let fresh = self.check_lease(now).is_ok();
         pool.filter(|_| fresh)
             .map_or(0, |pool| self.pools[pool].free)
     }
@@ -249,13 +250,13 @@
         allotment.unwrap_or(Allotment::Own(self.share))
     }
 
-    fn admit(&mut self, spec: &ServerSpec) {
-        let local = spec.zone == self.zone;
+    fn add_server(&mut self, spec: &ServerSpec) {
+        let same_zone = spec.zone == self.zone;
         let allotment = self.allotment(spec.key);
         let leaving = self.leaving.contains_key(spec.key);
         let departure = leaving.then_some(Departure::Leaving);
         let Some(server) = self.servers.get_mut(spec.key) else {
-            let mut server = Server::new(spec.clone(), local, allotment);
+            let mut server = Server::new(spec.clone(), same_zone, allotment);
             server.departure = departure;
             self.servers.insert(spec.key, server);
             return;
@@ -265,13 +266,13 @@
         }
         if server.spec != *spec {
             server.spec.clone_from(spec);
-            server.local = local;
+            server.same_zone = same_zone;
             server.allot(allotment);
         }
     }
 
-    /// Lays out the pools anew; what they have measured stays.
-    fn rebuild(&mut self) {
+    /// Rebuilds the pools, keeping their measurements.
+    fn rebuild_pools(&mut self) {
         for pool in &mut self.pools {
             pool.open.clear();
             pool.free = 0;
@@ -280,7 +281,7 @@
         }
         let mut homes: Vec<Vec<(u64, ServerKey)>> = vec![Vec::new(); self.pools.len()];
         for (key, server) in &mut self.servers {
-            server.counted = Counted::default();
+            server.pool_counts = SlotCounts::default();
             server.members.clear();
             if server.departure == Some(Departure::Removed) {
                 continue;
--- a/crates/routing/src/router/placement.rs
+++ b/crates/routing/src/router/placement.rs
@@ -1,4 +1,4 @@
-//! Where a request may be sent at all.
+//! Which servers are eligible for a request.
 
 use crocushold_base::Millis;
 use crocushold_base::ServerKey;
@@ -8,14 +8,15 @@
 use crate::server::Server;
 
 impl Router {
-    /// Whether the request may be sent to the server: it wasn't tried, is in an allowed region, and isn't too cold.
+    /// Whether the request may be sent to the server: it wasn't tried, is in an allowed region, and
+    /// isn't too cold.
     pub(super) fn is_eligible(&self, server: ServerKey, demand: &Demand<'_>, now: Millis) -> bool {
         !demand.exclude.contains(&server)
             && is_in_region(&self.servers[server], demand)
             && self.is_warm_for(server, demand, now)
     }
 
-    /// Whether a server of the pool that is in is in a region in which the request may run.
+    /// Whether a usable server of the pool is in a region in which the request may run.
     pub(super) fn has_region(&self, pool: usize, demand: &Demand<'_>) -> bool {
         let mut usable = self
             .servers
@@ -24,14 +25,16 @@
         usable.any(|server| self.is_allowed(server, demand))
     }
 
-    /// Whether the server is known and in a region in which the request, and parts of its prompt, may be.
+    /// Whether the server is known and in a region in which the request, including parts of its
+    /// prompt, is allowed.
     pub(super) fn is_allowed(&self, server: ServerKey, demand: &Demand<'_>) -> bool {
         let server = self.servers.get(server);
         server.is_some_and(|server| is_in_region(server, demand))
     }
 }
 
-/// Whether the server is in a region in which the request may run. Where its region isn't known, it is in none.
+/// Whether the server is in a region in which the request may run. A server of unknown region is in
+/// none.
 pub(super) fn is_in_region(server: &Server, demand: &Demand<'_>) -> bool {
     let Some(regions) = demand.regions else {
         return true;
--- a/crates/routing/src/router/prefix.rs
+++ b/crates/routing/src/router/prefix.rs
@@ -1,12 +1,13 @@
-//! What engines keep of prompts, and what it costs that another one doesn't.
+//! Which engines have a prompt's prefix cached, and the cost of choosing an engine without it.
 //!
-//! The load it answers: prompts of which a long part is shared, and a rush that fills the engine that holds it.
-//! Elsewhere the part is read anew, which takes all of an engine's time for hundreds of milliseconds, or is
-//! brought from the engine that holds it, which takes the link's time and none of the engine's. So requests wait
-//! at a holder for as long as that costs less, and go elsewhere with a transfer.
+//! This matters where prompts share long prefixes and a burst fills the engine that holds one.
+//! Elsewhere the prefix is either prefilled again, which takes all of an engine's time for hundreds
+//! of milliseconds, or transferred from the engine that holds it, which uses the network link but
+//! not the engine. So requests wait at a holder as long as that is cheaper, and otherwise go
+//! elsewhere with a transfer.
 //!
-//! Who holds what is known from this instance's own sends and from what others tell. It is a hint: an engine
-//! that was said to hold a part and doesn't reads it, and nothing else happens.
+//! The holders are known from this instance's own requests and from what other instances report.
+//! They are hints: an engine that doesn't hold the prefix after all just prefills it.
 
 use crocushold_base::Millis;
 use crocushold_base::ServerKey;
@@ -16,83 +17,92 @@
 use crate::router::Demand;
 use crate::router::Router;
 
-/// Servers on the ring behind a prefix that are weighed besides its holders and those drawn at random. All
-/// instances see the same ones, so a prompt whose home is full is kept at a second engine and not at many.
-const HOMES: usize = 2;
+/// Number of servers from the ring considered for a prefix in addition to its holders and those
+/// drawn at random. All instances consider the same ones, so a prompt whose home is full is cached
+/// at a second engine rather than at many.
+const HOME_CANDIDATES: usize = 2;
 
-/// What the reading of shared parts counts for, in times of its length. An engine that reads them once
-/// more reads nothing else meanwhile, which those behind it pay as well.
-const REREAD_WEIGHT: f64 = 20.0;
+/// Cost of prefilling a prefix again, as a multiple of its duration. The engine prefills nothing
+/// else in the meantime, which delays the requests behind it as well.
+const PREFILL_WEIGHT: f64 = 20.0;
 
-/// What a transfer counts for at least, in times of its length: the memory that the copy takes there is no
-/// longer there for others.
+/// Minimum cost of a transfer, as a multiple of its duration. The memory of the copy is no longer
+/// available to others.
 const TRANSFER_WEIGHT: f64 = 10.0;
 
-/// What each millisecond that long prompts wait of late, beyond [`USUAL_WAIT`], adds to that weight.
+/// Increase of that multiple for each millisecond that long prompts recently waited beyond
+/// [`NORMAL_WAIT`].
 ///
-/// Where all engines have queues a prompt that is moved meets another queue, and its copy pushes out what others
-/// need.
-const WEIGHT_BY_WAIT: f64 = 0.5;
+/// Where all engines have queues, a moved prompt meets another queue, and its copy evicts what
+/// others need.
+const TRANSFER_WEIGHT_PER_WAIT: f64 = 0.5;
 
-/// The wait of a rush that some engines are free of, in milliseconds: about the reading of one long prompt.
-const USUAL_WAIT: f64 = 150.0;
+/// The wait during a burst that spares some engines, in milliseconds: about the prefill of one long
+/// prompt.
+const NORMAL_WAIT: f64 = 150.0;
 
-/// Weight of one long prompt in the mean wait. An instance of today's fleets sends about eight a second, so
-/// that the mean follows four seconds: a rush of a small fleet is over by then, too much work isn't.
+/// Weight of one long prompt in the mean wait. An instance of current fleets sends about eight per
+/// second, so the mean follows over four seconds. By then a burst in a small fleet is over, but
+/// sustained overload isn't.
 const WAIT_ALPHA: f64 = 0.03;
 
-/// The shortest shared part that is worth a transfer, in tokens. One of 1,000 is read in 20 ms.
-const LEAST_SHARED: u32 = 1000;
+/// Minimum length of a shared prefix that is worth a transfer, in tokens. 1,000 tokens are
+/// prefilled in 20 ms.
+const MIN_TRANSFER_TOKENS: u32 = 1000;
 
-/// How long a server must be said to hold a part before it is brought from there. Before, it may still wait to
-/// be read; the wait and the reading of a long part take about that.
-const RIPE: Millis = Millis(300);
+/// How long a server must be known as a holder before a prefix is transferred from it. Before that,
+/// the prefix may still wait for its prefill; the wait and the prefill of a long prefix take about
+/// this long.
+const MIN_HINT_AGE: Millis = Millis(300);
 
-/// What a transfer takes beside its length, in milliseconds, as published for the engines of today.
+/// Fixed duration of a transfer, in milliseconds, as published for current engines.
 const TRANSFER_SETUP: f64 = 3.0;
 
-/// The part of a transferred prefix that is read after all, as it was no longer there.
-const MISSED_PART: f64 = 0.2;
+/// Fraction of a transferred prefix that is prefilled after all because the source no longer held
+/// it.
+const TRANSFER_MISS_RATE: f64 = 0.2;
 
-/// Where a prefix is held.
+/// The servers that hold a prefix.
 #[derive(Default)]
-pub(super) struct Kept {
-    /// Servers that hold it, or will have read it when the request's turn comes.
+pub(super) struct PrefixLocations {
+    /// Servers that hold it, or will have prefilled it by the time of the request.
     pub(super) holders: Vec<ServerKey>,
-    /// Whether `holders` come from valid hints. Otherwise the home of the prefix is only assumed to hold it.
+    /// Whether `holders` come from valid hints. Otherwise the home of the prefix is only assumed to
+    /// hold it.
     has_hints: bool,
-    /// The servers at which it is looked for when nothing is known, the first one first.
+    /// The servers from the ring, the home first.
     pub(super) homes: Vec<ServerKey>,
-    /// Whence others may bring it.
+    /// The server from which others can transfer it.
     source: Option<ServerKey>,
 }
 
-/// How a prompt is read at the server that was chosen for it; nothing of it is known for plain services.
+/// How a prompt is prefilled at the chosen server; all zero for plain services.
 #[derive(Clone, Copy, Default)]
-pub(super) struct Reading {
-    /// Tokens that the server is expected to read.
-    pub(super) read: f64,
-    /// The server from which it should bring the shared part.
+pub(super) struct PrefillPlan {
+    /// Number of tokens that the server is expected to prefill.
+    pub(super) prefill_tokens: f64,
+    /// The server from which it should transfer the prefix.
     pub(super) source: Option<ServerKey>,
-    /// The expected wait before, in milliseconds.
+    /// The expected wait before the prefill, in milliseconds.
     pub(super) wait: f64,
-    /// Whether another instance chose the server, and tells of the request.
-    pub(super) told: bool,
+    /// Whether another instance chose the server and reports the request.
+    pub(super) remote: bool,
 }
 
 impl Router {
-    /// Sets how many tokens of a prompt's memory a server brings from another in a millisecond; `None` where
-    /// servers can't.
-    pub fn set_transfer_rate(&mut self, speed: Option<f64>) {
-        self.transfer = speed.filter(|speed| *speed > 0.0);
+    /// Sets the rate at which servers transfer cached prompts from each other, in tokens per
+    /// millisecond; `None` if they can't.
+    pub fn set_transfer_rate(&mut self, rate: Option<f64>) {
+        self.transfer_rate = rate.filter(|rate| *rate > 0.0);
     }
 
-    /// Another instance sent a request with the prefix to the server, which holds it from then on.
+    /// Records that another instance sent a request with the prefix to the server, which holds it
+    /// from then on.
     pub fn record_remote_prefix(&mut self, server: ServerKey, prefix: u64, now: Millis) {
-        self.note_kept(server, Some(prefix), now);
+        self.record_prefix(server, Some(prefix), now);
     }
 
-    pub(super) fn note_kept(&mut self, server: ServerKey, prefix: Option<u64>, since: Millis) {
+    pub(super) fn record_prefix(&mut self, server: ServerKey, prefix: Option<u64>, since: Millis) {
         let (Some(prefix), Some(state)) = (prefix, self.servers.get(server)) else {
             return;
         };
@@ -105,14 +115,14 @@
         self.hints.store(prefix, hint);
     }
 
-    /// Takes in how long a request is expected to wait where it is sent.
-    pub(super) fn note_load(&mut self, demand: &Demand<'_>, wait: f64) {
-        if demand.prefix_tokens >= LEAST_SHARED {
-            self.waits.add(wait, WAIT_ALPHA);
+    /// Records the expected wait of a request.
+    pub(super) fn record_wait(&mut self, demand: &Demand<'_>, wait: f64) {
+        if demand.prefix_tokens >= MIN_TRANSFER_TOKENS {
+            self.long_prompt_wait.add(wait, WAIT_ALPHA);
         }
     }
 
-    /// The hints of a prefix that hold. One from before a server's restart is void.
+    /// Returns the valid hints for a prefix. Those from before a server's restart are invalid.
     pub(super) fn valid_hints(&self, prefix: u64) -> impl Iterator<Item = Hint> {
         let hints = self.hints.get(prefix).iter().copied();
         hints.filter(|hint| {
@@ -121,30 +131,36 @@
         })
     }
 
-    /// Where the prefix is held: as far as is known, else at its home.
-    pub(super) fn kept(&self, pool: usize, demand: &Demand<'_>, now: Millis) -> Kept {
+    /// Returns the servers that hold the prefix, by its hints or else by the ring.
+    pub(super) fn locate_prefix(
+        &self,
+        pool: usize,
+        demand: &Demand<'_>,
+        now: Millis,
+    ) -> PrefixLocations {
         let Some(prefix) = demand.prefix else {
-            return Kept::default();
+            return PrefixLocations::default();
         };
         let homes = self.homes(pool, prefix);
         let mut holders = Vec::new();
         let mut source = None;
         for hint in self.valid_hints(prefix) {
             holders.push(hint.server);
-            let ripe = now.since(hint.since) >= RIPE;
-            let gives = || self.can_give(hint.server) && self.is_allowed(hint.server, demand);
-            if source.is_none() && ripe && gives() {
+            let old_enough = now.since(hint.since) >= MIN_HINT_AGE;
+            let can_transfer =
+                || self.can_transfer_from(hint.server) && self.is_allowed(hint.server, demand);
+            if source.is_none() && old_enough && can_transfer() {
                 source = Some(hint.server);
             }
         }
         let has_hints = !holders.is_empty();
         if !has_hints {
-            // Other instances, or this one before it started anew, sent the prefix there.
+            // Other instances, or this one before its restart, sent the prefix to its home.
             holders.extend(homes.first());
             let home = homes.first().copied();
             source = home.filter(|&home| self.is_allowed(home, demand));
         }
-        Kept {
+        PrefixLocations {
             holders,
             has_hints,
             homes,
@@ -152,56 +168,69 @@
         }
     }
 
-    /// What it costs that `shared` tokens of the prompt are shared, in milliseconds: nothing where they are
-    /// held, else the cheaper of reading and bringing them.
-    pub(super) fn cost_of_shared(&self, server: ServerKey, shared: f64, kept: &Kept) -> f64 {
-        if kept.holders.contains(&server) {
+    /// Returns the cost of the `shared` prefix tokens at a server, in milliseconds: zero if it
+    /// holds the prefix, else the cheaper of prefill and transfer.
+    pub(super) fn prefix_cost(
+        &self,
+        server: ServerKey,
+        shared: f64,
+        locations: &PrefixLocations,
+    ) -> f64 {
+        if locations.holders.contains(&server) {
             return 0.0;
         }
-        let reading = self.speed.reading(shared) * REREAD_WEIGHT;
-        let source = kept.source.filter(|_| shared >= f64::from(LEAST_SHARED));
-        match (source, self.transfer) {
-            (Some(_), Some(speed)) => {
-                let strain = (self.waits.mean() - USUAL_WAIT).max(0.0);
-                let weight = TRANSFER_WEIGHT + WEIGHT_BY_WAIT * strain;
-                reading.min(weight * shared / speed + TRANSFER_SETUP)
+        let prefill = self.prefill_rate.prefill_ms(shared) * PREFILL_WEIGHT;
+        let source = locations
+            .source
+            .filter(|_| shared >= f64::from(MIN_TRANSFER_TOKENS));
+        match (source, self.transfer_rate) {
+            (Some(_), Some(rate)) => {
+                let excess_wait = (self.long_prompt_wait.mean() - NORMAL_WAIT).max(0.0);
+                let weight = TRANSFER_WEIGHT + TRANSFER_WEIGHT_PER_WAIT * excess_wait;
+                prefill.min(weight * shared / rate + TRANSFER_SETUP)
             }
-            _ => reading,
+            _ => prefill,
         }
     }
 
-    /// What the chosen server is expected to read of the demand, and whence it should bring the rest.
-    pub(super) fn reading_at(&self, chosen: &Scored, demand: &Demand<'_>, kept: &Kept) -> Reading {
+    /// Returns what the chosen server is expected to prefill, and from where it should transfer the
+    /// prefix.
+    pub(super) fn plan_prefill(
+        &self,
+        chosen: &Scored,
+        demand: &Demand<'_>,
+        locations: &PrefixLocations,
+    ) -> PrefillPlan {
         let shared = f64::from(demand.prefix_tokens);
-        let brings = self.transfer.is_some() && demand.prefix_tokens >= LEAST_SHARED;
-        let source = kept.source.filter(|_| brings);
-        let (shared, source) = if demand.central && !kept.has_hints {
-            // Engines that have just started hold nothing. Assuming that they hold the shared part would
-            // underestimate their queues several times over during a rush. Only the central router counts the
-            // part in full: several routers would each count it once more.
-            let is_holder = kept.holders.contains(&chosen.server);
+        let transfers = self.transfer_rate.is_some() && demand.prefix_tokens >= MIN_TRANSFER_TOKENS;
+        let source = locations.source.filter(|_| transfers);
+        let (shared, source) = if demand.central && !locations.has_hints {
+            // Engines that have just started hold nothing. Assuming that they hold the shared
+            // prefix would underestimate their queues several times over during a burst. Only the
+            // central router counts the whole prefix; several routers would each count it again.
+            let is_holder = locations.holders.contains(&chosen.server);
             (shared, source.filter(|_| !is_holder))
-        } else if kept.holders.contains(&chosen.server) {
+        } else if locations.holders.contains(&chosen.server) {
             (0.0, None)
         } else if source.is_some() {
-            (shared * MISSED_PART, source)
+            (shared * TRANSFER_MISS_RATE, source)
         } else {
             (shared, None)
         };
-        Reading {
-            read: f64::from(demand.unique_tokens) + shared,
+        PrefillPlan {
+            prefill_tokens: f64::from(demand.unique_tokens) + shared,
             source,
             wait: chosen.wait,
-            told: false,
+            remote: false,
         }
     }
 
     fn homes(&self, pool: usize, prefix: u64) -> Vec<ServerKey> {
-        let mut homes = Vec::with_capacity(HOMES);
+        let mut homes = Vec::with_capacity(HOME_CANDIDATES);
         for server in self.pools[pool].ring.walk(prefix) {
-            if self.takes(server, pool) && !homes.contains(&server) {
+            if self.accepts(server, pool) && !homes.contains(&server) {
                 homes.push(server);
-                if homes.len() == HOMES {
+                if homes.len() == HOME_CANDIDATES {
                     break;
                 }
             }
@@ -209,9 +238,10 @@
         homes
     }
 
-    /// Whether a prefix may be brought from the server: one that is out, leaving or gone may not answer.
-    fn can_give(&self, server: ServerKey) -> bool {
+    /// Whether a prefix can be transferred from the server. One that is ejected, leaving or unknown
+    /// may not respond.
+    fn can_transfer_from(&self, server: ServerKey) -> bool {
         let server = self.servers.get(server);
-        server.is_some_and(|server| server.departure.is_none() && server.counted.usable)
+        server.is_some_and(|server| server.departure.is_none() && server.pool_counts.usable)
     }
 }
--- a/crates/routing/src/router/slots.rs
+++ b/crates/routing/src/router/slots.rs
@@ -1,4 +1,4 @@
-//! Free slots: each change of a server's limit or attempts ends in `settle`.
+//! Tracking of free slots. Each change of a server's limit or attempts ends with `update_slots`.
 
 use std::cmp::Reverse;
 
@@ -7,17 +7,18 @@
 use rand::RngExt;
 
 use crate::health::Fault;
-use crate::pool::Open;
+use crate::pool::OpenServer;
 use crate::router::Router;
 
 impl Router {
-    /// Brings the pools' counts in line with the server's free slots. Costs its number of models.
-    pub(super) fn settle(&mut self, key: ServerKey) {
+    /// Updates the pools' counts to the server's free slots, in time linear in its number of
+    /// models.
+    pub(super) fn update_slots(&mut self, key: ServerKey) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
-        let next = server.count();
-        let was = std::mem::replace(&mut server.counted, next);
+        let next = server.slot_counts();
+        let was = std::mem::replace(&mut server.pool_counts, next);
         if next == was {
             return;
         }
@@ -38,7 +39,7 @@
         let place = &mut self.servers[key].members[member];
         let open = &mut self.pools[place.pool].open;
         place.open = Some(open.len());
-        open.push(Open {
+        open.push(OpenServer {
             server: key,
             member,
         });
@@ -56,42 +57,42 @@
         }
     }
 
-    /// Counts over all servers; after changes to many of them.
+    /// Recomputes the counts of all servers after changes to many of them.
     pub(super) fn recount(&mut self, now: Millis) {
         let present = self.servers.values().filter(|s| s.departure.is_none());
         self.present = present.clone().count();
-        self.ejected = present.clone().filter(|s| s.health.ejected()).count();
-        self.suspects = present.filter(|s| s.health.suspect()).count();
+        self.ejected = present.clone().filter(|s| s.health.is_ejected()).count();
+        self.suspects = present.filter(|s| s.health.is_suspect()).count();
         self.release_excess();
         let keys: Vec<ServerKey> = self.servers.keys().collect();
         for key in keys {
-            self.settle(key);
+            self.update_slots(key);
         }
         self.tick(now);
     }
 
-    /// The most servers that may be out on suspicion.
-    pub(super) fn ceiling(&self) -> usize {
+    /// Returns the maximum number of servers ejected on suspicion.
+    pub(super) fn max_ejected_servers(&self) -> usize {
         let share = (self.present as f64 * self.settings.health.max_ejected) as usize;
         let least = usize::from(self.present >= 2);
         share.max(least)
     }
 
-    /// Lets servers back when the ceiling sank below what is ejected: fewer are left, so each
-    /// matters more.
+    /// Returns ejected servers when the maximum dropped below their number. With fewer servers
+    /// left, each one matters more.
     fn release_excess(&mut self) {
-        let excess = self.ejected.saturating_sub(self.ceiling());
+        let excess = self.ejected.saturating_sub(self.max_ejected_servers());
         let ejected = self
             .servers
             .values_mut()
-            .filter(|s| s.departure.is_none() && s.health.ejected());
+            .filter(|s| s.departure.is_none() && s.health.is_ejected());
         for server in ejected.take(excess) {
-            server.health.probe();
+            server.health.start_recovery();
         }
         self.ejected -= excess;
     }
 
-    /// Changes a server's health, and every count that hangs on it.
+    /// Changes a server's health and updates all dependent counts.
     pub(super) fn change_health(
         &mut self,
         key: ServerKey,
@@ -105,26 +106,26 @@
         let after = server.health;
         if server.departure.is_none() {
             self.ejected =
-                self.ejected + usize::from(after.ejected()) - usize::from(before.ejected());
+                self.ejected + usize::from(after.is_ejected()) - usize::from(before.is_ejected());
             self.suspects =
-                self.suspects + usize::from(after.suspect()) - usize::from(before.suspect());
+                self.suspects + usize::from(after.is_suspect()) - usize::from(before.is_suspect());
         }
-        self.settle(key);
+        self.update_slots(key);
     }
 
-    /// Takes a server out on suspicion, unless the fault isn't its own or too many are out.
+    /// Ejects a server, unless the cause is common to many servers or too many are ejected already.
     ///
-    /// When over half of the servers are under suspicion at once, the cause is common to them:
-    /// overload, or this instance's own network. Ejecting any would push its work onto the rest.
+    /// When over half of the servers are suspect at once, they have a common cause: overload, or
+    /// this instance's own network. Ejecting any of them would move its load to the others.
     pub(super) fn eject(&mut self, key: ServerKey, fault: Fault, now: Millis) {
-        // Attempts that were under way when the server went out tell nothing new; counted, a crash
-        // with ten connections would start at the longest backoff.
+        // Attempts that were in flight at the ejection aren't new evidence. If they counted, a
+        // crash with ten connections would start at the maximum backoff.
         if self.servers.get(key).is_none_or(|s| s.health.is_out()) {
             return;
         }
         let common = self.suspects * 2 > self.present;
         let suspicion = fault != Fault::Refused;
-        if suspicion && (common || self.ejected >= self.ceiling()) {
+        if suspicion && (common || self.ejected >= self.max_ejected_servers()) {
             return;
         }
         let jitter = self.rng.random::<f64>();
@@ -136,7 +137,7 @@
         self.timers.push(Reverse((until, key)));
     }
 
-    /// Runs a server's timer out.
+    /// Runs a server's expired timer.
     pub(super) fn expire(&mut self, key: ServerKey, now: Millis) {
         let settings = self.settings.health.clone();
         let mut next = None;
--- a/crates/routing/src/router/types.rs
+++ b/crates/routing/src/router/types.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of a router.
+//! Input and output types of the router.
 
 use std::error::Error;
 use std::fmt;
@@ -13,75 +13,74 @@
 use crate::region::RegionKey;
 
 new_key_type! {
-    /// One attempt of a request at a server. Carries a generation: an event that comes after the
-    /// attempt is done finds nothing.
+    /// An attempt of a request at a server. The key contains a generation, so an event after the
+    /// end of the attempt finds nothing.
     pub struct AttemptKey;
 }
 
-/// What a request needs of a server.
+/// What a request needs from a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand<'a> {
     /// The model; `None` for a plain service.
     pub model: Option<ModelKey>,
     /// The hash of the prompt's prefix.
     pub prefix: Option<u64>,
-    /// The tier's priority; lower is sooner. The most urgent tier, 0, isn't used to try out servers
-    /// that just came back.
+    /// The tier's priority; lower values go first. Requests of the most urgent tier, 0, aren't used
+    /// to test returning servers.
     pub priority: u8,
-    /// Running it twice does no harm. Others aren't used to try out servers either.
+    /// Running it twice is harmless. Other requests aren't used to test returning servers either.
     pub idempotent: bool,
-    /// Estimated tokens of prompt and answer; 0 where nothing is known.
+    /// Estimated tokens of prompt and answer; 0 if unknown.
     pub tokens: u32,
-    /// Tokens of the prompt that no other request shares. Where these are known, the choice goes by
-    /// when the answer is expected to begin, else by the number of requests.
+    /// Prompt tokens that no other request shares. If they are known, servers are chosen by the
+    /// expected time to first token, else by the number of requests.
     pub unique_tokens: u32,
-    /// Tokens of the prompt's prefix, which a server that keeps it doesn't read.
+    /// Tokens of the prompt's prefix, which a server that has it cached doesn't prefill.
     pub prefix_tokens: u32,
-    /// The longest pause that its answer may make, where it is a live stream.
+    /// Maximum pause in its answer if it is a live stream.
     pub max_pause: Option<Millis>,
-    /// Servers that hold this model, too, may take the request where those of `model` have a queue.
+    /// An alternative model whose servers may take the request if those of `model` have a queue.
     pub spill: Option<Spill>,
-    /// The longest wait at a server with which the answer is of use; `None` for any. Kept to only where
-    /// `own` is known.
+    /// Maximum wait at a server; `None` for any. Applies only if `unique_tokens` is known.
     pub max_wait: Option<Millis>,
-    /// The regions in which it may run; `None` for any.
+    /// The regions in which it may run; `None` for all.
     pub regions: Option<&'a [RegionKey]>,
     /// Servers that were tried already.
     pub exclude: &'a [ServerKey],
-    /// The availability zone of the instance that sends it; `None` for the router's own.
+    /// The availability zone of the sending instance; `None` for the router's own.
     pub zone: Option<&'a str>,
-    /// Whether this router chooses for all instances. It then sees each request as it is placed, and all
-    /// servers are weighed by their exact queues; else a few are drawn, so that instances that know little
-    /// don't all choose the same one.
+    /// Whether this router chooses for all instances. If so, it sees each request as it is placed,
+    /// and all servers are compared by their exact queues. Otherwise a few servers are sampled, so
+    /// that instances with partial information don't all choose the same one.
     pub central: bool,
-    /// Whether this router spends the rate at which cold servers take requests. All others pass them over.
+    /// Whether this router may use cold servers at their limited rate. All other routers skip them.
     pub allow_cold: bool,
 }
 
-/// Servers that take a request where its own have a queue.
+/// Spill-over of a request to the servers of another model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spill {
-    /// The model that they hold.
+    /// The model that those servers hold.
     pub model: ModelKey,
-    /// How much sooner the answer must begin there, in milliseconds: what the request does to the
-    /// others that those servers have.
+    /// Minimum gain in time to first token, in milliseconds. It accounts for the effect of the
+    /// request on the other requests of those servers.
     pub cost: f64,
 }
 
-/// A chosen server; a slot on it is taken until [`Router::done`](crate::Router::done).
+/// A chosen server. A slot on it is taken until [`Router::done`](crate::Router::done).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pick {
     /// The server.
     pub server: ServerKey,
     /// The attempt, for its events.
     pub attempt: AttemptKey,
-    /// How long to wait for the first byte of an answer, from the connection on.
+    /// The first-byte timeout, from the connection on.
     pub first_byte_timeout: Millis,
-    /// Another server, from which this one should bring the prefix instead of reading it.
+    /// Another server from which this one should transfer the prefix instead of prefilling it.
     pub source: Option<ServerKey>,
-    /// How long the request is expected to wait at the server; zero where that isn't estimated.
+    /// The expected wait at the server; zero if it isn't estimated.
     pub wait: Millis,
-    /// Tokens of the prompt that the server is expected to read; zero where that isn't known.
+    /// Prompt tokens that the server is expected to prefill; zero if unknown.
     pub prefill_tokens: u32,
 }
 
@@ -90,20 +89,20 @@
 pub struct Placement {
     /// The server.
     pub server: ServerKey,
-    /// Another server, from which this one should bring the prefix instead of reading it.
+    /// Another server from which this one should transfer the prefix instead of prefilling it.
     pub source: Option<ServerKey>,
-    /// How long the request is expected to wait at the server.
+    /// The expected wait at the server.
     pub wait: Millis,
-    /// Tokens of the prompt that the server is expected to read.
+    /// Prompt tokens that the server is expected to prefill.
     pub prefill_tokens: u32,
 }
 
 /// No server can take the request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoServer {
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// When to come back.
+    /// When to retry.
     pub retry_after: Millis,
 }
 
@@ -120,22 +119,22 @@
 pub enum Reason {
     /// No configured server holds the model.
     NoModel,
-    /// Every server that is in is at its limit.
+    /// Every usable server is at its limit.
     Busy,
-    /// Every server is out, leaving or gone.
+    /// Every server is ejected, leaving or gone.
     Out,
-    /// At every server the wait is longer than the request's limit.
+    /// The wait exceeds the request's maximum at every server.
     Late {
-        /// The expected wait at the best one.
+        /// The expected wait at the best server.
         wait: Millis,
     },
-    /// Those that aren't full are cold, and take no more for the moment.
+    /// All servers with free slots are cold and accept no more requests for now.
     Cold,
-    /// No server that is in is in one of its regions.
+    /// No usable server is in one of the allowed regions.
     Region,
-    /// Every server that is in was tried already.
+    /// Every usable server was tried already.
     Tried,
-    /// The process woke late, and the instance list wasn't read since.
+    /// The process was suspended, and the instance list hasn't been read since.
     Stale,
 }
 
@@ -154,25 +153,26 @@
     }
 }
 
-/// How an attempt ended. It is told between instances as the number of its place here: new ones come last.
+/// How an attempt ended. Instances exchange it as the index of the variant, so new variants must be
+/// added at the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// A whole answer came.
+    /// A whole answer arrived.
     Complete,
-    /// This instance gave it up: the caller left, or a hedge won.
+    /// This instance cancelled it because the caller left or a hedge won.
     Cancelled,
     /// The server refused the connection.
     Refused,
-    /// No connection was made in time.
+    /// No connection was established in time.
     Unreachable,
     /// The connection was cut.
     Cut,
-    /// No first byte came in time, or the answer stalled.
+    /// No first byte arrived in time, or the answer stalled.
     TimedOut,
-    /// The server answered with an error of its own.
+    /// The server answered with an error.
     Failed,
-    /// The server answered that it is overloaded. It gets half as much at a time; when it goes on
-    /// while its peers don't, it is ejected.
+    /// The server reported overload. Its limit is halved; if the overload persists while its peers
+    /// have none, it is ejected.
     Overloaded,
 }
 
@@ -180,23 +180,24 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct InFlight {
     pub(super) server: ServerKey,
-    /// The server's life at the time.
-    pub(super) life: u32,
+    /// The server's generation when the attempt started.
+    pub(super) generation: u32,
     pub(super) pool: usize,
     pub(super) tokens: u32,
-    /// Tokens of the prompt that the server is expected to read; zero where that isn't known.
-    pub(super) read: f64,
-    /// Whether that is sure: it has no part that others may have had read there.
-    pub(super) sure: bool,
-    /// Tokens that the server was expected to read before.
-    pub(super) ahead: f64,
+    /// Prompt tokens that the server is expected to prefill; zero if unknown.
+    pub(super) prefill_tokens: f64,
+    /// Whether that number is exact, because no part of the prompt may already be cached there for
+    /// other requests.
+    pub(super) is_exact: bool,
+    /// Tokens that the server was expected to prefill before.
+    pub(super) tokens_ahead: f64,
     /// The prompt's prefix.
     pub(super) prefix: Option<u64>,
-    pub(super) picked: Millis,
+    pub(super) picked_at: Millis,
     /// Since when it waits for a first byte.
-    pub(super) waits: Millis,
-    pub(super) first: Option<Millis>,
-    /// Tokens, and when they had come, at the last sample of the pace.
-    pub(super) sampled: u32,
+    pub(super) waiting_since: Millis,
+    pub(super) first_byte_at: Option<Millis>,
+    /// Number of tokens at the last speed sample, and its time.
+    pub(super) sampled_tokens: u32,
     pub(super) sampled_at: Millis,
 }
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -1,42 +1,42 @@
-//! What the router holds of one server.
+//! The router's state of one server.
 
 use crocushold_base::Millis;
 use crocushold_base::ModelKey;
 use crocushold_base::ServerKey;
 
 use crate::cache::Cursor;
-use crate::delay::Delay;
 use crate::health::Fault;
 use crate::health::Health;
 use crate::health::Phase;
+use crate::queue_delay::QueueDelay;
 use crate::region::RegionKey;
 use crate::slow_start::SlowStart;
 use crate::stats::Ewma;
 use crate::stats::Median;
 
-/// A server as configured.
+/// A configured server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerSpec {
-    /// The key that events name it by; never reused for another server.
+    /// The key by which events refer to it; never reused for another server.
     pub key: ServerKey,
     /// A hash of its published identity, the same on every entry instance.
     pub id: u64,
     /// Its availability zone.
     pub zone: String,
-    /// The zone's region, where that is known.
+    /// The zone's region, if known.
     pub region: Option<RegionKey>,
-    /// Requests it may run at a time, over all entry instances.
+    /// Maximum number of concurrent requests from all entry instances together.
     pub concurrency: u32,
     /// The models it holds; none for a plain service.
     pub models: Vec<ModelKey>,
 }
 
-/// This instance's place among the entry instances that send to the same servers.
+/// This instance's position among the entry instances that send to the same servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// How many instances send to each server, itself included.
+    /// The number of instances that send to each server, including this one.
     pub instances: u32,
-    /// This instance's number among them, from 0; a different one on each.
+    /// This instance's index among them, from 0; different on each instance.
     pub index: u32,
 }
 
@@ -50,12 +50,12 @@
 }
 
 impl Share {
-    /// This instance's part of `concurrency` on the server `id`, at least 1.
+    /// Returns this instance's share of `concurrency` on the server `id`, at least 1.
     ///
     /// The remainder goes to different instances for different servers, so that no instance gets
-    /// every rounded-up slot. Over all instances the parts add up to `concurrency`, unless there
-    /// are more instances than slots: then each takes one, and [`subset()`](crate::subset())
-    /// has to bring the number of instances per server down.
+    /// every rounded-up slot. The shares of all instances add up to `concurrency`, unless there are
+    /// more instances than slots. Then each instance takes one slot, and
+    /// [`subset()`](crate::subset()) must reduce the number of instances per server.
     pub fn of(&self, concurrency: u32, id: u64) -> u32 {
         let instances = self.instances.max(1);
         let rest = concurrency % instances;
@@ -68,15 +68,15 @@
 /// How much of a server this instance may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Allotment {
-    /// It is one of the server's senders, with this part of the concurrency.
+    /// This instance is one of the server's senders, with this share of the concurrency.
     Own(Share),
-    /// It isn't one of the server's senders, but its own servers can't serve: one request at a
-    /// time, and none while the last report says that the server is full.
+    /// This instance isn't one of the server's senders, but its own servers can't serve. It may
+    /// send one request at a time, and none while the last report shows that the server is full.
     Borrowed,
 }
 
 impl Allotment {
-    /// The most requests in flight on the server `id`.
+    /// Returns the maximum number of requests in flight on the server `id`.
     pub fn of(&self, concurrency: u32, id: u64) -> u32 {
         match self {
             Allotment::Own(share) => share.of(concurrency, id),
@@ -88,54 +88,54 @@
 /// A server's load report, as received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests it runs.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait in it.
+    /// Requests waiting inside the server.
     pub waiting: u32,
     /// How old the report was when it arrived.
     pub age: Millis,
 }
 
-/// Why a server takes no new work, or how much it takes.
+/// Whether a server accepts requests, and why not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// In, with its full share.
+    /// It accepts its full share of requests.
     Serving,
-    /// In, with a reduced limit after it was out.
+    /// It accepts a reduced number of requests after an ejection.
     Recovering,
-    /// Out until then.
+    /// It is ejected until `until`.
     Out {
-        /// Why.
+        /// The cause.
         fault: Fault,
         /// When it is tried again.
         until: Millis,
     },
-    /// The instance list says that it is leaving.
+    /// The instance list shows it as leaving.
     Leaving,
     /// It vanished from the instance list.
     Vanished,
-    /// It was taken out of the configuration and finishes what it has.
+    /// It was removed from the configuration and finishes its requests.
     Removed,
 }
 
-/// How a server stands, for a status page.
+/// The status of a server, for a status page.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Standing {
-    /// In or out, and why.
+    /// Whether it accepts requests, and why not.
     pub state: State,
-    /// This instance's attempts on it.
+    /// This instance's attempts in flight on it.
     pub in_flight: u32,
-    /// The most attempts this instance gives it now; zero while it is out.
+    /// Maximum number of attempts that this instance sends to it now; zero while it is ejected.
     pub limit: u32,
-    /// Consecutive failures that stand against it.
+    /// Consecutive failures counted against it.
     pub failures: u32,
-    /// Its time for each token relative to its peers; 1 is the fleet's mean.
+    /// Its time per token relative to its peers; 1 is the mean of the fleet.
     pub slowness: f64,
-    /// Whether it is lent to this instance, whose own servers can't serve.
+    /// Whether it is borrowed because this instance's own servers can't serve.
     pub borrowed: bool,
 }
 
-/// Why a server gets no new work, apart from its health.
+/// Why a server gets no new requests, apart from its health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Departure {
     /// Listed as leaving.
@@ -149,91 +149,91 @@
 /// A server's membership of a pool.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Member {
-    /// The pool.
     pub(crate) pool: usize,
-    /// Its place among the pool's open servers.
+    /// Its index among the pool's servers with a free slot.
     pub(crate) open: Option<usize>,
-    /// Gaps between tokens at the ends of streams, too few on each for a sample.
-    pub(crate) rest: Rest,
+    /// Token gaps at the ends of streams, too few on each stream for a sample.
+    pub(crate) leftover: LeftoverGaps,
 }
 
-/// Gaps between tokens, and the time that they took.
+/// A number of token gaps and their total time.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Rest {
-    /// How many.
+pub(crate) struct LeftoverGaps {
+    /// The number of gaps.
     pub(crate) gaps: u32,
-    /// All of them together.
+    /// Their total time.
     pub(crate) span: Millis,
 }
 
 impl Member {
-    /// A place in `pool`, without a free slot so far.
+    /// Creates a membership of `pool` without a free slot.
     pub(crate) fn of(pool: usize) -> Member {
         Member {
             pool,
             open: None,
-            rest: Rest::default(),
+            leftover: LeftoverGaps::default(),
         }
     }
 }
 
-/// A server's part in the counts of its pools.
+/// A server's contribution to the counts of its pools.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Counted {
+pub(crate) struct SlotCounts {
     /// Free slots.
     pub(crate) free: u32,
-    /// Whether it takes work at all.
+    /// Whether it accepts requests at all.
     pub(crate) usable: bool,
 }
 
-/// A load report, with what was in flight when it arrived.
+/// A load report, less the attempts in flight when it arrived.
 #[derive(Clone, Copy, Debug)]
-struct Received {
-    others: f64,
+struct ReceivedReport {
+    remote_requests: f64,
     waiting: u32,
-    taken: Millis,
+    measured_at: Millis,
 }
 
-/// One server.
+/// A server.
 #[derive(Clone, Debug)]
 pub(crate) struct Server {
     pub(crate) spec: ServerSpec,
-    pub(crate) local: bool,
+    pub(crate) same_zone: bool,
     pub(crate) share: u32,
-    /// Whether this instance isn't one of its senders, but its own servers can't serve.
+    /// Whether it is borrowed: this instance isn't one of its senders, but its own servers can't
+    /// serve.
     pub(crate) borrowed: bool,
     /// Whether the last report left no free slot.
-    crowded: bool,
+    is_full: bool,
     pub(crate) health: Health,
     pub(crate) departure: Option<Departure>,
     pub(crate) in_flight: u32,
     /// Estimated tokens of the attempts in flight.
     pub(crate) tokens: u64,
-    /// Logarithm of its time for each token relative to its peers.
+    /// Logarithm of its time per token relative to its peers.
     pub(crate) slowness: Ewma,
     pub(crate) cursor: Cursor,
     pub(crate) members: Vec<Member>,
-    /// What the pools have counted.
-    pub(crate) counted: Counted,
-    /// The wait before a prompt is read.
-    pub(crate) delay: Delay,
-    /// The longest pauses of its streams, in milliseconds; none before the first.
-    pub(crate) pauses: Option<Median>,
-    /// Counts the starts of its process that were told of.
-    pub(crate) life: u32,
+    /// The counts that the pools currently include.
+    pub(crate) pool_counts: SlotCounts,
+    /// The wait before a prompt's prefill starts.
+    pub(crate) queue_delay: QueueDelay,
+    /// The median of its streams' longest pauses, in milliseconds; `None` before the first one.
+    pub(crate) median_pause: Option<Median>,
+    /// Number of reported starts of its process.
+    pub(crate) generation: u32,
     pub(crate) slow_start: SlowStart,
-    report: Option<Received>,
+    report: Option<ReceivedReport>,
 }
 
 impl Server {
-    /// A server as configured, taken to be healthy.
-    pub(crate) fn new(spec: ServerSpec, local: bool, allotment: Allotment) -> Server {
+    /// Creates the state of a configured server, which is assumed to be healthy.
+    pub(crate) fn new(spec: ServerSpec, same_zone: bool, allotment: Allotment) -> Server {
         let mut server = Server {
             spec,
-            local,
+            same_zone,
             share: 0,
             borrowed: false,
-            crowded: false,
+            is_full: false,
             health: Health::default(),
             departure: None,
             in_flight: 0,
@@ -241,10 +241,10 @@
             slowness: Ewma::default(),
             cursor: Cursor::default(),
             members: Vec::new(),
-            counted: Counted::default(),
-            delay: Delay::default(),
-            pauses: None,
-            life: 0,
+            pool_counts: SlotCounts::default(),
+            queue_delay: QueueDelay::default(),
+            median_pause: None,
+            generation: 0,
             slow_start: SlowStart::default(),
             report: None,
         };
@@ -252,26 +252,26 @@
         server
     }
 
-    /// Forgets what was learned of the process that ran before.
+    /// Forgets what was learned about the previous process.
     pub(crate) fn restart(&mut self) {
-        self.life += 1;
-        self.crowded = false;
+        self.generation += 1;
+        self.is_full = false;
         self.slowness = Ewma::default();
         self.cursor.restart();
-        self.delay = Delay::default();
-        self.pauses = None;
+        self.queue_delay = QueueDelay::default();
+        self.median_pause = None;
         self.report = None;
     }
 
-    /// Takes over how much of it this instance may use.
+    /// Sets how much of the server this instance may use.
     pub(crate) fn allot(&mut self, allotment: Allotment) {
         self.share = allotment.of(self.spec.concurrency, self.spec.id);
         self.borrowed = allotment == Allotment::Borrowed;
     }
 
-    /// The most attempts in flight, by health and share.
+    /// Returns the maximum number of attempts in flight, from its health and this instance's share.
     pub(crate) fn limit(&self) -> u32 {
-        if self.departure.is_some() || self.is_spared() {
+        if self.departure.is_some() || self.is_reserved() {
             return 0;
         }
         match self.health.phase {
@@ -281,80 +281,82 @@
         }
     }
 
-    /// Whether it must be left to its own senders.
+    /// Whether its remaining capacity is left to its own senders.
     ///
-    /// The failure: in an overload of the whole fleet every instance lacks slots and borrows, and
-    /// each server gets one request more from every instance, while it is full. A report that is
-    /// late by a second lets one through, no more: the borrower holds one slot at most.
-    fn is_spared(&self) -> bool {
-        self.borrowed && self.crowded
+    /// When the whole fleet is overloaded, every instance lacks slots and borrows, and each full
+    /// server would get one more request from every instance. A report that is a second late lets
+    /// one request through, but no more, since a borrower holds at most one slot.
+    fn is_reserved(&self) -> bool {
+        self.borrowed && self.is_full
     }
 
-    /// Slots for new attempts.
+    /// Returns the number of free slots.
     pub(crate) fn free(&self) -> u32 {
         self.limit().saturating_sub(self.in_flight)
     }
 
-    /// What its pools should count.
-    pub(crate) fn count(&self) -> Counted {
-        Counted {
+    /// Returns its current contribution to its pools' counts.
+    pub(crate) fn slot_counts(&self) -> SlotCounts {
+        SlotCounts {
             free: self.free(),
             usable: self.limit() > 0,
         }
     }
 
-    /// Keeps the part of a report that others account for.
+    /// Stores the part of a report that is due to other instances, and returns it.
     ///
-    /// The report lags, and what this instance has sent or finished since is known exactly, so only
+    /// The report lags, and what this instance has sent or finished since is known exactly. So only
     /// the rest is kept: the report less the attempts in flight when it arrived.
-    pub(crate) fn take_report(&mut self, report: LoadReport, now: Millis) -> f64 {
-        let total = self.take_occupancy(report);
-        let others = f64::from(total.saturating_sub(self.in_flight));
-        let taken = Millis(now.0.saturating_sub(report.age.0));
-        self.report = Some(Received {
-            others,
+    pub(crate) fn record_report(&mut self, report: LoadReport, now: Millis) -> f64 {
+        let total = self.update_occupancy(report);
+        let remote_requests = f64::from(total.saturating_sub(self.in_flight));
+        let measured_at = Millis(now.0.saturating_sub(report.age.0));
+        self.report = Some(ReceivedReport {
+            remote_requests,
             waiting: report.waiting,
-            taken,
+            measured_at,
         });
-        others
+        remote_requests
     }
 
-    /// True if requests wait inside it, as its last report says, unless that is older than `ttl`.
-    pub(crate) fn queues(&self, ttl: Millis, now: Millis) -> bool {
-        let fresh = |report: &Received| now.since(report.taken) < ttl;
+    /// Returns true if its last report shows waiting requests, unless the report is older than
+    /// `ttl`.
+    pub(crate) fn has_queue(&self, ttl: Millis, now: Millis) -> bool {
+        let fresh = |report: &ReceivedReport| now.since(report.measured_at) < ttl;
         self.report
             .filter(fresh)
             .is_some_and(|report| report.waiting > 0)
     }
 
-    /// Requests that wait inside it, as its last report says; fades with the report's age.
-    pub(crate) fn queued(&self, ttl: Millis, now: Millis) -> f64 {
+    /// Returns the number of requests waiting inside the server by its last report, decayed with
+    /// the report's age.
+    pub(crate) fn queue_length(&self, ttl: Millis, now: Millis) -> f64 {
         self.report.map_or(0.0, |report| {
-            let age = now.since(report.taken).0 as f64;
+            let age = now.since(report.measured_at).0 as f64;
             let weight = (1.0 - age / ttl.0.max(1) as f64).max(0.0);
             weight * f64::from(report.waiting)
         })
     }
 
-    /// Keeps whether the server is full; returns how many requests it has.
-    pub(crate) fn take_occupancy(&mut self, report: LoadReport) -> u32 {
+    /// Updates whether the server is full. Returns the number of its requests.
+    pub(crate) fn update_occupancy(&mut self, report: LoadReport) -> u32 {
         let total = report.running.saturating_add(report.waiting);
-        self.crowded = total >= self.spec.concurrency;
+        self.is_full = total >= self.spec.concurrency;
         total
     }
 
-    /// Requests of other instances, as far as the last report still tells; `usual` is the mean over
-    /// the fleet, to which the estimate decays as the report ages.
-    pub(crate) fn others(&self, usual: f64, ttl: Millis, now: Millis) -> f64 {
+    /// Returns the estimated number of other instances' requests. `fleet_mean` is the mean over the
+    /// fleet, to which the estimate decays as the last report ages.
+    pub(crate) fn remote_requests(&self, fleet_mean: f64, ttl: Millis, now: Millis) -> f64 {
         let Some(report) = self.report else {
-            return usual;
+            return fleet_mean;
         };
-        let age = now.since(report.taken).0 as f64;
+        let age = now.since(report.measured_at).0 as f64;
         let weight = (1.0 - age / ttl.0.max(1) as f64).max(0.0);
-        weight * report.others + (1.0 - weight) * usual
+        weight * report.remote_requests + (1.0 - weight) * fleet_mean
     }
 
-    /// How it stands.
+    /// Returns its status.
     pub(crate) fn standing(&self) -> Standing {
         let state = match (self.departure, self.health.phase) {
             (Some(Departure::Leaving), _) => State::Leaving,
@@ -368,7 +370,7 @@
             state,
             in_flight: self.in_flight,
             limit: self.limit(),
-            failures: self.health.strikes(),
+            failures: self.health.failures(),
             slowness: self.slowness.mean().exp(),
             borrowed: self.borrowed,
         }
--- a/crates/routing/src/server_subset.rs
+++ b/crates/routing/src/server_subset.rs
@@ -1,35 +1,38 @@
-//! Which servers of a service one entry instance uses, and how much of each: a state machine.
+//! Determines which servers of a service an entry instance uses, and how much of each: a state
+//! machine.
 
 use crocushold_base::Millis;
 
 use crate::server::Allotment;
 use crate::server::ServerSpec;
 use crate::server::Share;
+use crate::subset::assign;
 use crate::subset::coverage;
-use crate::subset::covered;
 use crate::subset::members;
 
-/// Servers that an instance has at least, also where that makes more senders than slots: with one
-/// alone, its crash would leave the instance without any.
-const LEAST_SERVERS: usize = 4;
+/// Minimum number of servers of an instance, even if a server then has more senders than slots.
+/// With a single server, its crash would leave the instance without any.
+const MIN_SERVERS: usize = 4;
 
-/// Between two steps that widen the reach: by then the servers of the first have reported.
-const STEP_GAP: Millis = Millis::from_secs(2);
+/// Time between two steps that widen the subset. By then the servers of the previous step have
+/// reported.
+const MIN_STEP_INTERVAL: Millis = Millis::from_secs(2);
 
-/// How long all slots have to be taken, while requests wait, before the reach is widened.
-const FULL_FOR: Millis = Millis::from_secs(1);
+/// How long all slots must be taken while requests wait before the subset is widened.
+const WIDEN_AFTER_FULL: Millis = Millis::from_secs(1);
 
-/// How long the own servers have to be able to serve before the reach is narrowed by a step.
-const EASED_FOR: Millis = Millis::from_secs(10);
+/// How long the instance's own servers must be able to serve before the subset is narrowed by a
+/// step.
+const NARROW_AFTER: Millis = Millis::from_secs(10);
 
 /// The entry instances that share the servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryFleet {
-    /// The hashed identities of the live ones.
+    /// The hashed identities of the live instances.
     pub instances: Vec<u64>,
-    /// This one's.
+    /// The identity of this instance.
     pub local_id: u64,
-    /// This one's part where all use all servers.
+    /// This instance's share where every instance uses all servers.
     pub share: Share,
 }
 
@@ -43,197 +46,206 @@
     }
 }
 
-/// What the reach lacks.
+/// Why the subset can't serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Shortage {
-    /// No server takes work, or none holds the model.
+    /// No server accepts requests, or none holds the model.
     Down,
-    /// All slots are taken, and requests wait.
+    /// All slots are taken and requests wait.
     Full,
-    /// An attempt failed, and no other server has a slot for the next one.
+    /// An attempt failed, and no other server has a free slot for the next one.
     Retry,
 }
 
-/// The servers that one instance uses of one service.
+/// The servers of one service that one instance uses.
 ///
-/// Normally its subset, with its part of each server's concurrency. Every server has a given number
-/// of senders; more where each instance would otherwise have too few servers of the service, but then
-/// no more than its concurrency can be shared among. When the subset can't serve, the reach is widened
-/// step by step, each time to twice as many senders a server, and the servers beyond the own subset
-/// are borrowed: [`Allotment::Borrowed`].
+/// Normally these are its assigned subset, with its share of each server's concurrency. Every
+/// server has a given number of senders. It has more where each instance would otherwise have too
+/// few servers of the service, but then no more than its concurrency can be divided among. While
+/// the assigned servers can't serve, the subset is widened step by step, each time to twice as many
+/// senders per server, and the additional servers are borrowed: [`Allotment::Borrowed`].
 #[derive(Debug)]
 pub struct ServerSubset {
-    /// Senders that a server has at least, if there are as many instances.
-    senders: usize,
-    /// Servers that an instance is to have.
-    wanted: usize,
+    /// Minimum number of senders of a server, if there are as many instances.
+    min_senders: usize,
+    /// Number of servers that an instance should have.
+    target_servers: usize,
     fleet: EntryFleet,
     /// Identity and concurrency of each server.
     servers: Vec<(u64, u32)>,
     allotted: Vec<(usize, Allotment)>,
-    own: usize,
+    own_count: usize,
     step: u32,
-    widened: Option<Millis>,
-    full: Option<Millis>,
-    eased: Option<Millis>,
+    widened_at: Option<Millis>,
+    full_since: Option<Millis>,
+    relieved_since: Option<Millis>,
 }
 
 impl ServerSubset {
-    /// The reach of an instance that is alone, before it knows any server. A server is to have
-    /// `senders` at least, the same number on all instances.
-    pub fn new(senders: usize) -> ServerSubset {
+    /// Creates the subset of a lone instance that knows no server yet. A server gets at least
+    /// `senders` senders; the number must be the same on all instances.
+    pub fn new(min_senders: usize) -> ServerSubset {
         ServerSubset {
-            senders,
-            wanted: 0,
+            min_senders,
+            target_servers: 0,
             fleet: EntryFleet::default(),
             servers: Vec::new(),
             allotted: Vec::new(),
-            own: 0,
+            own_count: 0,
             step: 0,
-            widened: None,
-            full: None,
-            eased: None,
+            widened_at: None,
+            full_since: None,
+            relieved_since: None,
         }
     }
 
-    /// Takes over the live instances; true when that changes the allotments.
+    /// Sets the live instances. Returns true if that changes the allotments.
     pub fn set_fleet(&mut self, fleet: &EntryFleet) -> bool {
         if self.fleet == *fleet {
             return false;
         }
         self.fleet.clone_from(fleet);
-        self.lay_out()
+        self.recompute()
     }
 
-    /// Takes over the service's servers, of which an instance is to have about `wanted`, or more if
-    /// the servers lack senders.
+    /// Sets the service's servers, of which an instance should have about `wanted`, or more if the
+    /// servers have too few senders.
     ///
-    /// Give the configured servers, the same on all instances, not those that happen to be up:
-    /// otherwise instances that see the outage of a server at different times share differently.
-    pub fn set_servers(&mut self, servers: &[ServerSpec], wanted: usize) {
-        self.wanted = wanted;
+    /// Pass the configured servers, which are the same on all instances, not those that happen to
+    /// be up. Otherwise instances that see the outage of a server at different times compute
+    /// different shares.
+    pub fn set_servers(&mut self, servers: &[ServerSpec], target_servers: usize) {
+        self.target_servers = target_servers;
         let servers = servers.iter().map(|server| (server.id, server.concurrency));
         self.servers = servers.collect();
-        self.lay_out();
+        self.recompute();
     }
 
-    /// The servers in reach by their index, ascending, and how much of each may be used.
+    /// Returns the servers in use by ascending index, and how much of each may be used.
     pub fn allotted(&self) -> &[(usize, Allotment)] {
         &self.allotted
     }
 
-    /// How many of them are the instance's own.
+    /// Returns how many of them are assigned to this instance rather than borrowed.
     pub fn own(&self) -> usize {
-        self.own
+        self.own_count
     }
 
-    /// Whether every server is in reach: then a lack is one of the service.
+    /// Returns whether every server is in use, so that a shortage affects the whole service.
     pub fn is_whole(&self) -> bool {
         self.allotted.len() == self.servers.len()
     }
 
-    /// Whether every server is in reach, and has been for long enough to have reported: what none
-    /// holds now isn't there.
+    /// Returns whether every server is in use and has had time to report. What no server holds now
+    /// doesn't exist.
     pub fn is_exhausted(&self, now: Millis) -> bool {
-        let looked = self.widened.is_none_or(|at| now.since(at) >= STEP_GAP);
-        self.is_whole() && looked
+        let waited = self
+            .widened_at
+            .is_none_or(|at| now.since(at) >= MIN_STEP_INTERVAL);
+        self.is_whole() && waited
     }
 
-    /// Whether servers are borrowed.
+    /// Returns whether servers are borrowed.
     pub fn is_widened(&self) -> bool {
         self.step > 0
     }
 
-    /// Says that a request found no server; true when the reach was widened.
+    /// Reports that a request found no server. Returns true if the subset was widened.
     ///
-    /// Fullness widens by one step only, since in an overload of the whole fleet every instance is
-    /// full, and there is nothing to be found further out.
-    pub fn on_shortage(&mut self, lack: Shortage, now: Millis) -> bool {
-        self.eased = None;
+    /// [`Shortage::Full`] widens by one step only: when the whole fleet is overloaded, every
+    /// instance is full and more servers wouldn't help.
+    pub fn on_shortage(&mut self, shortage: Shortage, now: Millis) -> bool {
+        self.relieved_since = None;
         if self.is_whole() {
             return false;
         }
-        let due = match lack {
-            Shortage::Down => self.widened.is_none_or(|at| now.since(at) >= STEP_GAP),
+        let due = match shortage {
+            Shortage::Down => self
+                .widened_at
+                .is_none_or(|at| now.since(at) >= MIN_STEP_INTERVAL),
             Shortage::Retry => self.step == 0,
             Shortage::Full => {
-                let since = *self.full.get_or_insert(now);
-                self.step == 0 && now.since(since) >= FULL_FOR
+                let since = *self.full_since.get_or_insert(now);
+                self.step == 0 && now.since(since) >= WIDEN_AFTER_FULL
             }
         };
         if due {
-            self.full = None;
-            self.widened = Some(now);
+            self.full_since = None;
+            self.widened_at = Some(now);
             self.step += 1;
-            self.lay_out();
+            self.recompute();
         }
         due
     }
 
-    /// Says that no request lacks a server, and whether the own ones could serve what was lacking;
-    /// true when the reach was narrowed.
-    pub fn on_relief(&mut self, own_serve: bool, now: Millis) -> bool {
-        self.full = None;
-        if !own_serve || self.step == 0 {
-            self.eased = None;
+    /// Reports that no request lacks a server, and whether the instance's own servers could serve
+    /// the earlier shortage. Returns true if the subset was narrowed.
+    pub fn on_relief(&mut self, own_can_serve: bool, now: Millis) -> bool {
+        self.full_since = None;
+        if !own_can_serve || self.step == 0 {
+            self.relieved_since = None;
             return false;
         }
-        let since = *self.eased.get_or_insert(now);
-        if now.since(since) < EASED_FOR {
+        let since = *self.relieved_since.get_or_insert(now);
+        if now.since(since) < NARROW_AFTER {
             return false;
         }
-        self.eased = None;
+        self.relieved_since = None;
         self.step -= 1;
         if self.step == 0 {
-            self.widened = None;
+            self.widened_at = None;
         }
-        self.lay_out()
+        self.recompute()
     }
 
-    /// Works the allotments out anew; true when they changed.
-    fn lay_out(&mut self) -> bool {
+    /// Recomputes the allotments. Returns true if they changed.
+    fn recompute(&mut self) -> bool {
         let mut next = self.subset(0);
-        self.own = next.len();
+        self.own_count = next.len();
         if self.step > 0 {
             let own = next.clone();
-            let is_own = |at| own.binary_search_by_key(&at, |&(at, _)| at).is_ok();
+            let is_own = |index| {
+                own.binary_search_by_key(&index, |&(index, _)| index)
+                    .is_ok()
+            };
             let wider = self.subset(self.step).into_iter();
-            let beyond = wider.filter(|&(at, _)| !is_own(at));
-            next.extend(beyond.map(|(at, _)| (at, Allotment::Borrowed)));
-            next.sort_unstable_by_key(|&(at, _)| at);
+            let beyond = wider.filter(|&(index, _)| !is_own(index));
+            next.extend(beyond.map(|(index, _)| (index, Allotment::Borrowed)));
+            next.sort_unstable_by_key(|&(index, _)| index);
         }
         let changed = next != self.allotted;
         self.allotted = next;
         changed
     }
 
-    /// The subset after so many steps.
+    /// The subset after `step` widening steps.
     fn subset(&self, step: u32) -> Vec<(usize, Allotment)> {
         let peers = members(&self.fleet.instances, self.fleet.local_id);
-        let covers = self.covers(peers.len(), step);
-        if covers.iter().all(|&cover| cover == peers.len()) {
+        let sender_counts = self.sender_counts(peers.len(), step);
+        if sender_counts.iter().all(|&count| count == peers.len()) {
             let all = Allotment::Own(self.fleet.share);
-            return (0..covers.len()).map(|at| (at, all)).collect();
+            return (0..sender_counts.len()).map(|index| (index, all)).collect();
         }
         let ids: Vec<u64> = self.servers.iter().map(|&(id, _)| id).collect();
-        let mine = covered(&ids, &covers, &peers, self.fleet.local_id);
-        let mine = mine.into_iter();
-        mine.map(|(at, share)| (at, Allotment::Own(share)))
+        let assigned = assign(&ids, &sender_counts, &peers, self.fleet.local_id);
+        let assigned = assigned.into_iter();
+        assigned
+            .map(|(index, share)| (index, Allotment::Own(share)))
             .collect()
     }
 
     /// The number of senders of each server.
-    fn covers(&self, instances: usize, step: u32) -> Vec<usize> {
-        let count = self.servers.len();
-        let cover = coverage(count, instances, self.wanted).max(self.senders);
-        let least = (instances * LEAST_SERVERS).div_ceil(count.max(1));
+    fn sender_counts(&self, instances: usize, step: u32) -> Vec<usize> {
+        let server_count = self.servers.len();
+        let count = coverage(server_count, instances, self.target_servers).max(self.min_senders);
+        let min = (instances * MIN_SERVERS).div_ceil(server_count.max(1));
         let factor = 1_usize.checked_shl(step).unwrap_or(usize::MAX);
-        let covers = self.servers.iter().map(|&(_, concurrency)| {
+        let sender_counts = self.servers.iter().map(|&(_, concurrency)| {
             let slots = usize::try_from(concurrency).unwrap_or(usize::MAX);
-            let most = slots.max(self.senders).max(least);
-            let senders = cover.min(most);
+            let max = slots.max(self.min_senders).max(min);
+            let senders = count.min(max);
             senders.saturating_mul(factor).min(instances)
         });
-        covers.collect()
+        sender_counts.collect()
     }
 }
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -1,49 +1,51 @@
-//! Slow start: how fast a server takes requests while it is cold.
+//! Slow start: limits the rate of requests to a cold server.
 //!
-//! The load it answers: a server that comes up empty in a rush. It has no queue, so that it looks like the best choice
-//! to all instances at once, and while it is cold it ends under more than a few requests a second, with all that runs
-//! there.
+//! A server that starts during a burst has no queue, so it looks like the best choice to all
+//! instances at once. While it is cold, more than a few requests a second end its process, with
+//! everything that runs there.
 //!
-//! The rate holds for all instances together, which share no state. So one of them spends it, the one that places for
-//! all: what it sends to a cold server, for itself and for others, it sends at a pace. Instances that choose by
-//! themselves pass cold servers over. Two that place at a time, as after the loss of one, spend twice the pace; it stays
-//! far enough below what the server bears for that.
+//! The rate applies to all instances together, which share no state. So only one of them uses it,
+//! the one that places requests for all, and it paces what it sends to a cold server for itself and
+//! for others. Instances that choose on their own skip cold servers. When two instances place at
+//! the same time, as after the loss of one, they send at twice the pace; the pace is low enough for
+//! the server to withstand that.
 
 use crocushold_base::Millis;
 
-/// The part of the rate that a server bears at which it is sent requests.
-const PACE_PART: f64 = 0.75;
+/// The fraction of the tolerated rate at which a cold server is sent requests.
+const RATE_FRACTION: f64 = 0.75;
 
-/// One server's slow start.
+/// The slow start of one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SlowStart {
-    /// It is cold until then.
-    until: Millis,
-    /// From then on it takes the next request.
-    next: Millis,
+    /// When the server becomes warm.
+    cold_until: Millis,
+    /// When the server accepts the next request.
+    next_at: Millis,
 }
 
 impl SlowStart {
-    /// The server is cold until `until`.
-    pub(crate) fn set(&mut self, until: Millis) {
-        self.until = until;
+    /// Marks the server as cold until `until`.
+    pub(crate) fn set_cold_until(&mut self, until: Millis) {
+        self.cold_until = until;
     }
 
-    /// How much longer the server is cold; `None` where it is warm.
-    pub(crate) fn left(&self, now: Millis) -> Option<Millis> {
-        (now < self.until).then(|| self.until.since(now))
+    /// Returns how much longer the server is cold; `None` if it is warm.
+    pub(crate) fn remaining(&self, now: Millis) -> Option<Millis> {
+        (now < self.cold_until).then(|| self.cold_until.since(now))
     }
 
-    /// Whether the server takes a request now; `paced` says that this instance spends the rate.
-    pub(crate) fn takes(&self, paced: bool, now: Millis) -> bool {
-        now >= self.until || (paced && now >= self.next)
+    /// Returns whether the server accepts a request now. `allow_cold` states that this instance may
+    /// use the cold rate.
+    pub(crate) fn accepts(&self, allow_cold: bool, now: Millis) -> bool {
+        now >= self.cold_until || (allow_cold && now >= self.next_at)
     }
 
-    /// A request was sent; the server bears `rate` a second.
-    pub(crate) fn sent(&mut self, rate: f64, now: Millis) {
-        if now < self.until {
-            let pause = Millis::PER_SECOND as f64 / (rate * PACE_PART);
-            self.next = now + Millis(pause.ceil() as u64);
+    /// Records that a request was sent. The server tolerates `rate` requests per second.
+    pub(crate) fn on_sent(&mut self, rate: f64, now: Millis) {
+        if now < self.cold_until {
+            let pause = Millis::PER_SECOND as f64 / (rate * RATE_FRACTION);
+            self.next_at = now + Millis(pause.ceil() as u64);
         }
     }
 }
--- a/crates/routing/src/stats.rs
+++ b/crates/routing/src/stats.rs
@@ -1,8 +1,8 @@
-//! Running estimates of constant size.
+//! Running estimates in constant space.
 
 use crocushold_base::Millis;
 
-/// An exponentially weighted moving average; a plain mean until enough samples are in.
+/// An exponentially weighted moving average; a plain mean until there are enough samples.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Ewma {
     mean: f64,
@@ -10,42 +10,42 @@
 }
 
 impl Ewma {
-    /// Takes in `sample` with the weight `alpha`.
+    /// Adds `sample` with the weight `alpha`.
     pub(crate) fn add(&mut self, sample: f64, alpha: f64) {
         self.count = self.count.saturating_add(1);
         let weight = alpha.max(1.0 / f64::from(self.count));
         self.mean += weight * (sample - self.mean);
     }
 
-    /// The average; zero without samples.
+    /// Returns the average, or zero without samples.
     pub(crate) fn mean(&self) -> f64 {
         self.mean
     }
 
-    /// How many samples are in.
+    /// Returns the number of samples.
     pub(crate) fn count(&self) -> u32 {
         self.count
     }
 }
 
-/// The quantile that the first-byte timeout rests on.
+/// The quantile on which the first-byte timeout is based.
 const QUANTILE: f64 = 0.99;
 
-/// How far one sample moves the estimate, in natural logarithm.
+/// Step size of the estimate, in natural logarithm.
 const STEP: f64 = 0.1;
 
 /// A running estimate of the 99th percentile by stochastic approximation on the logarithm.
 ///
-/// Each sample above the estimate raises it by about a tenth, each below lowers it by a thousandth,
-/// so it keeps one number per model and follows a drift. A histogram per model would cost kilobytes
-/// and need a window of its own.
+/// Each sample above the estimate raises it by about a tenth, each sample below lowers it by a
+/// thousandth, so it needs one number per model and follows a drift. A histogram per model would
+/// cost kilobytes and need a window of its own.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Quantile {
     log: Option<f64>,
 }
 
 impl Quantile {
-    /// Takes in one span.
+    /// Adds a sample.
     pub(crate) fn add(&mut self, span: Millis) {
         let sample = (span.0.max(1) as f64).ln();
         let Some(log) = &mut self.log else {
@@ -59,21 +59,22 @@
         }
     }
 
-    /// The estimate in milliseconds, if there was a sample.
+    /// Returns the estimate in milliseconds, or `None` without samples.
     pub(crate) fn value(&self) -> Option<f64> {
         self.log.map(f64::exp)
     }
 }
 
-/// How far the first sample moves a [`Median`], in natural logarithm; the second half as far, the third a third.
-/// With small steps alone an estimate takes a hundred samples to move by a factor of two.
+/// How far the first sample moves a [`Median`], in natural logarithm. The second sample moves it
+/// half as far, the third a third as far. With small steps alone, an estimate needs a hundred
+/// samples to change by a factor of two.
 const FIRST_STEP: f64 = 0.4;
 
-/// How far one sample moves it once many are in.
-const LAST_STEP: f64 = 0.02;
+/// Step size after many samples.
+const MIN_STEP: f64 = 0.02;
 
-/// A running estimate of the median by stochastic approximation on the logarithm. One sample moves it by a step,
-/// however far off it is.
+/// A running estimate of the median by stochastic approximation on the logarithm. A sample moves it
+/// by one step regardless of the distance.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Median {
     log: f64,
@@ -81,18 +82,18 @@
 }
 
 impl Median {
-    /// An estimate that begins at `first`, before any sample.
-    pub(crate) fn from(first: f64) -> Median {
+    /// Creates an estimate with the initial value `first`.
+    pub(crate) fn with_initial(first: f64) -> Median {
         Median {
             log: first.ln(),
             samples: 0,
         }
     }
 
-    /// Takes in a positive sample.
+    /// Adds a positive sample.
     pub(crate) fn add(&mut self, sample: f64) {
         self.samples = self.samples.saturating_add(1);
-        let step = (FIRST_STEP / f64::from(self.samples)).max(LAST_STEP);
+        let step = (FIRST_STEP / f64::from(self.samples)).max(MIN_STEP);
         if sample.ln() > self.log {
             self.log += step;
         } else {
@@ -100,12 +101,12 @@
         }
     }
 
-    /// The estimate.
-    pub(crate) fn get(&self) -> f64 {
+    /// Returns the estimate.
+    pub(crate) fn value(&self) -> f64 {
         self.log.exp()
     }
 
-    /// How many samples are in.
+    /// Returns the number of samples.
     pub(crate) fn samples(&self) -> u32 {
         self.samples
     }
