--- a/crates/routing/tests/central.rs
+++ b/crates/routing/tests/central.rs
@@ -1,5 +1,5 @@
-//! A router that chooses for all instances: it knows every queue, as long as it hears what became of what it
-//! placed.
+//! Tests of a router that chooses for all instances. It knows every queue as long as it receives
+//! the outcomes of what it placed.
 
 use crocushold_base::Millis;
 use crocushold_base::ServerKey;
@@ -16,7 +16,7 @@
 
 const START: Millis = Millis(10_000);
 
-/// A prompt that takes about 250 ms to be read at the speed that is assumed at first.
+/// A prompt with a prefill of about 250 ms at the initially assumed rate.
 const LONG: u32 = 6250;
 
 fn router(count: usize) -> (Router, Vec<ServerKey>) {
@@ -50,10 +50,11 @@
     picked.expect("servers are free")
 }
 
-/// Sixty prompts come at once to twenty servers. Drawn at random, some servers would get six and others none;
-/// known exactly, each gets three.
+/// Guards against an uneven distribution of a burst. Sixty prompts arrive at once for twenty
+/// servers. With random sampling some servers would get six and others none; with exact queues each
+/// gets three.
 #[test]
-fn a_rush_is_spread_evenly() {
+fn a_burst_is_distributed_evenly() {
     let (mut router, keys) = router(20);
     let mut counts = vec![0; keys.len()];
     for _ in 0..60 {
@@ -64,10 +65,11 @@
     assert_eq!(counts, vec![3; 20]);
 }
 
-/// Two servers have a prompt each, and that of the first was sent 200 ms earlier: it is nearly read. The next
-/// prompt goes there, and is told to wait for the rest.
+/// Guards against counting finished prefill as queue. Of two servers with a prompt each, the first
+/// got its prompt 200 ms earlier and has nearly finished the prefill. The next prompt goes there,
+/// with the remaining time as its wait.
 #[test]
-fn what_was_read_since_is_left_out() {
+fn finished_prefill_is_not_counted_as_queue() {
     let (mut router, _) = router(2);
     let first = pick(&mut router, LONG, START);
     let second = pick(&mut router, LONG, START + Millis(200));
@@ -77,11 +79,12 @@
     assert!(third.wait <= Millis(60), "{:?}", third.wait);
 }
 
-/// An instance is killed, and nothing more is heard of the prompt that was placed for it. A prompt that was
-/// sent to the same server later begins, so that the former was read or cut: it is no queue any more. Kept
-/// until its time is over, each kill made an eighth of the servers seem seconds behind.
+/// Guards against servers that seem seconds behind because an instance was killed. Nothing more is
+/// reported of the prompt placed for it. When a prompt sent later to the same server begins, the
+/// earlier one was prefilled or cut and no longer counts as queue. Counting it until its deadline
+/// made an eighth of the servers seem seconds behind after each kill.
 #[test]
-fn a_prompt_that_was_overtaken_is_no_queue() {
+fn an_overtaken_prompt_is_not_counted_as_queue() {
     let (mut router, _) = router(1);
     pick(&mut router, LONG, START);
     let next = pick(&mut router, LONG, START + Millis(100));
@@ -90,9 +93,9 @@
     assert_eq!(wait, Millis::ZERO);
 }
 
-/// A less urgent prompt that was sent earlier waits on when a more urgent one begins.
+/// A less urgent prompt that was sent earlier still waits when a more urgent one begins.
 #[test]
-fn a_prompt_that_was_passed_by_rank_still_waits() {
+fn a_less_urgent_prompt_still_waits() {
     let (mut router, _) = router(1);
     pick(&mut router, LONG, START);
     let urgent = Demand {
@@ -106,9 +109,9 @@
     assert!(wait >= Millis(200), "{wait:?}");
 }
 
-/// The only word of a server that does nothing more is that its answer is overdue. It is avoided by half a
-/// second, not by all the time that went by: its instance may be gone instead, and nobody would send there to
-/// find out.
+/// Guards against avoiding a server for too long because an answer is overdue. The server is
+/// avoided by half a second rather than by the whole delay, because the instance of the request may
+/// be gone and nobody would send to the server to find out.
 #[test]
 fn a_server_is_avoided_by_half_a_second_at_most() {
     let (mut router, _) = router(1);
@@ -118,32 +121,37 @@
     assert!(wait >= Millis(300), "{wait:?}");
 }
 
-/// A server that another instance chose takes a slot here, too, but what waits there is told by that one. One
-/// that is out, or was tried, isn't taken.
+/// An adopted placement takes a slot here too, but its prefill is reported by the instance that
+/// chose the server. A placement on an ejected or already tried server isn't adopted.
 #[test]
-fn an_adopted_server_takes_a_slot_and_is_not_told() {
+fn an_adopted_placement_takes_a_slot_and_is_not_reported() {
     let (mut router, keys) = router(2);
-    let placed = Placement {
+    let placement = Placement {
         server: keys[0],
         source: None,
         wait: Millis(40),
         prefill_tokens: LONG,
     };
-    let pick = router.adopt(&placed, &demand(LONG), START).expect("in");
+    let pick = router
+        .adopt(&placement, &demand(LONG), START)
+        .expect("the server is usable");
     assert_eq!(pick.server, keys[0]);
     assert_eq!(pick.wait, Millis(40));
     assert_eq!(router.pending_prefill().count(), 0);
-    assert_eq!(router.standing(keys[0]).map(|why| why.in_flight), Some(1));
+    assert_eq!(
+        router.standing(keys[0]).map(|standing| standing.in_flight),
+        Some(1)
+    );
     router.done(pick.attempt, Outcome::Refused, 0, START + Millis(5));
     assert!(
         router
-            .adopt(&placed, &demand(LONG), START + Millis(6))
+            .adopt(&placement, &demand(LONG), START + Millis(6))
             .is_none()
     );
     let tried = [keys[1]];
     let other = Placement {
         server: keys[1],
-        ..placed
+        ..placement
     };
     let again = Demand {
         exclude: &tried,
@@ -152,9 +160,10 @@
     assert!(router.adopt(&other, &again, START + Millis(6)).is_none());
 }
 
-/// Engines of two kinds read prompts beside the streams that they run. On one kind an event of a stream comes
-/// after 123 ms, on the other after 95, and live streams bear 120. They go where they are on time, and go on to
-/// do so while a short queue is there; prompts that bear more use both.
+/// Guards against live streams on engines where their pauses are too long. Engines of two kinds
+/// prefill prompts beside the streams that they run. The gap between events is 123 ms on one kind
+/// and 95 ms on the other, and live streams tolerate 120 ms. They go to the faster kind even if it
+/// has a short queue; prompts that tolerate more use both.
 #[test]
 fn live_streams_go_where_pauses_are_short() {
     let (mut router, keys) = router(4);
@@ -165,13 +174,13 @@
     };
     for at in 0..40 {
         let now = START + Millis(at * 10);
-        let placed = Placement {
+        let placement = Placement {
             server: keys[at as usize % 4],
             source: None,
             wait: Millis::ZERO,
             prefill_tokens: 500,
         };
-        let pick = router.adopt(&placed, &live, now).expect("free");
+        let pick = router.adopt(&placement, &live, now).expect("free");
         let slow = pick.server == keys[0] || pick.server == keys[1];
         router.record_longest_pause(pick.attempt, Millis(if slow { 123 } else { 95 }));
         router.done(pick.attempt, Outcome::Complete, 30, now + Millis(5));
@@ -188,25 +197,28 @@
     assert!(keys.iter().all(|key| used.contains(key)), "{used:?}");
 }
 
-/// One of two servers runs all that it can, and none of that waits to be read. A request that is sent there
-/// waits until a place comes free; it goes to the other one, and when both are full it is told the wait.
+/// Guards against ignoring the capacity of a server. One of two servers runs as much as it can
+/// without any pending prefill. A request sent there waits for a free slot, so it goes to the other
+/// server, and when both are full the wait is reported.
 #[test_case(24, 500; "by slots")]
 #[test_case(12, 20_000; "by memory")]
-fn a_full_server_is_a_wait(running: usize, tokens: u32) {
+fn a_full_server_adds_a_wait(running: usize, tokens: u32) {
     let (mut router, keys) = router(2);
     router.set_engine_capacity(Some(EngineCapacity {
         slots: 24,
         tokens: 240_000,
     }));
     let fill = |router: &mut Router, server: ServerKey| {
-        let placed = Placement {
+        let placement = Placement {
             server,
             source: None,
             wait: Millis::ZERO,
             prefill_tokens: 500,
         };
         for _ in 0..running {
-            let pick = router.adopt(&placed, &demand(tokens), START).expect("free");
+            let pick = router
+                .adopt(&placement, &demand(tokens), START)
+                .expect("free");
             router.first_byte(pick.attempt, START + Millis(20));
         }
     };
@@ -220,7 +232,7 @@
     assert_eq!(next.wait, Millis::ZERO);
     fill(&mut router, keys[1]);
     let wait = pick(&mut router, 500, now).wait;
-    // One of 24 places comes free each 42 ms.
+    // One of 24 slots becomes free every 42 ms.
     assert!(wait >= Millis(1), "{wait:?}");
     assert!(wait <= Millis(200), "{wait:?}");
 }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router with a few servers, driven by hand.
+//! A router with a few servers, driven by tests.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -23,13 +23,13 @@
 /// Slots on each server.
 pub(crate) const SLOTS: u32 = 4;
 
-/// How an answer is given.
+/// The shape of an answer.
 #[derive(Clone, Copy)]
 pub(crate) struct Reply {
     pub(crate) prompt: u32,
-    pub(crate) prefill: u64,
+    pub(crate) prefill_ms: u64,
     pub(crate) tokens: u32,
-    pub(crate) pace: u64,
+    pub(crate) token_ms: u64,
     pub(crate) streamed: bool,
 }
 
@@ -87,7 +87,7 @@
         self.router.pick(&demand, self.now).unwrap()
     }
 
-    /// A pick that leaves only the server `at` to choose.
+    /// A pick in which only the server `at` is eligible.
     pub(crate) fn try_on(&mut self, at: usize) -> Result<Pick, NoServer> {
         let mut exclude = self.keys.clone();
         exclude.remove(at);
@@ -102,7 +102,7 @@
         self.try_on(at).unwrap()
     }
 
-    /// True if the server `at` is among many picks.
+    /// Returns true if the server `at` is chosen in any of many picks.
     pub(crate) fn is_picked(&mut self, at: usize) -> bool {
         (0..1000).any(|_| {
             let pick = self.pick();
@@ -124,18 +124,19 @@
         self.router.tick(self.now);
     }
 
-    /// A whole answer of 32 tokens at `pace` milliseconds each, on the server `at`.
-    pub(crate) fn answer(&mut self, at: usize, pace: u64) {
+    /// Completes an answer of 32 tokens at `pace` milliseconds per token on the server `at`.
+    pub(crate) fn answer(&mut self, at: usize, token_ms: u64) {
         let pick = self.pick_on(at);
         self.router.first_byte(pick.attempt, self.now);
-        // In steps, as the daemon ticks; one jump would count as a sleep of the process.
-        (0..32).for_each(|_| self.wait(pace));
+        // Time advances in steps, as with the daemon's ticks; a single jump would count as a
+        // suspension of the process.
+        (0..32).for_each(|_| self.wait(token_ms));
         let now = self.now;
         self.router.done(pick.attempt, Outcome::Complete, 32, now);
     }
 
-    /// An answer of `tokens` tokens at `pace` milliseconds each, on the server `at`, streamed or in
-    /// one piece, to a prompt of `prompt` tokens that takes `prefill` milliseconds.
+    /// Completes an answer of `tokens` tokens at `pace` milliseconds per token on the server `at`,
+    /// streamed or not, for a prompt of `prompt` tokens whose prefill takes `prefill` milliseconds.
     pub(crate) fn reply(&mut self, at: usize, reply: Reply) {
         let mut exclude = self.keys.clone();
         exclude.remove(at);
@@ -145,18 +146,18 @@
             ..self.demand()
         };
         let pick = self.router.pick(&demand, self.now).unwrap();
-        self.wait(reply.prefill + reply.pace);
+        self.wait(reply.prefill_ms + reply.token_ms);
         if reply.streamed {
             self.router.first_byte(pick.attempt, self.now);
         }
-        (1..reply.tokens).for_each(|_| self.wait(reply.pace));
+        (1..reply.tokens).for_each(|_| self.wait(reply.token_ms));
         let now = self.now;
         let tokens = reply.tokens;
         self.router
             .done(pick.attempt, Outcome::Complete, tokens, now);
     }
 
-    /// A new list that names `live` and `leaving`.
+    /// Applies a new list with the `live` and `leaving` servers.
     pub(crate) fn list(&mut self, live: &[usize], leaving: &[usize]) -> ListVerdict {
         self.revision += 1;
         let of = |at: &usize, presence| Listed {
--- a/crates/routing/tests/faults.rs
+++ b/crates/routing/tests/faults.rs
@@ -1,4 +1,4 @@
-//! What servers, lists and the process itself do wrong, and what the router makes of it.
+//! Tests of the router's behaviour under faults of servers, instance lists and its own process.
 
 #![allow(
     clippy::unwrap_used,
@@ -27,13 +27,13 @@
 use slotmap::SlotMap;
 use test_case::test_case;
 
-fn is_out(state: State, expected: Fault) -> bool {
+fn is_ejected(state: State, expected: Fault) -> bool {
     matches!(state, State::Out { fault, .. } if fault == expected)
 }
 
-// The caller sees slow tokens although other servers are fast. One server answers ten times slower
-// than its peers for five samples; it goes out, comes back on trial for one request at a time, and
-// is in again once it keeps pace.
+// Guards against callers with slow tokens while other servers are fast. A server that is ten times
+// slower than its peers for five samples is ejected, returns on trial with one request at a time,
+// and serves again once it is as fast as its peers.
 #[test]
 fn straggler_is_ejected_and_returns_slowly() {
     let mut fleet = Fleet::new(5);
@@ -41,11 +41,11 @@
         (0..5).for_each(|at| fleet.answer(at, 20));
     }
     for _ in 0..12 {
-        if !is_out(fleet.state(0), Fault::Straggling) {
+        if !is_ejected(fleet.state(0), Fault::Straggling) {
             fleet.answer(0, 200);
         }
     }
-    assert!(is_out(fleet.state(0), Fault::Straggling));
+    assert!(is_ejected(fleet.state(0), Fault::Straggling));
     assert!(fleet.try_on(0).is_err());
 
     fleet.wait(3000);
@@ -57,8 +57,8 @@
     assert_eq!(fleet.state(0), State::Serving);
 }
 
-// The caller would see a failed connection. The server's process is gone, so its host refuses; the
-// first refusal is proof enough, and ten at once don't lengthen the wait before it is tried again.
+// Guards against failed connections to a server whose process is gone, so that its host refuses.
+// The first refusal suffices to eject it, and ten at once don't lengthen the backoff.
 #[test]
 fn crashed_server_is_out_at_the_first_refusal() {
     let mut fleet = Fleet::new(5);
@@ -67,17 +67,17 @@
         fleet.end(pick.attempt, Outcome::Refused);
     }
     let State::Out { fault, until } = fleet.state(2) else {
-        panic!("it is in");
+        panic!("the server is in use");
     };
     assert_eq!(fault, Fault::Refused);
     assert!(until.since(fleet.now) <= Millis(600));
     assert!(fleet.try_on(2).is_err());
 }
 
-// Every caller gets an error with a time to come back, at once. All servers refuse: a fact about
-// each, so no ceiling keeps any in.
+// All servers refuse connections. Each refusal is certain, so the ejection limit keeps none of them
+// in use, and callers get an error with a retry time at once.
 #[test]
-fn all_servers_crashed_says_when_to_come_back() {
+fn all_servers_crashed_gives_a_retry_time() {
     let mut fleet = Fleet::new(3);
     for at in 0..3 {
         let pick = fleet.pick_on(at);
@@ -89,8 +89,9 @@
     assert!(refusal.retry_after <= Millis(600));
 }
 
-// An attempt at one server failed, and the others have no free slot. Those that are merely full will
-// have one: only when every server that is in was tried is there nothing left to wait for.
+// Guards against giving up while servers are merely full. An attempt at one server failed and the
+// others have no free slot; only when every usable server was tried is there nothing left to wait
+// for.
 #[test]
 fn servers_that_are_full_are_not_taken_for_tried() {
     let mut fleet = Fleet::new(2);
@@ -110,8 +111,9 @@
     assert_eq!(reason(&[failed, full]), Reason::Tried);
 }
 
-// The caller sees nothing, then an error. One server accepts connections and never answers; the
-// first-byte timeout follows what the others need, and three timeouts apart eject it.
+// Guards against callers that wait for a server which accepts connections and never answers. The
+// first-byte timeout adapts to the other servers' times, and three separate timeouts eject the
+// server.
 #[test]
 fn hung_server_is_ejected_by_an_adapted_timeout() {
     let mut fleet = Fleet::new(5);
@@ -133,13 +135,13 @@
         fleet.wait(first_byte_timeout.0);
         fleet.end(pick.attempt, Outcome::TimedOut);
     }
-    assert!(is_out(fleet.state(3), Fault::Hung));
+    assert!(is_ejected(fleet.state(3), Fault::Hung));
 }
 
-// Many callers see cut answers at one moment. The server's connections all drop together, which is
-// one event, not sixteen: the server stays until it fails again.
+// Guards against ejecting a server for one event. All its connections are cut at the same moment,
+// which counts as one failure.
 #[test]
-fn cuts_at_one_moment_are_one_strike() {
+fn simultaneous_cuts_are_one_failure() {
     let mut fleet = Fleet::new(5);
     let picks: Vec<_> = (0..SLOTS).map(|_| fleet.pick_on(0)).collect();
     for pick in picks {
@@ -149,8 +151,8 @@
     assert_eq!(fleet.router.standing(fleet.keys[0]).unwrap().failures, 1);
 }
 
-// Callers see timeouts everywhere. Demand exceeds what the fleet does, so every server is slow;
-// ejecting any would push its work onto the rest. None goes out, and the timeout grows.
+// Guards against ejections under overload. All servers time out, so ejecting any of them would move
+// its load to the others. None is ejected, and the timeout grows.
 #[test]
 fn all_slow_together_ejects_nobody() {
     let mut fleet = Fleet::new(10);
@@ -170,19 +172,19 @@
     assert!(after > before, "{before} {after}");
 }
 
-// Callers see slow tokens from every server at once. The pace of all falls tenfold; relative to
-// its peers none is a straggler.
+// Guards against ejections when all servers become ten times slower at once. Relative to its peers
+// none is a straggler.
 #[test]
-fn all_paced_slowly_ejects_nobody() {
+fn all_servers_slower_ejects_nobody() {
     let mut fleet = Fleet::new(10);
-    for pace in [20; 6].into_iter().chain([200; 12]) {
-        (0..10).for_each(|at| fleet.answer(at, pace));
+    for token_ms in [20; 6].into_iter().chain([200; 12]) {
+        (0..10).for_each(|at| fleet.answer(at, token_ms));
     }
     assert!((0..10).all(|at| fleet.state(at) == State::Serving));
 }
 
-// Callers of a large model would lose its servers one after the other. It takes ten times as long
-// for each token as the other model, on two servers of ten; against their own peers they keep pace.
+// Guards against ejecting the servers of a large model. It takes ten times as long per token as the
+// other model, on two servers of ten; they are compared only with each other.
 #[test]
 fn slower_model_makes_no_straggler() {
     let mut fleet = Fleet::new(10);
@@ -204,10 +206,10 @@
     }
 }
 
-// Callers of a service see errors from many servers. A faulty version runs on half of them: no more
-// than the ceiling goes out, the rest keeps the service up.
+// Guards against ejecting too many servers. A faulty version runs on half of them; the ejections
+// stop at the limit and the rest keeps the service up.
 #[test]
-fn ejection_stops_at_the_ceiling() {
+fn ejections_stop_at_the_limit() {
     let mut fleet = Fleet::new(10);
     for _ in 0..3 {
         let picks: Vec<_> = (0..5).map(|at| fleet.pick_on(at)).collect();
@@ -216,12 +218,12 @@
             fleet.end(pick.attempt, Outcome::Failed);
         }
     }
-    let out = (0..10).filter(|&at| is_out(fleet.state(at), Fault::Failing));
+    let out = (0..10).filter(|&at| is_ejected(fleet.state(at), Fault::Failing));
     assert_eq!(out.count(), 3);
 }
 
-// The caller of a request in progress sees nothing. The list says that its server is leaving: the
-// attempt goes on, new ones go elsewhere at once; when the server is listed live again it returns.
+// A server listed as leaving finishes the attempt in flight, while new ones go elsewhere at once.
+// When it is listed as live again, it returns.
 #[test]
 fn leaving_server_gets_no_new_work_and_finishes_the_old() {
     let mut fleet = Fleet::new(4);
@@ -235,7 +237,7 @@
     assert_eq!(fleet.state(0), State::Recovering);
 }
 
-// A server that vanished from a sane list was shut down; an older list, from a replica that lags,
+// A server that vanished from a valid list was shut down. An older list, from a lagging replica,
 // doesn't bring it back.
 #[test]
 fn vanished_server_counts_as_leaving() {
@@ -249,8 +251,8 @@
     assert_eq!(fleet.state(0), State::Vanished);
 }
 
-// Callers would see a whole service refuse. The list is empty, or lost most servers at once, while
-// all of them run: nothing is taken from it but what it says outright.
+// Guards against an outage caused by a wrong list. The list is empty or lost most servers at once
+// while all of them run; only servers explicitly listed as leaving are affected.
 #[test_case(&[], &[] ; "empty")]
 #[test_case(&[1], &[] ; "lost over half")]
 #[test_case(&[1], &[0] ; "lost half, and one leaving")]
@@ -263,8 +265,8 @@
     }
 }
 
-// Callers would pay three failures for every return of a broken server. It was ejected, comes back
-// on trial and fails the first request: out at once, for twice as long.
+// Guards against three failures for every return of a broken server. After an ejection, the first
+// failed request ejects it again, for twice as long.
 #[test]
 fn failed_trial_doubles_the_wait() {
     let mut fleet = Fleet::new(5);
@@ -277,16 +279,16 @@
     let pick = fleet.pick_on(0);
     fleet.end(pick.attempt, Outcome::Cut);
     let State::Out { until, .. } = fleet.state(0) else {
-        panic!("it is in");
+        panic!("the server is in use");
     };
     assert!(until.since(fleet.now) >= Millis(3200));
 }
 
-// Callers see one refusal after the other. A server that answers "overloaded" in a millisecond has
-// nothing in flight, so it looks like the best choice; it must not draw the others' traffic.
+// Guards against a server that fails fast and attracts the traffic. A server that reports overload
+// within a millisecond has nothing in flight, so it looks like the best choice.
 #[test_case(Outcome::Overloaded ; "overloaded")]
 #[test_case(Outcome::Failed ; "failed")]
-fn fast_failure_draws_no_traffic(outcome: Outcome) {
+fn fast_failure_attracts_no_traffic(outcome: Outcome) {
     let mut fleet = Fleet::new(5);
     for at in 0..5 {
         fleet.pick_on(at);
@@ -302,8 +304,8 @@
     assert!(failures <= 10, "{failures}");
 }
 
-// Callers wait in this instance instead of being refused by the server. It says that it has too
-// many requests, so it gets half of them, and one more with each success.
+// A server that reports overload gets half as many requests, and one more after each success. The
+// others wait in this instance instead of being refused by the server.
 #[test]
 fn overloaded_server_gets_half() {
     let mut fleet = Fleet::new(5);
@@ -315,8 +317,8 @@
     assert_eq!(limit(&fleet), 2);
 }
 
-// The caller's wait would grow by a queue for the sake of a millisecond. Another zone costs less
-// than one request of load, but decides between equals.
+// Guards against a queue at a near server that costs more than the network latency to another zone.
+// Another zone costs less than one request of load, but decides between equal servers.
 #[test]
 fn near_zone_wins_between_equals_only() {
     let mut fleet = Fleet::new(2);
@@ -328,9 +330,9 @@
     assert_eq!(fleet.pick().server, fleet.keys[0]);
 }
 
-// A single failure long ago would count towards an ejection today.
+// Guards against counting an old failure towards an ejection.
 #[test]
-fn old_strike_is_forgotten() {
+fn old_failure_is_forgotten() {
     let mut fleet = Fleet::new(5);
     let pick = fleet.pick_on(0);
     fleet.end(pick.attempt, Outcome::Cut);
@@ -338,8 +340,9 @@
     assert_eq!(fleet.router.standing(fleet.keys[0]).unwrap().failures, 0);
 }
 
-// Leaving servers would get work for ever. The list service restarted and counts from the start
-// again; after a minute of lower revisions its word counts.
+// Guards against sending requests to leaving servers after a restart of the list service, whose
+// revisions start again from the beginning. After a minute of lower revisions its lists are
+// accepted.
 #[test]
 fn restarted_list_is_taken_after_a_minute() {
     let mut fleet = Fleet::new(4);
@@ -364,10 +367,10 @@
     assert_eq!(fleet.state(0), State::Vanished);
 }
 
-// A caller's request would go to a server that shut down long ago. The process is stopped for a
-// minute and wakes: nothing is sent until the list was read again, and it is then trusted.
+// Guards against requests to servers that shut down while the process was suspended. After a
+// suspension of a minute, nothing is sent until the list was read again, and that list is trusted.
 #[test]
-fn woken_late_waits_for_a_fresh_list() {
+fn resumed_process_waits_for_a_fresh_list() {
     let mut fleet = Fleet::new(4);
     fleet.list(&[0, 1, 2, 3], &[]);
     fleet.wait(60_000);
@@ -381,11 +384,11 @@
     assert_eq!(fleet.router.free(fleet.now), 3 * SLOTS as usize);
 }
 
-// As before, but no list can be read: refusing for as long as that lasts would be an outage of our
-// own making. Each server is tried with one request first.
+// Guards against an outage of our own making when no list can be read after a suspension. Each
+// server is tried with one request first.
 #[test_case(true ; "the read fails")]
 #[test_case(false ; "no read ends within the grace")]
-fn woken_late_without_a_list_tries_one_at_a_time(failed: bool) {
+fn resumed_process_without_a_list_tries_one_at_a_time(failed: bool) {
     let mut fleet = Fleet::new(4);
     fleet.list(&[0, 1, 2, 3], &[]);
     fleet.wait(60_000);
@@ -398,7 +401,7 @@
     assert_eq!(fleet.router.free(fleet.now), 4);
 }
 
-// Nothing changes for callers while the list can't be read for an hour and the process is awake.
+// Nothing changes while the list can't be read for an hour and the process is running.
 #[test]
 fn long_list_outage_changes_nothing() {
     let mut fleet = Fleet::new(4);
@@ -410,10 +413,10 @@
     assert_eq!(fleet.router.free(fleet.now), 4 * SLOTS as usize);
 }
 
-// Callers would lose every server they waited for. The process sleeps past the timeouts of its
-// attempts; those that fire when it wakes say nothing about the servers.
+// Guards against ejecting servers after a suspension. The process is suspended past the timeouts of
+// its attempts; the timeouts that expire afterwards aren't evidence against the servers.
 #[test]
-fn timeouts_over_a_sleep_are_no_strikes() {
+fn timeouts_during_a_suspension_are_no_failures() {
     let mut fleet = Fleet::new(5);
     let picks: Vec<_> = (0..5).map(|at| fleet.pick_on(at)).collect();
     fleet.wait(60_000);
@@ -443,10 +446,11 @@
     pick.server
 }
 
-// Callers see a slow first token, as their prompts go to a cold cache. Events are lost, among them
-// perhaps the eviction: after a gap earlier hints of that server are void, and the ring decides.
+// Guards against sending prompts to a cold cache after lost cache events. One of the lost events
+// may be an eviction, so after a gap the earlier hints of that server are invalid and the ring
+// decides.
 #[test]
-fn gapped_cache_events_void_earlier_hints() {
+fn missed_cache_events_invalidate_earlier_hints() {
     let mut fleet = Fleet::new(8);
     let ring = home(&mut fleet, 5);
     let other = *fleet.keys.iter().find(|&&key| key != ring).unwrap();
@@ -459,8 +463,8 @@
     assert_eq!(home(&mut fleet, 7), other);
 }
 
-// Callers with one popular prompt would queue at one server while others idle. Its home takes them
-// only while its cost stays near the sampled servers' cost.
+// Guards against a queue at the home of a popular prefix while other servers are idle. The home is
+// chosen only while its cost is near that of the sampled servers.
 #[test]
 fn popular_prefix_spills_over() {
     let mut fleet = Fleet::new(8);
@@ -478,8 +482,8 @@
     assert!((2..=3).contains(&busiest), "{busiest}");
 }
 
-// Callers see a long wait at a server that others fill. Its report says so, and choices avoid it
-// until the report is too old to believe.
+// A load report shows that other instances fill a server. Choices avoid it until the report has
+// expired.
 #[test]
 fn lagged_report_counts_less_with_age() {
     let mut fleet = Fleet::new(2);
@@ -497,11 +501,12 @@
     assert!(fleet.is_picked(0));
 }
 
-// The caller of a booking sees an unclear outcome. A server that hung comes back; what must not be
-// repeated, and the most urgent tier, don't try it out while another server is free enough.
+// Guards against unclear outcomes of requests that must not be repeated. When a server returns,
+// non-idempotent requests and those of the most urgent tier don't test it while another server is
+// available.
 #[test_case(1, false ; "non idempotent")]
 #[test_case(0, true ; "most urgent")]
-fn delicate_requests_try_nothing_out(priority: u8, idempotent: bool) {
+fn sensitive_requests_test_no_server(priority: u8, idempotent: bool) {
     let mut fleet = Fleet::new(2);
     fleet.list(&[0], &[1]);
     fleet.list(&[0, 1], &[]);
@@ -518,10 +523,10 @@
     }
 }
 
-/// Reports that come every two minutes are the news of long ago. If the choice followed them, one
-/// server would get no work, and another all, until the next report.
+/// Guards against choices by outdated reports. If the choice followed reports that arrive every two
+/// minutes, one server would get no requests and another all of them until the next report.
 #[test]
-fn a_rare_report_does_not_steer_the_choice() {
+fn a_rare_report_does_not_influence_the_choice() {
     let mut fleet = Fleet::new(2);
     let report = LoadReport {
         running: 1000,
--- a/crates/routing/tests/fingerprint.rs
+++ b/crates/routing/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Which requests count as the same.
+//! Tests of which requests have the same fingerprint.
 
 use crocushold_routing::Fingerprint;
 use test_case::test_case;
--- a/crates/routing/tests/invariants.rs
+++ b/crates/routing/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What holds of a router after any sequence of events.
+//! Invariants of a router after any sequence of events.
 
 #![allow(
     clippy::unwrap_used,
@@ -78,7 +78,7 @@
     ]
 }
 
-/// The router beside what a reader of the rules would expect of it.
+/// The router together with a model of its rules.
 struct Model {
     fleet: Fleet,
     share: Share,
@@ -225,8 +225,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    // Callers would see requests on leaving or overfull servers, or another request's events. Any
-    // order of picks, ends, lists, configurations and waits keeps each rule after each step.
+    // Guards against requests to leaving or overfull servers and against mixed-up events. Any order
+    // of picks, ends, lists, configurations and waits preserves each rule after each step.
     #[test]
     fn rules_hold_after_any_events(steps in prop::collection::vec(step(), 1..120)) {
         let mut model = Model::new();
--- a/crates/routing/tests/lanes.rs
+++ b/crates/routing/tests/lanes.rs
@@ -1,4 +1,4 @@
-//! How engines are divided between live streams, other short requests and long prompts.
+//! Tests of the division of engines between live streams, other short requests and long prompts.
 
 use crocushold_base::Millis;
 use crocushold_routing::Lane;
@@ -10,14 +10,14 @@
     Lanes::new(LaneSettings::default())
 }
 
-/// A row of requests, so much work each 100 ms by lane; each brings the stream of a long prompt that ends,
-/// of which a part, in tenths, paused for too long.
-struct Row {
+/// A steady load. Every 100 ms, `work` arrives for each lane and two streams of long prompts end;
+/// `slow_tenths` tenths of them paused for too long.
+struct SteadyLoad {
     work: [f64; 3],
-    strained: u64,
+    slow_tenths: u64,
 }
 
-impl Row {
+impl SteadyLoad {
     fn run(&self, lanes: &mut Lanes, engines: usize, from: u64, to: u64) {
         for at in (from..to).step_by(100) {
             let now = Millis(at);
@@ -29,7 +29,7 @@
             }
             if self.work[2] > 0.0 {
                 for _ in 0..2 {
-                    lanes.record_stream(at / 100 % 10 < self.strained, now);
+                    lanes.record_stream(at / 100 % 10 < self.slow_tenths, now);
                 }
             }
             lanes.rebalance(engines);
@@ -38,11 +38,11 @@
 }
 
 fn run(lanes: &mut Lanes, light: f64, heavy: f64, from: u64, to: u64) {
-    let row = Row {
+    let load = SteadyLoad {
         work: [0.0, light, heavy],
-        strained: 0,
+        slow_tenths: 0,
     };
-    row.run(lanes, 18, from, to);
+    load.run(lanes, 18, from, to);
 }
 
 #[test]
@@ -55,21 +55,21 @@
 }
 
 #[test]
-fn the_border_follows_the_work() {
+fn the_boundary_follows_the_work() {
     let mut lanes = lanes();
     run(&mut lanes, 1.0, 3.0, 0, 10_000);
-    // A quarter of the work, with half the room: 0.5 of 3.5.
+    // A quarter of the work at half weight: 0.5 of 3.5.
     assert_eq!(lanes.counts(18), [0, 3, 15]);
     run(&mut lanes, 3.0, 1.0, 10_000, 40_000);
-    // 1.5 of 2.5, less a change that is too small to move it.
+    // 1.5 of 2.5, less a change that is too small to move the boundary.
     let light = lanes.counts(18)[1];
     assert!((10..=11).contains(&light), "{light}");
 }
 
-/// Long prompts come at ten times their usual rate. The lane for them is wider within seconds, and the
-/// light one keeps an engine however little it has to do.
+/// Long prompts arrive at ten times their usual rate. Their lane is widened within seconds, and the
+/// light lane keeps one engine however little work it has.
 #[test]
-fn a_burst_moves_the_border_within_seconds() {
+fn a_burst_moves_the_boundary_within_seconds() {
     let mut lanes = lanes();
     run(&mut lanes, 3.0, 3.0, 0, 10_000);
     assert_eq!(lanes.counts(18), [0, 6, 12]);
@@ -79,7 +79,8 @@
     assert_eq!(lanes.counts(18), [0, 1, 17]);
 }
 
-/// Each move takes prompts from the engines that keep them, so small changes move nothing.
+/// Guards against needless moves, each of which takes prompts from the engines that have them
+/// cached.
 #[test]
 fn small_changes_move_nothing() {
     let mut lanes = lanes();
@@ -96,52 +97,54 @@
     assert_eq!(lanes.counts(2), [0, 1, 1]);
 }
 
-/// Where streams beside prompts pause no longer than live streams may, these share engines with the other
-/// short requests: a lane of their own would only stand idle in part.
+/// Where streams beside prompts pause no longer than live streams may, live streams share the
+/// engines of the other short requests. Engines of their own would be partly idle.
 #[test]
-fn live_streams_that_bear_the_pauses_have_no_engines_of_their_own() {
+fn live_streams_that_tolerate_the_pauses_have_no_engines_of_their_own() {
     let mut lanes = lanes();
-    let row = Row {
+    let load = SteadyLoad {
         work: [100.0, 100.0, 600.0],
-        strained: 1,
+        slow_tenths: 1,
     };
-    row.run(&mut lanes, 40, 0, 10_000);
+    load.run(&mut lanes, 40, 0, 10_000);
     assert_eq!(lanes.counts(40)[0], 0);
     assert_eq!(lanes.lane(Lane::Live), Lane::Light);
 }
 
-/// Eight in ten streams of long prompts pause for longer than a live stream may. The live ones get engines
-/// of their own, by the time that they take and not by their part of a rush: a rush of long prompts
-/// that takes all engines three times over leaves them theirs.
+/// Eight of ten streams of long prompts pause for longer than a live stream may, so live streams
+/// get engines of their own. Their number follows from the time that live streams take rather than
+/// from their share of the work: a burst of long prompts that takes all engines three times over
+/// leaves them untouched.
 #[test]
-fn live_streams_get_engines_where_prompts_make_them_late() {
+fn live_streams_get_engines_where_prompts_delay_them() {
     let mut lanes = lanes();
-    let row = Row {
+    let load = SteadyLoad {
         work: [800.0, 100.0, 2500.0],
-        strained: 8,
+        slow_tenths: 8,
     };
-    row.run(&mut lanes, 40, 0, 10_000);
+    load.run(&mut lanes, 40, 0, 10_000);
     assert_eq!(lanes.lane(Lane::Live), Lane::Live);
-    // 8 engines' work, at 0.8 of each engine.
-    let calm = lanes.counts(40);
-    assert!((9..=11).contains(&calm[0]), "{calm:?}");
-    let rush = Row {
+    // The work of 8 engines, at a utilization of 0.8.
+    let before = lanes.counts(40);
+    assert!((9..=11).contains(&before[0]), "{before:?}");
+    let burst = SteadyLoad {
         work: [800.0, 100.0, 12_000.0],
-        ..row
+        ..load
     };
-    rush.run(&mut lanes, 40, 10_000, 15_000);
-    let rushed = lanes.counts(40);
-    assert!((9..=11).contains(&rushed[0]), "{rushed:?}");
-    assert!(rushed[1] >= 1, "{rushed:?}");
-    // They keep them while fewer pause, and lose them when hardly any does.
-    let less = Row {
+    burst.run(&mut lanes, 40, 10_000, 15_000);
+    let in_burst = lanes.counts(40);
+    assert!((9..=11).contains(&in_burst[0]), "{in_burst:?}");
+    assert!(in_burst[1] >= 1, "{in_burst:?}");
+    // They keep the engines while fewer streams pause for too long, and lose them when hardly any
+    // does.
+    let less = SteadyLoad {
         work: [800.0, 100.0, 2500.0],
-        strained: 2,
+        slow_tenths: 2,
     };
     less.run(&mut lanes, 40, 15_000, 60_000);
     assert_eq!(lanes.lane(Lane::Live), Lane::Live);
-    let none = Row {
-        strained: 0,
+    let none = SteadyLoad {
+        slow_tenths: 0,
         ..less
     };
     none.run(&mut lanes, 40, 60_000, 70_000);
@@ -149,23 +152,24 @@
     assert_eq!(lanes.counts(40)[0], 0);
 }
 
-/// Live streams rush as well. They never take all engines: long prompts keep four in ten.
+/// Guards against live streams that take all engines in a burst. Long prompts keep four of ten.
 #[test]
-fn long_prompts_keep_a_part() {
+fn long_prompts_keep_a_share() {
     let mut lanes = lanes();
-    let row = Row {
+    let load = SteadyLoad {
         work: [9000.0, 300.0, 4000.0],
-        strained: 9,
+        slow_tenths: 9,
     };
-    row.run(&mut lanes, 40, 0, 10_000);
+    load.run(&mut lanes, 40, 0, 10_000);
     let counts = lanes.counts(40);
     assert!(counts[2] >= 15, "{counts:?}");
 }
 
-/// An instance sees an eightieth of the work. Told of the rest, it divides the engines as all others do.
+/// An instance sees an eightieth of the work. With the statistics of the others, it divides the
+/// engines as they do.
 #[test]
-fn all_instances_divide_alike() {
-    let news = LaneStats {
+fn all_instances_divide_the_engines_alike() {
+    let stats = LaneStats {
         work: [11_000.0, 1000.0, 30_000.0],
         streams: 60.0,
         slow_streams: 50.0,
@@ -174,7 +178,7 @@
         .map(|number| {
             let mut lanes = lanes();
             lanes.record_work(Lane::Light, f64::from(number) * 100.0, Millis(1000));
-            lanes.set_remote_stats(news);
+            lanes.set_remote_stats(stats);
             lanes.rebalance(40);
             lanes.counts(40)
         })
--- a/crates/routing/tests/speed.rs
+++ b/crates/routing/tests/prefill_rate.rs
@@ -1,4 +1,4 @@
-//! How fast engines read, as learned from answers.
+//! Tests of the prefill rate learned from answers.
 
 #![allow(
     clippy::unwrap_used,
@@ -14,41 +14,42 @@
 use test_case::test_case;
 
 /// Tokens of a prompt.
-const PROMPT: u32 = 4000;
+const PROMPT_TOKENS: u32 = 4000;
 
-/// What an idle engine takes to the first token beside the reading, in milliseconds.
-const BASE: u64 = 20;
+/// Time to first token of an idle engine excluding prefill, in milliseconds.
+const BASE_LATENCY_MS: u64 = 20;
 
-fn answers(fleet: &mut Fleet, speed: u64, count: usize) {
+fn answers(fleet: &mut Fleet, rate: u64, count: usize) {
     for _ in 0..count {
         let demand = Demand {
-            unique_tokens: PROMPT,
+            unique_tokens: PROMPT_TOKENS,
             ..fleet.demand()
         };
         let pick = fleet.router.pick(&demand, fleet.now).unwrap();
-        fleet.wait(BASE + u64::from(PROMPT) / speed);
+        fleet.wait(BASE_LATENCY_MS + u64::from(PROMPT_TOKENS) / rate);
         fleet.router.first_byte(pick.attempt, fleet.now);
         fleet.end(pick.attempt, Outcome::Complete);
         fleet.now += Millis(100);
     }
 }
 
-// Callers are refused for queues that aren't there, or sent where their prompt isn't kept: an instance that has
-// just started takes engines for slower or faster than they are. Ten answers tell enough.
+// Guards against wrong queue estimates of an instance that has just started, which refuse callers
+// needlessly or send prompts away from where they are cached. Ten answers suffice to learn the
+// rate.
 #[test_case(12)]
 #[test_case(50)]
 #[test_case(64)]
 #[test_case(120)]
-fn ten_answers_tell_the_speed(speed: u64) {
+fn ten_answers_suffice_for_the_rate(rate: u64) {
     let mut fleet = Fleet::new(4);
-    answers(&mut fleet, speed, 10);
-    let learned = fleet.router.prefill_rate() / speed as f64;
-    assert!((0.6..=1.6).contains(&learned), "{learned} of {speed}");
+    answers(&mut fleet, rate, 10);
+    let learned = fleet.router.prefill_rate() / rate as f64;
+    assert!((0.6..=1.6).contains(&learned), "{learned} of {rate}");
 }
 
-// One odd answer among many doesn't move what was learned by more than a tenth.
+// A single outlier among many answers changes the estimate by at most a tenth.
 #[test]
-fn a_single_odd_answer_changes_little() {
+fn a_single_outlier_changes_little() {
     let mut fleet = Fleet::new(4);
     answers(&mut fleet, 50, 60);
     let before = fleet.router.prefill_rate();
--- a/crates/routing/tests/quarantine.rs
+++ b/crates/routing/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests under which servers end: who is suspected, who is held back, and what instances make of each other's news.
+//! Tests of the quarantine: which requests become suspect, which are quarantined, and how instances
+//! merge each other's suspicions.
 
 use crocushold_base::Millis;
 use crocushold_routing::Fingerprint;
@@ -23,14 +24,15 @@
     }
 }
 
-/// A run of `content` that is cut `span` after it was sent, as its server ends.
+/// Runs `content` on `server`, whose process ends `span` after the request was sent and cuts the
+/// run.
 fn end(quarantine: &mut Quarantine, content: Fingerprint, server: u64, sent: u64, span: u64) {
     let cut = Millis(sent + span);
     quarantine.run_cut(run(content, server, sent), cut);
     quarantine.server_ended(Incarnation(server), cut + Millis(5));
 }
 
-fn is_held(quarantine: &Quarantine, content: Fingerprint, at: u64) -> bool {
+fn is_quarantined(quarantine: &Quarantine, content: Fingerprint, at: u64) -> bool {
     quarantine.admit(content, Millis(at)).is_err()
 }
 
@@ -38,30 +40,30 @@
     QuarantineSettings::default().span.0
 }
 
-/// A caller's request ends the server that runs it, and the caller sends it again: the next server ends as well. The
-/// third try isn't sent: the caller gets a final answer at once, with when it may come back.
+/// A request ends the server that runs it, and its caller sends it again, which ends the next
+/// server. The third attempt is refused at once with a retry time.
 #[test]
-fn a_request_is_held_back_after_two_ends_in_turn() {
+fn a_request_is_quarantined_after_two_consecutive_ends() {
     let mut quarantine = Quarantine::default();
     end(&mut quarantine, CONTENT, 1, START, 80);
-    assert!(!is_held(&quarantine, CONTENT, START + 100));
+    assert!(!is_quarantined(&quarantine, CONTENT, START + 100));
     end(&mut quarantine, CONTENT, 2, START + 500, 90);
-    let held = quarantine.admit(CONTENT, Millis(START + 600)).unwrap_err();
-    assert_eq!(held.ends, 2);
-    assert_eq!(held.retry_after, Millis(span() - 10));
-    assert!(!is_held(&quarantine, OTHER, START + 600));
-    let placed = quarantine.take_quarantined();
-    assert_eq!(placed.len(), 1);
-    assert_eq!(placed[0].servers, [Incarnation(1), Incarnation(2)]);
+    let refusal = quarantine.admit(CONTENT, Millis(START + 600)).unwrap_err();
+    assert_eq!(refusal.ends, 2);
+    assert_eq!(refusal.retry_after, Millis(span() - 10));
+    assert!(!is_quarantined(&quarantine, OTHER, START + 600));
+    let quarantined = quarantine.take_quarantined();
+    assert_eq!(quarantined.len(), 1);
+    assert_eq!(quarantined[0].servers, [Incarnation(1), Incarnation(2)]);
 }
 
-/// Guards against never holding back a request that ends servers when many of its runs overlap.
+/// Guards against never quarantining a request that ends servers when many of its runs overlap.
 #[test_case(15, 80; "many copies before the first end")]
 #[test_case(60, 80; "the next copy before the end")]
 #[test_case(250, 80; "the next copy after the end")]
 #[test_case(40, 600; "many copies with long runs")]
 #[test_case(900, 350; "infrequent copies")]
-fn a_request_that_ends_servers_is_held_back_at_each_copy_interval(interval: u64, runs_for: u64) {
+fn a_request_that_ends_servers_is_quarantined_at_each_copy_interval(interval: u64, runs_for: u64) {
     let mut quarantine = Quarantine::default();
     let mut ends = Vec::new();
     let mut running: Vec<(u64, u64)> = Vec::new();
@@ -77,7 +79,7 @@
             end(&mut quarantine, CONTENT, server, sent, runs_for);
             ends.push(sent + runs_for);
         }
-        if is_held(&quarantine, CONTENT, now) {
+        if is_quarantined(&quarantine, CONTENT, now) {
             continue;
         }
         running.push((now, copy + 1));
@@ -89,10 +91,11 @@
     );
 }
 
-/// An engine ends with all that ran on it. Of its callers one comes back with the request that ended it; the others'
-/// requests run well elsewhere, and another end months of requests later finds nothing against them.
+/// Guards against quarantining requests that merely ran on the same server. An engine ends with
+/// everything that runs on it. The request that ended it is sent again; the others succeed
+/// elsewhere, so a later end doesn't count against them.
 #[test]
-fn requests_that_ran_beside_are_cleared_by_being_served() {
+fn concurrent_requests_are_cleared_by_being_served() {
     let mut quarantine = Quarantine::default();
     for content in [CONTENT, OTHER] {
         quarantine.run_cut(run(content, 1, START), Millis(START + 80));
@@ -105,14 +108,14 @@
     for content in [CONTENT, OTHER] {
         end(&mut quarantine, content, 2, START + 2000, 80);
     }
-    assert!(is_held(&quarantine, CONTENT, START + 3000));
-    assert!(!is_held(&quarantine, OTHER, START + 3000));
+    assert!(is_quarantined(&quarantine, CONTENT, START + 3000));
+    assert!(!is_quarantined(&quarantine, OTHER, START + 3000));
 }
 
-/// A rack loses power, and an impatient caller has three copies of its request there. Nothing says that the request
-/// is at fault: its next try is sent.
+/// Guards against quarantining a request after a power failure. A rack loses power while an
+/// impatient caller has three copies of its request there; the next attempt is still admitted.
 #[test]
-fn runs_at_the_same_time_count_once() {
+fn overlapping_runs_count_once() {
     let mut quarantine = Quarantine::default();
     for server in 1..=3 {
         quarantine.run_cut(run(CONTENT, server, START + server), Millis(START + 100));
@@ -120,33 +123,35 @@
     for server in 1..=3 {
         quarantine.server_ended(Incarnation(server), Millis(START + 110));
     }
-    assert!(!is_held(&quarantine, CONTENT, START + 200));
+    assert!(!is_quarantined(&quarantine, CONTENT, START + 200));
     end(&mut quarantine, CONTENT, 4, START + 300, 80);
-    assert!(is_held(&quarantine, CONTENT, START + 400));
+    assert!(is_quarantined(&quarantine, CONTENT, START + 400));
 }
 
-/// Copies of a deadly request follow each other so closely that one is always under way. Each second end still counts.
+/// Copies of a request that ends servers follow each other so closely that one is always running.
+/// Every second end still counts.
 #[test]
-fn copies_that_overlap_in_a_chain_are_held_back() {
+fn copies_that_overlap_in_a_chain_are_quarantined() {
     let mut quarantine = Quarantine::default();
     end(&mut quarantine, CONTENT, 1, START, 600);
     end(&mut quarantine, CONTENT, 2, START + 300, 600);
-    assert!(!is_held(&quarantine, CONTENT, START + 1000));
+    assert!(!is_quarantined(&quarantine, CONTENT, START + 1000));
     end(&mut quarantine, CONTENT, 3, START + 650, 600);
-    assert!(is_held(&quarantine, CONTENT, START + 1300));
+    assert!(is_quarantined(&quarantine, CONTENT, START + 1300));
 }
 
-/// Servers lose answers, or links reset connections: runs of the same request are cut at one server after the other.
-/// All servers live on, so the request is sent as often as its caller wants.
+/// Guards against a quarantine without evidence. Runs of the same request are cut at one server
+/// after the other, by lost answers or reset connections, while all servers keep running. The
+/// request remains admitted.
 #[test]
-fn a_cut_without_the_end_of_a_server_says_nothing() {
+fn a_cut_without_the_end_of_a_server_is_no_evidence() {
     let mut quarantine = Quarantine::default();
     for server in 1..=5 {
         let sent = START + server * 100;
         quarantine.run_cut(run(CONTENT, server, sent), Millis(sent + 50));
     }
-    assert!(!is_held(&quarantine, CONTENT, START + 1000));
-    // An end long after is another matter.
+    assert!(!is_quarantined(&quarantine, CONTENT, START + 1000));
+    // A server's end long afterwards has another cause.
     let late = START + QuarantineSettings::default().evidence.0 + 600;
     for server in 1..=5 {
         assert_eq!(
@@ -154,13 +159,14 @@
             0
         );
     }
-    assert!(!is_held(&quarantine, CONTENT, late));
+    assert!(!is_quarantined(&quarantine, CONTENT, late));
 }
 
-/// A deadly request ends three servers. A caller's prompt was on two of them, one after the other, and was never served
-/// before. It isn't to blame: the deadly one was there both times, and once more.
+/// Guards against blaming a request for ends that another one caused. A request ends three servers.
+/// Another prompt, never served before, was on two of them one after the other; the graver request
+/// was there both times and once more.
 #[test]
-fn ends_that_a_graver_request_explains_arent_held_against_others() {
+fn ends_that_a_graver_request_explains_dont_count_against_others() {
     let mut quarantine = Quarantine::default();
     for server in 1..=3 {
         let sent = START + server * 1000;
@@ -170,20 +176,20 @@
         }
         quarantine.server_ended(Incarnation(server), Millis(sent + 90));
     }
-    assert!(is_held(&quarantine, CONTENT, START + 4000));
-    assert!(!is_held(&quarantine, OTHER, START + 4000));
-    // Two ends without it are another matter.
+    assert!(is_quarantined(&quarantine, CONTENT, START + 4000));
+    assert!(!is_quarantined(&quarantine, OTHER, START + 4000));
+    // Two ends without the graver request do count.
     for server in 4..=5 {
         end(&mut quarantine, OTHER, server, START + server * 1000, 80);
     }
-    assert!(is_held(&quarantine, OTHER, START + 6000));
+    assert!(is_quarantined(&quarantine, OTHER, START + 6000));
 }
 
-/// A look-up that many callers share runs everywhere, and is served some hundred times a minute. Then a deadly request
-/// ends one server after the other, with look-ups on each, and none is served in between. They stay admitted: what was
-/// served lately ends no servers.
+/// Guards against quarantining a request that many callers send. A look-up runs everywhere and is
+/// served some hundred times a minute. A request then ends one server after the other, each with
+/// look-ups on it and none served in between. What was served recently doesn't end servers.
 #[test]
-fn what_many_callers_ask_isnt_held_back_with_a_deadly_request() {
+fn a_request_of_many_callers_isnt_quarantined_with_a_graver_one() {
     let mut quarantine = Quarantine::default();
     quarantine.served(OTHER, Millis(START));
     for server in 1..=3 {
@@ -193,14 +199,14 @@
         }
         quarantine.server_ended(Incarnation(server), Millis(sent + 90));
     }
-    assert!(is_held(&quarantine, CONTENT, START + 4000));
-    assert!(!is_held(&quarantine, OTHER, START + 4000));
+    assert!(is_quarantined(&quarantine, CONTENT, START + 4000));
+    assert!(!is_quarantined(&quarantine, OTHER, START + 4000));
 }
 
-/// The same look-up was held against its callers by an instance that hadn't served it. One that has knows better, and
-/// tells so.
+/// An instance that never served the look-up counts ends against it. An instance that did serve it
+/// clears them and reports so.
 #[test]
-fn an_instance_that_served_a_request_clears_what_another_holds_against_it() {
+fn an_instance_that_served_a_request_clears_it_at_another() {
     let mut first = Quarantine::default();
     end(&mut first, CONTENT, 1, START, 80);
     end(&mut first, CONTENT, 2, START + 500, 80);
@@ -213,14 +219,15 @@
     for suspicion in second.unsent_suspicions(now) {
         first.apply_suspicion(&suspicion, now);
     }
-    assert!(!is_held(&first, CONTENT, now.0));
-    assert!(!is_held(&second, CONTENT, now.0));
+    assert!(!is_quarantined(&first, CONTENT, now.0));
+    assert!(!is_quarantined(&second, CONTENT, now.0));
 }
 
-/// Something in front of a server accepts connections for it and closes them once the server has ended. Requests that
-/// are sent there until that is known found no server: only those count that were on it when it ended.
+/// Guards against counting requests that never reached a server. A proxy accepts connections for a
+/// server and closes them once the server has ended. Only requests that were on the server when it
+/// ended count.
 #[test]
-fn what_was_sent_to_a_server_that_had_ended_says_nothing() {
+fn requests_sent_to_an_ended_server_are_no_evidence() {
     let mut quarantine = Quarantine::default();
     for server in 1..=2 {
         let ended = START + server * 1000;
@@ -229,14 +236,15 @@
         quarantine.server_ended(Incarnation(server), Millis(ended + 500));
         quarantine.run_cut(run(OTHER, server, ended + 600), Millis(ended + 601));
     }
-    assert!(is_held(&quarantine, CONTENT, START + 4000));
-    assert!(!is_held(&quarantine, OTHER, START + 4000));
+    assert!(is_quarantined(&quarantine, CONTENT, START + 4000));
+    assert!(!is_quarantined(&quarantine, OTHER, START + 4000));
 }
 
-/// A busy server resets a connection and lives on, as a look shows. A second later a deadly request ends it. That is looked
-/// into anew, and held against the deadly one, though another run had been cut there before it was sent.
+/// Guards against a check that hides a later end. A busy server resets a connection and is found
+/// alive; a second later a request ends it. The new cut is checked again and counted against that
+/// request, although another run had been cut there before it was sent.
 #[test]
-fn a_server_that_was_found_alive_is_looked_for_again() {
+fn a_server_that_was_found_alive_is_checked_again() {
     let mut quarantine = Quarantine::default();
     for server in 1..=2 {
         let sent = START + server * 1000;
@@ -245,13 +253,13 @@
         assert!(quarantine.run_cut(run(CONTENT, server, sent), Millis(sent + 80)));
         quarantine.server_ended(Incarnation(server), Millis(sent + 85));
     }
-    assert!(is_held(&quarantine, CONTENT, START + 4000));
+    assert!(is_quarantined(&quarantine, CONTENT, START + 4000));
 }
 
-/// A server ends, and one instance sees its streams cut one after the other. Only the first asks whether it is still
-/// there; cuts that are noticed after the answer count all the same.
+/// When a server ends, an instance sees its streams cut one after the other. Only the first cut
+/// triggers a check; cuts that are noticed after its result count as well.
 #[test]
-fn a_server_is_looked_for_once() {
+fn a_server_is_checked_once() {
     let mut quarantine = Quarantine::default();
     assert!(quarantine.run_cut(run(CONTENT, 1, START), Millis(START + 80)));
     assert!(!quarantine.run_cut(run(OTHER, 1, START), Millis(START + 81)));
@@ -260,12 +268,12 @@
     assert!(!quarantine.run_cut(run(third, 1, START), Millis(START + 95)));
     for (content, server) in [(CONTENT, 2), (OTHER, 3), (third, 4)] {
         end(&mut quarantine, content, server, START + 1000, 50);
-        assert!(is_held(&quarantine, content, START + 1100));
+        assert!(is_quarantined(&quarantine, content, START + 1100));
     }
 }
 
-/// A server's entry lapses seconds after a stream of it was cut, and the caller has been served elsewhere meanwhile.
-/// The end came before that and is held against nobody.
+/// A server's registry entry expires seconds after a stream of it was cut. In the meantime the
+/// caller was served elsewhere, so the end, which came before that, counts against nobody.
 #[test]
 fn evidence_that_comes_after_the_request_was_served_is_too_late() {
     let mut quarantine = Quarantine::default();
@@ -273,42 +281,47 @@
     quarantine.served(CONTENT, Millis(START + 500));
     quarantine.server_ended(Incarnation(1), Millis(START + 3500));
     end(&mut quarantine, CONTENT, 2, START + 4000, 80);
-    assert!(!is_held(&quarantine, CONTENT, START + 5000));
+    assert!(!is_quarantined(&quarantine, CONTENT, START + 5000));
 }
 
-/// The software was mended, or the ends were chance after all: after its span a request is tried again. If that ends
-/// another server it is held back twice as long; if it is served, nothing is left against it.
+/// After its quarantine a request is admitted again, as the software may be fixed or the ends were
+/// a coincidence. If it ends another server, the next quarantine is twice as long; if it is served,
+/// no end counts against it any more.
 #[test]
-fn a_request_is_tried_again_after_its_span() {
+fn a_request_is_admitted_again_after_its_span() {
     let mut quarantine = Quarantine::default();
     end(&mut quarantine, CONTENT, 1, START, 80);
     end(&mut quarantine, CONTENT, 2, START + 500, 80);
     let again = START + 580 + span();
-    assert!(is_held(&quarantine, CONTENT, again - 1));
-    assert!(!is_held(&quarantine, CONTENT, again));
+    assert!(is_quarantined(&quarantine, CONTENT, again - 1));
+    assert!(!is_quarantined(&quarantine, CONTENT, again));
     quarantine.expire(Millis(again));
     end(&mut quarantine, CONTENT, 3, again + 10, 80);
-    assert!(is_held(&quarantine, CONTENT, again + 90 + 2 * span() - 1));
+    assert!(is_quarantined(
+        &quarantine,
+        CONTENT,
+        again + 90 + 2 * span() - 1
+    ));
     let later = again + 90 + 2 * span();
-    assert!(!is_held(&quarantine, CONTENT, later));
+    assert!(!is_quarantined(&quarantine, CONTENT, later));
     quarantine.served(CONTENT, Millis(later));
     end(&mut quarantine, CONTENT, 4, later + 100, 80);
-    assert!(!is_held(&quarantine, CONTENT, later + 200));
+    assert!(!is_quarantined(&quarantine, CONTENT, later + 200));
 }
 
-/// One end is forgotten in time, as is a request that wasn't seen again.
+/// A single end expires, as does a request that isn't seen again.
 #[test]
-fn what_is_old_is_forgotten() {
+fn old_records_expire() {
     let mut quarantine = Quarantine::default();
     end(&mut quarantine, CONTENT, 1, START, 80);
     quarantine.expire(Millis(START + 80 + 2 * span()));
     assert!(quarantine.all_suspicions(Millis(START)).is_empty());
 }
 
-/// Somebody floods the instances with requests, so that those that are held back are forgotten and can end servers
-/// again. Only ends of servers make records, and what is held back is the last to go.
+/// Guards against a flood of requests that evicts quarantined requests, which could then end
+/// servers again. Only ends of servers create records, and quarantined requests are evicted last.
 #[test]
-fn a_flood_pushes_out_nothing_that_is_held_back() {
+fn a_flood_evicts_no_quarantined_request() {
     let settings = QuarantineSettings::default();
     let capacity = settings.capacity as u128;
     let mut quarantine = Quarantine::new(settings);
@@ -317,7 +330,7 @@
     for number in 0..2 * capacity {
         let content = Fingerprint(1000 + number);
         assert!(quarantine.admit(content, Millis(START + 600)).is_ok());
-        // Each of them was on a server that ended after, which is the worst that a flood could do.
+        // Each of them was on a server that ended afterwards, the worst case of a flood.
         end(
             &mut quarantine,
             content,
@@ -326,11 +339,11 @@
             50,
         );
     }
-    assert!(is_held(&quarantine, CONTENT, START + 1000));
+    assert!(is_quarantined(&quarantine, CONTENT, START + 1000));
 }
 
-/// Each instance saw one end. Told of each other's, both hold the request back, also an instance that has just
-/// started: its clock counts from zero, and the ends lie before that.
+/// Each instance saw one end. After exchanging suspicions, both quarantine the request, and so does
+/// an instance that has just started: its clock counts from zero, and the ends lie before that.
 #[test]
 fn ends_at_several_instances_add_up() {
     let mut first = Quarantine::default();
@@ -341,20 +354,21 @@
     for suspicion in first.unsent_suspicions(Millis(now)) {
         second.apply_suspicion(&suspicion, Millis(now));
     }
-    assert!(is_held(&second, CONTENT, now));
+    assert!(is_quarantined(&second, CONTENT, now));
     let mut third = Quarantine::default();
     for suspicion in second.all_suspicions(Millis(now)) {
         third.apply_suspicion(&suspicion, Millis(40));
     }
-    let held = third.admit(CONTENT, Millis(40)).unwrap_err();
-    assert_eq!(held.retry_after, Millis(span() - (now - (START + 580))));
+    let refusal = third.admit(CONTENT, Millis(40)).unwrap_err();
+    assert_eq!(refusal.retry_after, Millis(span() - (now - (START + 580))));
     assert_eq!(third.quarantined_count(Millis(40)), 1);
 }
 
-/// An instance hears that a request was served, and then, from one that didn't know yet, of the ends before. They
+/// Guards against outdated suspicions that undo a clearance. An instance first receives the report
+/// that a request was served, then the earlier ends from an instance that didn't know yet. They
 /// stay cleared.
 #[test]
-fn old_news_doesnt_undo_that_a_request_was_served() {
+fn outdated_suspicions_dont_undo_a_clearance() {
     let mut first = Quarantine::default();
     end(&mut first, CONTENT, 1, START, 80);
     end(&mut first, CONTENT, 2, START + 500, 80);
@@ -368,15 +382,16 @@
     {
         second.apply_suspicion(suspicion, Millis(START + 900));
     }
-    assert!(!is_held(&second, CONTENT, START + 1000));
+    assert!(!is_quarantined(&second, CONTENT, START + 1000));
 }
 
-/// News of a first end went by slow ways and seem younger than they are, as if its run had overlapped the second one.
-/// Heard again by a faster way, it counts from its true time.
+/// The report of a first end arrives over slow paths and seems younger than it is, as if its run
+/// had overlapped the second one. When it arrives again over a faster path, the end counts from its
+/// true time.
 #[test]
-fn an_end_counts_from_the_earliest_time_that_is_told() {
+fn an_end_counts_from_the_earliest_reported_time() {
     let mut quarantine = Quarantine::default();
-    let told = |age| Suspicion {
+    let reported = |age| Suspicion {
         content: CONTENT,
         ends: vec![ReportedEnd {
             server: Incarnation(1),
@@ -386,54 +401,55 @@
         }],
     };
     end(&mut quarantine, CONTENT, 2, START, 80);
-    quarantine.apply_suspicion(&told(200), Millis(START + 300));
-    assert!(!is_held(&quarantine, CONTENT, START + 300));
-    quarantine.apply_suspicion(&told(310), Millis(START + 300));
-    assert!(is_held(&quarantine, CONTENT, START + 300));
+    quarantine.apply_suspicion(&reported(200), Millis(START + 300));
+    assert!(!is_quarantined(&quarantine, CONTENT, START + 300));
+    quarantine.apply_suspicion(&reported(310), Millis(START + 300));
+    assert!(is_quarantined(&quarantine, CONTENT, START + 300));
 }
 
-/// What happened to a request, as one of several instances saw it.
+/// An event of a request as observed by one of several instances.
 #[derive(Clone, Copy, Debug)]
-enum Seen {
+enum Observed {
     End { server: u64, sent: u64 },
     Served,
 }
 
 /// Generates ends of servers, numbered from 1 to below `server_bound`, and served requests.
-fn seen(server_bound: u64) -> impl Strategy<Value = Seen> {
+fn observed(server_bound: u64) -> impl Strategy<Value = Observed> {
     prop_oneof![
-        3 => (1..server_bound, 0..20u64).prop_map(|(server, slot)| Seen::End {
+        3 => (1..server_bound, 0..20u64).prop_map(|(server, slot)| Observed::End {
             server,
             sent: START + slot * 200,
         }),
-        1 => Just(Seen::Served),
+        1 => Just(Observed::Served),
     ]
 }
 
-/// Checks that two instances that heard the same news in different orders, and the source of the news, return the same
-/// result of `admit` for `CONTENT`. Each run takes `runs_for` milliseconds; `order` selects the news that the second
-/// instance hears before it hears all of them in reverse.
+/// Checks that two instances that received the same suspicions in different orders, and their
+/// source, return the same result of `admit` for `CONTENT`. Each run takes `runs_for` milliseconds;
+/// `order` selects the suspicions that the second instance receives before it receives all of them
+/// in reverse.
 fn check_news_merge_in_any_order(
-    all: Vec<Seen>,
+    all: Vec<Observed>,
     runs_for: u64,
     order: &[prop::sample::Index],
 ) -> Result<(), TestCaseError> {
     let now = Millis(START + 10_000);
     let mut news: Vec<Suspicion> = Vec::new();
     let mut source = Quarantine::default();
-    for seen in all {
-        match seen {
-            Seen::End { server, sent } => end(&mut source, CONTENT, server, sent, runs_for),
-            Seen::Served => {
+    for observed in all {
+        match observed {
+            Observed::End { server, sent } => end(&mut source, CONTENT, server, sent, runs_for),
+            Observed::Served => {
                 source.served(CONTENT, now);
             }
         }
         news.extend(source.unsent_suspicions(now));
     }
-    let mut in_turn = Quarantine::default();
+    let mut in_order = Quarantine::default();
     let mut shuffled = Quarantine::default();
     for suspicion in &news {
-        in_turn.apply_suspicion(suspicion, now);
+        in_order.apply_suspicion(suspicion, now);
     }
     for index in order {
         if !news.is_empty() {
@@ -443,27 +459,28 @@
     for suspicion in news.iter().rev() {
         shuffled.apply_suspicion(suspicion, now);
     }
-    prop_assert_eq!(in_turn.admit(CONTENT, now), shuffled.admit(CONTENT, now));
-    prop_assert_eq!(in_turn.admit(CONTENT, now), source.admit(CONTENT, now));
+    prop_assert_eq!(in_order.admit(CONTENT, now), shuffled.admit(CONTENT, now));
+    prop_assert_eq!(in_order.admit(CONTENT, now), source.admit(CONTENT, now));
     Ok(())
 }
 
 proptest! {
-    /// Datagrams are lost, doubled and overtake each other. Two instances that heard the same news, in whatever order
-    /// and however often, agree on what is held back.
+    /// Guards against instances that disagree because datagrams are lost, duplicated and reordered.
+    /// Two instances that received the same suspicions in any order and number agree on what is
+    /// quarantined.
     #[test]
     fn news_merge_in_any_order(
-        all in prop::collection::vec(seen(5), 1..8),
+        all in prop::collection::vec(observed(5), 1..8),
         order in prop::collection::vec(any::<prop::sample::Index>(), 16),
     ) {
         check_news_merge_in_any_order(all, 80, &order)?;
     }
 
-    /// Guards against instances that disagree on whether a request is held back when more servers ended under it than
-    /// are remembered.
+    /// Guards against instances that disagree on whether a request is quarantined when more servers
+    /// ended under it than are remembered.
     #[test]
     fn news_of_many_ends_merge_in_any_order(
-        all in prop::collection::vec(seen(16), 1..24),
+        all in prop::collection::vec(observed(16), 1..24),
         order in prop::collection::vec(any::<prop::sample::Index>(), 32),
     ) {
         check_news_merge_in_any_order(all, 700, &order)?;
--- a/crates/routing/tests/restart.rs
+++ b/crates/routing/tests/restart.rs
@@ -1,4 +1,4 @@
-//! A server's process ends and starts anew under the server's name.
+//! Tests of a server process that ends and restarts under its name.
 
 #![allow(
     clippy::unwrap_used,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Servers to which the prompt goes in many picks, its home left out.
+/// The servers chosen for the prompt in many picks, excluding its home.
 fn picked(fleet: &mut Fleet, home: ServerKey) -> HashSet<ServerKey> {
     let exclude = [home];
     let demand = Demand {
@@ -44,11 +44,11 @@
     picks.collect()
 }
 
-// Callers see a slow first token: an engine that had read their prompt is gone, and the empty one under
-// its name draws their prompts still. First the engine tells what it keeps and gets them all, then it starts
-// anew; from then on they go where they went before.
+// Guards against slow first tokens after a restart. The engine that had cached the prompts is gone,
+// and its empty successor must not attract them. First an engine reports a cached prefix and gets
+// all its prompts; after its restart they go where they went before.
 #[test]
-fn what_it_kept_is_forgotten() {
+fn cached_prefixes_are_forgotten() {
     let mut fleet = Fleet::new(5);
     let demand = prompt(&fleet);
     let pick = fleet.router.pick(&demand, fleet.now).unwrap();
@@ -56,23 +56,23 @@
     let home = pick.server;
     let before = picked(&mut fleet, home);
     let mut others = fleet.keys.iter().copied();
-    let keeper = others.find(|key| *key != home && !before.contains(key));
-    let keeper = keeper.unwrap();
+    let holder = others.find(|key| *key != home && !before.contains(key));
+    let holder = holder.unwrap();
     let event = CacheEvent {
         seq: 1,
         change: CacheChange::Stored,
         prefix: PREFIX,
     };
-    fleet.router.cache_event(keeper, event);
-    assert_eq!(picked(&mut fleet, home), HashSet::from([keeper]));
-    fleet.router.server_restarted(keeper);
+    fleet.router.cache_event(holder, event);
+    assert_eq!(picked(&mut fleet, home), HashSet::from([holder]));
+    fleet.router.server_restarted(holder);
     assert_eq!(picked(&mut fleet, home), before);
 }
 
-// Callers are refused, or wait at the servers that are left, though a sound process runs: its predecessor
-// failed and is out. With the news of the start it is in again at once, and not after the span out.
+// Guards against refusals while a healthy process runs. Its predecessor failed and is ejected; the
+// report of the restart makes the server available at once rather than after the ejection.
 #[test]
-fn its_failures_are_forgotten() {
+fn failures_are_forgotten() {
     let mut fleet = Fleet::new(1);
     let pick = fleet.router.pick(&fleet.demand(), fleet.now).unwrap();
     fleet
@@ -83,11 +83,12 @@
     assert!(fleet.router.pick(&fleet.demand(), fleet.now).is_ok());
 }
 
-// A request is under way in the middle of its stream, or before its first byte, when the process ends; the
-// registry tells of the next one before the connection is seen to be cut. The cut tells of the process that
-// is gone: counted against the new one, callers would lose a sound server. Its slot must be free all the same.
+// Guards against ejecting a restarted server. The process ends during a request, before or after
+// its first byte, and the registry reports the restart before the cut connection is noticed. The
+// cut belongs to the previous process and must not count against the new one, but its slot must be
+// freed.
 #[test]
-fn ends_of_the_life_before_tell_nothing() {
+fn ends_of_the_previous_process_are_no_evidence() {
     for begun in [false, true] {
         let mut fleet = Fleet::new(2);
         let server = fleet.keys[0];
--- a/crates/routing/tests/retry.rs
+++ b/crates/routing/tests/retry.rs
@@ -1,4 +1,4 @@
-//! What may be sent again, and what a caller is told.
+//! Tests of what may be retried and what a caller is told.
 
 use crocushold_base::Millis;
 use crocushold_routing::Attempt;
@@ -35,9 +35,9 @@
     }
 }
 
-// A booking would be confirmed twice, or a caller told that it wasn't run when it was. Only a
-// request of which no byte left may be sent again unless it is idempotent; an answer's head, even
-// a refusal, proves nothing.
+// Guards against a booking that is confirmed twice, or reported as not run although it was. Unless
+// it is idempotent, only a request of which no byte was sent may be retried; the head of an answer,
+// even of a refusal, proves nothing.
 #[test_case(false, Stage::NotConnected => None)]
 #[test_case(false, Stage::Connected => None)]
 #[test_case(false, Stage::Written => Some(Ran::Unknown))]
@@ -51,8 +51,8 @@
     ran(policy().after_failure(&facts(idempotent), stage, NOW))
 }
 
-// The caller would be told "not run" after its second attempt failed to connect, although the
-// first had been written.
+// Guards against the answer "not run" after a second attempt that failed to connect, although the
+// first one had been written.
 #[test]
 fn earlier_write_is_not_forgotten() {
     let earlier = RequestFacts {
@@ -66,7 +66,7 @@
 
 #[test_case(3, Millis(10_000) ; "attempts spent")]
 #[test_case(1, NOW ; "deadline passed")]
-fn bounds_give_up_with_a_time_to_come_back(attempts: u32, deadline: Millis) {
+fn limits_give_up_with_a_retry_time(attempts: u32, deadline: Millis) {
     let facts = RequestFacts {
         attempts,
         deadline,
@@ -80,8 +80,8 @@
     assert_eq!(decision, expected);
 }
 
-// Overload that makes everything fail would be multiplied by repeats and outlast its cause. Of a
-// thousand failing requests about a tenth are repeated, beside the burst.
+// Guards against overload that retries multiply and prolong. Of a thousand failing requests about a
+// tenth are retried, plus the burst.
 #[test]
 fn budget_bounds_repeats_when_all_fails() {
     let mut policy = policy();
@@ -106,7 +106,7 @@
     RetryPolicy::new(settings, NOW).hedge(&facts(idempotent), Millis(300), NOW)
 }
 
-/// How far each attempt of a request gets before it fails.
+/// The stage that each attempt of a request reaches before it fails.
 fn stages() -> impl Strategy<Value = Vec<Stage>> {
     let stage = prop_oneof![
         Just(Stage::NotConnected),
@@ -119,8 +119,8 @@
 }
 
 proptest! {
-    // Whatever fails in whatever order: a non-idempotent request's bytes leave once at most, "not
-    // run" is said only of a request whose bytes never left, and nothing follows a relayed byte.
+    // Whatever fails in whatever order: a non-idempotent request is sent at most once, only a
+    // request that was never sent is reported as not run, and nothing follows a relayed byte.
     #[test]
     fn at_most_once_and_no_false_not_run(stages in stages(), idempotent: bool) {
         let mut policy = policy();
@@ -142,7 +142,7 @@
         prop_assert!(idempotent || writes <= 1);
     }
 
-    // The typestate tells the same as the policy.
+    // The typestate agrees with the policy.
     #[test]
     fn permits_follow_the_policy(stages in stages(), idempotent: bool) {
         for stage in stages {
--- a/crates/routing/tests/returns.rs
+++ b/crates/routing/tests/returns.rs
@@ -1,4 +1,4 @@
-//! How soon a server that came back takes its full share, and what it can't lose on the way.
+//! Tests of how soon a returning server gets its full share, and how much it can lose until then.
 
 #![allow(
     clippy::unwrap_used,
@@ -15,18 +15,18 @@
 use crocushold_routing::Outcome;
 use crocushold_routing::State;
 
-/// Milliseconds to a first token.
-const FIRST: u64 = 50;
+/// Time to first token, in milliseconds.
+const FIRST_TOKEN_MS: u64 = 50;
 
-/// Milliseconds that a whole answer takes.
-const WHOLE: u64 = 2000;
+/// Duration of a whole answer, in milliseconds.
+const ANSWER_MS: u64 = 2000;
 
-/// A fleet that has seen first bytes, whose server 0 refused a connection and comes back.
-fn back() -> Fleet {
+/// A fleet with first-byte samples whose server 0 refused a connection and returns.
+fn fleet_with_returning_server() -> Fleet {
     let mut fleet = Fleet::new(5);
     for at in (0..5).cycle().take(100) {
         let pick = fleet.pick_on(at);
-        fleet.wait(FIRST);
+        fleet.wait(FIRST_TOKEN_MS);
         fleet.router.first_byte(pick.attempt, fleet.now);
         fleet.end(pick.attempt, Outcome::Cancelled);
     }
@@ -39,89 +39,89 @@
 
 /// Fills the server's slots with answers that begin after `first`.
 fn fill(fleet: &mut Fleet, first: u64) -> Vec<AttemptKey> {
-    let mut held = Vec::new();
-    let mut fresh = Vec::new();
+    let mut running = Vec::new();
+    let mut started = Vec::new();
     loop {
         while let Ok(pick) = fleet.try_on(0) {
-            fresh.push(pick.attempt);
+            started.push(pick.attempt);
         }
-        if fresh.is_empty() {
-            return held;
+        if started.is_empty() {
+            return running;
         }
         fleet.wait(first);
-        for attempt in fresh.drain(..) {
+        for attempt in started.drain(..) {
             fleet.router.first_byte(attempt, fleet.now);
-            held.push(attempt);
+            running.push(attempt);
         }
     }
 }
 
-// Callers wait for slots while a server that came back stands half idle. Its answers begin in good
-// time, so it gets half of its share within two of these times, and the rest when one is whole; by
-// whole answers alone the half took as long as an answer, and the whole twice that.
+// Guards against idle slots on a returning server. Its answers begin in time, so it gets half of
+// its share within two times to first token and the rest after one whole answer. By whole answers
+// alone, half of the share took one answer and the full share two.
 #[test]
 fn returned_server_fills_as_answers_begin() {
-    let mut fleet = back();
+    let mut fleet = fleet_with_returning_server();
     let since = fleet.now;
-    let held = fill(&mut fleet, FIRST);
-    assert_eq!(held.len() as u32, SLOTS / 2);
-    assert!(fleet.now.since(since) <= Millis(2 * FIRST));
-    fleet.wait(WHOLE);
-    fleet.end(held[0], Outcome::Complete);
-    let more = fill(&mut fleet, FIRST);
-    assert_eq!((held.len() - 1 + more.len()) as u32, SLOTS);
-    assert!(fleet.now.since(since) <= Millis(WHOLE + 5 * FIRST));
+    let running = fill(&mut fleet, FIRST_TOKEN_MS);
+    assert_eq!(running.len() as u32, SLOTS / 2);
+    assert!(fleet.now.since(since) <= Millis(2 * FIRST_TOKEN_MS));
+    fleet.wait(ANSWER_MS);
+    fleet.end(running[0], Outcome::Complete);
+    let added = fill(&mut fleet, FIRST_TOKEN_MS);
+    assert_eq!((running.len() - 1 + added.len()) as u32, SLOTS);
+    assert!(fleet.now.since(since) <= Millis(ANSWER_MS + 5 * FIRST_TOKEN_MS));
 }
 
-// Callers of a server that begins every answer and cuts it would each lose theirs. No more than half
-// of its slots are at stake before one answer was whole; the first cut takes it out at once, for
-// longer each time.
+// Guards against lost answers on a server that begins every answer and cuts it. At most half of its
+// slots are at risk before one answer was whole, and the first cut ejects it at once, for longer
+// each time.
 #[test]
 fn server_that_cuts_what_it_begins_loses_half_at_most() {
-    let mut fleet = back();
-    let mut last = Millis::ZERO;
+    let mut fleet = fleet_with_returning_server();
+    let mut previous = Millis::ZERO;
     for _ in 0..3 {
-        let held = fill(&mut fleet, FIRST);
-        assert!(held.len() as u32 <= SLOTS / 2);
-        for attempt in held {
+        let running = fill(&mut fleet, FIRST_TOKEN_MS);
+        assert!(running.len() as u32 <= SLOTS / 2);
+        for attempt in running {
             fleet.end(attempt, Outcome::Cut);
         }
         let State::Out { until, .. } = fleet.state(0) else {
-            panic!("it is in");
+            panic!("the server is in use");
         };
         let span = until.since(fleet.now);
-        assert!(span > last, "{span} after {last}");
-        last = span;
+        assert!(span > previous, "{span} after {previous}");
+        previous = span;
         while fleet.state(0) != State::Recovering {
             fleet.wait(500);
         }
     }
 }
 
-// Callers would get slow answers. A straggler comes back and is still slow: its answers begin later
-// than nearly all others, so it keeps one request at a time until one was whole.
+// Guards against raising the limit of a returning straggler that is still slow. Its answers begin
+// later than nearly all others, so it keeps one request at a time until one answer was whole.
 #[test]
-fn late_beginnings_earn_nothing() {
-    let mut fleet = back();
-    assert_eq!(fill(&mut fleet, 10 * FIRST).len(), 1);
+fn late_first_bytes_do_not_raise_the_limit() {
+    let mut fleet = fleet_with_returning_server();
+    assert_eq!(fill(&mut fleet, 10 * FIRST_TOKEN_MS).len(), 1);
 }
 
-// Callers are refused by a server that said that it has too many requests, just after it came back.
-// Its limit was halved and grows with whole answers alone: that it begins some says nothing of how
-// many it can take.
+// Guards against overloading a server that reported overload right after its return. Its halved
+// limit grows only with whole answers, because answers that begin don't show how many it can
+// handle.
 #[test]
-fn overloaded_server_earns_nothing_by_beginning() {
-    let mut fleet = back();
-    let held = fill(&mut fleet, FIRST);
-    fleet.end(held[0], Outcome::Complete);
-    fleet.end(held[1], Outcome::Overloaded);
-    assert_eq!(fill(&mut fleet, FIRST).len(), 1);
+fn first_bytes_of_an_overloaded_server_do_not_raise_the_limit() {
+    let mut fleet = fleet_with_returning_server();
+    let running = fill(&mut fleet, FIRST_TOKEN_MS);
+    fleet.end(running[0], Outcome::Complete);
+    fleet.end(running[1], Outcome::Overloaded);
+    assert_eq!(fill(&mut fleet, FIRST_TOKEN_MS).len(), 1);
 }
 
-// Callers would get slow tokens each time that a straggler returns. It comes back as slow as it was:
-// the first sample takes it out again, before its first answer is whole, and for longer.
+// Guards against slow tokens each time a straggler returns. The first sample ejects it again,
+// before its first answer is whole, and for longer.
 #[test]
-fn straggler_that_returns_slow_is_out_at_the_first_sample() {
+fn straggler_that_returns_slow_is_ejected_at_the_first_sample() {
     let mut fleet = Fleet::new(5);
     for _ in 0..6 {
         (0..5).for_each(|at| fleet.answer(at, 20));
@@ -137,22 +137,22 @@
     (0..16).for_each(|_| fleet.wait(200));
     fleet.router.progress(pick.attempt, 16, fleet.now);
     let State::Out { until, .. } = fleet.state(0) else {
-        panic!("it is in");
+        panic!("the server is in use");
     };
     assert!(until.since(fleet.now) > Millis(3000));
 }
 
-// Callers would lose a server that was just restarted, for longer each time. It comes back with an
-// empty cache, so its first answer of one token takes five times as long as its peers'; that doesn't
-// count as slow, as a first stream would.
+// Guards against ejecting a restarted server for its cold cache. Its first answer of one token
+// takes five times as long as its peers' answers, which doesn't count as slow, unlike a first
+// stream.
 #[test]
 fn cold_cache_after_a_return_keeps_it_in() {
     let mut fleet = Fleet::new(5);
     let warm = Reply {
         prompt: 100,
-        prefill: 20,
+        prefill_ms: 20,
         tokens: 1,
-        pace: 20,
+        token_ms: 20,
         streamed: true,
     };
     for _ in 0..20 {
@@ -162,7 +162,7 @@
     fleet.end(pick.attempt, Outcome::Refused);
     fleet.wait(700);
     let cold = Reply {
-        prefill: 180,
+        prefill_ms: 180,
         ..warm
     };
     fleet.reply(0, cold);
--- a/crates/routing/tests/ring.rs
+++ b/crates/routing/tests/ring.rs
@@ -1,4 +1,4 @@
-//! Homes of prompts on a ring that follows the servers as they come and go.
+//! Tests of the homes of prompts on a ring that follows the servers as they come and go.
 
 use crocushold_base::Millis;
 use crocushold_base::ServerKey;
@@ -25,7 +25,7 @@
     specs.collect()
 }
 
-/// Where each prefix goes when nothing else is known of the servers.
+/// The server of each prefix when nothing else is known of the servers.
 fn homes(router: &mut Router) -> Vec<ServerKey> {
     let homes = (0..PREFIXES).map(|prefix| {
         let demand = Demand {
@@ -44,15 +44,16 @@
     Router::new(Settings::default(), "here", 7)
 }
 
-/// Guards against instances that send a prompt to different homes since they saw servers come in another order.
+/// Guards against instances that send a prompt to different homes because they saw the servers
+/// arrive in different orders.
 #[test]
 fn homes_are_the_same_however_the_servers_came() {
     let specs = specs(20);
     let mut at_once = router();
     at_once.configure(&specs[4..18], NOW);
-    let mut by_turns = router();
+    let mut in_steps = router();
     for (from, to) in [(0, 3), (0, 20), (10, 12), (2, 15), (4, 18)] {
-        by_turns.configure(&specs[from..to], NOW);
+        in_steps.configure(&specs[from..to], NOW);
     }
-    assert_eq!(homes(&mut by_turns), homes(&mut at_once));
+    assert_eq!(homes(&mut in_steps), homes(&mut at_once));
 }
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Servers that come up cold in a rush.
+//! Tests of servers that start cold during a burst.
 
 use crocushold_base::Millis;
 use crocushold_base::ServerKey;
@@ -15,27 +15,27 @@
 
 const START: Millis = Millis(10_000);
 
-/// Requests a second that a cold server bears.
+/// Requests per second that a cold server tolerates.
 const RATE: f64 = 10.0;
 
-/// What it bears at most in one second: half as many again, and five.
-const MOST: usize = 20;
+/// The most that it tolerates within one second: half as many more, plus five.
+const MAX_PER_SECOND: usize = 20;
 
 const COLD_UNTIL: Millis = Millis(13_000);
 
-/// Between two requests of a rush.
+/// Time between two requests of a burst.
 const STEP: Millis = Millis(2);
 
-const OWN: u32 = 500;
+const UNIQUE_TOKENS: u32 = 500;
 
-struct Rush {
+struct Burst {
     router: Router,
     keys: Vec<ServerKey>,
 }
 
-impl Rush {
-    /// `warm` servers, and `cold` ones.
-    fn new(warm: usize, cold: usize) -> Rush {
+impl Burst {
+    /// A router with `warm` warm and `cold` cold servers.
+    fn new(warm: usize, cold: usize) -> Burst {
         let mut keys: SlotMap<ServerKey, ()> = SlotMap::with_key();
         let specs = (0..warm + cold).map(|number| ServerSpec {
             key: keys.insert(()),
@@ -53,12 +53,13 @@
         for key in &keys[warm..] {
             router.set_cold(*key, COLD_UNTIL);
         }
-        Rush { router, keys }
+        Burst { router, keys }
     }
 
-    /// Sends what can be sent for `span`, each request for 100 ms; returns when each server got one.
+    /// Sends as many requests as possible for `span`, each lasting 100 ms. Returns the times of the
+    /// requests of each server.
     fn run(&mut self, demand: &Demand<'_>, from: Millis, span: Millis) -> Vec<Vec<Millis>> {
-        let mut got = vec![Vec::new(); self.keys.len()];
+        let mut sent = vec![Vec::new(); self.keys.len()];
         let mut running = Vec::new();
         let mut now = from;
         while now < from + span {
@@ -71,27 +72,27 @@
             });
             if let Ok(pick) = self.router.pick(demand, now) {
                 let place = self.keys.iter().position(|key| *key == pick.server);
-                got[place.expect("it is configured")].push(now);
+                sent[place.expect("it is configured")].push(now);
                 running.push((pick.attempt, now + Millis(100)));
             }
             now += STEP;
         }
-        got
+        sent
     }
 }
 
 fn demand(allow_cold: bool, unique_tokens: u32) -> Demand<'static> {
     Demand {
         unique_tokens,
-        tokens: OWN,
+        tokens: UNIQUE_TOKENS,
         central: allow_cold,
         allow_cold,
         ..Demand::default()
     }
 }
 
-/// The most requests of any second.
-fn most(times: &[Millis]) -> usize {
+/// The maximum number of requests within any second.
+fn max_per_second(times: &[Millis]) -> usize {
     let second = |start: &Millis| {
         let within = times.iter().filter(|at| **at >= *start);
         within.filter(|at| at.since(*start) < Millis(1000)).count()
@@ -99,49 +100,54 @@
     times.iter().map(second).max().unwrap_or(0)
 }
 
-/// Guards against flooding a server that looks idle since it has just come up.
-#[test_case(OWN; "an engine")]
+/// Guards against flooding a server that looks idle because it has just started.
+#[test_case(UNIQUE_TOKENS; "an engine")]
 #[test_case(0; "a plain server")]
 fn a_cold_server_is_sent_requests_at_a_pace(own: u32) {
-    let mut rush = Rush::new(1, 2);
-    let got = rush.run(&demand(true, own), START, Millis(3000));
-    for cold in &got[1..] {
-        let count = most(cold);
+    let mut burst = Burst::new(1, 2);
+    let sent = burst.run(&demand(true, own), START, Millis(3000));
+    for cold in &sent[1..] {
+        let count = max_per_second(cold);
         assert!(count <= RATE as usize, "{count} in a second");
         assert!(count > RATE as usize / 2, "{count}: it should be used");
     }
-    let got = rush.run(&demand(true, own), COLD_UNTIL, Millis(1000));
-    assert!(most(&got[1]) > MOST, "it is warm");
+    let sent = burst.run(&demand(true, own), COLD_UNTIL, Millis(1000));
+    assert!(max_per_second(&sent[1]) > MAX_PER_SECOND, "it is warm");
 }
 
-/// Guards against instances that each send a little to the same cold server.
-#[test_case(OWN; "an engine")]
+/// Guards against many instances that each send a few requests to the same cold server.
+#[test_case(UNIQUE_TOKENS; "an engine")]
 #[test_case(0; "a plain server")]
-fn instances_that_choose_by_themselves_pass_cold_servers_over(own: u32) {
-    let mut rush = Rush::new(1, 30);
-    let got = rush.run(&demand(false, own), START, Millis(1000));
-    assert!(got[0].len() > 100, "{}", got[0].len());
-    assert!(got[1..].iter().all(Vec::is_empty));
+fn instances_that_choose_on_their_own_skip_cold_servers(own: u32) {
+    let mut burst = Burst::new(1, 30);
+    let sent = burst.run(&demand(false, own), START, Millis(1000));
+    assert!(sent[0].len() > 100, "{}", sent[0].len());
+    assert!(sent[1..].iter().all(Vec::is_empty));
 }
 
-/// Guards against two instances that place at a time and together send more than a cold server bears.
+/// Guards against two instances that place at the same time and together exceed what a cold server
+/// tolerates.
 #[test]
-fn two_that_place_at_a_time_stay_below_what_a_cold_server_bears() {
+fn two_placing_instances_stay_below_what_a_cold_server_tolerates() {
     let runs = [0, 1].map(|offset| {
-        let mut rush = Rush::new(0, 1);
-        rush.run(&demand(true, OWN), START + Millis(offset), Millis(2000))
+        let mut burst = Burst::new(0, 1);
+        burst.run(
+            &demand(true, UNIQUE_TOKENS),
+            START + Millis(offset),
+            Millis(2000),
+        )
     });
     let mut both: Vec<Millis> = runs.into_iter().flatten().flatten().collect();
     both.sort_unstable();
-    let count = most(&both);
-    assert!(count <= MOST, "{count} in a second");
+    let count = max_per_second(&both);
+    assert!(count <= MAX_PER_SECOND, "{count} in a second");
 }
 
-/// Guards against a refusal that names no time, or one at which all servers are cold still.
+/// Guards against a refusal without a retry time, or with one at which all servers are still cold.
 #[test]
-fn with_cold_servers_alone_a_request_comes_back_when_one_is_warm() {
-    let mut rush = Rush::new(0, 2);
-    let refused = rush.router.pick(&demand(false, OWN), START);
+fn with_only_cold_servers_the_retry_time_is_when_one_is_warm() {
+    let mut burst = Burst::new(0, 2);
+    let refused = burst.router.pick(&demand(false, UNIQUE_TOKENS), START);
     let cold = NoServer {
         reason: Reason::Cold,
         retry_after: COLD_UNTIL.since(START),
@@ -149,16 +155,18 @@
     assert_eq!(refused.map(|pick| pick.server), Err(cold));
 }
 
-/// Guards against dropping what the instance that spends the rate has granted.
+/// Guards against rejecting a placement by the instance that uses the cold rate.
 #[test]
-fn a_cold_server_takes_what_was_placed_there() {
-    let mut rush = Rush::new(1, 1);
-    let placed = Placement {
-        server: rush.keys[1],
+fn a_cold_server_accepts_placements() {
+    let mut burst = Burst::new(1, 1);
+    let placement = Placement {
+        server: burst.keys[1],
         source: None,
         wait: Millis::ZERO,
-        prefill_tokens: OWN,
+        prefill_tokens: UNIQUE_TOKENS,
     };
-    let pick = rush.router.adopt(&placed, &demand(false, OWN), START);
-    assert_eq!(pick.map(|pick| pick.server), Some(rush.keys[1]));
+    let pick = burst
+        .router
+        .adopt(&placement, &demand(false, UNIQUE_TOKENS), START);
+    assert_eq!(pick.map(|pick| pick.server), Some(burst.keys[1]));
 }
--- a/crates/routing/tests/stragglers.rs
+++ b/crates/routing/tests/stragglers.rs
@@ -1,4 +1,4 @@
-//! Which servers are seen to be slow, how soon, and which are not.
+//! Tests of which servers are detected as stragglers, and how soon.
 
 #![allow(
     clippy::unwrap_used,
@@ -21,7 +21,7 @@
 
 const SERVERS: usize = 12;
 
-/// Slow samples that eject, as the daemon has it.
+/// Slow samples that eject a server, as configured in production.
 const SAMPLES: u32 = 3;
 
 fn fleet() -> Fleet {
@@ -38,16 +38,16 @@
     )
 }
 
-fn straggles(fleet: &Fleet, at: usize) -> bool {
+fn is_straggler(fleet: &Fleet, at: usize) -> bool {
     let state = fleet.state(at);
     matches!(state, State::Out { fault, .. } if fault == Fault::Straggling)
 }
 
-// The caller sees tokens come four times slower than promised. One server slows down after a long
-// time of keeping pace; three samples take it out. A running mean has to climb from the good time
-// first and took eleven, in which every caller sent there missed the target.
+// Guards against detecting a straggler too late. A server becomes four times slower after a long
+// time at normal speed; three samples eject it. A running mean, which has to climb from the good
+// time, took eleven, and every caller sent there in the meantime missed the target.
 #[test]
-fn fourfold_straggler_is_out_after_three_samples() {
+fn fourfold_straggler_is_ejected_after_three_samples() {
     let mut fleet = fleet();
     for _ in 0..20 {
         (0..SERVERS).for_each(|at| fleet.answer(at, 20));
@@ -55,13 +55,13 @@
     for number in 1..=SAMPLES {
         (1..SERVERS).for_each(|at| fleet.answer(at, 20));
         fleet.answer(0, 80);
-        assert_eq!(straggles(&fleet, 0), number == SAMPLES);
+        assert_eq!(is_straggler(&fleet, 0), number == SAMPLES);
     }
 }
 
-// Callers of all streams of one server see one gap. The server pauses once, and a sample of every
-// stream on it is slow; they end within moments of each other and are one event. Counted apart, a
-// pause that is over would cost the server's slots for seconds.
+// Guards against ejecting a server for one pause. The pause makes a sample of every stream on it
+// slow; they end within moments of each other and count as one event. Counted separately, they
+// would cost the server's slots for seconds after the pause.
 #[test]
 fn a_pause_of_all_streams_is_one_event() {
     let mut fleet = fleet();
@@ -84,14 +84,14 @@
     assert!(slowness < 4.0, "{slowness}");
 }
 
-// The caller of a server that wavers sees nothing. It is twice as slow now and then, but in time
-// again between: no straggler, however often that happens.
+// A server that is three times slower in every other answer, and at normal speed in between, is no
+// straggler however often that happens.
 #[test]
-fn a_wavering_server_stays() {
+fn a_fluctuating_server_stays() {
     let mut fleet = fleet();
     for round in 0..100 {
-        let pace = if round % 2 == 0 { 60 } else { 20 };
-        fleet.answer(0, pace);
+        let token_ms = if round % 2 == 0 { 60 } else { 20 };
+        fleet.answer(0, token_ms);
         (1..SERVERS).for_each(|at| fleet.answer(at, 20));
         assert_eq!(fleet.state(0), State::Serving);
     }
@@ -100,9 +100,9 @@
 /// Streams of eight tokens.
 const SHORT: Reply = Reply {
     prompt: 100,
-    prefill: 20,
+    prefill_ms: 20,
     tokens: 8,
-    pace: 20,
+    token_ms: 20,
     streamed: true,
 };
 
@@ -113,13 +113,13 @@
     ..SHORT
 };
 
-/// Answers of one token, as a classification gives.
+/// Answers of one token, as from a classification.
 const ONE: Reply = Reply { tokens: 1, ..SHORT };
 
 fn slower(reply: Reply, factor: u64) -> Reply {
     Reply {
-        prefill: reply.prefill * factor,
-        pace: reply.pace * factor,
+        prefill_ms: reply.prefill_ms * factor,
+        token_ms: reply.token_ms * factor,
         ..reply
     }
 }
@@ -129,25 +129,25 @@
     fleet.reply(0, first);
 }
 
-// The caller sees an answer come four times too late, again and again. All answers of the service
-// are short, or not streamed, or of one token, so no stream is long enough to tell a pace: the short
-// ones are added up, the others compared as a whole with their peers' of the same size.
+// Guards against a straggler that is never detected because its answers are short, not streamed or
+// a single token, so that no stream gives a time per token. Short streams are accumulated, and the
+// others are compared as a whole with their peers' answers of the same size.
 #[test_case(SHORT, 12; "short streams")]
 #[test_case(WHOLE, 4; "whole answers")]
 #[test_case(ONE, 4; "one token")]
-fn straggler_with_short_answers_is_seen(reply: Reply, most: usize) {
+fn straggler_with_short_answers_is_detected(reply: Reply, most: usize) {
     let mut fleet = fleet();
     (0..10).for_each(|_| round(&mut fleet, reply, reply));
     let slow = slower(reply, 4);
     let rounds = (1..=most).find(|_| {
         round(&mut fleet, slow, reply);
-        straggles(&fleet, 0)
+        is_straggler(&fleet, 0)
     });
     assert!(rounds.is_some());
 }
 
-// Callers with long prompts would lose the server that their prefix leads them to. It takes ten
-// times as long for each answer as its peers, since it alone gets prompts thirty times as long.
+// Guards against ejecting the server of a prefix with long prompts. It takes ten times as long per
+// answer as its peers because its prompts are thirty times as long.
 #[test_case(WHOLE; "whole answers")]
 #[test_case(ONE; "one token")]
 fn long_prompts_make_no_straggler(reply: Reply) {
@@ -155,7 +155,7 @@
     (0..10).for_each(|_| round(&mut fleet, reply, reply));
     let long = Reply {
         prompt: 3000,
-        prefill: 1000,
+        prefill_ms: 1000,
         ..reply
     };
     for _ in 0..60 {
@@ -164,13 +164,14 @@
     }
 }
 
-// Callers would lose a server that was just started. Two of three prompts are found in the peers'
-// caches, and none in its own, so its first tokens come five times later than most of theirs.
+// Guards against ejecting a server that has just started. Two of three prompts are found in the
+// peers' caches and none in its own, so its first tokens arrive five times later than most of
+// theirs.
 #[test]
 fn cold_cache_makes_no_straggler() {
     let mut fleet = fleet();
     let cold = Reply {
-        prefill: 200,
+        prefill_ms: 200,
         ..ONE
     };
     for turn in 0..60 {
@@ -197,7 +198,8 @@
     }
 }
 
-// Callers wait for every server. All of them slow down tenfold at once, so none is a straggler.
+// Guards against ejections when all servers become ten times slower at once, so that none is a
+// straggler.
 #[test_case(SHORT; "short streams")]
 #[test_case(WHOLE; "whole answers")]
 #[test_case(ONE; "one token")]
@@ -211,8 +213,8 @@
     }
 }
 
-// Callers wait in the queue of one server, which other instances fill; its report says so. It works
-// as fast as its peers, so it stays: ejecting it would push its queue onto them.
+// Guards against ejecting a server because of a queue that other instances fill, as its load report
+// shows. It is as fast as its peers, and ejecting it would move its queue to them.
 #[test]
 fn a_queue_in_the_server_makes_no_straggler() {
     let mut fleet = fleet();
@@ -226,7 +228,7 @@
         (1..SERVERS).for_each(|at| fleet.reply(at, ONE));
         fleet.router.load_report(fleet.keys[0], report, fleet.now);
         let queued = Reply {
-            prefill: 1500,
+            prefill_ms: 1500,
             ..ONE
         };
         fleet.reply(0, queued);
@@ -234,8 +236,8 @@
     }
 }
 
-// The first callers of a service see answers of all lengths. Too few of one size were seen to call
-// any slow, so nobody goes out.
+// Guards against ejections from too few samples. Answers of many lengths were seen, but too few of
+// one size to call any server slow.
 #[test]
 fn few_samples_eject_nobody() {
     let mut fleet = fleet();
--- a/crates/routing/tests/subset.rs
+++ b/crates/routing/tests/subset.rs
@@ -1,4 +1,4 @@
-//! Evenness and churn of subsets.
+//! Tests of the evenness and churn of subsets.
 
 use crocushold_routing::coverage;
 use crocushold_routing::subset;
@@ -14,8 +14,8 @@
     instances.iter().map(of).collect()
 }
 
-/// Servers that have no sender, or too few of them, would idle while others overflow; an instance
-/// without servers for a model would refuse all its requests.
+/// Guards against servers with too few senders, which are idle while others overflow, and against
+/// instances without servers for a model, which refuse all its requests.
 #[test_case(20, 8, 20 ; "a small fleet in full")]
 #[test_case(20, 8, 6 ; "a small fleet in part")]
 #[test_case(151, 100, 8 ; "one model of a large fleet")]
@@ -46,8 +46,8 @@
     assert_eq!(before, subset(&servers, &instances, me, 8));
 }
 
-/// Each change of a subset costs connections and warm caches. One instance of a hundred that
-/// leaves should move little more than its own hundredth.
+/// Each change of a subset costs connections and warm caches. When one of a hundred instances
+/// leaves, little more than its own hundredth should move.
 #[test]
 fn one_instance_leaving_moves_little() {
     let servers = ids(151, 1);
--- a/crates/routing/tests/unsent.rs
+++ b/crates/routing/tests/unsent.rs
@@ -1,4 +1,4 @@
-//! Repeats of attempts that provably didn't run.
+//! Tests of retries of attempts that provably didn't run.
 
 use crocushold_base::Millis;
 use crocushold_routing::BudgetSettings;
@@ -30,10 +30,11 @@
     RetryPolicy::new(settings, Millis::ZERO)
 }
 
-/// A server crashes, and each of its requests finds its port closed. Not one byte reached a server, so
-/// sending them to its peers adds no load, and a spent budget must not refuse them.
+/// Guards against refusals after a server crash. Each of its requests finds the port closed and no
+/// byte reached a server, so sending them to its peers adds no load, and an empty budget must not
+/// refuse them.
 #[test]
-fn attempts_of_which_nothing_left_are_free_where_set_so() {
+fn unsent_attempts_are_free_if_configured() {
     let mut policy = policy(false);
     for _ in 0..10 {
         let decision = policy.after_failure(&FACTS, Stage::NotConnected, Millis(1));
@@ -41,7 +42,8 @@
     }
 }
 
-/// A full server turned the request away. It didn't run, but it arrived: the budget counts it.
+/// A full server rejected the request. It didn't run but reached the server, so the budget is
+/// charged.
 #[test]
 fn rejections_are_charged_and_known_not_to_have_run() {
     let mut policy = policy(false);
