--- a/crates/routing/benches/quarantine.rs
+++ b/crates/routing/benches/quarantine.rs
@@ -1,5 +1,5 @@
-//! What the quarantine costs each request, and how it grows with the requests that are remembered:
-//! `cargo bench -p crocushold-routing --bench quarantine`.
+//! Cost of the quarantine for each request, depending on the number of records: `cargo bench -p
+//! crocushold-routing --bench quarantine`.
 
 use crocushold_base::Millis;
 use crocushold_routing::Fingerprint;
@@ -15,7 +15,7 @@
     divan::main();
 }
 
-/// A quarantine that holds so many requests back.
+/// Creates a quarantine with `records` quarantined requests.
 fn quarantine(records: u64) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for number in 0..records {
--- a/crates/routing/benches/router.rs
+++ b/crates/routing/benches/router.rs
@@ -1,5 +1,5 @@
-//! The cost of the router's decisions, and how it grows with the servers:
-//! `cargo bench -p crocushold-routing`.
+//! Cost of the router's operations, depending on the number of servers: `cargo bench -p
+//! crocushold-routing`.
 
 use crocushold_base::Millis;
 use crocushold_base::ModelKey;
@@ -39,7 +39,7 @@
 }
 
 impl Fleet {
-    /// A fleet with `filled` of its slots taken.
+    /// Creates a fleet with the fraction `filled` of its slots taken.
     fn new(servers: usize, filled: f64) -> Fleet {
         let mut keys: SlotMap<ServerKey, ()> = SlotMap::with_key();
         let mut arena: SlotMap<ModelKey, ()> = SlotMap::with_key();
@@ -108,14 +108,14 @@
     }
 }
 
-/// One pick, its first byte and its end.
+/// A pick, its first byte and its end.
 #[divan::bench(args = SERVERS, sample_size = 1000)]
 fn pick_and_done(bencher: Bencher<'_, '_>, servers: usize) {
     let mut fleet = Fleet::new(servers, 0.7);
     bencher.bench_local(|| fleet.cycle(Outcome::Complete));
 }
 
-/// As before, chosen by when the answer is expected to begin, with the prompts' lengths known.
+/// The same, chosen by expected time to first token with known prompt lengths.
 #[divan::bench(args = SERVERS, sample_size = 1000)]
 fn pick_soonest_and_done(bencher: Bencher<'_, '_>, servers: usize) {
     let mut fleet = Fleet::new(servers, 0.3);
@@ -129,7 +129,7 @@
     });
 }
 
-/// As before, by one router that chooses for all instances and weighs every server.
+/// The same, by one router that chooses for all instances and compares all servers.
 #[divan::bench(args = SERVERS, sample_size = 100)]
 fn pick_centrally_and_done(bencher: Bencher<'_, '_>, servers: usize) {
     let mut fleet = Fleet::new(servers, 0.3);
@@ -144,14 +144,14 @@
     });
 }
 
-/// As before, on a fleet of which nearly every slot is taken.
+/// The same, on a fleet with nearly every slot taken.
 #[divan::bench(args = SERVERS, sample_size = 1000)]
 fn pick_and_done_when_full(bencher: Bencher<'_, '_>, servers: usize) {
     let mut fleet = Fleet::new(servers, 0.99);
     bencher.bench_local(|| fleet.cycle(Outcome::Complete));
 }
 
-/// As before, but every attempt fails.
+/// The same, but every attempt fails.
 #[divan::bench(args = SERVERS, sample_size = 1000)]
 fn pick_and_fail(bencher: Bencher<'_, '_>, servers: usize) {
     let mut fleet = Fleet::new(servers, 0.7);
@@ -183,7 +183,7 @@
     });
 }
 
-/// A whole reading of the instance list, once a second or so.
+/// A read of the whole instance list, which happens about once a second.
 #[divan::bench(args = SERVERS)]
 fn instance_list(bencher: Bencher<'_, '_>, servers: usize) {
     let mut fleet = Fleet::new(servers, 0.7);
@@ -198,14 +198,14 @@
     bencher.bench_local(|| fleet.router.instance_list(&list, fleet.now));
 }
 
-/// A configuration of all servers, on a change of the set.
+/// A configuration of all servers, which happens when the set changes.
 #[divan::bench(args = SERVERS)]
 fn configure(bencher: Bencher<'_, '_>, servers: usize) {
     let mut fleet = Fleet::new(servers, 0.7);
     bencher.bench_local(|| fleet.router.configure(&fleet.specs, fleet.now));
 }
 
-/// A router built anew; its peak of memory is what a router holds, and some.
+/// The construction of a router. Its peak memory is slightly more than what a router holds.
 #[divan::bench(args = SERVERS)]
 fn build(bencher: Bencher<'_, '_>, servers: usize) {
     let fleet = Fleet::new(servers, 0.0);
@@ -216,7 +216,7 @@
     });
 }
 
-/// The subset of one instance of 400.
+/// The subset of one of 400 instances.
 #[divan::bench(args = SERVERS)]
 fn subset_of_400(bencher: Bencher<'_, '_>, servers: usize) {
     let ids: Vec<u64> = (0..servers as u64).collect();
--- a/crates/routing/examples/model/engine.rs
+++ b/crates/routing/examples/model/engine.rs
@@ -1,38 +1,38 @@
-//! An engine of the model.
+//! A simulated engine.
 
 use std::collections::VecDeque;
 
-/// Requests that an engine runs at a time.
+/// Concurrent requests of an engine.
 pub(crate) const BATCH: usize = 16;
 
-/// Prefixes that it caches.
-const CACHE: usize = 24;
+/// Number of cached prefixes.
+const CACHED_PREFIXES: usize = 24;
 
-/// Milliseconds for each token with an empty batch, and what each further request adds.
-const PACE: f64 = 10.0;
-const PACE_PER_REQUEST: f64 = 0.5;
+/// Milliseconds per token with an empty batch, and the increase per additional request.
+const TOKEN_MS: f64 = 10.0;
+const TOKEN_MS_PER_REQUEST: f64 = 0.5;
 
-/// Milliseconds of prefill with the prefix cached, and without.
+/// Duration of the prefill with and without the prefix cached, in milliseconds.
 const PREFILL_HIT: f64 = 40.0;
 const PREFILL_MISS: f64 = 250.0;
 
-/// Mean time that a request of `tokens` holds a slot in a full engine.
-pub(crate) fn full_span(tokens: f64) -> f64 {
-    PREFILL_MISS + tokens * (PACE + PACE_PER_REQUEST * BATCH as f64)
+/// Mean time that a request of `tokens` tokens holds a slot of a full engine, in milliseconds.
+pub(crate) fn full_duration(tokens: f64) -> f64 {
+    PREFILL_MISS + tokens * (TOKEN_MS + TOKEN_MS_PER_REQUEST * BATCH as f64)
 }
 
-/// One engine.
+/// An engine.
 #[derive(Default)]
 pub(crate) struct Engine {
     pub(crate) running: Vec<usize>,
     pub(crate) waiting: VecDeque<usize>,
-    pub(crate) slow: f64,
+    pub(crate) slowdown: f64,
     pub(crate) crashed: bool,
     cached: VecDeque<u64>,
 }
 
-/// When a started request has its first token and its end, from now, and whether its prefix was
-/// cached.
+/// The times from now to the first token and the end of a started request, and whether its prefix
+/// was cached.
 pub(crate) struct Started {
     pub(crate) first: f64,
     pub(crate) end: f64,
@@ -42,7 +42,7 @@
 impl Engine {
     pub(crate) fn new() -> Engine {
         Engine {
-            slow: 1.0,
+            slowdown: 1.0,
             ..Engine::default()
         }
     }
@@ -55,21 +55,21 @@
         self.running.push(request);
         let hit = self.touch(prefix);
         let prefill = if hit { PREFILL_HIT } else { PREFILL_MISS };
-        let pace = PACE + PACE_PER_REQUEST * self.running.len() as f64;
-        let first = (prefill + pace) * self.slow;
+        let token_ms = TOKEN_MS + TOKEN_MS_PER_REQUEST * self.running.len() as f64;
+        let first = (prefill + token_ms) * self.slowdown;
         Started {
             first,
-            end: first + tokens * pace * self.slow,
+            end: first + tokens * token_ms * self.slowdown,
             hit,
         }
     }
 
-    /// Least recently used goes first.
+    /// Looks up and caches `prefix`. The least recently used prefix is evicted first.
     fn touch(&mut self, prefix: u64) -> bool {
         let found = self.cached.iter().position(|&cached| cached == prefix);
         if let Some(at) = found {
             self.cached.remove(at);
-        } else if self.cached.len() == CACHE {
+        } else if self.cached.len() == CACHED_PREFIXES {
             self.cached.pop_front();
         }
         self.cached.push_back(prefix);
--- a/crates/routing/examples/model/main.rs
+++ b/crates/routing/examples/model/main.rs
@@ -1,11 +1,12 @@
-//! A small discrete-event model of routing, against round robin in the same run:
-//! `cargo run --release -p crocushold-routing --example model`.
+//! A small discrete-event simulation of routing, compared with round robin: `cargo run --release -p
+//! crocushold-routing --example model`.
 //!
-//! Six entry instances that don't talk send Poisson arrivals to twenty engines. Each engine runs 16
-//! requests at a time and queues the rest; its pace falls with its batch; it caches 24 of 400
-//! prefixes. Load reports come every 500 ms and are 1 s old. The second minute has a straggler five
-//! times slower; at the start of the third an engine crashes and refuses connections, and the
-//! instance list says so 10 s later. The figures are those of a model, not of real engines.
+//! Six entry instances that don't communicate send Poisson arrivals to twenty engines. Each engine
+//! runs 16 requests at a time and queues the rest. Its speed falls with its batch size, and it
+//! caches 24 of 400 prefixes. Load reports arrive every 500 ms and are 1 s old. The second minute
+//! has a straggler that is five times slower. At the start of the third minute an engine crashes
+//! and refuses connections, which the instance list shows 10 s later. The figures describe the
+//! simulation, not real engines.
 
 mod engine;
 mod policy;
--- a/crates/routing/examples/model/policy.rs
+++ b/crates/routing/examples/model/policy.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared.
+//! The policies to compare.
 
 use std::collections::HashMap;
 
@@ -16,15 +16,15 @@
 use crocushold_routing::Settings;
 use crocushold_routing::Share;
 
-/// One policy.
+/// A routing policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Policy {
-    /// Each instance takes the listed servers in turn.
+    /// Each instance uses the listed servers in turn.
     RoundRobin,
-    /// The router with so many choices, with every so many load reports, with affinity or without.
+    /// The router with the given number of choices and load reports, with or without affinity.
     Router {
         choices: usize,
-        /// Takes one report of so many; none at 0.
+        /// Accepts one of this many reports; none if 0.
         reports: u32,
         affinity: bool,
     },
@@ -72,7 +72,7 @@
     }
 }
 
-/// A policy's state on one entry instance.
+/// The state of a policy on one entry instance.
 pub(crate) enum Chooser {
     RoundRobin {
         next: usize,
@@ -81,14 +81,14 @@
     Router {
         router: Box<Router>,
         affinity: bool,
-        /// Takes one report of so many.
+        /// Accepts one of this many reports.
         reports: u32,
-        /// Reports that came.
-        heard: HashMap<ServerKey, u32>,
+        /// Number of reports received.
+        received: HashMap<ServerKey, u32>,
     },
 }
 
-/// Where a request goes.
+/// The server chosen for a request.
 pub(crate) struct Choice {
     pub(crate) server: usize,
     pub(crate) attempt: Option<AttemptKey>,
@@ -127,7 +127,7 @@
             router,
             affinity,
             reports,
-            heard: HashMap::new(),
+            received: HashMap::new(),
         }
     }
 
@@ -185,11 +185,11 @@
         if let Chooser::Router {
             router,
             reports,
-            heard,
+            received,
             ..
         } = self
         {
-            let number = heard.entry(key).or_insert(0);
+            let number = received.entry(key).or_insert(0);
             *number += 1;
             if *reports > 0 && number.is_multiple_of(*reports) {
                 router.load_report(key, report, now);
--- a/crates/routing/examples/model/world.rs
+++ b/crates/routing/examples/model/world.rs
@@ -1,4 +1,4 @@
-//! The events of the model.
+//! The events of the simulation.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -17,7 +17,7 @@
 
 use crate::engine::BATCH;
 use crate::engine::Engine;
-use crate::engine::full_span;
+use crate::engine::full_duration;
 use crate::policy::Chooser;
 use crate::policy::Policy;
 
@@ -26,7 +26,7 @@
 const PREFIXES: f64 = 400.0;
 const MEAN_TOKENS: f64 = 150.0;
 const MINUTE: f64 = 60_000.0;
-/// Slots that the routers may fill on each engine.
+/// Slots on each engine that the routers may use.
 const SLOTS: u32 = 24;
 const REPORT_EVERY: f64 = 500.0;
 const REPORT_LAG: u64 = 1000;
@@ -34,7 +34,7 @@
 const STRAGGLER: usize = 3;
 const CRASHED: usize = 7;
 
-/// The minutes of a run; the first is for warming up.
+/// The minutes of a run; the first is a warm-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     Warming,
@@ -71,11 +71,11 @@
     server: usize,
     attempt: Option<AttemptKey>,
     tried: Vec<ServerKey>,
-    waited: Option<u64>,
-    over: bool,
+    first_token_ms: Option<u64>,
+    ended: bool,
 }
 
-/// What went wrong, and how often a prefix was cached.
+/// Counts of failures and of cached prefixes.
 #[derive(Default)]
 pub(crate) struct Counts {
     pub(crate) refused: u32,
@@ -87,15 +87,15 @@
 pub(crate) struct World {
     policy: Policy,
     rng: Xoshiro256PlusPlus,
-    gap: f64,
+    mean_gap: f64,
     now: f64,
     queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    made: u64,
+    events_pushed: u64,
     engines: Vec<Engine>,
-    past: VecDeque<Vec<LoadReport>>,
+    past_reports: VecDeque<Vec<LoadReport>>,
     keys: Vec<ServerKey>,
     choosers: Vec<Chooser>,
-    held: Vec<VecDeque<usize>>,
+    queued: Vec<VecDeque<usize>>,
     requests: Vec<Request>,
     pub(crate) counts: Counts,
 }
@@ -111,19 +111,19 @@
             };
             Chooser::new(policy, &keys, SLOTS, share)
         };
-        let capacity = (ENGINES * BATCH) as f64 / full_span(MEAN_TOKENS);
+        let capacity = (ENGINES * BATCH) as f64 / full_duration(MEAN_TOKENS);
         World {
             policy,
             rng: Xoshiro256PlusPlus::seed_from_u64(11),
-            gap: 1.0 / (capacity * load),
+            mean_gap: 1.0 / (capacity * load),
             now: 0.0,
             queue: BinaryHeap::new(),
-            made: 0,
+            events_pushed: 0,
             engines: (0..ENGINES).map(|_| Engine::new()).collect(),
-            past: VecDeque::new(),
+            past_reports: VecDeque::new(),
             choosers: (0..INSTANCES).map(chooser).collect(),
             keys,
-            held: vec![VecDeque::new(); INSTANCES as usize],
+            queued: vec![VecDeque::new(); INSTANCES as usize],
             requests: Vec::new(),
             counts: Counts::default(),
         }
@@ -133,11 +133,14 @@
         self.policy.name()
     }
 
-    /// Times to the first token of the requests that arrived in `phase`; a cut one counts as 60 s.
+    /// Times to first token of the requests that arrived in `phase`, in milliseconds. A cut request
+    /// counts as 60 s.
     pub(crate) fn waits(&self, phase: Phase) -> Vec<u64> {
         let of_phase = |r: &&Request| Phase::at(r.arrived) == phase;
         let requests = self.requests.iter().filter(of_phase);
-        requests.map(|r| r.waited.unwrap_or(60_000)).collect()
+        requests
+            .map(|r| r.first_token_ms.unwrap_or(60_000))
+            .collect()
     }
 
     pub(crate) fn run(&mut self) {
@@ -159,9 +162,9 @@
     }
 
     fn after(&mut self, span: f64, event: Event) {
-        self.made += 1;
+        self.events_pushed += 1;
         let time = (self.now + span).to_bits();
-        self.queue.push(Reverse((time, self.made, event)));
+        self.queue.push(Reverse((time, self.events_pushed, event)));
     }
 
     fn exponential(&mut self, mean: f64) -> f64 {
@@ -170,7 +173,7 @@
 
     fn arrive(&mut self) {
         if self.now < 4.0 * MINUTE {
-            let gap = self.exponential(self.gap);
+            let gap = self.exponential(self.mean_gap);
             self.after(gap, Event::Arrive);
         }
         // A few prefixes are popular.
@@ -185,15 +188,15 @@
             server: 0,
             attempt: None,
             tried: Vec::new(),
-            waited: None,
-            over: false,
+            first_token_ms: None,
+            ended: false,
         });
-        self.held[instance].push_back(self.requests.len() - 1);
+        self.queued[instance].push_back(self.requests.len() - 1);
         self.dispatch(instance);
     }
 
     fn dispatch(&mut self, instance: usize) {
-        while let Some(&id) = self.held[instance].front() {
+        while let Some(&id) = self.queued[instance].front() {
             let now = self.clock();
             let request = &self.requests[id];
             let chooser = &mut self.choosers[instance];
@@ -207,7 +210,7 @@
                 self.counts.refused += 1;
                 continue;
             }
-            self.held[instance].pop_front();
+            self.queued[instance].pop_front();
             self.requests[id].server = choice.server;
             self.requests[id].attempt = choice.attempt;
             self.engines[choice.server].waiting.push_back(id);
@@ -234,14 +237,14 @@
     fn first(&mut self, id: usize) {
         let now = self.clock();
         let request = &mut self.requests[id];
-        if !request.over {
-            request.waited = Some((self.now - request.arrived) as u64);
+        if !request.ended {
+            request.first_token_ms = Some((self.now - request.arrived) as u64);
             self.choosers[request.instance].first_byte(request.attempt, now);
         }
     }
 
     fn end(&mut self, id: usize) {
-        if self.requests[id].over {
+        if self.requests[id].ended {
             return;
         }
         self.finish(id, Outcome::Complete);
@@ -254,7 +257,7 @@
     fn finish(&mut self, id: usize, outcome: Outcome) {
         let now = self.clock();
         let request = &mut self.requests[id];
-        request.over = true;
+        request.ended = true;
         let tokens = request.tokens as u32;
         self.choosers[request.instance].done(request.attempt, outcome, tokens, now);
     }
@@ -263,13 +266,14 @@
         if self.now < 4.0 * MINUTE {
             self.after(REPORT_EVERY, Event::Report);
         }
-        self.disturb();
+        self.apply_faults();
         let of = |engine: &Engine| LoadReport {
             running: engine.running.len() as u32,
             waiting: engine.waiting.len() as u32,
             age: Millis(REPORT_LAG),
         };
-        self.past.push_back(self.engines.iter().map(of).collect());
+        self.past_reports
+            .push_back(self.engines.iter().map(of).collect());
         let now = self.clock();
         let crash_listed = self.now >= 3.0 * MINUTE + LIST_LAG;
         let live: Vec<usize> = (0..ENGINES)
@@ -278,10 +282,10 @@
         for chooser in &mut self.choosers {
             chooser.list(&live, &self.keys, 1 + self.now as u64, now);
         }
-        if self.past.len() as f64 * REPORT_EVERY <= REPORT_LAG as f64 {
+        if self.past_reports.len() as f64 * REPORT_EVERY <= REPORT_LAG as f64 {
             return;
         }
-        let reports = self.past.pop_front().unwrap_or_default();
+        let reports = self.past_reports.pop_front().unwrap_or_default();
         for (at, report) in reports.into_iter().enumerate() {
             for chooser in &mut self.choosers {
                 chooser.report(self.keys[at], report, now);
@@ -289,10 +293,10 @@
         }
     }
 
-    /// What befalls the engines as the phases change.
-    fn disturb(&mut self) {
+    /// Applies the faults of the current phase to the engines.
+    fn apply_faults(&mut self) {
         let phase = Phase::at(self.now);
-        self.engines[STRAGGLER].slow = if phase == Phase::Straggler { 5.0 } else { 1.0 };
+        self.engines[STRAGGLER].slowdown = if phase == Phase::Straggler { 5.0 } else { 1.0 };
         if phase != Phase::Crash || self.engines[CRASHED].crashed {
             return;
         }
--- a/crates/routing/examples/subset.rs
+++ b/crates/routing/examples/subset.rs
@@ -22,7 +22,7 @@
     (5900, 400, 118),
 ];
 
-/// Instances whose subsets are worked out; of more, a sample tells as much.
+/// Number of instances whose subsets are computed. A sample is representative of larger fleets.
 const SAMPLE: usize = 100;
 
 fn main() {
@@ -76,7 +76,7 @@
     sample.iter().map(of).collect()
 }
 
-/// The share of pairs of instance and server that are new.
+/// The fraction of new pairs of instance and server.
 fn moved(before: &[Vec<u64>], after: &[Vec<u64>]) -> f64 {
     let new = |(b, a): (&Vec<u64>, &Vec<u64>)| a.iter().filter(|id| !b.contains(id)).count();
     let moved: usize = before.iter().zip(after).map(new).sum();
