--- a/crates/routing/benches/router.rs
+++ b/crates/routing/benches/router.rs
@@ -44,7 +44,8 @@
         let mut keys: SlotMap<ServerKey, ()> = SlotMap::with_key();
         let mut arena: SlotMap<ModelKey, ()> = SlotMap::with_key();
         let models: Vec<ModelKey> = (0..MODELS).map(|_| arena.insert(())).collect();
-        let held = |at: usize| (0..MODELS_PER_SERVER).map(move |n| (at * 7 + n * 5) % MODELS);
+        let model_indices =
+            |at: usize| (0..MODELS_PER_SERVER).map(move |n| (at * 7 + n * 5) % MODELS);
         let specs: Vec<ServerSpec> = (0..servers)
             .map(|at| ServerSpec {
                 key: keys.insert(()),
@@ -52,7 +53,7 @@
                 zone: format!("z{}", at % 23),
                 region: None,
                 concurrency: SLOTS,
-                models: held(at).map(|model| models[model]).collect(),
+                models: model_indices(at).map(|model| models[model]).collect(),
             })
             .collect();
         let mut fleet = Fleet {
--- a/crates/routing/src/lanes.rs
+++ b/crates/routing/src/lanes.rs
@@ -2,15 +2,16 @@
 //!
 //! An engine prefills a prompt in chunks between the decode steps of all other requests that it
 //! runs, and a request behind a long prompt waits until that prompt is prefilled. With separate
-//! engines, short requests wait for short prompts only. This matters where live streams run beside
-//! bursts of prompts.
+//! engines, short requests wait for short prompts only. This matters where live streams run along
+//! with bursts of prompts.
 //!
 //! While prompts are prefilled, the gap between two events of a stream is as many chunks as an
 //! event has tokens. On some deployments that exceeds the pause that live streams tolerate, however
 //! the prompts are divided. Live streams then get engines of their own, where they wait only for
-//! each other's short prompts. The streams of long prompts, which always run beside others, decide
-//! this: more than a given share of them must have paused for longer than a live stream may. The
-//! live streams can't decide it, because their pauses are short again as soon as they are isolated.
+//! each other's short prompts. The streams of long prompts, which always run along with others,
+//! decide this: more than a given share of them must have paused for longer than a live stream may.
+//! The live streams can't decide it, because their pauses are short again as soon as they are
+//! isolated.
 //!
 //! Each instance divides the engines on its own, in the same order on all of them, from fleet-wide
 //! statistics: its own work and pauses and those that the others report. The resulting boundaries
@@ -70,7 +71,7 @@
     /// The half-life of past work. It is shorter than a burst, so that the boundaries follow it,
     /// and long enough to even out the fleet's arrivals.
     pub half_life: Millis,
-    /// The half-life of the stream counts. The pauses beside prefills depend on the engines and
+    /// The half-life of the stream counts. The pauses during prefills depend on the engines and
     /// hardly change.
     pub stream_half_life: Millis,
     /// The weight of live and light work relative to heavy work. Their tokens are decoded in the
--- a/crates/routing/src/quarantine/mod.rs
+++ b/crates/routing/src/quarantine/mod.rs
@@ -40,8 +40,7 @@
     /// end makes everything that ran there a suspect; a second end under the same request is hardly
     /// a coincidence.
     pub limit: usize,
-    /// Initial duration of a quarantine. Each further end doubles it, up to a
-    /// factor of sixteen.
+    /// Initial duration of a quarantine. Each further end doubles it, up to a factor of sixteen.
     pub span: Millis,
     /// How long after a run was cut the end of its server still counts. This covers the expiry of a
     /// registry's lease and the next read of the registry.
@@ -75,7 +74,7 @@
 /// The refusal of a quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuarantineRefusal {
-    /// When the request may be retried.
+    /// Time until the request may be retried.
     pub retry_after: Millis,
     /// Consecutive runs whose servers ended.
     pub ends: usize,
@@ -183,7 +182,7 @@
         })
     }
 
-    /// Returns the number of ends counted against a request that no graver request explains.
+    /// Returns the number of ends counted against a request that no more severe suspect explains.
     ///
     /// A request that ends servers takes down other requests that happen to run there, possibly the
     /// same one twice. But it ran on more of the ended servers than any of the others.
@@ -272,7 +271,7 @@
         self.merge(suspicion.content, ends.collect(), now);
     }
 
-    /// Returns the suspicions that other instances may not know yet, the gravest first.
+    /// Returns the suspicions that other instances may not know yet, the most severe first.
     pub fn unsent_suspicions(&mut self, now: Millis) -> Vec<Suspicion> {
         let fresh = self
             .records
@@ -287,7 +286,7 @@
         chosen
     }
 
-    /// Returns the suspicions for an instance that may know nothing yet, the gravest first.
+    /// Returns the suspicions for an instance that may know nothing yet, the most severe first.
     pub fn all_suspicions(&self, now: Millis) -> Vec<Suspicion> {
         let open = self.records.iter();
         select_for_report(
@@ -371,7 +370,7 @@
     }
 }
 
-/// Returns as many of the records as fit into a packet, the gravest and latest first.
+/// Returns as many of the records as fit into a packet, the most severe and latest first.
 fn select_for_report<'a>(
     records: impl Iterator<Item = (&'a Fingerprint, &'a Record)>,
     now: Millis,
--- a/crates/routing/src/quarantine/record.rs
+++ b/crates/routing/src/quarantine/record.rs
@@ -76,7 +76,7 @@
     /// counted one.
     ///
     /// Evicting by age alone would leave only overlapping ends when many copies of a request run
-    /// concurrently, so the request would never be held back.
+    /// concurrently, so the request would never be quarantined.
     fn oldest_overlapping(&self) -> Option<usize> {
         let mut last = i64::MIN;
         for (index, end) in self.ends.iter().enumerate() {
--- a/crates/routing/src/retry/policy.rs
+++ b/crates/routing/src/retry/policy.rs
@@ -73,8 +73,8 @@
     GiveUp {
         /// What the answer may claim about the request.
         ran: Ran,
-        /// When the caller may retry. `None` if the request may have run, because the caller would
-        /// take a time as a promise that it hadn't.
+        /// Time until the caller may retry. `None` if the request may have run, because the caller
+        /// would take a time as a promise that it hadn't.
         retry_after: Option<Millis>,
     },
 }
--- a/crates/routing/src/router/types.rs
+++ b/crates/routing/src/router/types.rs
@@ -102,7 +102,7 @@
 pub struct NoServer {
     /// The reason.
     pub reason: Reason,
-    /// When to retry.
+    /// Time until a retry.
     pub retry_after: Millis,
 }
 
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -58,9 +58,9 @@
     /// [`subset()`](crate::subset()) must reduce the number of instances per server.
     pub fn of(&self, concurrency: u32, id: u64) -> u32 {
         let instances = self.instances.max(1);
-        let rest = concurrency % instances;
+        let remainder = concurrency % instances;
         let turn = (u64::from(self.index) + id % u64::from(instances)) % u64::from(instances);
-        let extra = u32::from(turn < u64::from(rest));
+        let extra = u32::from(turn < u64::from(remainder));
         (concurrency / instances + extra).max(1)
     }
 }
--- a/crates/routing/tests/central.rs
+++ b/crates/routing/tests/central.rs
@@ -161,9 +161,9 @@
 }
 
 /// Guards against live streams on engines where their pauses are too long. Engines of two kinds
-/// prefill prompts beside the streams that they run. The gap between events is 123 ms on one kind
-/// and 95 ms on the other, and live streams tolerate 120 ms. They go to the faster kind even if it
-/// has a short queue; prompts that tolerate more use both.
+/// prefill prompts while they run streams. The gap between events is 123 ms on one kind and 95 ms
+/// on the other, and live streams tolerate 120 ms. They go to the faster kind even if it has a
+/// short queue; prompts that tolerate more use both.
 #[test]
 fn live_streams_go_where_pauses_are_short() {
     let (mut router, keys) = router(4);
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -124,7 +124,7 @@
         self.router.tick(self.now);
     }
 
-    /// Completes an answer of 32 tokens at `pace` milliseconds per token on the server `at`.
+    /// Completes an answer of 32 tokens at `token_ms` milliseconds per token on the server `at`.
     pub(crate) fn answer(&mut self, at: usize, token_ms: u64) {
         let pick = self.pick_on(at);
         self.router.first_byte(pick.attempt, self.now);
@@ -135,8 +135,9 @@
         self.router.done(pick.attempt, Outcome::Complete, 32, now);
     }
 
-    /// Completes an answer of `tokens` tokens at `pace` milliseconds per token on the server `at`,
-    /// streamed or not, for a prompt of `prompt` tokens whose prefill takes `prefill` milliseconds.
+    /// Completes an answer of `tokens` tokens at `token_ms` milliseconds per token on the server
+    /// `at`, streamed or not, for a prompt of `prompt` tokens whose prefill takes `prefill_ms`
+    /// milliseconds.
     pub(crate) fn reply(&mut self, at: usize, reply: Reply) {
         let mut exclude = self.keys.clone();
         exclude.remove(at);
--- a/crates/routing/tests/lanes.rs
+++ b/crates/routing/tests/lanes.rs
@@ -97,8 +97,8 @@
     assert_eq!(lanes.counts(2), [0, 1, 1]);
 }
 
-/// Where streams beside prompts pause no longer than live streams may, live streams share the
-/// engines of the other short requests. Engines of their own would be partly idle.
+/// Where streams that run along with prompts pause no longer than live streams may, live streams
+/// share the engines of the other short requests. Engines of their own would be partly idle.
 #[test]
 fn live_streams_that_tolerate_the_pauses_have_no_engines_of_their_own() {
     let mut lanes = lanes();
--- a/crates/routing/tests/server_subset.rs
+++ b/crates/routing/tests/server_subset.rs
@@ -255,16 +255,16 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    // Guards against overfull servers beside idle ones. With any two views, each held by any of the
-    // instances, no server gets more than twice its slots and every server has senders; where all
-    // agree, the shares add up exactly.
+    // Guards against overfull servers while others are idle. With any two views, each held by any
+    // of the instances, no server gets more than twice its slots and every server has senders;
+    // where all agree, the shares add up exactly.
     #[test]
     fn any_two_views(
         size in 5..70_usize,
         senders in 1..9_usize,
         concurrency in 8..40_u32,
         views in prop::collection::vec(prop::sample::subsequence(instances(14), 5..=14), 2),
-        held in prop::collection::vec(0..2_usize, 14),
+        view_indices in prop::collection::vec(0..2_usize, 14),
     ) {
         let servers = servers(size, concurrency);
         let limits_in =
@@ -279,7 +279,7 @@
             prop_assert!(all.iter().all(|limits| limits.iter().any(|&limit| limit > 0)));
         }
         let ids: BTreeSet<u64> = views.iter().flatten().copied().collect();
-        let mixed = ids.iter().zip(&held).filter_map(|(&me, &view)| {
+        let mixed = ids.iter().zip(&view_indices).filter_map(|(&me, &view)| {
             let live = &views[view];
             live.contains(&me).then(|| limits_in(live, me))
         });
--- a/crates/routing/tests/stragglers.rs
+++ b/crates/routing/tests/stragglers.rs
@@ -129,9 +129,10 @@
     fleet.reply(0, first);
 }
 
-// Guards against a straggler that is never detected because its answers are short, not streamed or
-// a single token, so that no stream gives a time per token. Short streams are accumulated, and the
-// others are compared as a whole with their peers' answers of the same size.
+// Guards against a straggler, four times slower, that is never detected because its answers are
+// short, not streamed or a single token, so that no stream gives a time per token. Short streams
+// are accumulated, and the others are compared as a whole with their peers' answers of the same
+// size.
 #[test_case(SHORT, 12; "short streams")]
 #[test_case(WHOLE, 4; "whole answers")]
 #[test_case(ONE, 4; "one token")]
