--- a/crates/routing/benches/router.rs
+++ b/crates/routing/benches/router.rs
@@ -1,5 +1,5 @@
-//! The cost of the router's decisions, and how it grows with the servers:
-//! `cargo bench -p crocushold-routing`.
+//! Cost of the router's operations, depending on the number of servers: `cargo bench -p
+//! crocushold-routing`.
 
 use crocushold_base::Millis;
 use crocushold_base::ModelKey;
@@ -39,12 +39,13 @@
 }
 
 impl Fleet {
-    /// A fleet with `filled` of its slots taken.
+    /// Creates a fleet with the fraction `filled` of its slots taken.
     fn new(servers: usize, filled: f64) -> Fleet {
         let mut keys: SlotMap<ServerKey, ()> = SlotMap::with_key();
         let mut arena: SlotMap<ModelKey, ()> = SlotMap::with_key();
         let models: Vec<ModelKey> = (0..MODELS).map(|_| arena.insert(())).collect();
-        let held = |at: usize| (0..MODELS_PER_SERVER).map(move |n| (at * 7 + n * 5) % MODELS);
+        let model_indices =
+            |at: usize| (0..MODELS_PER_SERVER).map(move |n| (at * 7 + n * 5) % MODELS);
         let specs: Vec<ServerSpec> = (0..servers)
             .map(|at| ServerSpec {
                 key: keys.insert(()),
@@ -52,7 +53,7 @@
                 zone: format!("z{}", at % 23),
                 region: None,
                 concurrency: SLOTS,
-                models: held(at).map(|model| models[model]).collect(),
+                models: model_indices(at).map(|model| models[model]).collect(),
             })
             .collect();
         let mut fleet = Fleet {
@@ -108,35 +109,35 @@
     }
 }
 
-/// One pick, its first byte and its end.
+/// A pick, its first byte and its end.
 #[divan::bench(args = SERVERS, sample_size = 1000)]
 fn pick_and_done(bencher: Bencher<'_, '_>, servers: usize) {
     let mut fleet = Fleet::new(servers, 0.7);
     bencher.bench_local(|| fleet.cycle(Outcome::Complete));
 }
 
-/// As before, chosen by when the answer is expected to begin, with the prompts' lengths known.
+/// The same, chosen by expected time to first token with known prompt lengths.
 #[divan::bench(args = SERVERS, sample_size = 1000)]
 fn pick_soonest_and_done(bencher: Bencher<'_, '_>, servers: usize) {
     let mut fleet = Fleet::new(servers, 0.3);
     bencher.bench_local(|| {
         let demand = Demand {
-            own: 2900,
-            shared: 6300,
+            unique_tokens: 2900,
+            prefix_tokens: 6300,
             ..fleet.demand()
         };
         fleet.serve(&demand, Outcome::Complete);
     });
 }
 
-/// As before, by one router that chooses for all instances and weighs every server.
+/// The same, by one router that chooses for all instances and compares all servers.
 #[divan::bench(args = SERVERS, sample_size = 100)]
 fn pick_centrally_and_done(bencher: Bencher<'_, '_>, servers: usize) {
     let mut fleet = Fleet::new(servers, 0.3);
     bencher.bench_local(|| {
         let demand = Demand {
-            own: 2900,
-            shared: 6300,
+            unique_tokens: 2900,
+            prefix_tokens: 6300,
             central: true,
             ..fleet.demand()
         };
@@ -144,14 +145,14 @@
     });
 }
 
-/// As before, on a fleet of which nearly every slot is taken.
+/// The same, on a fleet with nearly every slot taken.
 #[divan::bench(args = SERVERS, sample_size = 1000)]
 fn pick_and_done_when_full(bencher: Bencher<'_, '_>, servers: usize) {
     let mut fleet = Fleet::new(servers, 0.99);
     bencher.bench_local(|| fleet.cycle(Outcome::Complete));
 }
 
-/// As before, but every attempt fails.
+/// The same, but every attempt fails.
 #[divan::bench(args = SERVERS, sample_size = 1000)]
 fn pick_and_fail(bencher: Bencher<'_, '_>, servers: usize) {
     let mut fleet = Fleet::new(servers, 0.7);
@@ -183,7 +184,7 @@
     });
 }
 
-/// A whole reading of the instance list, once a second or so.
+/// A read of the whole instance list, which happens about once a second.
 #[divan::bench(args = SERVERS)]
 fn instance_list(bencher: Bencher<'_, '_>, servers: usize) {
     let mut fleet = Fleet::new(servers, 0.7);
@@ -198,14 +199,14 @@
     bencher.bench_local(|| fleet.router.instance_list(&list, fleet.now));
 }
 
-/// A configuration of all servers, on a change of the set.
+/// A configuration of all servers, which happens when the set changes.
 #[divan::bench(args = SERVERS)]
 fn configure(bencher: Bencher<'_, '_>, servers: usize) {
     let mut fleet = Fleet::new(servers, 0.7);
     bencher.bench_local(|| fleet.router.configure(&fleet.specs, fleet.now));
 }
 
-/// A router built anew; its peak of memory is what a router holds, and some.
+/// The construction of a router. Its peak memory is slightly more than what a router holds.
 #[divan::bench(args = SERVERS)]
 fn build(bencher: Bencher<'_, '_>, servers: usize) {
     let fleet = Fleet::new(servers, 0.0);
@@ -216,7 +217,7 @@
     });
 }
 
-/// The subset of one instance of 400.
+/// The subset of one of 400 instances.
 #[divan::bench(args = SERVERS)]
 fn subset_of_400(bencher: Bencher<'_, '_>, servers: usize) {
     let ids: Vec<u64> = (0..servers as u64).collect();
--- a/crates/routing/tests/invariants.rs
+++ b/crates/routing/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What holds of a router after any sequence of events.
+//! Invariants of a router after any sequence of events.
 
 #![allow(
     clippy::unwrap_used,
@@ -78,7 +78,7 @@
     ]
 }
 
-/// The router beside what a reader of the rules would expect of it.
+/// The router together with a model of its rules.
 struct Model {
     fleet: Fleet,
     share: Share,
@@ -196,7 +196,7 @@
         let free = router.free(now);
         let standings: Vec<Standing> = router
             .servers()
-            .map(|key| router.why(key).unwrap())
+            .map(|key| router.standing(key).unwrap())
             .collect();
         let slots = standings
             .iter()
@@ -213,7 +213,7 @@
         );
         let loads = self.loads.iter().filter(|(_, load)| **load > 0);
         for (key, load) in loads {
-            assert_eq!(router.why(key).unwrap().in_flight, *load);
+            assert_eq!(router.standing(key).unwrap().in_flight, *load);
         }
     }
 }
@@ -225,8 +225,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    // Callers would see requests on leaving or overfull servers, or another request's events. Any
-    // order of picks, ends, lists, configurations and waits keeps each rule after each step.
+    // Guards against requests to leaving or overfull servers and against mixed-up events. Any order
+    // of picks, ends, lists, configurations and waits preserves each rule after each step.
     #[test]
     fn rules_hold_after_any_events(steps in prop::collection::vec(step(), 1..120)) {
         let mut model = Model::new();
@@ -251,8 +251,8 @@
             let pick = fleet.pick();
             fleet.router.first_byte(pick.attempt, fleet.now + Millis(span));
             fleet.end(pick.attempt, Outcome::Cancelled);
-            let patience = fleet.router.patience(Some(fleet.model));
-            prop_assert!((1000..=30_000).contains(&patience.0));
+            let first_byte_timeout = fleet.router.first_byte_timeout(Some(fleet.model));
+            prop_assert!((1000..=30_000).contains(&first_byte_timeout.0));
         }
     }
 }
