--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -4,15 +4,15 @@
 //!   and never read a clock themselves, so that tests are deterministic.
 //! * The key types ([`ServerKey`], [`ClassKey`], ...) are small `Copy` handles into arenas. They
 //!   carry a generation: a late event about a slot that was reused finds nothing.
-//! * [`Memory`] bounds what requests in progress hold together.
-//! * [`KeyedNames`] names values in logs without giving them away.
+//! * [`MemoryBudget`] bounds what requests in progress hold together.
+//! * [`Pseudonymizer`] names values in logs without giving them away.
 //! * [`Event`] formats a log record as one line of `key=value` pairs with escaped values.
 
 mod clock;
 mod event;
 mod keys;
 mod memory;
-mod names;
+mod pseudonym;
 
 pub use clock::Clock;
 pub use clock::Millis;
@@ -23,6 +23,6 @@
 pub use keys::RequestKey;
 pub use keys::ServerKey;
 pub use keys::ServiceKey;
-pub use memory::Memory;
+pub use memory::MemoryBudget;
 pub use memory::Reservation;
-pub use names::KeyedNames;
+pub use pseudonym::Pseudonymizer;
--- a/crates/base/src/memory.rs
+++ b/crates/base/src/memory.rs
@@ -9,14 +9,14 @@
 /// Without it, thousands of connections that each send a body just below its own limit would take
 /// more memory than the instance has. A reservation is made before the body is read.
 #[derive(Clone, Debug)]
-pub struct Memory {
+pub struct MemoryBudget {
     free: Arc<AtomicU64>,
 }
 
-impl Memory {
+impl MemoryBudget {
     /// All of `bytes` are free.
-    pub fn new(bytes: u64) -> Memory {
-        Memory {
+    pub fn new(bytes: u64) -> MemoryBudget {
+        MemoryBudget {
             free: Arc::new(AtomicU64::new(bytes)),
         }
     }
--- a/crates/base/src/names.rs
+++ b/crates/base/src/pseudonym.rs
@@ -9,11 +9,11 @@
 /// Whoever reads a log sees which requests asked the same. It can't try prompts until one has the name: a plain
 /// hash would tell when the guess is right. Each instance names the same value differently.
 #[derive(Debug, Default)]
-pub struct KeyedNames(RandomState);
+pub struct Pseudonymizer(RandomState);
 
-impl KeyedNames {
+impl Pseudonymizer {
     /// The name of a value, the same as long as the process runs.
-    pub fn name(&self, value: impl Hash) -> String {
+    pub fn pseudonym(&self, value: impl Hash) -> String {
         format!("{:016x}", self.0.hash_one(value))
     }
 }
--- a/crates/entry/src/coordination/suspects.rs
+++ b/crates/entry/src/coordination/suspects.rs
@@ -10,8 +10,8 @@
 use async_std::task;
 use crocushold_base::Clock;
 use crocushold_base::Event;
-use crocushold_base::KeyedNames;
 use crocushold_base::Millis;
+use crocushold_base::Pseudonymizer;
 use crocushold_http::refuses_connections;
 use crocushold_ownership::Member;
 use crocushold_peers::Request;
@@ -45,7 +45,7 @@
 pub(crate) struct Suspects {
     clock: Clock,
     me: Member,
-    names: KeyedNames,
+    names: Pseudonymizer,
     state: Mutex<State>,
 }
 
@@ -61,7 +61,7 @@
         Arc::new(Suspects {
             clock,
             me,
-            names: KeyedNames::default(),
+            names: Pseudonymizer::default(),
             state: Mutex::default(),
         })
     }
@@ -110,7 +110,7 @@
     pub(crate) fn served(&self, content: Fingerprint) {
         let now = self.clock.now();
         if self.state().quarantine.served(content, now) {
-            let content = self.names.name(content);
+            let content = self.names.pseudonym(content);
             info!("{}", Event::new("content-cleared").with("content", content));
         }
     }
@@ -154,7 +154,7 @@
         drop(state);
         for quarantined in placed {
             let event = Event::new("content-quarantined")
-                .with("content", self.names.name(quarantined.content))
+                .with("content", self.names.pseudonym(quarantined.content))
                 .with("ends", quarantined.servers.len())
                 .with("span", quarantined.span);
             warn!("{event}");
--- a/crates/entry/src/intake.rs
+++ b/crates/entry/src/intake.rs
@@ -5,7 +5,7 @@
 
 use crocushold_admission::Arrival;
 use crocushold_base::AccountKey;
-use crocushold_base::Memory;
+use crocushold_base::MemoryBudget;
 use crocushold_base::Millis;
 use crocushold_base::Reservation;
 use crocushold_config::CallerLimits;
@@ -162,7 +162,7 @@
     pub(crate) world: &'a World,
     /// Whose key the request bears.
     pub(crate) account: AccountKey,
-    pub(crate) memory: &'a Memory,
+    pub(crate) memory: &'a MemoryBudget,
     pub(crate) limits: &'a CallerLimits,
     pub(crate) arrived: Millis,
 }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::Ordering;
 
 use crocushold_base::Clock;
-use crocushold_base::Memory;
+use crocushold_base::MemoryBudget;
 use crocushold_base::Millis;
 use crocushold_config::Settings;
 use crocushold_config::Text;
@@ -50,7 +50,7 @@
     pub(crate) metrics: Metrics,
     pub(crate) coordinator: Arc<Coordinator>,
     /// Heads and bodies of requests that are read, queued or being sent.
-    pub(crate) memory: Memory,
+    pub(crate) memory: MemoryBudget,
     /// Connections of each client account.
     pub(crate) connections: Connections,
     pub(crate) seed: u64,
@@ -89,7 +89,7 @@
             client: client.clone(),
             metrics,
             coordinator: Coordinator::new(clock, me, claims, client),
-            memory: Memory::new(settings.memory),
+            memory: MemoryBudget::new(settings.memory),
             connections: Connections::new(settings.limits.per_account),
             seed,
             builder,
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -444,7 +444,10 @@
         self.shared.report.attempt(label(stage));
         let event = Event::new("attempt-failed")
             .with("request", &self.job.id)
-            .with("content", self.shared.content_names.name(self.job.content))
+            .with(
+                "content",
+                self.shared.content_names.pseudonym(self.job.content),
+            )
             .with("server", &choice.id)
             .with("stage", label(stage))
             .with("attempt", self.facts.attempts)
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -63,7 +63,7 @@
 pub(crate) fn served(shared: &Shared, content: Fingerprint) {
     let now = shared.clock.now();
     if shared.quarantine().served(content, now) {
-        let content = shared.content_names.name(content);
+        let content = shared.content_names.pseudonym(content);
         info!("{}", Event::new("content-cleared").with("content", content));
     }
 }
@@ -118,7 +118,10 @@
     for quarantined in placed {
         let servers: Vec<String> = quarantined.servers.into_iter().map(name).collect();
         let event = Event::new("content-quarantined")
-            .with("content", shared.content_names.name(quarantined.content))
+            .with(
+                "content",
+                shared.content_names.pseudonym(quarantined.content),
+            )
             .with("incarnations", servers.join(","))
             .with("span", quarantined.span);
         warn!("{event}");
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -47,7 +47,7 @@
         Event::new("request-ended")
             .with("request", &self.id)
             .with("route", &self.route)
-            .with("content", shared.content_names.name(self.content))
+            .with("content", shared.content_names.pseudonym(self.content))
             .with("account", self.account.as_deref().unwrap_or("none"))
             .with("rank", self.priority)
             .with("config", self.version)
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -10,9 +10,9 @@
 use std::sync::atomic::Ordering;
 
 use crocushold_base::Clock;
-use crocushold_base::KeyedNames;
-use crocushold_base::Memory;
+use crocushold_base::MemoryBudget;
 use crocushold_base::Millis;
+use crocushold_base::Pseudonymizer;
 use crocushold_http::Client;
 use crocushold_http::ListenerHandle;
 use crocushold_http::PoolLimits;
@@ -62,9 +62,9 @@
     pub(crate) seed: u64,
     pub(crate) client: Client,
     pub(crate) report: Report,
-    pub(crate) content_names: KeyedNames,
+    pub(crate) content_names: Pseudonymizer,
     /// Bodies of requests that are read or wait for an answer to begin.
-    pub(crate) memory: Memory,
+    pub(crate) memory: MemoryBudget,
     /// Where requests go by the word of the instance that places for all.
     pub(crate) placing: Placing,
     /// How far the store was read, and whether others have read further.
@@ -94,7 +94,7 @@
             idle_timeout: IDLE_TIMEOUT,
         };
         Shared {
-            memory: Memory::new(settings.body_memory()),
+            memory: MemoryBudget::new(settings.body_memory()),
             settings,
             protocol,
             clock: Clock::start(),
@@ -103,7 +103,7 @@
             store: StoreWatch::default(),
             client: Client::new(pool),
             report: Report::new(),
-            content_names: KeyedNames::default(),
+            content_names: Pseudonymizer::default(),
             table: RwLock::new(None),
             fleet: Mutex::new(fleet),
             directory: Mutex::default(),
