--- a/crates/entry/src/coordination/limits/gate.rs
+++ b/crates/entry/src/coordination/limits/gate.rs
@@ -89,7 +89,7 @@
     fn remove(&mut self, key: AccountKey) {
         if let Some(account) = self.accounts.remove(key) {
             for kind in LimitKind::ALL {
-                self.limits.on_account_gone(account.id(kind));
+                self.limits.on_account_removed(account.id(kind));
             }
         }
     }
@@ -145,7 +145,7 @@
     }
 
     fn hit(&self, kind: LimitKind, wait: Millis) -> LimitHit {
-        let retry_after = wait.max(self.settings.period);
+        let retry_after = wait.max(self.settings.borrow_interval);
         LimitHit { kind, retry_after }
     }
 
@@ -185,7 +185,7 @@
     }
 
     fn give_back_request(&mut self, key: AccountKey, now: Millis) {
-        let until = now + self.settings.term;
+        let until = now + self.settings.loan_ttl;
         self.accounts[key].requests.add(1.0, until, now);
     }
 
@@ -199,7 +199,7 @@
         let first = need.min(piece);
         let id = account.id(LimitKind::Tokens);
         if first > 0.0 && !self.take_units(id, first, now) {
-            let until = now + self.settings.term;
+            let until = now + self.settings.loan_ttl;
             let account = &mut self.accounts[key];
             account.tokens.add(cost - need, until, now);
             return None;
@@ -213,8 +213,8 @@
     /// paid also where no loan can be had.
     fn piece(&self, key: AccountKey) -> f64 {
         let rate = f64::from(self.accounts[key].limits.tokens);
-        let share = rate * self.settings.base / self.reference as f64;
-        (share * self.settings.burst).max(1.0)
+        let share = rate * self.settings.base_fraction / self.reference as f64;
+        (share * self.settings.burst_seconds).max(1.0)
     }
 
     fn pay_debt(&mut self, key: AccountKey, now: Millis) {
@@ -268,7 +268,7 @@
 
     /// Takes tokens that were used beyond the charge, or gives back those that were not.
     fn correct(&mut self, key: AccountKey, tokens: f64, now: Millis) {
-        let until = now + self.settings.term;
+        let until = now + self.settings.loan_ttl;
         let account = &mut self.accounts[key];
         if tokens > 0.0 {
             account.debt += tokens - account.tokens.take(tokens, now);
@@ -302,7 +302,7 @@
 
     /// A loan came that was asked for at `asked_at`.
     pub(crate) fn on_lent(&mut self, id: AccountId, reply: BorrowReply, asked_at: Millis) {
-        self.limits.on_lent(id, reply, asked_at);
+        self.limits.on_borrow_reply(id, reply, asked_at);
     }
 
     /// A member gives slots back.
--- a/crates/entry/src/coordination/mod.rs
+++ b/crates/entry/src/coordination/mod.rs
@@ -200,7 +200,7 @@
         }
         self.adopt(|members| members.without_me());
         let done = timeout(HANDOVER_LIMIT.into(), async {
-            while !self.claims().is_handed_over() {
+            while !self.claims().is_handover_complete() {
                 task::sleep(Millis(50).into()).await;
             }
         });
@@ -316,7 +316,7 @@
             .call(transfer.to, call, MESSAGE_DEADLINE)
             .await;
         if answer == Some(Response::Done) {
-            self.claims().on_transferred(transfer);
+            self.claims().on_transfer_acknowledged(transfer);
         }
     }
 }
--- a/crates/entry/src/coordination/orders/desk.rs
+++ b/crates/entry/src/coordination/orders/desk.rs
@@ -19,7 +19,7 @@
 use crocushold_ownership::OrderKind;
 use crocushold_ownership::OrderSettings;
 use crocushold_ownership::Orders;
-use crocushold_ownership::PauseGuard;
+use crocushold_ownership::PauseDetector;
 use crocushold_ownership::RoleId;
 use crocushold_ownership::Target;
 use crocushold_ownership::View;
@@ -56,7 +56,7 @@
     owned: bool,
     orders: Orders,
     loads: Loads,
-    guard: PauseGuard,
+    guard: PauseDetector,
     revision: u64,
     engines: BTreeMap<EngineId, Engine>,
     keys: HashMap<ServerKey, EngineId>,
@@ -77,7 +77,7 @@
             owned: false,
             orders: Orders::new(settings, me, now),
             loads: Loads::new(loads, me, store),
-            guard: PauseGuard::new(settings.lease, now),
+            guard: PauseDetector::new(settings.lease, now),
             revision: 0,
             engines: BTreeMap::new(),
             keys: HashMap::new(),
@@ -130,7 +130,7 @@
         let gone = self.engines.extract_if(.., |id, _| !kept.contains(id));
         let gone: Vec<EngineId> = gone.map(|(id, _)| id).collect();
         for id in gone {
-            self.orders.on_engine_gone(id);
+            self.orders.on_engine_removed(id);
         }
     }
 
@@ -193,7 +193,7 @@
     pub(super) fn on_tick(&mut self, now: Millis) -> Duties {
         if self.guard.observe(now) {
             self.loads.on_pause(now);
-            self.guard.rejoined();
+            self.guard.on_rejoined();
         }
         self.place_all(now);
         self.plan_loads(now);
@@ -243,7 +243,7 @@
             .as_ref()
             .is_some_and(|(at, _)| *at == self.revision);
         if moved {
-            self.orders.on_engine_gone(id);
+            self.orders.on_engine_removed(id);
         }
         engine.placed = placed;
         let target = Target {
--- a/crates/entry/src/coordination/orders/loads.rs
+++ b/crates/entry/src/coordination/orders/loads.rs
@@ -6,7 +6,7 @@
 use crocushold_base::Millis;
 use crocushold_ownership::EngineId;
 use crocushold_ownership::LoadPlanner;
-use crocushold_ownership::LoadWant;
+use crocushold_ownership::LoadRequest;
 use crocushold_ownership::Member;
 use crocushold_ownership::ModelId;
 use crocushold_ownership::View;
@@ -100,10 +100,10 @@
         self.permits.retain(|_, until| now < *until);
         self.forget_ended(engines, now);
         for want in self.wants(engines) {
-            self.planner.on_want(self.me, want, now);
+            self.planner.on_load_request(self.me, want, now);
         }
         for permit in self.planner.on_tick(now) {
-            let until = now + self.settings.permit;
+            let until = now + self.settings.permit_ttl;
             self.permits.insert((permit.engine, permit.model), until);
         }
     }
@@ -114,14 +114,14 @@
     /// it would be given a second one that nobody uses, and half of the rate would be lost. So is one that
     /// was begun: a report shows the model only minutes later, and until then the loads of a high class
     /// would be ordered over and over in place of those of the lower ones.
-    fn wants(&self, engines: &BTreeMap<EngineId, Engine>) -> Vec<LoadWant> {
+    fn wants(&self, engines: &BTreeMap<EngineId, Engine>) -> Vec<LoadRequest> {
         let due = self.due.iter().filter_map(|id| engines.get(id));
         let loads = due.flat_map(|engine| engine.awaited().map(|model| (engine.id, model)));
         let is_under_way =
             |load: &_| self.permits.contains_key(load) || self.begun.contains_key(load);
         let wants = loads
             .filter(|load| !is_under_way(load))
-            .map(|(engine, model)| LoadWant {
+            .map(|(engine, model)| LoadRequest {
                 engine,
                 model,
                 rank: self.ranks.get(&model).copied().unwrap_or(u8::MAX),
--- a/crates/entry/src/coordination/orders/shell.rs
+++ b/crates/entry/src/coordination/orders/shell.rs
@@ -61,7 +61,7 @@
             clock,
             client,
             me,
-            call_limit: OrderSettings::default().call_limit,
+            call_limit: OrderSettings::default().call_timeout,
             desks: Mutex::new(BTreeMap::new()),
         })
     }
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -297,7 +297,7 @@
                 None,
                 "a request with this idempotency key may have run".to_owned(),
             ),
-            ownership::Refusal::Mismatch => (
+            ownership::Refusal::KeyReused => (
                 Reason::KeyConflict,
                 Ran::No,
                 None,
@@ -309,7 +309,7 @@
                 Some(retry_after),
                 "no room to remember the idempotency key".to_owned(),
             ),
-            ownership::Refusal::Unreachable { retry_after } => (
+            ownership::Refusal::NoQuorum { retry_after } => (
                 Reason::KeyUnavailable,
                 Ran::Unknown,
                 Some(retry_after),
--- a/crates/ownership/benches/ownership.rs
+++ b/crates/ownership/benches/ownership.rs
@@ -51,7 +51,7 @@
             seq: n as u64,
         },
         digest: RequestDigest(1),
-        group: view.group(key.place()).id(),
+        group: view.group(key.placement_hash()).id(),
     }
 }
 
@@ -60,7 +60,7 @@
     let settings = ClaimSettings {
         cold_start: Millis::ZERO,
         capacity: usize::MAX,
-        share: usize::MAX,
+        max_per_account: usize::MAX,
         ..ClaimSettings::default()
     };
     let mut claims = Claims::new(settings, view.members()[0], NOW);
--- a/crates/ownership/examples/at_most_once.rs
+++ b/crates/ownership/examples/at_most_once.rs
@@ -69,7 +69,7 @@
             };
             receiver.on_transfer(from, &transfer.request, NOW);
             if let Some(sender) = self.nodes.get_mut(&from) {
-                sender.on_transferred(transfer);
+                sender.on_transfer_acknowledged(transfer);
             }
         }
     }
--- a/crates/ownership/src/claims/message.rs
+++ b/crates/ownership/src/claims/message.rs
@@ -24,7 +24,7 @@
     }
 
     /// The half of the key that places it on the members.
-    pub fn place(self) -> u64 {
+    pub fn placement_hash(self) -> u64 {
         self.0 as u64
     }
 }
@@ -75,7 +75,7 @@
     /// A try may have run; nobody can tell.
     Unknown,
     /// The key was used with another request.
-    Mismatch,
+    KeyReused,
     /// There is no record and no room for one, in all or for the account.
     Full {
         /// When the oldest record expires.
@@ -87,7 +87,7 @@
         retry_after: Millis,
     },
     /// The voter computes another group for the key.
-    OtherGroup,
+    GroupMismatch,
 }
 
 /// What became of a granted claim.
--- a/crates/ownership/src/claims/readiness.rs
+++ b/crates/ownership/src/claims/readiness.rs
@@ -82,9 +82,9 @@
     /// may do without: the key would run twice. So there it is all of them.
     pub(super) fn receivers(&self, key: ClaimKey) -> Vec<Member> {
         let views = self.earlier.iter();
-        let old: Vec<Group> = views.map(|view| view.group(key.place())).collect();
+        let old: Vec<Group> = views.map(|view| view.group(key.placement_hash())).collect();
         let all = old.is_empty() || self.view.members().len() < GROUP_SIZE;
-        let group = self.view.group(key.place());
+        let group = self.view.group(key.placement_hash());
         let is_new = |peer: &Member| all || old.iter().any(|old| !old.contains(*peer));
         group.members().iter().copied().filter(is_new).collect()
     }
@@ -156,7 +156,7 @@
         };
         before
             .iter()
-            .any(|view| !view.group(key.place()).contains(self.me))
+            .any(|view| !view.group(key.placement_hash()).contains(self.me))
     }
 
     /// Members whose records this one may still lack.
--- a/crates/ownership/src/claims/round.rs
+++ b/crates/ownership/src/claims/round.rs
@@ -29,7 +29,7 @@
     /// An earlier try may have run. Never to be answered as "not run".
     Unknown,
     /// The key belongs to another request.
-    Mismatch,
+    KeyReused,
     /// No earlier try ran, and this one was refused for want of room: "not run" is true.
     NotRun {
         /// When to ask again.
@@ -37,7 +37,7 @@
     },
     /// Too few members could tell. This try was not run, of earlier ones nothing is known: a caller
     /// that may have sent the key before must be answered "unknown".
-    Unreachable {
+    NoQuorum {
         /// When to ask again.
         retry_after: Millis,
     },
@@ -79,7 +79,7 @@
         request: ClaimRequest,
         now: Millis,
     ) -> ClaimRound {
-        let group = view.group(request.key.place());
+        let group = view.group(request.key.placement_hash());
         let request = ClaimRequest {
             group: group.id(),
             ..request
@@ -88,8 +88,8 @@
             request,
             group,
             ballots: [Ballot::Pending; GROUP_SIZE],
-            send_by: now + settings.send_limit,
-            retry: settings.retry,
+            send_by: now + settings.send_timeout,
+            retry: settings.retry_after,
             decided: false,
         }
     }
@@ -168,7 +168,7 @@
     /// A vote that no other vote can overrule.
     fn final_vote(&self) -> Option<Refusal> {
         self.used().iter().find_map(|ballot| match ballot {
-            Ballot::Cast(Vote::Mismatch) => Some(Refusal::Mismatch),
+            Ballot::Cast(Vote::KeyReused) => Some(Refusal::KeyReused),
             Ballot::Cast(Vote::Done { status }) => Some(Refusal::Done { status: *status }),
             _ => None,
         })
@@ -189,7 +189,7 @@
         if self.count(blank) >= self.group.majority() {
             return Refusal::NotRun { retry_after };
         }
-        Refusal::Unreachable { retry_after }
+        Refusal::NoQuorum { retry_after }
     }
 
     fn retry_after(&self) -> Millis {
@@ -294,7 +294,7 @@
 
     /// The membership has changed since the claim: tells the members of the key's new group too.
     pub fn on_view(&mut self, view: &View) {
-        for &member in view.group(self.request.key.place()).members() {
+        for &member in view.group(self.request.key.placement_hash()).members() {
             if !self.pending.contains(&member) {
                 self.pending.push(member);
             }
--- a/crates/ownership/src/claims/table.rs
+++ b/crates/ownership/src/claims/table.rs
@@ -16,7 +16,7 @@
 pub(super) struct Table {
     window: Millis,
     capacity: usize,
-    share: usize,
+    max_per_account: usize,
     /// Records of each account.
     counts: HashMap<AccountId, usize>,
     records: HashMap<ClaimKey, Record>,
@@ -35,7 +35,7 @@
         Table {
             window: settings.window,
             capacity: settings.capacity,
-            share: settings.share,
+            max_per_account: settings.max_per_account,
             counts: HashMap::new(),
             records: HashMap::new(),
             queue: VecDeque::new(),
@@ -48,7 +48,7 @@
 
     pub(super) fn is_full(&self, account: AccountId) -> bool {
         let used = self.counts.get(&account).copied().unwrap_or(0);
-        self.records.len() >= self.capacity || used >= self.share
+        self.records.len() >= self.capacity || used >= self.max_per_account
     }
 
     pub(super) fn get(&self, key: ClaimKey) -> Option<&Record> {
--- a/crates/ownership/src/claims/voter.rs
+++ b/crates/ownership/src/claims/voter.rs
@@ -17,7 +17,7 @@
 use super::readiness::Readiness;
 use super::settings::ClaimSettings;
 use super::table::Table;
-use crate::pause::PauseGuard;
+use crate::pause::PauseDetector;
 use crate::view::Member;
 use crate::view::View;
 use crate::view::ViewId;
@@ -39,7 +39,7 @@
     table: Table,
     readiness: Readiness,
     handover: Handover,
-    guard: PauseGuard,
+    guard: PauseDetector,
 }
 
 impl Claims {
@@ -52,8 +52,8 @@
             me,
             table: Table::new(&settings),
             readiness: Readiness::new(me, settings.window, cold_until),
-            handover: Handover::new(settings.batch),
-            guard: PauseGuard::new(settings.lease, now),
+            handover: Handover::new(settings.transfer_batch),
+            guard: PauseDetector::new(settings.lease, now),
         }
     }
 
@@ -77,7 +77,7 @@
     /// this member is left out of every later view.
     pub fn on_view(&mut self, view: View, now: Millis) -> Vec<Transfer> {
         self.guard.observe(now);
-        self.guard.rejoined();
+        self.guard.on_rejoined();
         // The membership of a process counts the process itself until it ends. Taken in again, this
         // member could vote after it has told the others that they have all its records, and a key
         // would run twice; and its next mark would undo the one that says that it leaves, so that it
@@ -101,7 +101,7 @@
     }
 
     /// Whether every peer has acknowledged this member's records, so that it may end.
-    pub fn is_handed_over(&self) -> bool {
+    pub fn is_handover_complete(&self) -> bool {
         self.handover.is_done()
     }
 
@@ -160,7 +160,7 @@
     }
 
     /// The peer has acknowledged a transfer.
-    pub fn on_transferred(&mut self, transfer: &Transfer) {
+    pub fn on_transfer_acknowledged(&mut self, transfer: &Transfer) {
         if transfer.request.view != self.view_id() {
             return;
         }
@@ -186,11 +186,11 @@
         let same = record.claim == Some(request.claim);
         if record.state == ClaimState::NotRun {
             // A claim that is overtaken by its own release must not lock the key again.
-            let retry_after = self.settings.retry;
+            let retry_after = self.settings.retry_after;
             return same.then_some(Vote::NotReady { retry_after });
         }
         if record.digest != request.digest {
-            return Some(Vote::Mismatch);
+            return Some(Vote::KeyReused);
         }
         Some(match record.state {
             ClaimState::Done { status } => Vote::Done { status },
@@ -200,7 +200,7 @@
             // so this member votes like on a fresh key, or not at all.
             ClaimState::InProgress if same => return None,
             ClaimState::InProgress => Vote::InProgress {
-                retry_after: self.settings.retry,
+                retry_after: self.settings.retry_after,
             },
             ClaimState::Unknown | ClaimState::NotRun => Vote::Unknown,
         })
@@ -212,17 +212,17 @@
         let ended = record
             .claim
             .is_none_or(|claim| !self.view().contains(claim.claimant));
-        ended || now.since(record.time) > self.settings.run_limit
+        ended || now.since(record.time) > self.settings.max_run_time
     }
 
     fn fresh_vote(&mut self, request: &ClaimRequest, now: Millis) -> Vote {
-        let retry_after = self.settings.retry;
+        let retry_after = self.settings.retry_after;
         if self.guard.is_suspended() {
             return Vote::NotReady { retry_after };
         }
-        let group = self.view().group(request.key.place());
+        let group = self.view().group(request.key.placement_hash());
         if group.id() != request.group || !group.contains(self.me) {
-            return Vote::OtherGroup;
+            return Vote::GroupMismatch;
         }
         if let Err(retry_after) = self.readiness.check(request.key, now) {
             return Vote::NotReady { retry_after };
--- a/crates/ownership/src/lib.rs
+++ b/crates/ownership/src/lib.rs
@@ -8,7 +8,7 @@
 //! * [`Orders`] decides which orders to send to the engines that this instance owns.
 //! * [`Limits`] holds the rate and the concurrency of accounts over all instances.
 //! * [`LoadPlanner`] spaces loads from the weight store, highest class first.
-//! * [`PauseGuard`] notices that this process stood still.
+//! * [`PauseDetector`] notices that this process stood still.
 
 mod claims;
 mod limits;
@@ -59,7 +59,7 @@
 pub use orders::Orders;
 pub use orders::RoleId;
 pub use orders::Target;
-pub use pause::PauseGuard;
+pub use pause::PauseDetector;
 pub use view::GROUP_SIZE;
 pub use view::Group;
 pub use view::GroupId;
@@ -69,5 +69,5 @@
 pub use view::ViewId;
 pub use weights::LoadPermit;
 pub use weights::LoadPlanner;
-pub use weights::LoadWant;
+pub use weights::LoadRequest;
 pub use weights::WeightSettings;
--- a/crates/ownership/src/limits/account.rs
+++ b/crates/ownership/src/limits/account.rs
@@ -34,13 +34,13 @@
 impl Terms {
     /// The slots that each instance has of its own.
     pub(super) fn base_slots(&self) -> u32 {
-        let base = f64::from(self.limit.slots) * self.settings.base;
+        let base = f64::from(self.limit.slots) * self.settings.base_fraction;
         (base / self.counts.reference as f64) as u32
     }
 
     /// The units a second that each instance has of its own.
     fn base_rate(&self) -> f64 {
-        self.limit.rate * self.settings.base / self.counts.reference as f64
+        self.limit.rate * self.settings.base_fraction / self.counts.reference as f64
     }
 }
 
@@ -91,7 +91,7 @@
     ) -> Admission {
         let terms = self.terms(settings, counts);
         self.refill(&terms, now);
-        let retry_after = settings.period;
+        let retry_after = settings.borrow_interval;
         if self.running >= self.slots(&terms, now) {
             self.unmet_slots += 1;
             return Admission::Limited { retry_after };
@@ -122,9 +122,9 @@
     /// How long to wait between two requests: demand is told soon, a mere renewal twice a term.
     pub(super) fn pace(&self, settings: &LimitSettings) -> Millis {
         if self.unmet + self.drawn > 0.0 || self.unmet_slots > 0 {
-            settings.period
+            settings.borrow_interval
         } else {
-            Millis(settings.term.0 / 2)
+            Millis(settings.loan_ttl.0 / 2)
         }
     }
 
@@ -153,7 +153,7 @@
 
     pub(super) fn lend(&mut self, settings: &LimitSettings, reply: BorrowReply, asked_at: Millis) {
         // Counted from the asking, which is before the lender's own count began.
-        let until = asked_at + settings.use_limit();
+        let until = asked_at + settings.borrower_ttl();
         if reply.units > 0.0 {
             self.loan += reply.units;
             self.loan_until = until;
@@ -183,7 +183,7 @@
         let span = now.since(self.filled_at).as_secs_f64();
         self.filled_at = now;
         // A share below one unit would never admit anything if it couldn't save up to one.
-        let most = (rate * terms.settings.burst).max(1.0);
+        let most = (rate * terms.settings.burst_seconds).max(1.0);
         self.tokens = (self.tokens + rate * span).min(most);
     }
 }
--- a/crates/ownership/src/limits/ledger.rs
+++ b/crates/ownership/src/limits/ledger.rs
@@ -62,7 +62,7 @@
     }
 
     /// The account has left the configuration.
-    pub fn on_account_gone(&mut self, account: AccountId) {
+    pub fn on_account_removed(&mut self, account: AccountId) {
         self.accounts.remove(&account);
         self.active.remove(&account);
     }
@@ -86,7 +86,7 @@
     /// Whether a request of `cost` units may start. An admitted one is released later.
     pub fn admit(&mut self, account: AccountId, cost: f64, now: Millis) -> Admission {
         let Some(state) = self.accounts.get_mut(&account) else {
-            let retry_after = self.settings.term;
+            let retry_after = self.settings.loan_ttl;
             return Admission::Limited { retry_after };
         };
         self.active.insert(account);
@@ -102,7 +102,7 @@
 
     /// Time has passed; call it several times a period. Returns the loans to ask for.
     pub fn on_tick(&mut self, now: Millis) -> Vec<Borrow> {
-        let most = f64::from(self.settings.messages);
+        let most = f64::from(self.settings.max_borrows_per_second);
         let span = now.since(self.ticked_at).as_secs_f64();
         self.ticked_at = now;
         self.budget = (self.budget + most * span).min(most);
@@ -136,7 +136,7 @@
     }
 
     /// A loan came. `asked_at` is the time of the tick that asked for it.
-    pub fn on_lent(&mut self, account: AccountId, reply: BorrowReply, asked_at: Millis) {
+    pub fn on_borrow_reply(&mut self, account: AccountId, reply: BorrowReply, asked_at: Millis) {
         if let Some(state) = self.accounts.get_mut(&account) {
             state.lend(&self.settings, reply, asked_at);
             // Lent slots that are in use have to be renewed, also when nothing more is asked for.
--- a/crates/ownership/src/limits/message.rs
+++ b/crates/ownership/src/limits/message.rs
@@ -29,34 +29,34 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitSettings {
     /// The part of a limit that is split evenly and needs no message; the rest is lent.
-    pub base: f64,
+    pub base_fraction: f64,
     /// How many seconds' worth of a rate may be saved up.
-    pub burst: f64,
+    pub burst_seconds: f64,
     /// How long a loan lasts on the lender's clock. The borrower counts four fifths of it, so that
     /// a loan is never used after the lender has lent it anew.
-    pub term: Millis,
+    pub loan_ttl: Millis,
     /// The shortest time between two requests of one instance for one account.
-    pub period: Millis,
+    pub borrow_interval: Millis,
     /// Borrow requests of one instance a second, over all accounts.
-    pub messages: u32,
+    pub max_borrows_per_second: u32,
 }
 
 impl Default for LimitSettings {
     fn default() -> LimitSettings {
         LimitSettings {
-            base: 0.5,
-            burst: 1.0,
-            term: Millis::from_secs(2),
-            period: Millis(250),
-            messages: 16,
+            base_fraction: 0.5,
+            burst_seconds: 1.0,
+            loan_ttl: Millis::from_secs(2),
+            borrow_interval: Millis(250),
+            max_borrows_per_second: 16,
         }
     }
 }
 
 impl LimitSettings {
     /// How long the borrower uses a loan.
-    pub(super) fn use_limit(&self) -> Millis {
-        Millis(self.term.0 * 4 / 5)
+    pub(super) fn borrower_ttl(&self) -> Millis {
+        Millis(self.loan_ttl.0 * 4 / 5)
     }
 }
 
--- a/crates/ownership/src/limits/pool.rs
+++ b/crates/ownership/src/limits/pool.rs
@@ -51,14 +51,14 @@
         self.loans.retain(|_, loan| loan.until > now);
         let free = self.free_slots(terms, from);
         // The former owner's loans run for a term; until then only what is in use is renewed.
-        let wanted = if now.since(owned_since) < terms.settings.term {
+        let wanted = if now.since(owned_since) < terms.settings.loan_ttl {
             request.held
         } else {
             request.slots
         };
         // Slots in use can't be taken away, so they are counted even beyond the limit.
         let slots = wanted.min(free).max(request.held);
-        let until = now + terms.settings.term;
+        let until = now + terms.settings.loan_ttl;
         self.loans.insert(from, Loan { slots, until });
         BorrowReply { units, slots }
     }
@@ -77,10 +77,10 @@
 
     fn refill(&mut self, terms: &Terms, now: Millis) {
         let settings = &terms.settings;
-        let rate = terms.limit.rate * (1.0 - settings.base) * Pool::part(terms.counts);
+        let rate = terms.limit.rate * (1.0 - settings.base_fraction) * Pool::part(terms.counts);
         let span = now.since(self.filled_at).as_secs_f64();
         self.filled_at = now;
-        self.units = (self.units + rate * span).min((rate * settings.burst).max(1.0));
+        self.units = (self.units + rate * span).min((rate * settings.burst_seconds).max(1.0));
     }
 
     fn free_slots(&self, terms: &Terms, from: Member) -> u32 {
--- a/crates/ownership/src/orders/engine.rs
+++ b/crates/ownership/src/orders/engine.rs
@@ -99,7 +99,7 @@
     /// each side has an owner, perhaps with another revision, and they would undo each other's
     /// orders for ever; only one side can hold a majority.
     fn has_outwaited(&self, since: Millis, settings: &OrderSettings, now: Millis) -> bool {
-        now.since(since) >= settings.takeover
+        now.since(since) >= settings.takeover_delay
     }
 
     fn act(&self, settings: &OrderSettings, now: Millis) -> Step {
@@ -122,14 +122,14 @@
         let report = self.report.as_ref()?;
         let after_order = self.order_at.is_none_or(|at| report.asked_at > at);
         let after_takeover = self.owned_since.is_some_and(|at| report.asked_at >= at);
-        let young = now.since(report.asked_at) <= settings.report_limit;
+        let young = now.since(report.asked_at) <= settings.max_report_age;
         (after_order && after_takeover && young).then_some(report)
     }
 
     fn read(&self, settings: &OrderSettings, now: Millis) -> Step {
         let waiting = self
             .read_at
-            .is_some_and(|at| now.since(at) < settings.spacing);
+            .is_some_and(|at| now.since(at) < settings.min_order_interval);
         if waiting { Step::Idle } else { Step::Read }
     }
 
@@ -139,8 +139,10 @@
     fn is_spaced(&self, settings: &OrderSettings, now: Millis) -> bool {
         let since = self.order_at.map(|at| now.since(at));
         match since {
-            Some(span) if self.pending => span < settings.spacing + settings.call_limit,
-            Some(span) => span < settings.spacing,
+            Some(span) if self.pending => {
+                span < settings.min_order_interval + settings.call_timeout
+            }
+            Some(span) => span < settings.min_order_interval,
             None => false,
         }
     }
@@ -158,7 +160,7 @@
         }
         // A target that changes to and fro would tear models down as often; loading again costs the
         // weight store minutes. Destructive orders wait until the target has stood for a while.
-        if now.since(self.stated_at) < settings.damping {
+        if now.since(self.stated_at) < settings.stabilization {
             return None;
         }
         if let Some(role) = self.target.role.filter(|role| *role != report.role) {
--- a/crates/ownership/src/orders/planner.rs
+++ b/crates/ownership/src/orders/planner.rs
@@ -14,7 +14,7 @@
 use super::message::OrderAnswer;
 use super::message::Target;
 use super::settings::OrderSettings;
-use crate::pause::PauseGuard;
+use crate::pause::PauseDetector;
 use crate::view::Member;
 use crate::view::View;
 
@@ -30,7 +30,7 @@
     confirmed_at: Millis,
     /// Since when the live view has been a majority of the reference; `None` while it isn't.
     quorum_since: Option<Millis>,
-    guard: PauseGuard,
+    guard: PauseDetector,
     engines: BTreeMap<EngineId, Engine>,
     /// Where the next tick goes on, so that the limit starves no engine.
     cursor: EngineId,
@@ -47,7 +47,7 @@
             view: View::new([]),
             confirmed_at: now,
             quorum_since: None,
-            guard: PauseGuard::new(settings.lease, now),
+            guard: PauseDetector::new(settings.lease, now),
             engines: BTreeMap::new(),
             cursor: EngineId(0),
             budget: 0.0,
@@ -70,7 +70,7 @@
     }
 
     /// The engine has left the fleet or the configuration.
-    pub fn on_engine_gone(&mut self, engine: EngineId) {
+    pub fn on_engine_removed(&mut self, engine: EngineId) {
         self.engines.remove(&engine);
     }
 
@@ -80,7 +80,7 @@
     pub fn on_view(&mut self, view: View, reference: &View, now: Millis) {
         let slept = self.observe(now) || self.guard.is_suspended();
         let lapsed = slept || now.since(self.confirmed_at) > self.settings.lease;
-        self.guard.rejoined();
+        self.guard.on_rejoined();
         self.confirmed_at = now;
         let majority = view.members().len() * 2 > reference.members().len();
         self.quorum_since = match self.quorum_since {
@@ -164,7 +164,7 @@
         let current = order.fence == engine.target.revision && !engine.is_outdated();
         let recent = engine
             .order_at
-            .is_some_and(|at| now.since(at) < self.settings.spacing);
+            .is_some_and(|at| now.since(at) < self.settings.min_order_interval);
         let quorum = engine.target.fencing == Fencing::Checked || self.quorum_since.is_some();
         current && recent && quorum && engine.owned_since.is_some() && self.may_act(now)
     }
--- a/crates/ownership/src/pause.rs
+++ b/crates/ownership/src/pause.rs
@@ -9,16 +9,16 @@
 /// each tick (ticks come much more often than a lease): a gap longer than the lease means that the
 /// view is no longer to be trusted, until the membership says that this instance has rejoined.
 #[derive(Clone, Debug)]
-pub struct PauseGuard {
+pub struct PauseDetector {
     lease: Millis,
     last: Millis,
     suspended: bool,
 }
 
-impl PauseGuard {
+impl PauseDetector {
     /// A guard that trusts the view as of `now`.
-    pub fn new(lease: Millis, now: Millis) -> PauseGuard {
-        PauseGuard {
+    pub fn new(lease: Millis, now: Millis) -> PauseDetector {
+        PauseDetector {
             lease,
             last: now,
             suspended: false,
@@ -37,7 +37,7 @@
     }
 
     /// The membership has confirmed the view after the pause.
-    pub fn rejoined(&mut self) {
+    pub fn on_rejoined(&mut self) {
         self.suspended = false;
     }
 
--- a/crates/ownership/src/weights.rs
+++ b/crates/ownership/src/weights.rs
@@ -21,13 +21,13 @@
     /// Loads that may start at once after an idle time.
     pub burst: f64,
     /// How long a permit may be used on the holder's clock.
-    pub permit: Millis,
+    pub permit_ttl: Millis,
     /// How long a new owner gives no permit. More than `permit` and the lease on a view together.
-    pub takeover: Millis,
+    pub takeover_delay: Millis,
     /// Every how many permits one goes to whatever has waited longest, so that no class starves.
-    pub floor: u32,
+    pub oldest_first_interval: u32,
     /// How long a want lasts that isn't repeated.
-    pub patience: Millis,
+    pub request_ttl: Millis,
 }
 
 impl Default for WeightSettings {
@@ -35,17 +35,17 @@
         WeightSettings {
             rate: 12.0,
             burst: 1.0,
-            permit: Millis::from_secs(5),
-            takeover: Millis::from_secs(25),
-            floor: 8,
-            patience: Millis::from_secs(30),
+            permit_ttl: Millis::from_secs(5),
+            takeover_delay: Millis::from_secs(25),
+            oldest_first_interval: 8,
+            request_ttl: Millis::from_secs(30),
         }
     }
 }
 
 /// An engine that should load a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LoadWant {
+pub struct LoadRequest {
     /// The engine.
     pub engine: EngineId,
     /// The model.
@@ -70,7 +70,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Wanted {
     from: Member,
-    want: LoadWant,
+    want: LoadRequest,
     first_at: Millis,
     last_at: Millis,
 }
@@ -129,7 +129,7 @@
         } else if self.owned_since.is_none() {
             self.owned_since = Some(now);
             self.credit = 0.0;
-            self.filled_at = now + self.settings.takeover;
+            self.filled_at = now + self.settings.takeover_delay;
         }
     }
 
@@ -138,12 +138,12 @@
         if self.owned_since.is_some() {
             self.owned_since = Some(now);
             self.credit = 0.0;
-            self.filled_at = now + self.settings.takeover;
+            self.filled_at = now + self.settings.takeover_delay;
         }
     }
 
     /// An engine's owner wants a load; it repeats the want until it has a permit.
-    pub fn on_want(&mut self, from: Member, want: LoadWant, now: Millis) {
+    pub fn on_load_request(&mut self, from: Member, want: LoadRequest, now: Millis) {
         let fresh = Wanted {
             from,
             want,
@@ -161,7 +161,7 @@
     /// twice, which errs on the store's side.
     pub fn on_tick(&mut self, now: Millis) -> Vec<LoadPermit> {
         self.refill(now);
-        let patience = self.settings.patience;
+        let patience = self.settings.request_ttl;
         self.wanted
             .retain(|_, wanted| now.since(wanted.last_at) < patience);
         if self.wanted.is_empty() {
@@ -179,7 +179,7 @@
     }
 
     fn take_first(&mut self) -> Option<LoadPermit> {
-        let oldest = self.since_floor + 1 >= self.settings.floor;
+        let oldest = self.since_floor + 1 >= self.settings.oldest_first_interval;
         let first = self.wanted.iter().min_by_key(|(key, wanted)| {
             let given = self.given.get(&key.1).copied().unwrap_or(0);
             let replicas = wanted.want.replicas + given;
--- a/crates/ownership/tests/chaos.rs
+++ b/crates/ownership/tests/chaos.rs
@@ -302,7 +302,7 @@
             }
             Message::Taken(from, transfer) if self.runs(from) => {
                 let node = self.nodes.get_mut(&from).expect("a member");
-                node.on_transferred(&transfer);
+                node.on_transfer_acknowledged(&transfer);
             }
             _ => {}
         }
--- a/crates/ownership/tests/claims.rs
+++ b/crates/ownership/tests/claims.rs
@@ -109,7 +109,7 @@
                 let now = self.now;
                 let node = self.node(transfer.to);
                 node.on_transfer(from, &transfer.request, now);
-                self.node(from).on_transferred(&transfer);
+                self.node(from).on_transfer_acknowledged(&transfer);
             }
         }
     }
@@ -178,7 +178,9 @@
 
     fn group(&self, key: u128) -> Vec<Member> {
         let view = self.nodes.values().next().expect("a node").view();
-        view.group(ClaimKey(key).place()).members().to_vec()
+        view.group(ClaimKey(key).placement_hash())
+            .members()
+            .to_vec()
     }
 
     /// A member that doesn't hold the record of `key`.
@@ -206,7 +208,7 @@
         let transfers = self.node(leaver).on_view(view, now);
         self.carry(leaver, transfers);
         self.tick();
-        assert!(self.node(leaver).is_handed_over());
+        assert!(self.node(leaver).is_handover_complete());
     }
 
     fn view_of_living(&self) -> View {
@@ -234,7 +236,7 @@
         fleet.claim(member(2), 1),
         Err(Refusal::Done { status: 201 })
     );
-    assert_eq!(fleet.claim_digest(member(3), 1, 2), Err(Refusal::Mismatch));
+    assert_eq!(fleet.claim_digest(member(3), 1, 2), Err(Refusal::KeyReused));
 }
 
 /// The backend server couldn't be connected to: not a byte left. The key is free again at once, for
@@ -304,10 +306,7 @@
     fleet.adopt(&view);
     for _ in 0..9 {
         let refusal = fleet.claim(claimant, 1).expect_err("not granted");
-        assert!(
-            matches!(refusal, Refusal::Unreachable { .. }),
-            "{refusal:?}"
-        );
+        assert!(matches!(refusal, Refusal::NoQuorum { .. }), "{refusal:?}");
         fleet.pass(Millis::from_secs(60));
     }
     fleet.pass(Millis::from_secs(120));
@@ -325,10 +324,7 @@
     fleet.silent.clear();
     fleet.silent.push(member(1));
     let refusal = fleet.claim(member(2), 1).expect_err("one vote of three");
-    assert!(
-        matches!(refusal, Refusal::Unreachable { .. }),
-        "{refusal:?}"
-    );
+    assert!(matches!(refusal, Refusal::NoQuorum { .. }), "{refusal:?}");
     let view = fleet.node(sleeper).view().clone();
     let now = fleet.now;
     fleet.node(sleeper).on_view(view, now);
@@ -372,7 +368,7 @@
         let leaver = fleet.group(1)[0];
         let view = View::new(fleet.awake().into_iter().filter(|m| *m != leaver));
         fleet.adopt(&view);
-        assert!(fleet.node(leaver).is_handed_over());
+        assert!(fleet.node(leaver).is_handover_complete());
         fleet.kill(leaver);
         let other = fleet.awake()[0];
         assert_eq!(fleet.claim(other, 1), Err(Refusal::Done { status: 201 }));
@@ -474,7 +470,7 @@
 /// Whether the first claim was granted, in which case the second one is not.
 fn is_granted_with_a_newcomer(key: u128) -> bool {
     let newcomer = member(4);
-    let group = View::new((0..5).map(member)).group(ClaimKey(key).place());
+    let group = View::new((0..5).map(member)).group(ClaimKey(key).placement_hash());
     let is_old = |m: &Member| *m != newcomer;
     let old: Vec<Member> = group.members().iter().copied().filter(is_old).collect();
     let [other, frozen] = old[..] else {
@@ -562,7 +558,7 @@
         mark: None,
     };
     fleet.node(voter).on_transfer(member(0), &transfer, now);
-    fleet.node(voter).on_transferred(&on_its_way);
+    fleet.node(voter).on_transfer_acknowledged(&on_its_way);
     let transfers = fleet.node(voter).on_tick(now);
     let next = transfers.into_iter().find(|t| t.to == newcomer);
     let entries = next.expect("the record again").request.entries;
@@ -586,10 +582,7 @@
     }
     fleet.adopt(&View::new(members));
     let refusal = fleet.claim(member(0), 1).expect_err("cold");
-    assert!(
-        matches!(refusal, Refusal::Unreachable { .. }),
-        "{refusal:?}"
-    );
+    assert!(matches!(refusal, Refusal::NoQuorum { .. }), "{refusal:?}");
     fleet.pass(Millis::from_secs(601));
     assert!(fleet.claim(member(0), 1).is_ok());
 }
@@ -732,7 +725,7 @@
 #[test]
 fn an_account_that_runs_wild_shuts_out_no_other() {
     let settings = ClaimSettings {
-        share: 5,
+        max_per_account: 5,
         ..ClaimSettings::default()
     };
     let mut fleet = Fleet::new(3, settings);
--- a/crates/ownership/tests/explore.rs
+++ b/crates/ownership/tests/explore.rs
@@ -307,7 +307,7 @@
             node.on_transfer(from, &transfer.request, NOW);
         });
         let transfers = self.change(from, |node| {
-            node.on_transferred(transfer);
+            node.on_transfer_acknowledged(transfer);
             node.on_tick(NOW)
         });
         self.post_transfers(from, transfers);
--- a/crates/ownership/tests/explore_orders.rs
+++ b/crates/ownership/tests/explore_orders.rs
@@ -36,11 +36,11 @@
 /// The daemon's settings, scaled down so that few seconds hold a takeover.
 const SETTINGS: OrderSettings = OrderSettings {
     lease: Millis(1_000),
-    takeover: Millis(4_000),
-    call_limit: Millis(2_000),
-    report_limit: Millis(1_000),
-    spacing: Millis(2_000),
-    damping: Millis(3_000),
+    takeover_delay: Millis(4_000),
+    call_timeout: Millis(2_000),
+    max_report_age: Millis(1_000),
+    min_order_interval: Millis(2_000),
+    stabilization: Millis(3_000),
     rate: 20,
 };
 const MOST_STATES: usize = 2_000_000;
@@ -231,8 +231,8 @@
             fault: None,
         };
         let silence = match self.fencing {
-            Fencing::Checked => Millis(SETTINGS.damping.0 - 1_000),
-            Fencing::Ignored => SETTINGS.takeover,
+            Fencing::Checked => Millis(SETTINGS.stabilization.0 - 1_000),
+            Fencing::Ignored => SETTINGS.takeover_delay,
         };
         while world.now < silence {
             world.apply(&Action::Tick(A, true, true));
@@ -458,7 +458,7 @@
         if self.scene.fencing == Fencing::Ignored {
             let now = self.now;
             self.mail
-                .retain(|_, call| now.since(call.sent_at) < SETTINGS.call_limit);
+                .retain(|_, call| now.since(call.sent_at) < SETTINGS.call_timeout);
         }
     }
 
--- a/crates/ownership/tests/limits.rs
+++ b/crates/ownership/tests/limits.rs
@@ -144,7 +144,7 @@
             }
             self.messages += u64::from(owner != at);
             let reply = self.nodes[owner].on_borrow(self.members[at], &borrow.request, now);
-            self.nodes[at].on_lent(ACCOUNT, reply, now);
+            self.nodes[at].on_borrow_reply(ACCOUNT, reply, now);
         }
     }
 }
@@ -323,7 +323,7 @@
         units: 0.0,
         slots: 20,
     };
-    node.on_lent(ACCOUNT, reply, Millis(1_000));
+    node.on_borrow_reply(ACCOUNT, reply, Millis(1_000));
     let mut admit = |now| {
         let admitted = (0..40).filter(|_| node.admit(ACCOUNT, 1.0, now) == Admission::Admitted);
         let count = admitted.count();
--- a/crates/ownership/tests/orders.rs
+++ b/crates/ownership/tests/orders.rs
@@ -202,11 +202,11 @@
 #[test]
 fn a_new_owner_outwaits_the_former_one() {
     let settings = OrderSettings::default();
-    assert!(settings.takeover > settings.lease + settings.call_limit);
+    assert!(settings.takeover_delay > settings.lease + settings.call_timeout);
     let mut engine = Engine::new(Fencing::Ignored, &[]);
     let view = view("b");
     let mut new = instance("b", target(4, Fencing::Ignored, &[1]), &view);
-    let wait = settings.takeover.as_secs_ceil();
+    let wait = settings.takeover_delay.as_secs_ceil();
     run(&mut new, &mut engine, &view, 1, wait);
     assert!(engine.obeyed.is_empty());
     run(&mut new, &mut engine, &view, wait, wait + 5);
@@ -241,7 +241,10 @@
         let now = Millis::from_secs(at);
         owner.on_view(view.clone(), view, now);
         for action in owner.on_tick(now) {
-            assert!(now >= sent_at + settings.call_limit, "{action:?} at {now}");
+            assert!(
+                now >= sent_at + settings.call_timeout,
+                "{action:?} at {now}"
+            );
             if matches!(action, OrderAction::Send(_)) {
                 return;
             }
@@ -412,7 +415,7 @@
     let woken = second + 60;
     assert!(!old.may_send(&order, Millis::from_secs(woken)));
     assert_eq!(step(&mut old, &mut engine, Millis::from_secs(woken)), []);
-    let takeover = OrderSettings::default().takeover.as_secs_ceil();
+    let takeover = OrderSettings::default().takeover_delay.as_secs_ceil();
     for at in woken + 1..woken + 180 {
         let now = Millis::from_secs(at);
         // Sure that it is the owner, on an engine that checks to the end; on the other one until it
--- a/crates/ownership/tests/weights.rs
+++ b/crates/ownership/tests/weights.rs
@@ -4,7 +4,7 @@
 use crocushold_ownership::EngineId;
 use crocushold_ownership::LoadPermit;
 use crocushold_ownership::LoadPlanner;
-use crocushold_ownership::LoadWant;
+use crocushold_ownership::LoadRequest;
 use crocushold_ownership::Member;
 use crocushold_ownership::ModelId;
 use crocushold_ownership::View;
@@ -26,7 +26,7 @@
 /// Repeats the wants and ticks each second.
 fn run(
     planner: &mut LoadPlanner,
-    wants: &mut Vec<LoadWant>,
+    wants: &mut Vec<LoadRequest>,
     from: u64,
     to: u64,
 ) -> Vec<LoadPermit> {
@@ -34,7 +34,7 @@
     for second in from..to {
         let now = Millis::from_secs(second);
         for want in wants.iter() {
-            planner.on_want(members()[0], *want, now);
+            planner.on_load_request(members()[0], *want, now);
         }
         let given = planner.on_tick(now);
         for permit in &given {
@@ -45,8 +45,8 @@
     permits
 }
 
-fn wants(rank: u8, model: u32, engines: std::ops::Range<u64>) -> Vec<LoadWant> {
-    let want = |engine| LoadWant {
+fn wants(rank: u8, model: u32, engines: std::ops::Range<u64>) -> Vec<LoadRequest> {
+    let want = |engine| LoadRequest {
         engine: EngineId(engine),
         model: ModelId(model),
         rank,
--- a/crates/peers/src/coordination/wire.rs
+++ b/crates/peers/src/coordination/wire.rs
@@ -100,10 +100,10 @@
             status,
             ..Coded::default()
         },
-        Vote::Mismatch => plain(4),
+        Vote::KeyReused => plain(4),
         Vote::Full { retry_after } => later(5, retry_after),
         Vote::NotReady { retry_after } => later(6, retry_after),
-        Vote::OtherGroup => plain(7),
+        Vote::GroupMismatch => plain(7),
     }
 }
 
@@ -115,10 +115,10 @@
         3 => Vote::Done {
             status: coded.status,
         },
-        4 => Vote::Mismatch,
+        4 => Vote::KeyReused,
         5 => Vote::Full { retry_after },
         6 => Vote::NotReady { retry_after },
-        7 => Vote::OtherGroup,
+        7 => Vote::GroupMismatch,
         _ => Vote::Unknown,
     }
 }
