--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -10,40 +10,40 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A point on a monotonic clock, or a span between two such points, in milliseconds.
+/// A point on a monotonic clock or the duration between two such points, in milliseconds.
 ///
-/// Arithmetic saturates: a clock that steps back yields a span of zero, never a panic.
+/// Arithmetic saturates: a clock that steps back yields a duration of zero and never panics.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The start of the clock, or an empty span.
+    /// The start of the clock, or an empty duration.
     pub const ZERO: Millis = Millis(0);
 
-    /// A point that no clock reaches; used as "no deadline".
+    /// A point in time that is never reached; stands for "no deadline".
     pub const MAX: Millis = Millis(u64::MAX);
 
-    /// How many make a second.
+    /// Milliseconds per second.
     pub const PER_SECOND: u64 = 1000;
 
-    /// A span of whole seconds.
+    /// A duration of whole seconds.
     pub const fn from_secs(secs: u64) -> Millis {
         Millis(secs.saturating_mul(1000))
     }
 
-    /// The span since `earlier`; zero when `earlier` lies ahead.
+    /// The duration since `earlier`; zero if `earlier` is in the future.
     pub const fn since(self, earlier: Millis) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// Whole seconds, rounded up: the unit of the `Retry-After` header.
+    /// Seconds, rounded up, as the `Retry-After` header requires.
     pub const fn as_secs_ceil(self) -> u64 {
         self.0.div_ceil(1000)
     }
 
-    /// Seconds as a fraction, the unit of Prometheus.
+    /// Seconds as a floating-point number, as Prometheus requires.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1000.0
     }
@@ -52,20 +52,20 @@
 impl Add for Millis {
     type Output = Millis;
 
-    fn add(self, span: Millis) -> Millis {
-        Millis(self.0.saturating_add(span.0))
+    fn add(self, duration: Millis) -> Millis {
+        Millis(self.0.saturating_add(duration.0))
     }
 }
 
 impl AddAssign for Millis {
-    fn add_assign(&mut self, span: Millis) {
-        *self = *self + span;
+    fn add_assign(&mut self, duration: Millis) {
+        *self = *self + duration;
     }
 }
 
 impl From<Millis> for Duration {
-    fn from(span: Millis) -> Duration {
-        Duration::from_millis(span.0)
+    fn from(duration: Millis) -> Duration {
+        Duration::from_millis(duration.0)
     }
 }
 
@@ -75,11 +75,12 @@
     }
 }
 
-/// A monotonic clock that starts at zero when it is made.
+/// A monotonic clock that starts at zero when it is created.
 ///
-/// It keeps counting while the process is stopped by a signal and while the machine is suspended, so a
-/// process that wakes late sees the jump. The standard library's clock doesn't count a suspended machine's
-/// time: a request that was held through it would be sent on with more time than its caller has left.
+/// It keeps counting while the process is stopped by a signal and while the machine is suspended,
+/// so a process that resumes sees the jump. The clock of the standard library doesn't count the
+/// time of a suspension: a request held across one would be forwarded with more time than its
+/// caller has left.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Millis,
@@ -99,9 +100,9 @@
     }
 }
 
-/// The time since the machine started, suspended or not.
+/// The time since boot, including the time spent suspended.
 fn since_boot() -> Millis {
     let time = clock_gettime(ClockId::Boottime);
-    // The seconds are never negative, and the nanoseconds are below a second.
+    // The seconds are never negative, and the nanoseconds are less than one second.
     Millis(time.tv_sec as u64 * 1000 + time.tv_nsec as u64 / 1_000_000)
 }
--- a/crates/base/src/event.rs
+++ b/crates/base/src/event.rs
@@ -1,19 +1,19 @@
-//! Log records as one line of `key=value` pairs.
+//! Log records formatted as one line of `key=value` pairs.
 
 use std::fmt;
 use std::fmt::Write;
 
 /// One log record: an event name followed by `key=value` pairs.
 ///
-/// Values that hold anything but plain word characters are quoted and escaped, so that text sent by
-/// a caller (a colon or line break in a header) can't forge a second record or a second pair.
+/// Values with characters other than plain word characters are quoted and escaped, so that text
+/// from a caller (a colon or a line break in a header) can't forge another record or another pair.
 #[derive(Clone, Debug)]
 pub struct Event {
     line: String,
 }
 
 impl Event {
-    /// Starts a record of the event `name`.
+    /// Starts a record for the event `name`.
     pub fn new(name: &str) -> Event {
         Event {
             line: format!("event={name}"),
--- a/crates/base/src/keys.rs
+++ b/crates/base/src/keys.rs
@@ -1,4 +1,4 @@
-//! Keys into the arenas that hold the configured and the live things.
+//! Arena keys of configured and live objects.
 
 use slotmap::new_key_type;
 
@@ -18,6 +18,6 @@
     /// A language model that engines load.
     pub struct ModelKey;
 
-    /// A request that an entry instance holds.
+    /// A request held by an entry instance.
     pub struct RequestKey;
 }
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,11 +1,11 @@
-//! Small parts that every crate of crocushold shares.
+//! Basic types shared by all crates of crocushold.
 //!
-//! * [`Millis`] is the one unit of time; [`Clock`] reads it. Decisions take the time as an argument
-//!   and never read a clock themselves, so that tests are deterministic.
+//! * [`Millis`] is the only unit of time; [`Clock`] reads it. Decision code takes the time as an
+//!   argument and never reads a clock, which keeps tests deterministic.
 //! * The key types ([`ServerKey`], [`ClassKey`], ...) are small `Copy` handles into arenas. They
-//!   carry a generation: a late event about a slot that was reused finds nothing.
-//! * [`MemoryBudget`] bounds what requests in progress hold together.
-//! * [`Pseudonymizer`] names values in logs without giving them away.
+//!   carry a generation, so that a late event for a slot that was reused finds nothing.
+//! * [`MemoryBudget`] limits the memory that requests in progress hold together.
+//! * [`Pseudonymizer`] replaces values in logs by pseudonyms that don't reveal them.
 //! * [`Event`] formats a log record as one line of `key=value` pairs with escaped values.
 
 mod clock;
--- a/crates/base/src/memory.rs
+++ b/crates/base/src/memory.rs
@@ -1,27 +1,27 @@
-//! A bound on the memory that requests take.
+//! A limit on the memory held by requests.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// A number of bytes that requests share.
+/// A number of bytes shared by all requests.
 ///
-/// Without it, thousands of connections that each send a body just below its own limit would take
-/// more memory than the instance has. A reservation is made before the body is read.
+/// Without it, thousands of connections that each send a body just below the limit per body would
+/// use more memory than the instance has. Bytes are reserved before the body is read.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget {
     free: Arc<AtomicU64>,
 }
 
 impl MemoryBudget {
-    /// All of `bytes` are free.
+    /// Creates a budget with `bytes` free.
     pub fn new(bytes: u64) -> MemoryBudget {
         MemoryBudget {
             free: Arc::new(AtomicU64::new(bytes)),
         }
     }
 
-    /// Takes `bytes`, or nothing when fewer are free.
+    /// Reserves `bytes`, or returns `None` if fewer are free.
     pub fn reserve(&self, bytes: u64) -> Option<Reservation> {
         let take = |free: u64| free.checked_sub(bytes);
         let taken = self
@@ -34,7 +34,7 @@
     }
 }
 
-/// Bytes that are given back when this is dropped.
+/// Reserved bytes, which are freed on drop.
 #[derive(Debug)]
 pub struct Reservation {
     free: Arc<AtomicU64>,
--- a/crates/base/src/pseudonym.rs
+++ b/crates/base/src/pseudonym.rs
@@ -1,18 +1,19 @@
-//! Names for the log that give nothing away.
+//! Pseudonyms for values in the log.
 
 use std::hash::BuildHasher;
 use std::hash::Hash;
 use std::hash::RandomState;
 
-/// Names values by a keyed hash, whose key no other process knows.
+/// Replaces values by a keyed hash with a key known to this process only.
 ///
-/// Whoever reads a log sees which requests asked the same. It can't try prompts until one has the name: a plain
-/// hash would tell when the guess is right. Each instance names the same value differently.
+/// Log readers can tell which requests were for the same value, but can't guess prompts until one
+/// has the logged pseudonym: an unkeyed hash would confirm a correct guess. Each instance gives the
+/// same value another pseudonym.
 #[derive(Debug, Default)]
 pub struct Pseudonymizer(RandomState);
 
 impl Pseudonymizer {
-    /// The name of a value, the same as long as the process runs.
+    /// The pseudonym of a value, stable for the lifetime of the process.
     pub fn pseudonym(&self, value: impl Hash) -> String {
         format!("{:016x}", self.0.hash_one(value))
     }
--- a/crates/base/tests/clock.rs
+++ b/crates/base/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock.
+//! Tests of the clock.
 
 use std::thread;
 use std::time::Duration;
@@ -13,11 +13,11 @@
     Millis(time.tv_sec as u64 * 1000 + time.tv_nsec as u64 / 1_000_000)
 }
 
-/// A machine is suspended for seconds while it holds a request, and wakes. The caller's time has gone on, so
-/// ours must have, too. A test can't suspend its machine; it shows that the clock goes with the one of the
-/// system that counts such times.
+/// The deadline of a request passes while the machine that holds it is suspended, so the clock must
+/// count the time of a suspension. A test can't suspend its machine; this one compares the clock
+/// with the system clock that counts suspensions.
 #[test]
-fn it_goes_with_the_clock_that_counts_suspension() {
+fn the_clock_counts_the_time_of_a_suspension() {
     let clock = Clock::start();
     let start = boot_time();
     thread::sleep(Duration::from_millis(50));
