--- a/crates/ownership/src/claims/handover.rs
+++ b/crates/ownership/src/claims/handover.rs
@@ -1,32 +1,32 @@
-//! Passing records on when groups change.
+//! Hand-over of records when replica groups change.
 
 use std::collections::BTreeMap;
 
 use super::message::ClaimKey;
 use crate::view::Member;
 
-/// How many peers may be behind with their records when marks go out to the others.
-const STRAGGLERS: usize = 1;
+/// How many peers may still lack records when marks are sent to the others.
+const MAX_STRAGGLERS: usize = 1;
 
-/// What is still to be sent to one peer.
+/// What remains to be sent to one peer.
 #[derive(Clone, Debug, Default)]
 struct Outbox {
     keys: Vec<ClaimKey>,
     marked: bool,
 }
 
-/// The records and marks that this member owes to the others under the view in force.
+/// The records and marks that this member still has to send to its peers under the current view.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Handover {
     outboxes: BTreeMap<Member, Outbox>,
     batch: usize,
-    /// Whether this member leaves the fleet.
+    /// Whether this member is leaving the fleet.
     leaving: bool,
 }
 
-/// The next thing to send to a peer.
+/// The next message for a peer.
 #[derive(Debug)]
-pub(super) enum Parcel<'a> {
+pub(super) enum Payload<'a> {
     Records(&'a [ClaimKey]),
     Mark,
 }
@@ -40,46 +40,48 @@
         }
     }
 
-    /// Starts anew for another view.
+    /// Starts a new hand-over, for another view.
     pub(super) fn start(&mut self, peers: impl Iterator<Item = Member>, leaving: bool) {
         self.leaving = leaving;
         self.outboxes = peers.map(|peer| (peer, Outbox::default())).collect();
     }
 
-    /// Adds a record that `peer` needs before its mark. One that is on its way already is sent again.
-    pub(super) fn push(&mut self, peer: Member, key: ClaimKey) {
+    /// Queues a record that `peer` needs before its mark. A record that is already in flight is
+    /// sent again.
+    pub(super) fn enqueue(&mut self, peer: Member, key: ClaimKey) {
         if let Some(outbox) = self.outboxes.get_mut(&peer).filter(|o| !o.marked) {
             outbox.keys.push(key);
         }
     }
 
-    /// What to send now, one parcel a peer.
+    /// The next messages, one per peer.
     ///
-    /// A mark says that a grant that this member recorded has its full count of holders again, so
-    /// it waits until the records have reached the peers. One peer that doesn't answer must not hold
-    /// up the rest: it counts this member as missing until it has the records. A member that leaves
-    /// is counted on by nobody afterwards, so it marks no one before all have its records.
-    pub(super) fn parcels(&self) -> impl Iterator<Item = (Member, Parcel<'_>)> {
+    /// A mark states that every grant this member has recorded has its full number of holders
+    /// again, so it is sent only after the records have reached the peers. One unresponsive peer
+    /// must not block the others: it counts this member as unaccounted for until it has the
+    /// records. Nobody counts on a member that has left, so a leaving member sends no mark before
+    /// every peer has its records.
+    pub(super) fn next_payloads(&self) -> impl Iterator<Item = (Member, Payload<'_>)> {
         let behind = self.outboxes.values().filter(|o| !o.keys.is_empty());
-        let marking = behind.count() <= if self.leaving { 0 } else { STRAGGLERS };
+        let marking = behind.count() <= if self.leaving { 0 } else { MAX_STRAGGLERS };
         self.outboxes.iter().filter_map(move |(&peer, outbox)| {
             if !outbox.keys.is_empty() {
                 let rest = outbox.keys.len().saturating_sub(self.batch);
-                return Some((peer, Parcel::Records(&outbox.keys[rest..])));
+                return Some((peer, Payload::Records(&outbox.keys[rest..])));
             }
-            (marking && !outbox.marked).then_some((peer, Parcel::Mark))
+            (marking && !outbox.marked).then_some((peer, Payload::Mark))
         })
     }
 
-    /// Drops keys whose records have expired since the plan was made.
+    /// Drops keys whose records have expired since they were queued.
     pub(super) fn retain(&mut self, keep: impl Fn(ClaimKey) -> bool) {
         for outbox in self.outboxes.values_mut() {
             outbox.keys.retain(|key| keep(*key));
         }
     }
 
-    /// The peer has taken these records, the last that were sent to it.
-    pub(super) fn taken(&mut self, peer: Member, sent: &[ClaimKey], marked: bool) {
+    /// Handles the peer's acknowledgement of `sent`, the last records that were sent to it.
+    pub(super) fn acknowledge(&mut self, peer: Member, sent: &[ClaimKey], marked: bool) {
         let Some(outbox) = self.outboxes.get_mut(&peer) else {
             return;
         };
@@ -90,7 +92,7 @@
         outbox.marked |= marked;
     }
 
-    /// Whether this member leaves the fleet.
+    /// Whether this member is leaving the fleet.
     pub(super) fn is_leaving(&self) -> bool {
         self.leaving
     }
--- a/crates/ownership/src/claims/merge.rs
+++ b/crates/ownership/src/claims/merge.rs
@@ -1,12 +1,13 @@
-//! Joining two members' records of one key.
+//! Merging the records that two members hold for one key.
 
 use super::message::ClaimState;
 use super::message::Record;
 
-/// The record that keeps every promise that either of the two keeps.
+/// Merges two records without breaking a promise that either of them stands for.
 ///
-/// Two tries that both may hold the key leave `Unknown` without an owner: had one of them been kept,
-/// its release would wipe out the other's record and the key could be granted twice.
+/// Two different attempts that both may hold the key merge to `Unknown` without a claim. If one of
+/// them were kept, its release would erase the record of the other and the key could be granted
+/// twice.
 pub(super) fn merge(own: Record, other: Record) -> Record {
     if own.claim.is_some() && own.claim == other.claim {
         return if finality(other.state) > finality(own.state) {
@@ -29,7 +30,8 @@
     }
 }
 
-/// Within one try, what the claimant reported stands above what a voter supposes.
+/// For one attempt, the outcome reported by the claimant takes precedence over what a voter
+/// assumed.
 fn finality(state: ClaimState) -> u8 {
     match state {
         ClaimState::InProgress => 0,
--- a/crates/ownership/src/claims/message.rs
+++ b/crates/ownership/src/claims/message.rs
@@ -1,4 +1,4 @@
-//! The messages of claims, as the shell carries them between instances.
+//! The messages of the claim protocol; the embedder transports them between instances.
 
 use crocushold_base::Millis;
 use twox_hash::XxHash3_128;
@@ -8,89 +8,90 @@
 use crate::view::Member;
 use crate::view::ViewId;
 
-/// An idempotency key of one client account, as a 128-bit hash.
+/// An idempotency key of a client account, as a 128-bit hash.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimKey(pub u128);
 
 impl ClaimKey {
-    /// Hashes the account's name and the key that the caller sent.
+    /// Hashes the account's name and the key sent by the caller.
     pub fn new(account: &str, key: &str) -> ClaimKey {
         let mut bytes = Vec::with_capacity(8 + account.len() + key.len());
-        // The length keeps ("ab", "c") and ("a", "bc") apart.
+        // The length prefix distinguishes ("ab", "c") from ("a", "bc").
         bytes.extend_from_slice(&(account.len() as u64).to_le_bytes());
         bytes.extend_from_slice(account.as_bytes());
         bytes.extend_from_slice(key.as_bytes());
         ClaimKey(XxHash3_128::oneshot(&bytes))
     }
 
-    /// The half of the key that places it on the members.
+    /// The half of the key that is used for rendezvous hashing.
     pub fn placement_hash(self) -> u64 {
         self.0 as u64
     }
 }
 
-/// A hash of the method, path and body that the key was first used with.
+/// A hash of the method, path and body of the first request with the key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RequestDigest(pub u64);
 
-/// One try at a key. A later try of the same claimant has a higher `seq`.
+/// One attempt to claim a key. Later attempts of the same claimant have a higher `seq`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimId {
     /// The instance that wants to send the request.
     pub claimant: Member,
-    /// Counts the claims of that instance.
+    /// Sequence number of the claimant's claims.
     pub seq: u64,
 }
 
-/// Asks one member of the key's group for its vote.
+/// Asks a member of the key's replica group for its vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
     /// The key to claim.
     pub key: ClaimKey,
-    /// The account that sent it.
+    /// The account that sent the key.
     pub account: AccountId,
-    /// The try.
+    /// The attempt.
     pub claim: ClaimId,
-    /// Tells a reused key from a repeated request.
+    /// Distinguishes a repeated request from another request with the same key.
     pub digest: RequestDigest,
-    /// The group that the claimant computed; a voter that computes another refuses.
+    /// The replica group as computed by the claimant; a voter that computes another one refuses.
     pub group: GroupId,
 }
 
-/// One member's answer to a [`ClaimRequest`].
+/// A member's answer to a [`ClaimRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Vote {
-    /// No record stood in the way; this try is now recorded.
+    /// No record prevented the claim; this attempt is now recorded.
     Granted,
-    /// Another try holds the key.
+    /// Another attempt holds the key.
     InProgress {
-        /// When to ask again.
+        /// When to retry.
         retry_after: Millis,
     },
-    /// The request ran and its answer had this status.
+    /// The request ran and was answered with this status.
     Done {
         /// The status of the answer.
         status: u16,
     },
-    /// A try may have run; nobody can tell.
+    /// An attempt may have run; the outcome can't be determined.
     Unknown,
-    /// The key was used with another request.
+    /// The key was already used for a different request.
     KeyReused,
-    /// There is no record and no room for one, in all or for the account.
+    /// There is no record, and no room for one: the table is full, or the account's part of it.
     Full {
-        /// When the oldest record expires.
+        /// The time until the oldest record expires.
         retry_after: Millis,
     },
-    /// The voter may lack records: it started, woke or took over the key lately.
+    /// The voter's records may be incomplete: it has recently started, resumed after a pause, or
+    /// become responsible for the key.
     NotReady {
-        /// When to ask again.
+        /// When to retry.
         retry_after: Millis,
     },
-    /// The voter computes another group for the key.
+    /// The voter computes another replica group for the key.
     GroupMismatch,
 }
 
-/// What became of a granted claim.
+/// The outcome of a granted claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The request ran and was answered with this status.
@@ -98,59 +99,59 @@
         /// The status of the answer.
         status: u16,
     },
-    /// Not a byte of the request left: it truly didn't run, and may be claimed anew.
+    /// No byte of the request was sent: it certainly didn't run, and the key may be claimed again.
     NotRun,
-    /// The request left, and no answer came.
+    /// The request was sent, and no answer was received.
     Unknown,
 }
 
-/// Tells a voter what became of a claim.
+/// Reports the outcome of a claim to a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SettleRequest {
-    /// The key that was claimed.
+    /// The claimed key.
     pub key: ClaimKey,
-    /// The account that sent it.
+    /// The account that sent the key.
     pub account: AccountId,
-    /// The try.
+    /// The attempt.
     pub claim: ClaimId,
-    /// The request's digest, for a voter that missed the claim.
+    /// The request's digest, for a voter that didn't receive the claim.
     pub digest: RequestDigest,
-    /// What became of the try.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
 }
 
 /// The state of a recorded key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimState {
-    /// Released: the recorded try didn't run and never will.
+    /// Released: the recorded attempt didn't run and never will.
     NotRun,
-    /// Granted by this member to the recorded try.
+    /// Granted by this member to the recorded attempt.
     InProgress,
-    /// A try may have run.
+    /// An attempt may have run.
     Unknown,
-    /// Ran, answered with this status.
+    /// Ran and was answered with this status.
     Done {
         /// The status of the answer.
         status: u16,
     },
 }
 
-/// What a member records of a key.
+/// A member's record of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record {
     /// The account that sent the key.
     pub account: AccountId,
     /// The request's digest.
     pub digest: RequestDigest,
-    /// The try that holds the key; `None` where two tries conflict.
+    /// The attempt that holds the key; `None` if two attempts conflict.
     pub claim: Option<ClaimId>,
-    /// The time of the last change on the holder's clock; in a message, the age.
+    /// The time of the last change on the clock of the holder; in a message, the age instead.
     pub time: Millis,
     /// The state.
     pub state: ClaimState,
 }
 
-/// One key's record on its way to another member; its `time` holds the record's age.
+/// A key with its record, as sent to another member; `record.time` holds the age of the record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// The key.
@@ -159,29 +160,30 @@
     pub record: Record,
 }
 
-/// Records that move because the membership changed.
+/// Transfers records after a change of the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TransferRequest {
-    /// The view that the sender has adopted; it votes under no earlier one from here on.
+    /// The view that the sender has adopted; from now on it doesn't vote under an earlier one.
     pub view: ViewId,
-    /// The records, at most the configured batch.
+    /// The records, at most `ClaimSettings::transfer_batch`.
     pub entries: Vec<Entry>,
-    /// Set on the last batch.
+    /// Present in the last batch.
     pub mark: Option<Mark>,
 }
 
-/// Says that a sender has passed on everything that the receiver needs under the view.
+/// States that the sender has transferred every record that the receiver needs under the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mark {
-    /// Counts the views that the sender has adopted.
+    /// The number of views that the sender has adopted.
     pub seq: u64,
     /// Whether the sender's own records are complete.
     pub warm: bool,
-    /// How long the sender distrusts keys that it is new to (see the design note).
+    /// How long the sender refuses keys that it has newly become responsible for (see the design
+    /// note).
     pub hold: Millis,
-    /// Members of earlier views that ended without a hand-over. A newcomer has never seen them, yet
-    /// its records lack theirs.
+    /// Members of earlier views that ended without a hand-over. A new member never knew them, but
+    /// their records are missing from its own.
     pub lost: Vec<Member>,
-    /// Whether the sender leaves the fleet as planned and votes no more.
+    /// Whether the sender is leaving the fleet in a planned stop and no longer votes.
     pub leaving: bool,
 }
--- a/crates/ownership/src/claims/mod.rs
+++ b/crates/ownership/src/claims/mod.rs
@@ -1,10 +1,11 @@
-//! At most one run for each idempotency key.
+//! At most one execution per idempotency key.
 //!
-//! The three members of highest rendezvous weight hold a key's record. A claimant asks all three
-//! ([`ClaimRound`]); a majority of votes grants ([`Claims`] casts them). Two majorities of one group
-//! share a member, which refuses the second claim; so a partition can't grant twice, and one dead or
-//! frozen member costs nothing but its vote. When the membership changes, members that are new to a
-//! group vote only after the others have passed on their records.
+//! The record of a key is replicated to the three members of highest rendezvous weight. A claimant
+//! asks all three for their votes ([`ClaimRound`]); [`Claims`] casts them, and a majority grants
+//! the claim. Any two majorities of a group share a member, which refuses the second claim: the two
+//! sides of a partition can't both grant, and one dead or frozen member costs only its vote. After
+//! a change of the membership, members that are new to a group vote only when the others have
+//! transferred their records.
 
 mod handover;
 mod merge;
--- a/crates/ownership/src/claims/round.rs
+++ b/crates/ownership/src/claims/round.rs
@@ -1,4 +1,4 @@
-//! The claimant's part: collecting votes, sending at most once, settling.
+//! The claimant's side of the protocol: collecting votes, sending at most once, settling.
 
 use crocushold_base::Millis;
 
@@ -12,43 +12,44 @@
 use crate::view::Member;
 use crate::view::View;
 
-/// What to tell the caller instead of sending its request. This try was not sent in any case; the
-/// variants differ in what is known of earlier tries under the same key.
+/// Why a request isn't sent. This attempt was not sent in any case; the variants differ in what is
+/// known of earlier attempts with the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// Another try holds the key now.
+    /// Another attempt currently holds the key.
     InProgress {
-        /// When to ask again.
+        /// When to retry.
         retry_after: Millis,
     },
-    /// An earlier try ran.
+    /// An earlier attempt ran.
     Done {
-        /// The status that it was answered with.
+        /// The status of its answer.
         status: u16,
     },
-    /// An earlier try may have run. Never to be answered as "not run".
+    /// An earlier attempt may have run. Must never be reported to the caller as "not run".
     Unknown,
-    /// The key belongs to another request.
+    /// The key belongs to a different request.
     KeyReused,
-    /// No earlier try ran, and this one was refused for want of room: "not run" is true.
+    /// No earlier attempt ran, and this one was refused for lack of room: "not run" is true.
     NotRun {
-        /// When to ask again.
+        /// When to retry.
         retry_after: Millis,
     },
-    /// Too few members could tell. This try was not run, of earlier ones nothing is known: a caller
-    /// that may have sent the key before must be answered "unknown".
+    /// Not enough members could vote. This attempt was not run, and nothing is known of earlier
+    /// ones: a caller that may have sent the key before must be answered "unknown".
     NoQuorum {
-        /// When to ask again.
+        /// When to retry.
         retry_after: Millis,
     },
 }
 
-/// How a claim ended.
+/// The result of a claim.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The request may be sent, once.
+    /// The request may be sent once.
     Granted(Grant),
-    /// The request must not be sent. The settlement frees the members that did vote for it.
+    /// The request must not be sent. The settlement releases the key on the members that granted
+    /// their vote.
     Refused(Refusal, Settlement),
 }
 
@@ -59,20 +60,20 @@
     Cast(Vote),
 }
 
-/// One claim while its votes come in.
+/// A claim whose votes are being collected.
 #[derive(Clone, Debug)]
 pub struct ClaimRound {
     request: ClaimRequest,
     group: Group,
     ballots: [Ballot; GROUP_SIZE],
-    send_by: Millis,
-    retry: Millis,
+    send_deadline: Millis,
+    retry_after: Millis,
     decided: bool,
 }
 
 impl ClaimRound {
-    /// Starts a claim; `request.group` is filled in from `view`. Give each try its own
-    /// `request.claim.seq`.
+    /// Starts a claim; `request.group` is computed from `view`. Each attempt needs a
+    /// `request.claim.seq` of its own.
     pub fn new(
         settings: &ClaimSettings,
         view: &View,
@@ -88,8 +89,8 @@
             request,
             group,
             ballots: [Ballot::Pending; GROUP_SIZE],
-            send_by: now + settings.send_timeout,
-            retry: settings.retry_after,
+            send_deadline: now + settings.send_timeout,
+            retry_after: settings.retry_after,
             decided: false,
         }
     }
@@ -99,22 +100,22 @@
         &self.request
     }
 
-    /// The members to ask, by rank; one of them may be this instance itself.
+    /// The members to ask, by rank; this instance may be one of them.
     pub fn voters(&self) -> &[Member] {
         self.group.members()
     }
 
-    /// A vote came in. Returns the verdict once, as soon as it stands.
+    /// Handles a vote. Returns the verdict once, as soon as it is decided.
     pub fn on_vote(&mut self, from: Member, vote: Vote) -> Option<Verdict> {
         self.cast(from, Ballot::Cast(vote))
     }
 
-    /// The call failed or passed its deadline.
+    /// Handles a call that failed or timed out.
     pub fn on_unreachable(&mut self, from: Member) -> Option<Verdict> {
         self.cast(from, Ballot::Unreachable)
     }
 
-    /// Gives up on every vote that is missing; `None` if the verdict was given before.
+    /// Treats all missing votes as unreachable; returns `None` if the verdict was returned before.
     pub fn on_deadline(&mut self) -> Option<Verdict> {
         for ballot in &mut self.ballots {
             if *ballot == Ballot::Pending {
@@ -125,12 +126,12 @@
     }
 
     fn cast(&mut self, from: Member, ballot: Ballot) -> Option<Verdict> {
-        let place = self.voters().iter().position(|voter| *voter == from)?;
-        // A duplicated or late answer must not count twice.
-        if self.ballots[place] != Ballot::Pending {
+        let index = self.voters().iter().position(|voter| *voter == from)?;
+        // A duplicate or late answer must not be counted twice.
+        if self.ballots[index] != Ballot::Pending {
             return None;
         }
-        self.ballots[place] = ballot;
+        self.ballots[index] = ballot;
         self.decide()
     }
 
@@ -146,11 +147,11 @@
             return Some(Verdict::Granted(Grant {
                 request: self.request,
                 group: self.group,
-                send_by: self.send_by,
+                send_deadline: self.send_deadline,
             }));
         }
-        let final_now = self.final_vote().is_some();
-        if !final_now && granted + pending >= majority {
+        let is_final = self.final_vote().is_some();
+        if !is_final && granted + pending >= majority {
             return None;
         }
         self.decided = true;
@@ -158,16 +159,16 @@
     }
 
     fn count(&self, test: impl Fn(Ballot) -> bool) -> usize {
-        self.used().iter().filter(|b| test(**b)).count()
+        self.group_ballots().iter().filter(|b| test(**b)).count()
     }
 
-    fn used(&self) -> &[Ballot] {
+    fn group_ballots(&self) -> &[Ballot] {
         &self.ballots[..self.group.members().len()]
     }
 
-    /// A vote that no other vote can overrule.
+    /// A vote that decides the claim whatever the others are.
     fn final_vote(&self) -> Option<Refusal> {
-        self.used().iter().find_map(|ballot| match ballot {
+        self.group_ballots().iter().find_map(|ballot| match ballot {
             Ballot::Cast(Vote::KeyReused) => Some(Refusal::KeyReused),
             Ballot::Cast(Vote::Done { status }) => Some(Refusal::Done { status: *status }),
             _ => None,
@@ -185,21 +186,21 @@
         if self.count(|b| matches!(b, Ballot::Cast(Vote::InProgress { .. }))) > 0 {
             return Refusal::InProgress { retry_after };
         }
-        let blank = |b| matches!(b, Ballot::Cast(Vote::Granted | Vote::Full { .. }));
-        if self.count(blank) >= self.group.majority() {
+        let no_record = |b| matches!(b, Ballot::Cast(Vote::Granted | Vote::Full { .. }));
+        if self.count(no_record) >= self.group.majority() {
             return Refusal::NotRun { retry_after };
         }
         Refusal::NoQuorum { retry_after }
     }
 
     fn retry_after(&self) -> Millis {
-        let spans = self.used().iter().map(|ballot| match ballot {
+        let spans = self.group_ballots().iter().map(|ballot| match ballot {
             Ballot::Cast(Vote::InProgress { retry_after })
             | Ballot::Cast(Vote::Full { retry_after })
             | Ballot::Cast(Vote::NotReady { retry_after }) => *retry_after,
-            _ => self.retry,
+            _ => self.retry_after,
         });
-        spans.max().unwrap_or(self.retry)
+        spans.max().unwrap_or(self.retry_after)
     }
 
     fn release(&self) -> Settlement {
@@ -207,25 +208,25 @@
     }
 }
 
-/// The right to send the request once.
+/// Permission to send the request once.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "a grant that is dropped locks the key until it counts as unknown"]
 pub struct Grant {
     request: ClaimRequest,
     group: Group,
-    send_by: Millis,
+    send_deadline: Millis,
 }
 
 impl Grant {
-    /// Call it right before the first byte is written. An instance that was stopped since the claim
-    /// wakes with a grant that the members may have forgotten; its request would run beside a
-    /// repeat.
+    /// Call this directly before the first byte is written. If an instance was paused since the
+    /// claim, the members may have forgotten the grant by the time it resumes, and the request
+    /// would run in parallel with a repeat.
     ///
     /// # Errors
     ///
     /// The settlement of a grant that is too old; the request must not be sent.
     pub fn start(self, now: Millis) -> Result<Started, Settlement> {
-        if now > self.send_by {
+        if now > self.send_deadline {
             return Err(self.release());
         }
         Ok(Started {
@@ -234,7 +235,7 @@
         })
     }
 
-    /// Gives the key back; the request was not sent.
+    /// Releases the key; the request was not sent.
     pub fn release(self) -> Settlement {
         Settlement::new(&self.request, self.group, Outcome::NotRun)
     }
@@ -249,13 +250,13 @@
 }
 
 impl Started {
-    /// The request ended. [`Outcome::NotRun`] only if not a byte of it was written.
+    /// Settles the request. [`Outcome::NotRun`] is allowed only if no byte of it was written.
     pub fn settle(self, outcome: Outcome) -> Settlement {
         Settlement::new(&self.request, self.group, outcome)
     }
 }
 
-/// An outcome on its way to the members; repeat it to those that haven't acknowledged.
+/// An outcome to be sent to the members; repeat it for those that haven't acknowledged it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[must_use = "send it to the members"]
 pub struct Settlement {
@@ -282,17 +283,17 @@
         &self.request
     }
 
-    /// The members that haven't acknowledged it.
+    /// The members that haven't acknowledged it yet.
     pub fn pending(&self) -> &[Member] {
         &self.pending
     }
 
-    /// A member has acknowledged.
+    /// Handles the acknowledgement of a member.
     pub fn on_acknowledged(&mut self, from: Member) {
         self.pending.retain(|member| *member != from);
     }
 
-    /// The membership has changed since the claim: tells the members of the key's new group too.
+    /// After a change of the membership, also informs the members of the key's new group.
     pub fn on_view(&mut self, view: &View) {
         for &member in view.group(self.request.key.placement_hash()).members() {
             if !self.pending.contains(&member) {
--- a/crates/ownership/src/claims/settings.rs
+++ b/crates/ownership/src/claims/settings.rs
@@ -1,29 +1,32 @@
-//! Settings of claims.
+//! Settings of the claim protocol.
 
 use crocushold_base::Millis;
 
-/// Settings of claims. They must be the same on all members.
+/// Settings of the claim protocol. They must be identical on all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimSettings {
-    /// How long an outcome is remembered, counted from the settlement.
+    /// How long an outcome is remembered after the settlement.
     pub window: Millis,
-    /// How long a claimed request may run; past it the outcome counts as unknown. Less than `window`.
+    /// How long a claimed request may run; after that, its outcome counts as unknown. Shorter than
+    /// `window`.
     pub max_run_time: Millis,
     /// How long after the claim the request may still be sent.
     pub send_timeout: Millis,
-    /// How long a voter that hears nothing trusts its view; a longer gap between events is a pause.
+    /// How long a voter that receives no event trusts its view; a longer gap between events counts
+    /// as a pause.
     pub lease: Millis,
-    /// How long a member whose peers have no complete records either refuses fresh keys. The window,
-    /// unless no fleet ran before (a first start, a test). A member that joins others waits for their
-    /// records in any case.
+    /// How long a member refuses new keys if its peers don't have complete records either. Equal to
+    /// the window, or zero if no fleet ran before (a first start, a test). A member that joins
+    /// others always waits for their records.
     pub cold_start: Millis,
-    /// How many keys a member records.
+    /// The maximum number of keys that a member records.
     pub capacity: usize,
-    /// How many of them one account may have: an account that runs wild must not shut out the others.
+    /// The maximum number of records of one account, so that a misbehaving account can't lock out
+    /// the others.
     pub max_per_account: usize,
-    /// How many records a transfer carries.
+    /// The maximum number of records per transfer.
     pub transfer_batch: usize,
-    /// When a caller should ask again after a conflict or a membership change.
+    /// When a caller should retry after a conflict or a change of the membership.
     pub retry_after: Millis,
 }
 
--- a/crates/ownership/src/claims/table.rs
+++ b/crates/ownership/src/claims/table.rs
@@ -1,4 +1,4 @@
-//! The bounded table of records.
+//! A bounded table of records.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -11,23 +11,23 @@
 use super::settings::ClaimSettings;
 use crate::limits::AccountId;
 
-/// Records by key, forgotten when they are older than the window; never evicted before.
+/// Records by key. A record is removed when it is older than the window and never evicted earlier.
 #[derive(Clone, Debug)]
 pub(super) struct Table {
     window: Millis,
     capacity: usize,
     max_per_account: usize,
-    /// Records of each account.
-    counts: HashMap<AccountId, usize>,
+    /// The number of records per account.
+    counts_by_account: HashMap<AccountId, usize>,
     records: HashMap<ClaimKey, Record>,
-    /// One slot a record, in the order of the first insertion.
-    queue: VecDeque<Slot>,
+    /// One entry per record, in the order of the first insertion.
+    expiry_queue: VecDeque<Expiry>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Slot {
+struct Expiry {
     key: ClaimKey,
-    due: Millis,
+    expires_at: Millis,
 }
 
 impl Table {
@@ -36,9 +36,9 @@
             window: settings.window,
             capacity: settings.capacity,
             max_per_account: settings.max_per_account,
-            counts: HashMap::new(),
+            counts_by_account: HashMap::new(),
             records: HashMap::new(),
-            queue: VecDeque::new(),
+            expiry_queue: VecDeque::new(),
         }
     }
 
@@ -47,7 +47,7 @@
     }
 
     pub(super) fn is_full(&self, account: AccountId) -> bool {
-        let used = self.counts.get(&account).copied().unwrap_or(0);
+        let used = self.counts_by_account.get(&account).copied().unwrap_or(0);
         self.records.len() >= self.capacity || used >= self.max_per_account
     }
 
@@ -59,68 +59,68 @@
         self.records.iter()
     }
 
-    /// Writes a record. Records that must not be lost (settled or transferred ones) may pass the
-    /// capacity; the callers check [`Table::is_full`] before they admit a fresh claim.
-    pub(super) fn put(&mut self, key: ClaimKey, record: Record) {
-        let due = record.time + self.window;
-        // The account was counted with the first record of the key.
+    /// Inserts or replaces a record. Records that must not be lost (settled or transferred ones)
+    /// may exceed the capacity; callers check [`Table::is_full`] before they admit a new claim.
+    pub(super) fn insert(&mut self, key: ClaimKey, record: Record) {
+        let expires_at = record.time + self.window;
+        // The key is counted for the account of its first record.
         let known = self.records.get(&key).map(|old| old.account);
         let account = known.unwrap_or(record.account);
         let record = Record { account, ..record };
         if self.records.insert(key, record).is_none() {
-            *self.counts.entry(record.account).or_default() += 1;
-            self.queue.push_back(Slot { key, due });
+            *self.counts_by_account.entry(record.account).or_default() += 1;
+            self.expiry_queue.push_back(Expiry { key, expires_at });
         }
     }
 
-    /// Forgets the records whose window is over.
+    /// Removes the records whose window has passed.
     pub(super) fn expire(&mut self, now: Millis) {
-        while let Some(slot) = self.queue.front().copied() {
-            if slot.due > now {
+        while let Some(expiry) = self.expiry_queue.front().copied() {
+            if expiry.expires_at > now {
                 return;
             }
-            self.queue.pop_front();
-            self.expire_slot(slot.key, now);
+            self.expiry_queue.pop_front();
+            self.expire_key(expiry.key, now);
         }
     }
 
-    /// How long until the oldest record may be forgotten.
+    /// The time until the oldest record may be removed.
     pub(super) fn next_expiry(&self, now: Millis) -> Millis {
-        self.queue
+        self.expiry_queue
             .front()
-            .map_or(Millis::ZERO, |slot| slot.due.since(now))
+            .map_or(Millis::ZERO, |expiry| expiry.expires_at.since(now))
     }
 
-    fn expire_slot(&mut self, key: ClaimKey, now: Millis) {
+    fn expire_key(&mut self, key: ClaimKey, now: Millis) {
         let Some(record) = self.records.get_mut(&key) else {
             return;
         };
-        let due = record.time + self.window;
-        if due > now {
-            self.queue.push_back(Slot { key, due });
+        let expires_at = record.time + self.window;
+        if expires_at > now {
+            self.expiry_queue.push_back(Expiry { key, expires_at });
             return;
         }
         if record.state == ClaimState::InProgress {
-            // Nobody settled it. It may be running still, so it isn't forgotten with the others but
-            // stays unknown for a window of its own.
+            // The claim was never settled. Its request may still be running, so the record isn't
+            // removed but stays unknown for another window.
             record.state = ClaimState::Unknown;
             record.time = now;
-            let due = now + self.window;
-            self.queue.push_back(Slot { key, due });
+            let expires_at = now + self.window;
+            self.expiry_queue.push_back(Expiry { key, expires_at });
             return;
         }
         let account = record.account;
         self.records.remove(&key);
-        self.uncount(account);
+        self.decrement_count(account);
     }
 
-    fn uncount(&mut self, account: AccountId) {
-        let Some(count) = self.counts.get_mut(&account) else {
+    fn decrement_count(&mut self, account: AccountId) {
+        let Some(count) = self.counts_by_account.get_mut(&account) else {
             return;
         };
         *count -= 1;
         if *count == 0 {
-            self.counts.remove(&account);
+            self.counts_by_account.remove(&account);
         }
     }
 }
--- a/crates/ownership/src/claims/voter.rs
+++ b/crates/ownership/src/claims/voter.rs
@@ -1,9 +1,9 @@
-//! One member's part in claims: its records, its votes, and their hand-over.
+//! The voter's side of the protocol: a member's records, its votes, and the hand-over of records.
 
 use crocushold_base::Millis;
 
 use super::handover::Handover;
-use super::handover::Parcel;
+use super::handover::Payload;
 use super::merge::merge;
 use super::message::ClaimKey;
 use super::message::ClaimRequest;
@@ -22,7 +22,7 @@
 use crate::view::View;
 use crate::view::ViewId;
 
-/// A message that the shell sends to another member.
+/// A transfer to be sent to another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transfer {
     /// The receiver.
@@ -39,12 +39,12 @@
     table: Table,
     readiness: Readiness,
     handover: Handover,
-    guard: PauseDetector,
+    pause_detector: PauseDetector,
 }
 
 impl Claims {
-    /// A member that has just started. It refuses fresh keys until [`Claims::on_view`] gives it a
-    /// membership and the others have passed on their records.
+    /// A member that has just started. It refuses new keys until it has a membership from
+    /// [`Claims::on_view`] and the records of the other members.
     pub fn new(settings: ClaimSettings, me: Member, now: Millis) -> Claims {
         let cold_until = now + settings.cold_start;
         Claims {
@@ -53,35 +53,36 @@
             table: Table::new(&settings),
             readiness: Readiness::new(me, settings.window, cold_until),
             handover: Handover::new(settings.transfer_batch),
-            guard: PauseDetector::new(settings.lease, now),
+            pause_detector: PauseDetector::new(settings.lease, now),
         }
     }
 
-    /// How many records are held.
+    /// The number of records.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Whether no record is held.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The reference membership in force.
+    /// The current reference membership.
     pub fn view(&self) -> &View {
         self.readiness.view()
     }
 
-    /// The membership was read or confirmed. Call it after each change, and after a pause even if
-    /// nothing changed. A view without this member starts its planned hand-over, which is for good:
-    /// this member is left out of every later view.
+    /// Handles a new or confirmed membership. Call this after each change, and after a pause even
+    /// if nothing changed. A view without this member starts its planned hand-over, which is
+    /// irreversible: this member is then excluded from every later view.
     pub fn on_view(&mut self, view: View, now: Millis) -> Vec<Transfer> {
-        self.guard.observe(now);
-        self.guard.on_rejoined();
-        // The membership of a process counts the process itself until it ends. Taken in again, this
-        // member could vote after it has told the others that they have all its records, and a key
-        // would run twice; and its next mark would undo the one that says that it leaves, so that it
-        // counts as lost. Nothing else brings it back: a restarted process is another member.
+        self.pause_detector.observe(now);
+        self.pause_detector.on_rejoined();
+        // A process's own membership includes the process until it ends. If this member were added
+        // again, it could vote after telling the others that they have all its records, and a key
+        // would run twice. Also, its next mark would replace the one that announces its leave, so
+        // that it would count as lost. Nothing else readmits it: a restarted process is another
+        // member.
         let view = if self.handover.is_leaving() {
             view.without(self.me)
         } else {
@@ -90,34 +91,35 @@
         if self.readiness.adopt(view, now) {
             self.plan_handover();
         }
-        self.transfers(now)
+        self.next_transfers(now)
     }
 
-    /// Time has passed; call it several times a lease. Repeats what was not acknowledged.
+    /// Advances the time; call this several times per lease. Repeats transfers that were not
+    /// acknowledged.
     pub fn on_tick(&mut self, now: Millis) -> Vec<Transfer> {
-        self.guard.observe(now);
+        self.pause_detector.observe(now);
         self.table.expire(now);
-        self.transfers(now)
+        self.next_transfers(now)
     }
 
-    /// Whether every peer has acknowledged this member's records, so that it may end.
+    /// Whether every peer has acknowledged this member's records, so that this member may end.
     pub fn is_handover_complete(&self) -> bool {
         self.handover.is_done()
     }
 
     /// Votes on a claim.
     pub fn on_claim(&mut self, request: &ClaimRequest, now: Millis) -> Vote {
-        self.guard.observe(now);
+        self.pause_detector.observe(now);
         self.table.expire(now);
-        match self.recorded_vote(request, now) {
+        match self.vote_from_record(request, now) {
             Some(vote) => vote,
-            None => self.fresh_vote(request, now),
+            None => self.vote_without_record(request, now),
         }
     }
 
-    /// Takes note of what became of a claim.
+    /// Records the outcome of a claim.
     pub fn on_settle(&mut self, request: &SettleRequest, now: Millis) {
-        self.guard.observe(now);
+        self.pause_detector.observe(now);
         let state = match request.outcome {
             Outcome::Completed { status } => ClaimState::Done { status },
             Outcome::NotRun => ClaimState::NotRun,
@@ -131,15 +133,15 @@
             state,
         };
         match self.table.get(request.key).copied() {
-            Some(own) => self.table.put(request.key, merge(own, settled)),
+            Some(own) => self.table.insert(request.key, merge(own, settled)),
             None if state == ClaimState::NotRun && self.table.is_full(request.account) => {}
-            None => self.table.put(request.key, settled),
+            None => self.table.insert(request.key, settled),
         }
     }
 
-    /// Takes over records from another member.
+    /// Merges the records transferred by another member.
     pub fn on_transfer(&mut self, from: Member, request: &TransferRequest, now: Millis) {
-        self.guard.observe(now);
+        self.pause_detector.observe(now);
         for entry in &request.entries {
             let incoming = Record {
                 time: now.since(entry.record.time),
@@ -147,33 +149,35 @@
             };
             let own = self.table.get(entry.key).copied();
             let merged = own.map_or(incoming, |own| merge(own, incoming));
-            self.table.put(entry.key, merged);
-            // Not its time, which moves with each way: two members would send it to and fro for ever.
+            self.table.insert(entry.key, merged);
+            // The time isn't compared: it shifts with each transfer, and two members would send the
+            // record back and forth forever.
             if own.is_none_or(|own| (own.claim, own.state) != (merged.claim, merged.state)) {
-                self.pass_on(entry.key);
+                self.enqueue_for_receivers(entry.key);
             }
         }
         if let Some(mark) = request.mark.clone() {
-            self.readiness.mark(from, request.view, mark, now);
-            self.settle();
+            self.readiness.on_mark(from, request.view, mark, now);
+            self.finish_transfer_round();
         }
     }
 
-    /// The peer has acknowledged a transfer.
+    /// Handles the acknowledgement of a transfer.
     pub fn on_transfer_acknowledged(&mut self, transfer: &Transfer) {
         if transfer.request.view != self.view_id() {
             return;
         }
         let keys: Vec<ClaimKey> = transfer.request.entries.iter().map(|e| e.key).collect();
         let marked = transfer.request.mark.is_some();
-        self.handover.taken(transfer.to, &keys, marked);
-        self.settle();
+        self.handover.acknowledge(transfer.to, &keys, marked);
+        self.finish_transfer_round();
     }
 
-    /// The round is over once this member has heard from all and all from it.
-    fn settle(&mut self) {
+    /// The transfer round ends once this member has heard from all others and all have heard from
+    /// it.
+    fn finish_transfer_round(&mut self) {
         if self.handover.is_done() {
-            self.readiness.settle();
+            self.readiness.forget_earlier_views();
         }
     }
 
@@ -181,7 +185,7 @@
         self.readiness.view().id()
     }
 
-    fn recorded_vote(&self, request: &ClaimRequest, now: Millis) -> Option<Vote> {
+    fn vote_from_record(&self, request: &ClaimRequest, now: Millis) -> Option<Vote> {
         let record = self.table.get(request.key)?;
         let same = record.claim == Some(request.claim);
         if record.state == ClaimState::NotRun {
@@ -195,9 +199,9 @@
         Some(match record.state {
             ClaimState::Done { status } => Vote::Done { status },
             ClaimState::InProgress if self.is_overdue(record, now) => Vote::Unknown,
-            // The record may be another voter's grant, which was passed on and overtook the claim.
-            // Answered from the record alone, one vote would count as two and a key could run twice;
-            // so this member votes like on a fresh key, or not at all.
+            // The record may be another voter's grant that was transferred and overtook the claim.
+            // A vote based on the record alone would count one vote twice, and the key could run
+            // twice; so this member votes as on a new key, or not at all.
             ClaimState::InProgress if same => return None,
             ClaimState::InProgress => Vote::InProgress {
                 retry_after: self.settings.retry_after,
@@ -206,8 +210,8 @@
         })
     }
 
-    /// A claimant that ended or ran over its limit will not settle any more; whether its request ran
-    /// can't be told, so the key is never granted again within the window.
+    /// A claimant that has ended or exceeded its time limit won't settle anymore. Whether its
+    /// request ran is unknown, so the key isn't granted again within the window.
     fn is_overdue(&self, record: &Record, now: Millis) -> bool {
         let ended = record
             .claim
@@ -215,9 +219,9 @@
         ended || now.since(record.time) > self.settings.max_run_time
     }
 
-    fn fresh_vote(&mut self, request: &ClaimRequest, now: Millis) -> Vote {
+    fn vote_without_record(&mut self, request: &ClaimRequest, now: Millis) -> Vote {
         let retry_after = self.settings.retry_after;
-        if self.guard.is_suspended() {
+        if self.pause_detector.is_suspended() {
             return Vote::NotReady { retry_after };
         }
         let group = self.view().group(request.key.placement_hash());
@@ -227,7 +231,7 @@
         if let Err(retry_after) = self.readiness.check(request.key, now) {
             return Vote::NotReady { retry_after };
         }
-        if self.holds(request) {
+        if self.has_claim(request) {
             return Vote::Granted;
         }
         if self.table.is_full(request.account) && self.table.get(request.key).is_none() {
@@ -241,26 +245,27 @@
             time: now,
             state: ClaimState::InProgress,
         };
-        self.table.put(request.key, record);
+        self.table.insert(request.key, record);
         Vote::Granted
     }
 
-    /// Whether this very try is recorded; a repeated message must not make its record younger.
-    fn holds(&self, request: &ClaimRequest) -> bool {
+    /// Whether this same attempt is recorded; a repeated message must not renew its record.
+    fn has_claim(&self, request: &ClaimRequest) -> bool {
         let record = self.table.get(request.key);
         record.is_some_and(|record| record.claim == Some(request.claim))
     }
 
-    /// A record that came or changed since the plan was made goes to those that aren't marked yet. A
-    /// mark vouches for all that leavers have passed on; what is on its way may be the record of before,
-    /// and a newcomer that knew that one alone would grant the key a second time.
-    fn pass_on(&mut self, key: ClaimKey) {
+    /// Queues a record that arrived or changed after the hand-over was planned for the peers that
+    /// have no mark yet. A mark vouches for everything that leaving members have transferred. The
+    /// version of the record that is in flight may be outdated, and a new member that knew only
+    /// that version would grant the key a second time.
+    fn enqueue_for_receivers(&mut self, key: ClaimKey) {
         for peer in self.readiness.receivers(key) {
-            self.handover.push(peer, key);
+            self.handover.enqueue(peer, key);
         }
     }
 
-    /// Every record goes to the members of its group that may lack it.
+    /// Queues every record for the members of its group that may lack it.
     fn plan_handover(&mut self) {
         let view = self.readiness.view();
         let me = self.me;
@@ -268,27 +273,27 @@
         self.handover.start(peers, !view.contains(me));
         for (&key, _) in self.table.iter() {
             for peer in self.readiness.receivers(key) {
-                self.handover.push(peer, key);
+                self.handover.enqueue(peer, key);
             }
         }
     }
 
-    fn transfers(&mut self, now: Millis) -> Vec<Transfer> {
+    fn next_transfers(&mut self, now: Millis) -> Vec<Transfer> {
         let table = &self.table;
         self.handover.retain(|key| table.get(key).is_some());
         self.handover
-            .parcels()
-            .map(|(to, parcel)| Transfer {
+            .next_payloads()
+            .map(|(to, payload)| Transfer {
                 to,
-                request: self.fill(&parcel, now),
+                request: self.build_request(&payload, now),
             })
             .collect()
     }
 
-    fn fill(&self, parcel: &Parcel<'_>, now: Millis) -> TransferRequest {
-        let (keys, mark) = match parcel {
-            Parcel::Records(keys) => (*keys, None),
-            Parcel::Mark => (&[][..], Some(self.readiness.own_mark(now))),
+    fn build_request(&self, payload: &Payload<'_>, now: Millis) -> TransferRequest {
+        let (keys, mark) = match payload {
+            Payload::Records(keys) => (*keys, None),
+            Payload::Mark => (&[][..], Some(self.readiness.own_mark(now))),
         };
         TransferRequest {
             view: self.view_id(),
--- a/crates/ownership/src/lib.rs
+++ b/crates/ownership/src/lib.rs
@@ -1,14 +1,14 @@
-//! Coordination between entry instances without shared state, leader or consensus.
+//! Coordination between entry instances without shared state, a leader or consensus.
 //!
-//! Everything here is a pure state machine: events and the time go in, votes and actions come out.
-//! The caller carries the messages and feeds the membership.
+//! Everything here is a pure state machine: events and the current time go in, votes and actions
+//! come out. The embedder transports the messages and supplies the membership.
 //!
 //! * [`View`] ranks the members for each key by rendezvous hashing.
-//! * [`Claims`] and [`ClaimRound`] let a request with an idempotency key run at most once.
+//! * [`Claims`] and [`ClaimRound`] execute a request with an idempotency key at most once.
 //! * [`Orders`] decides which orders to send to the engines that this instance owns.
-//! * [`Limits`] holds the rate and the concurrency of accounts over all instances.
-//! * [`LoadPlanner`] spaces loads from the weight store, highest class first.
-//! * [`PauseDetector`] notices that this process stood still.
+//! * [`Limits`] enforces the rate and concurrency limits of accounts across all instances.
+//! * [`LoadPlanner`] limits the rate of model loads from the weight store, highest class first.
+//! * [`PauseDetector`] detects that this process was paused.
 
 mod claims;
 mod limits;
--- a/crates/ownership/src/limits/account.rs
+++ b/crates/ownership/src/limits/account.rs
@@ -1,4 +1,4 @@
-//! One account as one instance sees it.
+//! The limits of an account on one instance.
 
 use crocushold_base::Millis;
 
@@ -10,35 +10,35 @@
 use super::message::LimitSettings;
 use super::pool::Pool;
 
-/// What an account has at an instance that just learned of it, so that its first request passes; and
-/// the least that has to be at hand for an admission.
+/// The units of an account on an instance that has just learned of it, so that its first request is
+/// admitted; also the minimum balance for an admission.
 const ONE_UNIT: f64 = 1.0;
 
-/// How many instances there are.
+/// The number of instances.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Counts {
-    /// Of the live view.
+pub(super) struct MemberCounts {
+    /// Members of the live view.
     pub(super) live: usize,
-    /// Of the reference membership, at least `live`.
+    /// Members of the reference membership; at least `live`.
     pub(super) reference: usize,
 }
 
-/// What an account's shares are worked out from.
+/// The inputs for computing an account's shares.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Terms {
+pub(super) struct ShareParams {
     pub(super) settings: LimitSettings,
     pub(super) limit: Limit,
-    pub(super) counts: Counts,
+    pub(super) counts: MemberCounts,
 }
 
-impl Terms {
-    /// The slots that each instance has of its own.
+impl ShareParams {
+    /// The slots that belong to each instance without a loan.
     pub(super) fn base_slots(&self) -> u32 {
         let base = f64::from(self.limit.slots) * self.settings.base_fraction;
         (base / self.counts.reference as f64) as u32
     }
 
-    /// The units a second that each instance has of its own.
+    /// The units per second that belong to each instance without a loan.
     fn base_rate(&self) -> f64 {
         self.limit.rate * self.settings.base_fraction / self.counts.reference as f64
     }
@@ -50,16 +50,17 @@
     pub(super) pool: Pool,
     tokens: f64,
     filled_at: Millis,
-    loan: f64,
-    loan_until: Millis,
+    borrowed_units: f64,
+    borrowed_units_until: Millis,
     running: u32,
-    lent_slots: u32,
-    slots_until: Millis,
-    /// Units and slots refused since the last request for a loan.
-    unmet: f64,
-    /// Units taken from loans since then: the same is expected of the next period.
-    drawn: f64,
-    unmet_slots: u32,
+    borrowed_slots: u32,
+    borrowed_slots_until: Millis,
+    /// Units refused since the last borrow request; `refused_slots` counts the slots.
+    refused_units: f64,
+    /// Borrowed units used since the last borrow request: the same demand is expected in the next
+    /// interval.
+    borrowed_units_used: f64,
+    refused_slots: u32,
     pub(super) asked_at: Option<Millis>,
 }
 
@@ -70,14 +71,14 @@
             pool: Pool::default(),
             tokens: ONE_UNIT,
             filled_at: now,
-            loan: 0.0,
-            loan_until: Millis::ZERO,
+            borrowed_units: 0.0,
+            borrowed_units_until: Millis::ZERO,
             running: 0,
-            lent_slots: 0,
-            slots_until: Millis::ZERO,
-            unmet: 0.0,
-            drawn: 0.0,
-            unmet_slots: 0,
+            borrowed_slots: 0,
+            borrowed_slots_until: Millis::ZERO,
+            refused_units: 0.0,
+            borrowed_units_used: 0.0,
+            refused_slots: 0,
             asked_at: None,
         }
     }
@@ -85,28 +86,29 @@
     pub(super) fn admit(
         &mut self,
         settings: LimitSettings,
-        counts: Counts,
+        counts: MemberCounts,
         cost: f64,
         now: Millis,
     ) -> Admission {
-        let terms = self.terms(settings, counts);
-        self.refill(&terms, now);
+        let params = self.share_params(settings, counts);
+        self.refill(&params, now);
         let retry_after = settings.borrow_interval;
-        if self.running >= self.slots(&terms, now) {
-            self.unmet_slots += 1;
+        if self.running >= self.slots(&params, now) {
+            self.refused_slots += 1;
             return Admission::Limited { retry_after };
         }
-        // One unit at hand is enough: the rest of the cost is owed, and paid back by the share or by
-        // loans before the next admission. If the whole cost had to be at hand, a request that costs
-        // more than the share can save up would be refused at each instance that it reaches first.
-        if self.tokens + self.loan < cost.min(ONE_UNIT) {
-            self.unmet += cost;
+        // A balance of one unit is sufficient: the rest of the cost becomes debt, which the share
+        // or loans pay back before the next admission. If the whole cost had to be available, a
+        // request that costs more than the share can accumulate would be refused by each instance
+        // that it reaches first.
+        if self.tokens + self.borrowed_units < cost.min(ONE_UNIT) {
+            self.refused_units += cost;
             return Admission::Limited { retry_after };
         }
-        let from_loan = self.loan.min(cost);
-        self.loan -= from_loan;
-        self.drawn += from_loan;
-        self.tokens -= cost - from_loan;
+        let from_borrowed = self.borrowed_units.min(cost);
+        self.borrowed_units -= from_borrowed;
+        self.borrowed_units_used += from_borrowed;
+        self.tokens -= cost - from_borrowed;
         self.running += 1;
         Admission::Admitted
     }
@@ -116,74 +118,91 @@
     }
 
     pub(super) fn is_idle(&self) -> bool {
-        self.unmet + self.drawn <= 0.0 && self.unmet_slots == 0 && self.held(0) == 0
+        self.refused_units + self.borrowed_units_used <= 0.0
+            && self.refused_slots == 0
+            && self.held(0) == 0
     }
 
-    /// How long to wait between two requests: demand is told soon, a mere renewal twice a term.
-    pub(super) fn pace(&self, settings: &LimitSettings) -> Millis {
-        if self.unmet + self.drawn > 0.0 || self.unmet_slots > 0 {
+    /// The time between two borrow requests: new demand is reported soon, while a mere renewal is
+    /// sent twice per loan term.
+    pub(super) fn request_interval(&self, settings: &LimitSettings) -> Millis {
+        if self.refused_units + self.borrowed_units_used > 0.0 || self.refused_slots > 0 {
             settings.borrow_interval
         } else {
             Millis(settings.loan_ttl.0 / 2)
         }
     }
 
-    /// What to ask the owner for; the demand since the last request is spent by it.
-    pub(super) fn wants(&mut self, terms: &Terms, account: AccountId) -> BorrowRequest {
-        let held = self.held(terms.base_slots());
+    /// The borrow request for the demand since the last request, which is reset.
+    pub(super) fn take_demand(
+        &mut self,
+        params: &ShareParams,
+        account: AccountId,
+    ) -> BorrowRequest {
+        let held = self.held(params.base_slots());
         let request = BorrowRequest {
             account,
-            units: self.unmet + self.drawn,
-            slots: held + self.unmet_slots,
+            units: self.refused_units + self.borrowed_units_used,
+            slots: held + self.refused_slots,
             held,
         };
-        self.unmet = 0.0;
-        self.drawn = 0.0;
-        self.unmet_slots = 0;
+        self.refused_units = 0.0;
+        self.borrowed_units_used = 0.0;
+        self.refused_slots = 0;
         request
     }
 
-    pub(super) fn terms(&self, settings: LimitSettings, counts: Counts) -> Terms {
-        Terms {
+    pub(super) fn share_params(
+        &self,
+        settings: LimitSettings,
+        counts: MemberCounts,
+    ) -> ShareParams {
+        ShareParams {
             settings,
             limit: self.limit,
             counts,
         }
     }
 
-    pub(super) fn lend(&mut self, settings: &LimitSettings, reply: BorrowReply, asked_at: Millis) {
-        // Counted from the asking, which is before the lender's own count began.
+    pub(super) fn apply_reply(
+        &mut self,
+        settings: &LimitSettings,
+        reply: BorrowReply,
+        asked_at: Millis,
+    ) {
+        // The term starts at the request, which is earlier than the start of the lender's own term.
         let until = asked_at + settings.borrower_ttl();
         if reply.units > 0.0 {
-            self.loan += reply.units;
-            self.loan_until = until;
+            self.borrowed_units += reply.units;
+            self.borrowed_units_until = until;
         }
-        self.lent_slots = reply.slots;
-        self.slots_until = until;
+        self.borrowed_slots = reply.slots;
+        self.borrowed_slots_until = until;
     }
 
     fn held(&self, base: u32) -> u32 {
-        self.running.saturating_sub(base).min(self.lent_slots)
+        self.running.saturating_sub(base).min(self.borrowed_slots)
     }
 
-    fn slots(&self, terms: &Terms, now: Millis) -> u32 {
-        let lent = if now < self.slots_until {
-            self.lent_slots
+    fn slots(&self, params: &ShareParams, now: Millis) -> u32 {
+        let borrowed = if now < self.borrowed_slots_until {
+            self.borrowed_slots
         } else {
             0
         };
-        terms.base_slots() + lent
+        params.base_slots() + borrowed
     }
 
-    fn refill(&mut self, terms: &Terms, now: Millis) {
-        if now >= self.loan_until {
-            self.loan = 0.0;
+    fn refill(&mut self, params: &ShareParams, now: Millis) {
+        if now >= self.borrowed_units_until {
+            self.borrowed_units = 0.0;
         }
-        let rate = terms.base_rate();
-        let span = now.since(self.filled_at).as_secs_f64();
+        let rate = params.base_rate();
+        let elapsed = now.since(self.filled_at).as_secs_f64();
         self.filled_at = now;
-        // A share below one unit would never admit anything if it couldn't save up to one.
-        let most = (rate * terms.settings.burst_seconds).max(1.0);
-        self.tokens = (self.tokens + rate * span).min(most);
+        // If the cap were below one unit, a small share could never accumulate enough for an
+        // admission.
+        let cap = (rate * params.settings.burst_seconds).max(1.0);
+        self.tokens = (self.tokens + rate * elapsed).min(cap);
     }
 }
--- a/crates/ownership/src/limits/message.rs
+++ b/crates/ownership/src/limits/message.rs
@@ -1,4 +1,4 @@
-//! Settings, answers and messages of shared limits.
+//! Settings, results and messages of shared limits.
 
 use crocushold_base::Millis;
 use twox_hash::XxHash3_64;
@@ -16,28 +16,29 @@
     }
 }
 
-/// What an account may use over all instances.
+/// The limits of an account across all instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// Units (requests or tokens) a second.
+    /// Units (requests or tokens) per second.
     pub rate: f64,
-    /// Requests at the same time.
+    /// Concurrent requests.
     pub slots: u32,
 }
 
-/// Settings of shared limits. They must be the same on all members.
+/// Settings of shared limits. They must be identical on all members.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitSettings {
-    /// The part of a limit that is split evenly and needs no message; the rest is lent.
+    /// The fraction of a limit that is split evenly between the instances and needs no messages;
+    /// the rest is lent.
     pub base_fraction: f64,
-    /// How many seconds' worth of a rate may be saved up.
+    /// How many seconds' worth of a rate can be accumulated.
     pub burst_seconds: f64,
-    /// How long a loan lasts on the lender's clock. The borrower counts four fifths of it, so that
-    /// a loan is never used after the lender has lent it anew.
+    /// The term of a loan on the lender's clock. The borrower uses only four fifths of it, so that
+    /// a loan is never used after it has been lent to another member.
     pub loan_ttl: Millis,
-    /// The shortest time between two requests of one instance for one account.
+    /// The minimum time between two borrow requests of one instance for one account.
     pub borrow_interval: Millis,
-    /// Borrow requests of one instance a second, over all accounts.
+    /// The maximum number of borrow requests per second that one instance sends, over all accounts.
     pub max_borrows_per_second: u32,
 }
 
@@ -54,47 +55,47 @@
 }
 
 impl LimitSettings {
-    /// How long the borrower uses a loan.
+    /// How long the borrower may use a loan.
     pub(super) fn borrower_ttl(&self) -> Millis {
         Millis(self.loan_ttl.0 * 4 / 5)
     }
 }
 
-/// The answer to a request for admission.
+/// The result of an admission check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// Within the limits. The slot is held until it is released.
     Admitted,
-    /// Over the limits here and now.
+    /// Above the limits that are available on this instance.
     Limited {
-        /// When to ask again.
+        /// When to retry.
         retry_after: Millis,
     },
 }
 
-/// Asks the owner of an account for a loan.
+/// Requests a loan from the owner of an account.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BorrowRequest {
     /// The account.
     pub account: AccountId,
-    /// Units wanted.
+    /// Requested units.
     pub units: f64,
-    /// Slots wanted in all, those that are lent already included: a request renews the loan.
+    /// Requested slots in total, including those already lent: a request renews the loan.
     pub slots: u32,
-    /// Slots that are lent and in use, which a new owner must count.
+    /// Borrowed slots in use, which a new owner must count.
     pub held: u32,
 }
 
-/// The owner's answer.
+/// The owner's reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BorrowReply {
     /// Units lent.
     pub units: f64,
-    /// Slots lent in all.
+    /// Slots lent in total.
     pub slots: u32,
 }
 
-/// Gives lent slots back before their term.
+/// Returns borrowed slots before the end of the loan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReturnRequest {
     /// The account.
@@ -103,7 +104,7 @@
     pub kept: u32,
 }
 
-/// A borrow request for the shell to carry; `to` may be this instance itself.
+/// A borrow request for the embedder to send; `to` may be this instance itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Borrow {
     /// The owner of the account.
--- a/crates/ownership/src/limits/mod.rs
+++ b/crates/ownership/src/limits/mod.rs
@@ -1,14 +1,13 @@
-//! An account's rate and concurrency over all instances.
+//! Rate and concurrency limits of an account across all instances.
 //!
-//! Half of each limit is split evenly; the other half is lent by the account's owner on demand, in
-//! loans that expire. See `docs/design/shared-limits.md` for the bounds.
+//! Half of each limit is split evenly; the account's owner lends the other half on demand, in loans
+//! that expire. See `docs/design/shared-limits.md` for the bounds.
 
 mod account;
-mod ledger;
 mod message;
 mod pool;
+mod state;
 
-pub use ledger::Limits;
 pub use message::AccountId;
 pub use message::Admission;
 pub use message::Borrow;
@@ -17,3 +16,4 @@
 pub use message::Limit;
 pub use message::LimitSettings;
 pub use message::ReturnRequest;
+pub use state::Limits;
--- a/crates/ownership/src/limits/pool.rs
+++ b/crates/ownership/src/limits/pool.rs
@@ -1,11 +1,11 @@
-//! The lent part of an account's limits, on its owner.
+//! The part of an account's limits that its owner lends.
 
 use std::collections::BTreeMap;
 
 use crocushold_base::Millis;
 
-use super::account::Counts;
-use super::account::Terms;
+use super::account::MemberCounts;
+use super::account::ShareParams;
 use super::message::BorrowReply;
 use super::message::BorrowRequest;
 use crate::view::Member;
@@ -25,7 +25,7 @@
 }
 
 impl Pool {
-    /// Ownership began, went on or ended. A new owner starts with nothing saved up.
+    /// Updates the ownership. A new owner starts with nothing accumulated.
     pub(super) fn set_owned(&mut self, owned: bool, now: Millis) {
         if !owned {
             *self = Pool::default();
@@ -37,7 +37,7 @@
 
     pub(super) fn lend(
         &mut self,
-        terms: &Terms,
+        params: &ShareParams,
         from: Member,
         request: &BorrowRequest,
         now: Millis,
@@ -45,48 +45,50 @@
         let Some(owned_since) = self.owned_since else {
             return BorrowReply::default();
         };
-        self.refill(terms, now);
+        self.refill(params, now);
         let units = request.units.clamp(0.0, self.units.max(0.0));
         self.units -= units;
         self.loans.retain(|_, loan| loan.until > now);
-        let free = self.free_slots(terms, from);
-        // The former owner's loans run for a term; until then only what is in use is renewed.
-        let wanted = if now.since(owned_since) < terms.settings.loan_ttl {
+        let free = self.free_slots(params, from);
+        // The former owner's loans may still run for a full term; until then, only slots in use are
+        // renewed.
+        let wanted = if now.since(owned_since) < params.settings.loan_ttl {
             request.held
         } else {
             request.slots
         };
-        // Slots in use can't be taken away, so they are counted even beyond the limit.
+        // Slots in use can't be revoked, so they are counted even above the limit.
         let slots = wanted.min(free).max(request.held);
-        let until = now + terms.settings.loan_ttl;
+        let until = now + params.settings.loan_ttl;
         self.loans.insert(from, Loan { slots, until });
         BorrowReply { units, slots }
     }
 
-    pub(super) fn give_back(&mut self, from: Member, kept: u32) {
+    pub(super) fn return_slots(&mut self, from: Member, kept: u32) {
         if let Some(loan) = self.loans.get_mut(&from) {
             loan.slots = loan.slots.min(kept);
         }
     }
 
-    /// In a partition each side has an owner. Each lends only its side's part of the pool, so the
-    /// sides together stay within the limit.
-    fn part(counts: Counts) -> f64 {
+    /// In a partition, each side has an owner. Each lends only its side's fraction of the pool, so
+    /// that both sides together stay within the limit.
+    fn live_fraction(counts: MemberCounts) -> f64 {
         counts.live as f64 / counts.reference as f64
     }
 
-    fn refill(&mut self, terms: &Terms, now: Millis) {
-        let settings = &terms.settings;
-        let rate = terms.limit.rate * (1.0 - settings.base_fraction) * Pool::part(terms.counts);
-        let span = now.since(self.filled_at).as_secs_f64();
+    fn refill(&mut self, params: &ShareParams, now: Millis) {
+        let settings = &params.settings;
+        let rate =
+            params.limit.rate * (1.0 - settings.base_fraction) * Pool::live_fraction(params.counts);
+        let elapsed = now.since(self.filled_at).as_secs_f64();
         self.filled_at = now;
-        self.units = (self.units + rate * span).min((rate * settings.burst_seconds).max(1.0));
+        self.units = (self.units + rate * elapsed).min((rate * settings.burst_seconds).max(1.0));
     }
 
-    fn free_slots(&self, terms: &Terms, from: Member) -> u32 {
-        let base = terms.base_slots() * terms.counts.reference as u32;
-        let rest = terms.limit.slots.saturating_sub(base);
-        let pool = (f64::from(rest) * Pool::part(terms.counts)) as u32;
+    fn free_slots(&self, params: &ShareParams, from: Member) -> u32 {
+        let base = params.base_slots() * params.counts.reference as u32;
+        let rest = params.limit.slots.saturating_sub(base);
+        let pool = (f64::from(rest) * Pool::live_fraction(params.counts)) as u32;
         let others = self.loans.iter().filter(|(member, _)| **member != from);
         let lent: u32 = others.map(|(_, loan)| loan.slots).sum();
         pool.saturating_sub(lent)
--- a/crates/ownership/src/limits/ledger.rs
+++ b/crates/ownership/src/limits/state.rs
@@ -1,4 +1,4 @@
-//! The state machine of shared limits: borrower and lender in one.
+//! The state machine of shared limits, both for borrowers and lenders.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -6,7 +6,7 @@
 use crocushold_base::Millis;
 
 use super::account::Account;
-use super::account::Counts;
+use super::account::MemberCounts;
 use super::message::AccountId;
 use super::message::Admission;
 use super::message::Borrow;
@@ -18,61 +18,63 @@
 use crate::view::Member;
 use crate::view::View;
 
-/// One instance's part in the limits of all accounts.
+/// The limits of all accounts on one instance.
 #[derive(Debug)]
 pub struct Limits {
     settings: LimitSettings,
     me: Member,
     live: View,
-    counts: Counts,
+    counts: MemberCounts,
     accounts: BTreeMap<AccountId, Account>,
-    /// Accounts that may want a loan. A tick visits these alone: most of thousands are idle.
+    /// Accounts that may need a loan. A tick visits only these, since most of the thousands of
+    /// accounts are idle.
     active: BTreeSet<AccountId>,
     cursor: AccountId,
-    budget: f64,
+    message_budget: f64,
     ticked_at: Millis,
 }
 
 impl Limits {
-    /// An instance that knows only itself.
+    /// An instance that knows no other members.
     pub fn new(settings: LimitSettings, me: Member, now: Millis) -> Limits {
         Limits {
             settings,
             me,
             live: View::new([me]),
-            counts: Counts {
+            counts: MemberCounts {
                 live: 1,
                 reference: 1,
             },
             accounts: BTreeMap::new(),
             active: BTreeSet::new(),
             cursor: AccountId(0),
-            budget: 0.0,
+            message_budget: 0.0,
             ticked_at: now,
         }
     }
 
-    /// The configuration states a limit. Of an account without one nothing is admitted.
+    /// Sets the limit of an account from the configuration. Accounts without a limit are never
+    /// admitted.
     pub fn on_limit(&mut self, account: AccountId, limit: Limit, now: Millis) {
         let owned = self.owns(account);
-        let fresh = || Account::new(limit, now);
-        let known = self.accounts.entry(account).or_insert_with(fresh);
+        let new_account = || Account::new(limit, now);
+        let known = self.accounts.entry(account).or_insert_with(new_account);
         known.limit = limit;
         known.pool.set_owned(owned, now);
     }
 
-    /// The account has left the configuration.
+    /// Handles the removal of an account from the configuration.
     pub fn on_account_removed(&mut self, account: AccountId) {
         self.accounts.remove(&account);
         self.active.remove(&account);
     }
 
-    /// The live view, and the reference membership: every member not known to have ended. Members
-    /// that can't be reached keep their share, for they may be admitting on the other side of a
-    /// partition.
+    /// Sets the live view and the reference membership, which has every member that is not known to
+    /// have ended. Unreachable members keep their share, because they may be admitting requests on
+    /// the other side of a partition.
     pub fn on_view(&mut self, live: View, reference: &View, now: Millis) {
         let count = live.members().len().max(1);
-        self.counts = Counts {
+        self.counts = MemberCounts {
             live: count,
             reference: reference.members().len().max(count),
         };
@@ -83,7 +85,8 @@
         }
     }
 
-    /// Whether a request of `cost` units may start. An admitted one is released later.
+    /// Whether a request that costs `cost` units may start. An admitted request must be released
+    /// later.
     pub fn admit(&mut self, account: AccountId, cost: f64, now: Millis) -> Admission {
         let Some(state) = self.accounts.get_mut(&account) else {
             let retry_after = self.settings.loan_ttl;
@@ -93,32 +96,33 @@
         state.admit(self.settings, self.counts, cost, now)
     }
 
-    /// An admitted request has ended.
+    /// Releases the slot of an admitted request that has ended.
     pub fn release(&mut self, account: AccountId) {
         if let Some(state) = self.accounts.get_mut(&account) {
             state.release();
         }
     }
 
-    /// Time has passed; call it several times a period. Returns the loans to ask for.
+    /// Advances the time; call this several times per `borrow_interval`. Returns the loans to
+    /// request.
     pub fn on_tick(&mut self, now: Millis) -> Vec<Borrow> {
-        let most = f64::from(self.settings.max_borrows_per_second);
-        let span = now.since(self.ticked_at).as_secs_f64();
+        let cap = f64::from(self.settings.max_borrows_per_second);
+        let elapsed = now.since(self.ticked_at).as_secs_f64();
         self.ticked_at = now;
-        self.budget = (self.budget + most * span).min(most);
+        self.message_budget = (self.message_budget + cap * elapsed).min(cap);
         let accounts = &self.accounts;
         self.active
             .retain(|id| accounts.get(id).is_some_and(|state| !state.is_idle()));
         let mut borrows = Vec::new();
-        for account in self.wanting(now) {
+        for account in self.due_accounts(now) {
             let Some(to) = self.live.owner(account.0) else {
                 break;
             };
-            if to != self.me && self.budget < 1.0 {
+            if to != self.me && self.message_budget < 1.0 {
                 break;
             }
             if to != self.me {
-                self.budget -= 1.0;
+                self.message_budget -= 1.0;
             }
             self.cursor = AccountId(account.0.wrapping_add(1));
             borrows.extend(self.borrow(account, to, now));
@@ -126,28 +130,28 @@
         borrows
     }
 
-    /// Answers a request for a loan.
+    /// Replies to a borrow request.
     pub fn on_borrow(&mut self, from: Member, request: &BorrowRequest, now: Millis) -> BorrowReply {
         let Some(state) = self.accounts.get_mut(&request.account) else {
             return BorrowReply::default();
         };
-        let terms = state.terms(self.settings, self.counts);
-        state.pool.lend(&terms, from, request, now)
+        let params = state.share_params(self.settings, self.counts);
+        state.pool.lend(&params, from, request, now)
     }
 
-    /// A loan came. `asked_at` is the time of the tick that asked for it.
+    /// Handles a granted loan. `asked_at` is the time of the tick that requested it.
     pub fn on_borrow_reply(&mut self, account: AccountId, reply: BorrowReply, asked_at: Millis) {
         if let Some(state) = self.accounts.get_mut(&account) {
-            state.lend(&self.settings, reply, asked_at);
-            // Lent slots that are in use have to be renewed, also when nothing more is asked for.
+            state.apply_reply(&self.settings, reply, asked_at);
+            // Borrowed slots in use must be renewed even if no further demand arises.
             self.active.insert(account);
         }
     }
 
-    /// A borrower gives slots back.
+    /// Handles the return of slots by a borrower.
     pub fn on_return(&mut self, from: Member, request: &ReturnRequest) {
         if let Some(state) = self.accounts.get_mut(&request.account) {
-            state.pool.give_back(from, request.kept);
+            state.pool.return_slots(from, request.kept);
         }
     }
 
@@ -155,13 +159,13 @@
         self.live.owner(account.0) == Some(self.me)
     }
 
-    /// Accounts that may ask for a loan now, from the cursor on and around, so that the limit on
-    /// messages starves none.
-    fn wanting(&self, now: Millis) -> Vec<AccountId> {
+    /// Accounts that may request a loan now, in cyclic order from the cursor, so that the limit on
+    /// messages starves none of them.
+    fn due_accounts(&self, now: Millis) -> Vec<AccountId> {
         let settings = &self.settings;
         let due = |state: &Account| {
-            let pace = state.pace(settings);
-            state.asked_at.is_none_or(|at| now.since(at) >= pace)
+            let interval = state.request_interval(settings);
+            state.asked_at.is_none_or(|at| now.since(at) >= interval)
         };
         let wants = |id: &&AccountId| self.accounts.get(id).is_some_and(due);
         let after = self.active.range(self.cursor..).filter(wants);
@@ -172,8 +176,8 @@
     fn borrow(&mut self, account: AccountId, to: Member, now: Millis) -> Option<Borrow> {
         let state = self.accounts.get_mut(&account)?;
         state.asked_at = Some(now);
-        let terms = state.terms(self.settings, self.counts);
-        let request = state.wants(&terms, account);
+        let params = state.share_params(self.settings, self.counts);
+        let request = state.take_demand(&params, account);
         Some(Borrow { to, request })
     }
 }
--- a/crates/ownership/src/orders/message.rs
+++ b/crates/ownership/src/orders/message.rs
@@ -1,9 +1,9 @@
-//! The events and actions of orders.
+//! Inputs and actions of the order state machine.
 
 use crocushold_base::Millis;
 use twox_hash::XxHash3_64;
 
-/// An engine, as a hash of the name that the platform's instance list gives it.
+/// An engine, as a hash of its name in the platform's instance list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineId(pub u64);
 
@@ -14,110 +14,109 @@
     }
 }
 
-/// A model, adapter or version, as an index into the caller's list.
+/// A model, an adapter or a version of one, as an index into the caller's list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ModelId(pub u32);
 
-/// A role that an engine can play, as an index into the caller's list.
+/// A role of an engine, as an index into the caller's list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RoleId(pub u8);
 
-/// Whether an engine compares the fencing number of an order with the last one it obeyed.
+/// Whether an engine compares the fencing token of an order with the last one that it accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fencing {
-    /// It refuses an older number.
+    /// It refuses lower tokens.
     Checked,
-    /// It obeys whoever asks last.
+    /// It accepts every order.
     Ignored,
 }
 
-/// What the published text wants of an engine.
+/// The desired state of an engine according to the published configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The engine.
     pub engine: EngineId,
-    /// The revision of the configuration that says so.
+    /// The revision of the configuration.
     pub revision: u64,
-    /// Whether the engine checks fencing numbers.
+    /// Whether the engine checks fencing tokens.
     pub fencing: Fencing,
-    /// The models that it should have loaded, in ascending order.
+    /// The models to be loaded, in ascending order.
     pub models: Vec<ModelId>,
-    /// The role that it should play; none where that is left to the engine.
+    /// The role to be set; `None` leaves it to the engine.
     pub role: Option<RoleId>,
 }
 
-/// What an engine says of itself.
+/// The state of an engine as reported by itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineReport {
     /// The engine.
     pub engine: EngineId,
-    /// The models that are loaded.
+    /// The loaded models.
     pub models: Vec<ModelId>,
-    /// The role in force.
+    /// The current role.
     pub role: RoleId,
-    /// The highest fencing number that the engine obeyed; 0 if it keeps none.
+    /// The highest fencing token that the engine accepted; 0 if it keeps none.
     pub fence: u64,
-    /// When the reading was begun, on this instance's clock.
+    /// When the report was requested, on this instance's clock.
     pub asked_at: Millis,
 }
 
-/// What an order asks for.
+/// What an order does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Load a model. Convergent: a second load of the same model changes nothing.
+    /// Load a model. Idempotent: loading the same model again changes nothing.
     Load(ModelId),
     /// Unload a model. Destructive.
     Unload(ModelId),
-    /// Take a role. Destructive: it ends the former one. An order to take the role that the engine
-    /// has changes nothing.
+    /// Set a role. Destructive: it ends the former role. Setting the current role changes nothing.
     Role(RoleId),
 }
 
 impl OrderKind {
-    /// Whether obeying it on old knowledge takes away what another instance wanted.
+    /// Whether executing it on outdated knowledge could remove what another instance wants.
     pub fn is_destructive(self) -> bool {
         !matches!(self, OrderKind::Load(_))
     }
 }
 
-/// An order on its way to an engine.
+/// An order to be sent to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Order {
     /// The engine.
     pub engine: EngineId,
-    /// The fencing number: the configuration's revision that the order carries out.
+    /// The fencing token: the revision of the configuration that the order implements.
     pub fence: u64,
-    /// What it asks for.
+    /// What the order does.
     pub kind: OrderKind,
 }
 
 /// An engine's answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// Obeyed.
+    /// Accepted and executed.
     Obeyed,
-    /// Refused (409): the engine has obeyed a higher number.
+    /// Refused (409): the engine has accepted a higher fencing token.
     Fenced {
-        /// That number.
+        /// The higher token.
         fence: u64,
     },
-    /// No answer, or an error. The order may have been obeyed.
+    /// No answer, or an error. The order may have been executed.
     Failed,
 }
 
-/// What the caller should do.
+/// What the caller must do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAction {
     /// Send an order.
     Send(Order),
-    /// Read the engine's `/load` and report it.
+    /// Read the engine's `/load` and report the result.
     ReadBack(EngineId),
-    /// Tell the operator: the engine obeyed a revision that this instance doesn't have; it waits
-    /// until the configuration has caught up.
+    /// Inform the operator: the engine accepted a revision that this instance doesn't have. No
+    /// orders are sent to it until the configuration has caught up.
     Outdated {
         /// The engine.
         engine: EngineId,
-        /// The engine's number.
+        /// The engine's fencing token.
         fence: u64,
     },
 }
--- a/crates/ownership/src/orders/mod.rs
+++ b/crates/ownership/src/orders/mod.rs
@@ -1,7 +1,7 @@
-//! Orders to engines (load a model, change role) without a leader.
+//! Orders to engines (load a model, change the role) without a leader.
 //!
-//! Each engine has one owner by rendezvous hashing, but two instances may both believe that they own
-//! it. [`Orders`] is built so that this does no harm: see `docs/design/orders.md`.
+//! Each engine has one owner by rendezvous hashing, but two instances may both believe that they
+//! own it. [`Orders`] is designed so that this does no harm: see `docs/design/orders.md`.
 
 mod engine;
 mod message;
--- a/crates/ownership/src/orders/settings.rs
+++ b/crates/ownership/src/orders/settings.rs
@@ -5,20 +5,21 @@
 /// Settings of orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderSettings {
-    /// How long an instance acts on a view that nobody has confirmed. A stale owner stops after it.
+    /// How long an instance acts on a view that hasn't been confirmed. A stale owner stops after
+    /// this time.
     pub lease: Millis,
-    /// How long a new owner of an engine that ignores fencing numbers waits before its first order.
-    /// More than `lease` plus `call_timeout`, with room for clocks that run apart.
+    /// How long a new owner waits before its first order to an engine that ignores fencing tokens.
+    /// Longer than `lease` plus `call_timeout`, with a margin for clock drift.
     pub takeover_delay: Millis,
-    /// The longest time from the sending of an order to its answer; later is a failure.
+    /// The maximum time from sending an order to its answer; after that, the call has failed.
     pub call_timeout: Millis,
-    /// How old a report may be for a convergent order to be based on it.
+    /// The maximum age of a report that an order may be based on.
     pub max_report_age: Millis,
-    /// The shortest time between two orders to one engine.
+    /// The minimum time between two orders to one engine.
     pub min_order_interval: Millis,
-    /// How long a target must stand unchanged before a destructive order carries it out.
+    /// How long a target must be unchanged before destructive orders implement it.
     pub stabilization: Millis,
-    /// Orders that one instance sends a second, over all engines.
+    /// Orders and reads per second that one instance sends, over all engines.
     pub rate: u32,
 }
 
--- a/crates/ownership/src/pause.rs
+++ b/crates/ownership/src/pause.rs
@@ -1,34 +1,35 @@
-//! Suspicion of one's own pause.
+//! Detection of pauses of this process.
 
 use crocushold_base::Millis;
 
-/// Notices that this process stood still for longer than a lease.
+/// Detects that this process was paused for longer than a lease.
 ///
-/// A process that was stopped wakes with the view that it had, and with queued messages that read
-/// as fresh. The others may have replaced it meanwhile. Feed the guard the time at each event and
-/// each tick (ticks come much more often than a lease): a gap longer than the lease means that the
-/// view is no longer to be trusted, until the membership says that this instance has rejoined.
+/// A process that was stopped resumes with the view from before the pause and with queued messages
+/// that appear to be new. The other members may have replaced it in the meantime. Pass the time to
+/// the detector at each event and each tick (ticks must be much more frequent than a lease): after
+/// a gap longer than the lease, the view must not be trusted until the membership confirms that
+/// this instance has rejoined.
 #[derive(Clone, Debug)]
 pub struct PauseDetector {
     lease: Millis,
-    last: Millis,
+    last_seen: Millis,
     suspended: bool,
 }
 
 impl PauseDetector {
-    /// A guard that trusts the view as of `now`.
+    /// A detector that trusts the view as of `now`.
     pub fn new(lease: Millis, now: Millis) -> PauseDetector {
         PauseDetector {
             lease,
-            last: now,
+            last_seen: now,
             suspended: false,
         }
     }
 
-    /// Takes note of the time; true when a pause ended with this call.
+    /// Updates the time; returns true if a pause ended with this call.
     pub fn observe(&mut self, now: Millis) -> bool {
-        let gap = now.since(self.last);
-        self.last = self.last.max(now);
+        let gap = now.since(self.last_seen);
+        self.last_seen = self.last_seen.max(now);
         if gap <= self.lease {
             return false;
         }
@@ -36,12 +37,12 @@
         true
     }
 
-    /// The membership has confirmed the view after the pause.
+    /// Handles the confirmation of the view by the membership after a pause.
     pub fn on_rejoined(&mut self) {
         self.suspended = false;
     }
 
-    /// Whether the view may not be acted upon.
+    /// Whether the view must not be acted on.
     pub fn is_suspended(&self) -> bool {
         self.suspended
     }
--- a/crates/ownership/src/view.rs
+++ b/crates/ownership/src/view.rs
@@ -1,13 +1,13 @@
-//! The reference membership and rendezvous hashing over it.
+//! The reference membership, and rendezvous hashing over it.
 
 use std::sync::Arc;
 
 use twox_hash::XxHash3_64;
 
-/// How many members hold a record of each key.
+/// The number of members that hold the record of a key.
 pub const GROUP_SIZE: usize = 3;
 
-/// An instance, as a hash of the name that the platform's instance list gives it.
+/// An instance, as a hash of its name in the platform's instance list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstanceId(pub u64);
 
@@ -18,17 +18,18 @@
     }
 }
 
-/// One run of an instance: a restart has lost its memory and is another member.
+/// One incarnation of an instance: an instance that restarts has lost its memory and counts as
+/// another member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Member {
     /// The instance.
     pub id: InstanceId,
-    /// Grows with each start of the instance.
+    /// Increases with each start of the instance.
     pub incarnation: u64,
 }
 
 impl Member {
-    /// The member called `name` in its run `incarnation`.
+    /// The member called `name` with the given incarnation.
     pub fn new(name: &str, incarnation: u64) -> Member {
         Member {
             id: InstanceId::from_name(name),
@@ -36,7 +37,8 @@
         }
     }
 
-    /// The weight of this member for `key`; the highest weight owns the key.
+    /// The rendezvous weight of this member for `key`; the member of the highest weight owns the
+    /// key.
     fn weight(self, key: u64) -> u64 {
         let mut bytes = [0; 24];
         bytes[..8].copy_from_slice(&self.id.0.to_le_bytes());
@@ -46,14 +48,14 @@
     }
 }
 
-/// Names the exact set of members of a [`View`].
+/// Identifies the exact set of members of a [`View`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ViewId(pub u64);
 
-/// A set of members. Cloning is cheap.
+/// A set of members. Cheap to clone.
 ///
-/// For claims this is the *reference* membership: every member that is not known to have ended. A
-/// member that merely can't be reached stays in it, else both sides of a partition would each form
+/// For claims, this is the *reference* membership: every member that is not known to have ended. A
+/// member that is merely unreachable stays in it; otherwise both sides of a partition would form
 /// groups of their own and grant the same key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
@@ -62,7 +64,7 @@
 }
 
 impl View {
-    /// Makes a view. Of several incarnations of one instance only the latest is kept.
+    /// Creates a view. If it contains several incarnations of an instance, only the latest is kept.
     pub fn new(members: impl IntoIterator<Item = Member>) -> View {
         let mut sorted: Vec<Member> = members.into_iter().collect();
         sorted.sort_unstable_by(|a, b| (a.id, b.incarnation).cmp(&(b.id, a.incarnation)));
@@ -79,7 +81,7 @@
         &self.members
     }
 
-    /// The name of this set.
+    /// The identifier of this set of members.
     pub fn id(&self) -> ViewId {
         self.id
     }
@@ -89,7 +91,7 @@
         self.members.binary_search(&member).is_ok()
     }
 
-    /// The view of the others.
+    /// This view without `member`.
     pub fn without(&self, member: Member) -> View {
         View::new(
             self.members
@@ -99,7 +101,8 @@
         )
     }
 
-    /// The owner of `key`: the member of the highest rendezvous weight; `None` in an empty view.
+    /// The owner of `key`: the member of the highest rendezvous weight; `None` if the view is
+    /// empty.
     pub fn owner(&self, key: u64) -> Option<Member> {
         self.members
             .iter()
@@ -107,19 +110,19 @@
             .max_by_key(|m| (m.weight(key), *m))
     }
 
-    /// The [`GROUP_SIZE`] members of the highest weight, highest first.
+    /// The [`GROUP_SIZE`] members of the highest rendezvous weight for `key`, highest first.
     pub fn group(&self, key: u64) -> Group {
         let mut top = [(0, Member::default()); GROUP_SIZE];
         let mut len = 0;
         for &member in self.members.iter() {
             let ranked = (member.weight(key), member);
-            let place = top[..len].partition_point(|other| *other > ranked);
-            if place == GROUP_SIZE {
+            let rank = top[..len].partition_point(|other| *other > ranked);
+            if rank == GROUP_SIZE {
                 continue;
             }
             len = (len + 1).min(GROUP_SIZE);
-            top[place..len].rotate_right(1);
-            top[place] = ranked;
+            top[rank..len].rotate_right(1);
+            top[rank] = ranked;
         }
         Group {
             members: top.map(|(_, member)| member),
@@ -128,11 +131,11 @@
     }
 }
 
-/// Names the members of a [`Group`] in their order.
+/// Identifies the ordered members of a [`Group`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct GroupId(pub u64);
 
-/// The members that hold the record of one key, by rank.
+/// The members that hold the record of a key, by rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Group {
     members: [Member; GROUP_SIZE],
@@ -150,12 +153,12 @@
         self.members().contains(&member)
     }
 
-    /// How many votes make a majority. Any two majorities of one group share a member.
+    /// The number of votes for a majority. Any two majorities of a group share a member.
     pub fn majority(&self) -> usize {
         usize::from(self.len) / 2 + 1
     }
 
-    /// The name of this group.
+    /// The identifier of this group.
     pub fn id(&self) -> GroupId {
         GroupId(hash_members(self.members()))
     }
--- a/crates/ownership/src/weights.rs
+++ b/crates/ownership/src/weights.rs
@@ -1,4 +1,4 @@
-//! Loads from the rate-limited weight store, highest class first.
+//! Rate-limited model loads from the weight store, highest class first.
 
 use std::collections::BTreeMap;
 
@@ -9,24 +9,25 @@
 use crate::view::Member;
 use crate::view::View;
 
-/// What a permit costs in credit. Credit grows by the rate a minute each millisecond, so that whole
-/// rates add up without rounding.
+/// The credit that a permit costs. Each millisecond adds the rate per minute to the credit, so that
+/// integral rates add up without rounding errors.
 const PERMIT_COST: f64 = 60_000.0;
 
-/// Settings of the weight store's planner.
+/// Settings of the load planner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeightSettings {
-    /// Loads a minute that the store gives to all instances together.
+    /// Loads per minute that the store supports for all instances together.
     pub rate: f64,
-    /// Loads that may start at once after an idle time.
+    /// Loads that may start at once after an idle period.
     pub burst: f64,
-    /// How long a permit may be used on the holder's clock.
+    /// How long a permit is valid on the holder's clock.
     pub permit_ttl: Millis,
-    /// How long a new owner gives no permit. More than `permit` and the lease on a view together.
+    /// How long a new owner grants no permits. Longer than `permit_ttl` and the lease of a view
+    /// together.
     pub takeover_delay: Millis,
-    /// Every how many permits one goes to whatever has waited longest, so that no class starves.
+    /// Every n-th permit goes to the load that has waited longest, so that no class starves.
     pub oldest_first_interval: u32,
-    /// How long a want lasts that isn't repeated.
+    /// How long a request stays pending without being repeated.
     pub request_ttl: Millis,
 }
 
@@ -43,23 +44,24 @@
     }
 }
 
-/// An engine that should load a model.
+/// A request to load a model on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadRequest {
     /// The engine.
     pub engine: EngineId,
     /// The model.
     pub model: ModelId,
-    /// The rank of the highest class that waits for the model; lower is served sooner.
+    /// The rank of the highest class that waits for the model; lower ranks are served first.
     pub rank: u8,
-    /// How many engines serve the model now; of one rank, the model with the fewest goes first.
+    /// The number of engines that serve the model now; within a rank, the model with the fewest is
+    /// loaded first.
     pub replicas: u32,
 }
 
-/// Leave to start one load.
+/// Permission to start one load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadPermit {
-    /// Who asked, the owner of the engine.
+    /// The requester: the owner of the engine.
     pub to: Member,
     /// The engine.
     pub engine: EngineId,
@@ -68,64 +70,66 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Wanted {
+struct PendingLoad {
     from: Member,
-    want: LoadRequest,
-    first_at: Millis,
-    last_at: Millis,
+    request: LoadRequest,
+    first_requested_at: Millis,
+    last_requested_at: Millis,
 }
 
-/// Gives permits for loads, on the instance that owns the weight store.
+/// Grants permits for loads on the instance that owns the weight store.
 ///
-/// The owner is the member of highest rendezvous weight for the store's name. In a partition each
-/// side has one; each gives the part of the rate that its live members are of the reference.
+/// The owner is the member of the highest rendezvous weight for the store's name. In a partition,
+/// each side has an owner, which grants a share of the rate: the ratio of its live members to the
+/// reference membership.
 #[derive(Debug)]
 pub struct LoadPlanner {
     settings: WeightSettings,
     me: Member,
     store: u64,
     owned_since: Option<Millis>,
-    part: f64,
+    share: f64,
     credit: f64,
     filled_at: Millis,
-    wanted: BTreeMap<(EngineId, ModelId), Wanted>,
-    given: BTreeMap<ModelId, u32>,
-    /// Permits since the last one for whatever had waited longest.
-    since_floor: u32,
+    pending: BTreeMap<(EngineId, ModelId), PendingLoad>,
+    granted: BTreeMap<ModelId, u32>,
+    /// Permits since the last one that went to the load that had waited longest.
+    since_oldest_first: u32,
 }
 
 impl LoadPlanner {
-    /// A planner for the store `store`, which owns it only once a view says so.
+    /// A planner for `store`; it isn't the owner until a view says so.
     pub fn new(settings: WeightSettings, me: Member, store: u64) -> LoadPlanner {
         LoadPlanner {
             settings,
             me,
             store,
             owned_since: None,
-            part: 0.0,
+            share: 0.0,
             credit: 0.0,
             filled_at: Millis::ZERO,
-            wanted: BTreeMap::new(),
-            given: BTreeMap::new(),
-            since_floor: 0,
+            pending: BTreeMap::new(),
+            granted: BTreeMap::new(),
+            since_oldest_first: 0,
         }
     }
 
-    /// Whom to send wants to.
+    /// The member to send load requests to.
     pub fn owner(&self, live: &View) -> Option<Member> {
         live.owner(self.store)
     }
 
-    /// The live view and the reference membership. A new owner waits until the former one's permits
-    /// can't be used any more and starts with nothing saved up, so the rate holds while it moves.
+    /// Sets the live view and the reference membership. A new owner waits until the permits of the
+    /// former owner have expired and starts without credit, so that the rate limit holds while the
+    /// ownership moves.
     pub fn on_view(&mut self, live: &View, reference: &View, now: Millis) {
         self.refill(now);
         let count = live.members().len() as f64;
         let all = reference.members().len().max(live.members().len()).max(1);
-        self.part = count / all as f64;
+        self.share = count / all as f64;
         if live.owner(self.store) != Some(self.me) {
             self.owned_since = None;
-            self.wanted.clear();
+            self.pending.clear();
         } else if self.owned_since.is_none() {
             self.owned_since = Some(now);
             self.credit = 0.0;
@@ -133,7 +137,7 @@
         }
     }
 
-    /// This process stood still: another may have owned the store meanwhile.
+    /// Handles a pause of this process: another instance may have owned the store in the meantime.
     pub fn on_pause(&mut self, now: Millis) {
         if self.owned_since.is_some() {
             self.owned_since = Some(now);
@@ -142,34 +146,35 @@
         }
     }
 
-    /// An engine's owner wants a load; it repeats the want until it has a permit.
-    pub fn on_load_request(&mut self, from: Member, want: LoadRequest, now: Millis) {
-        let fresh = Wanted {
+    /// Handles a load request from the owner of an engine, which repeats it until it receives a
+    /// permit.
+    pub fn on_load_request(&mut self, from: Member, request: LoadRequest, now: Millis) {
+        let new_load = PendingLoad {
             from,
-            want,
-            first_at: now,
-            last_at: now,
+            request,
+            first_requested_at: now,
+            last_requested_at: now,
         };
-        let key = (want.engine, want.model);
-        let wanted = self.wanted.entry(key).or_insert(fresh);
-        wanted.from = from;
-        wanted.want = want;
-        wanted.last_at = now;
+        let key = (request.engine, request.model);
+        let pending = self.pending.entry(key).or_insert(new_load);
+        pending.from = from;
+        pending.request = request;
+        pending.last_requested_at = now;
     }
 
-    /// Time has passed. Returns the permits to send; one that is lost is asked for again and counts
-    /// twice, which errs on the store's side.
+    /// Advances the time and returns the permits to send. A lost permit is requested again and
+    /// counted twice, which errs in favor of the store.
     pub fn on_tick(&mut self, now: Millis) -> Vec<LoadPermit> {
         self.refill(now);
-        let patience = self.settings.request_ttl;
-        self.wanted
-            .retain(|_, wanted| now.since(wanted.last_at) < patience);
-        if self.wanted.is_empty() {
-            self.given.clear();
+        let ttl = self.settings.request_ttl;
+        self.pending
+            .retain(|_, pending| now.since(pending.last_requested_at) < ttl);
+        if self.pending.is_empty() {
+            self.granted.clear();
         }
         let mut permits = Vec::new();
         while self.owned_since.is_some() && self.credit >= PERMIT_COST {
-            let Some(permit) = self.take_first() else {
+            let Some(permit) = self.pop_next() else {
                 break;
             };
             self.credit -= PERMIT_COST;
@@ -178,31 +183,35 @@
         permits
     }
 
-    fn take_first(&mut self) -> Option<LoadPermit> {
-        let oldest = self.since_floor + 1 >= self.settings.oldest_first_interval;
-        let first = self.wanted.iter().min_by_key(|(key, wanted)| {
-            let given = self.given.get(&key.1).copied().unwrap_or(0);
-            let replicas = wanted.want.replicas + given;
-            let rank = if oldest { 0 } else { wanted.want.rank };
-            let served = if oldest { 0 } else { replicas };
-            (rank, served, wanted.first_at, **key)
+    fn pop_next(&mut self) -> Option<LoadPermit> {
+        let oldest = self.since_oldest_first + 1 >= self.settings.oldest_first_interval;
+        let first = self.pending.iter().min_by_key(|(key, pending)| {
+            let granted = self.granted.get(&key.1).copied().unwrap_or(0);
+            let replicas = pending.request.replicas + granted;
+            let rank = if oldest { 0 } else { pending.request.rank };
+            let replicas_served = if oldest { 0 } else { replicas };
+            (rank, replicas_served, pending.first_requested_at, **key)
         });
         let key = first.map(|(key, _)| *key)?;
-        self.since_floor = if oldest { 0 } else { self.since_floor + 1 };
-        let wanted = self.wanted.remove(&key)?;
-        *self.given.entry(key.1).or_default() += 1;
+        self.since_oldest_first = if oldest {
+            0
+        } else {
+            self.since_oldest_first + 1
+        };
+        let pending = self.pending.remove(&key)?;
+        *self.granted.entry(key.1).or_default() += 1;
         Some(LoadPermit {
-            to: wanted.from,
+            to: pending.from,
             engine: key.0,
             model: key.1,
         })
     }
 
     fn refill(&mut self, now: Millis) {
-        let span = now.since(self.filled_at).0 as f64;
+        let elapsed = now.since(self.filled_at).0 as f64;
         self.filled_at = self.filled_at.max(now);
-        let most = PERMIT_COST * self.settings.burst.max(1.0);
-        let grown = self.credit + self.settings.rate * self.part * span;
-        self.credit = grown.min(most);
+        let cap = PERMIT_COST * self.settings.burst.max(1.0);
+        let grown = self.credit + self.settings.rate * self.share * elapsed;
+        self.credit = grown.min(cap);
     }
 }
