--- a/crates/ownership/benches/ownership.rs
+++ b/crates/ownership/benches/ownership.rs
@@ -1,4 +1,4 @@
-//! Costs of claims, orders and limits. Run with `cargo bench -p crocushold-ownership`.
+//! Benchmarks of claims, orders and limits. Run them with `cargo bench -p crocushold-ownership`.
 
 use crocushold_base::Millis;
 use crocushold_ownership::AccountId;
@@ -27,7 +27,7 @@
 use divan::Bencher;
 use divan::black_box;
 
-// Counts the memory of each benchmark, which gives the memory per key.
+// Measures the memory used by each benchmark, and so the memory per key.
 #[global_allocator]
 static ALLOCATOR: AllocProfiler = AllocProfiler::system();
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// A lone member, which holds every key: the cost of a vote without hand-over.
+/// A single member, which holds every key: measures a vote without hand-over.
 fn filled(view: &View, keys: u128) -> Claims {
     let settings = ClaimSettings {
         cold_start: Millis::ZERO,
@@ -71,7 +71,7 @@
     claims
 }
 
-/// The column of the largest allocation, divided by the number of keys, is the memory per key.
+/// The memory per key is the "max alloc" column divided by the number of keys.
 #[divan::bench(args = [1_000, 10_000, 100_000, 1_000_000], sample_count = 3, sample_size = 1)]
 fn fill_claims(bencher: Bencher, keys: u128) {
     let view = view(1);
@@ -104,7 +104,7 @@
     bencher.bench_local(|| black_box(view.group(black_box(7))));
 }
 
-/// A tick over 5,900 engines, of which the instance owns its share of 8 or 400.
+/// A tick over 5,900 engines, of which the instance owns 1/8 or 1/400.
 #[divan::bench(args = [8, 400])]
 fn tick_orders(bencher: Bencher, members: usize) {
     let view = view(members);
@@ -123,7 +123,7 @@
     bencher.bench_local(|| black_box(orders.on_tick(NOW)));
 }
 
-/// A change of the membership: the ownership of 5,900 engines is worked out again.
+/// A change of the membership, which recomputes the ownership of 5,900 engines.
 #[divan::bench(args = [8, 400])]
 fn change_view_of_orders(bencher: Bencher, members: usize) {
     let views = [view(members), view(members - 1)];
@@ -159,7 +159,7 @@
     limits
 }
 
-/// The column of the largest allocation is the memory of 3,700 accounts.
+/// The "max alloc" column is the memory used by 3,700 accounts.
 #[divan::bench(sample_count = 3, sample_size = 1)]
 fn fill_limits() -> Limits {
     limits()
--- a/crates/ownership/examples/at_most_once.rs
+++ b/crates/ownership/examples/at_most_once.rs
@@ -1,8 +1,8 @@
-//! Three instances in one process that let each booking run once.
+//! Three instances in one process that execute each booking at most once.
 //!
-//! The example carries the messages in memory. A caller gives up and repeats its request through
-//! another instance; an instance is lost; and the booking still runs once. Run it with
-//! `cargo run -p crocushold-ownership --example at_most_once`.
+//! The example delivers the messages in memory. A caller times out and repeats its request through
+//! another instance, and an instance is lost; the booking still runs only once. Run it with `cargo
+//! run -p crocushold-ownership --example at_most_once`.
 
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
 
 const NOW: Millis = Millis(1_000);
 
-/// Carries messages between the instances that run.
+/// Delivers messages between the running instances.
 struct Network {
     settings: ClaimSettings,
     nodes: BTreeMap<Member, Claims>,
@@ -36,7 +36,8 @@
 
 impl Network {
     fn start(members: &[Member]) -> Network {
-        // No earlier fleet can have recorded anything, so there is nothing to wait for.
+        // There was no earlier fleet that could have recorded anything, so there is nothing to wait
+        // for.
         let settings = ClaimSettings {
             cold_start: Millis::ZERO,
             ..ClaimSettings::default()
@@ -74,7 +75,7 @@
         }
     }
 
-    /// What an entry instance does when a request with an idempotency key arrives.
+    /// What an entry instance does when it receives a request with an idempotency key.
     fn claim(&mut self, claimant: Member, key: &str) -> Result<Grant, Refusal> {
         self.seq += 1;
         let request = ClaimRequest {
--- a/crates/ownership/tests/chaos.rs
+++ b/crates/ownership/tests/chaos.rs
@@ -1,4 +1,4 @@
-//! Claims under random losses, delays, duplicates, reordering, pauses and deaths.
+//! Claims under random losses, delays, duplicates, reordering, pauses and crashes.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,7 +28,7 @@
 use proptest::prelude::proptest;
 use proptest::prop_oneof;
 
-const COUNT: usize = 5;
+const MEMBER_COUNT: usize = 5;
 
 #[derive(Clone, Debug)]
 enum Message {
@@ -36,35 +36,35 @@
     Vote(u64, Member, Vote),
     Settle(Member, SettleRequest),
     Transfer(Member, Transfer),
-    Taken(Member, Transfer),
+    Acknowledge(Member, Transfer),
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Deliver(usize),
-    Repeat(usize),
-    Lose(usize),
+    Duplicate(usize),
+    Drop(usize),
     Claim(usize, u8),
-    GiveUp(usize),
-    Adopt(usize),
+    TimeOut(usize),
+    AdoptView(usize),
     Replace(usize),
     Pause(usize),
-    Wake,
-    Pass,
+    ResumeAll,
+    AdvanceTime,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         20 => any::<usize>().prop_map(Step::Deliver),
-        3 => any::<usize>().prop_map(Step::Repeat),
-        3 => any::<usize>().prop_map(Step::Lose),
+        3 => any::<usize>().prop_map(Step::Duplicate),
+        3 => any::<usize>().prop_map(Step::Drop),
         4 => (any::<usize>(), 0..3u8).prop_map(|(n, key)| Step::Claim(n, key)),
-        1 => any::<usize>().prop_map(Step::GiveUp),
-        4 => any::<usize>().prop_map(Step::Adopt),
+        1 => any::<usize>().prop_map(Step::TimeOut),
+        4 => any::<usize>().prop_map(Step::AdoptView),
         1 => any::<usize>().prop_map(Step::Replace),
         1 => any::<usize>().prop_map(Step::Pause),
-        1 => Just(Step::Wake),
-        2 => Just(Step::Pass),
+        1 => Just(Step::ResumeAll),
+        2 => Just(Step::AdvanceTime),
     ]
 }
 
@@ -73,12 +73,12 @@
     nodes: BTreeMap<Member, Claims>,
     paused: BTreeSet<Member>,
     view: View,
-    mail: Vec<Message>,
+    in_flight: Vec<Message>,
     rounds: BTreeMap<u64, ClaimRound>,
     sent: BTreeMap<u8, usize>,
     keys: BTreeMap<u64, u8>,
     seq: u64,
-    starts: u64,
+    last_incarnation: u64,
     now: Millis,
 }
 
@@ -86,71 +86,71 @@
     fn new() -> Fleet {
         let now = Millis(1_000);
         let settings = ClaimSettings::default();
-        let fresh = ClaimSettings {
+        let started = ClaimSettings {
             cold_start: Millis::ZERO,
             ..settings
         };
-        let members: Vec<Member> = (0..COUNT)
+        let members: Vec<Member> = (0..MEMBER_COUNT)
             .map(|n| Member::new(&format!("e{n}"), 1))
             .collect();
-        let start = |m: &Member| (*m, Claims::new(fresh, *m, now));
+        let start = |m: &Member| (*m, Claims::new(started, *m, now));
         let mut fleet = Fleet {
             settings,
             nodes: members.iter().map(start).collect(),
             paused: BTreeSet::new(),
             view: View::new(members),
-            mail: Vec::new(),
+            in_flight: Vec::new(),
             rounds: BTreeMap::new(),
             sent: BTreeMap::new(),
             keys: BTreeMap::new(),
             seq: 0,
-            starts: 1,
+            last_incarnation: 1,
             now,
         };
         fleet.quiesce();
         fleet
     }
 
-    fn take(&mut self, step: &Step) {
-        let mails = self.mail.len().max(1);
+    fn apply(&mut self, step: &Step) {
+        let count = self.in_flight.len().max(1);
         match *step {
-            Step::Deliver(n) if !self.mail.is_empty() => {
-                let message = self.mail.swap_remove(n % mails);
+            Step::Deliver(n) if !self.in_flight.is_empty() => {
+                let message = self.in_flight.swap_remove(n % count);
                 self.deliver(message);
             }
-            Step::Repeat(n) if !self.mail.is_empty() => {
-                let message = self.mail[n % mails].clone();
+            Step::Duplicate(n) if !self.in_flight.is_empty() => {
+                let message = self.in_flight[n % count].clone();
                 self.deliver(message);
             }
-            Step::Lose(n) if !self.mail.is_empty() => {
-                self.mail.swap_remove(n % mails);
+            Step::Drop(n) if !self.in_flight.is_empty() => {
+                self.in_flight.swap_remove(n % count);
             }
             Step::Claim(n, key) => self.claim(n, key),
-            Step::GiveUp(n) => self.give_up(n),
-            Step::Adopt(n) => self.adopt(self.pick(n)),
+            Step::TimeOut(n) => self.time_out(n),
+            Step::AdoptView(n) => self.adopt(self.pick(n)),
             Step::Replace(n) => self.replace(n),
             Step::Pause(n) => {
                 self.paused.insert(self.pick(n));
             }
-            Step::Wake => self.paused.clear(),
-            Step::Pass => self.pass(),
+            Step::ResumeAll => self.paused.clear(),
+            Step::AdvanceTime => self.advance_time(),
             _ => {}
         }
     }
 
     fn pick(&self, n: usize) -> Member {
-        *self.nodes.keys().nth(n % COUNT).expect("a member")
+        *self.nodes.keys().nth(n % MEMBER_COUNT).expect("a member")
     }
 
-    fn runs(&self, member: Member) -> bool {
+    fn is_running(&self, member: Member) -> bool {
         self.nodes.contains_key(&member) && !self.paused.contains(&member)
     }
 
-    fn pass(&mut self) {
+    fn advance_time(&mut self) {
         self.now += Millis::from_secs(3);
         let members: Vec<Member> = self.nodes.keys().copied().collect();
         for member in members {
-            if self.runs(member) {
+            if self.is_running(member) {
                 self.tick(member);
             }
         }
@@ -164,12 +164,12 @@
     }
 
     fn post(&mut self, from: Member, transfers: Vec<Transfer>) {
-        let letters = transfers.into_iter().map(|t| Message::Transfer(from, t));
-        self.mail.extend(letters);
+        let messages = transfers.into_iter().map(|t| Message::Transfer(from, t));
+        self.in_flight.extend(messages);
     }
 
     fn adopt(&mut self, member: Member) {
-        if !self.runs(member) {
+        if !self.is_running(member) {
             return;
         }
         let (view, now) = (self.view.clone(), self.now);
@@ -178,23 +178,23 @@
         self.post(member, transfers);
     }
 
-    /// Kills an instance and starts it anew. The former loss has been made good before: what two at
-    /// once cost is another test's matter.
+    /// Kills an instance and starts it again. The hand-over after the previous loss has finished by
+    /// then: two losses at once are covered by another test.
     fn replace(&mut self, n: usize) {
         self.quiesce();
         let dead = self.pick(n);
         self.nodes.remove(&dead);
-        self.starts += 1;
-        let fresh = Member {
-            incarnation: self.starts,
+        self.last_incarnation += 1;
+        let started = Member {
+            incarnation: self.last_incarnation,
             ..dead
         };
-        let node = Claims::new(self.settings, fresh, self.now);
-        self.nodes.insert(fresh, node);
+        let node = Claims::new(self.settings, started, self.now);
+        self.nodes.insert(started, node);
         self.view = View::new(self.nodes.keys().copied());
     }
 
-    /// Everyone learns of the view, and transfers arrive; claims stay on their way.
+    /// All members adopt the view and receive all transfers; claims stay in flight.
     fn quiesce(&mut self) {
         self.paused.clear();
         let members: Vec<Member> = self.nodes.keys().copied().collect();
@@ -203,18 +203,19 @@
         }
         for _ in 0..4 {
             members.iter().for_each(|member| self.tick(*member));
-            let moving = |m: &mut Message| matches!(m, Message::Transfer(..) | Message::Taken(..));
-            let mut moved: Vec<Message> = self.mail.extract_if(.., moving).collect();
-            while let Some(message) = moved.pop() {
+            let is_transfer =
+                |m: &mut Message| matches!(m, Message::Transfer(..) | Message::Acknowledge(..));
+            let mut transfers: Vec<Message> = self.in_flight.extract_if(.., is_transfer).collect();
+            while let Some(message) = transfers.pop() {
                 self.deliver(message);
-                moved.extend(self.mail.extract_if(.., moving));
+                transfers.extend(self.in_flight.extract_if(.., is_transfer));
             }
         }
     }
 
     fn claim(&mut self, n: usize, key: u8) {
         let claimant = self.pick(n);
-        if !self.runs(claimant) {
+        if !self.is_running(claimant) {
             return;
         }
         self.seq += 1;
@@ -231,14 +232,14 @@
         let view = self.nodes[&claimant].view();
         let round = ClaimRound::new(&self.settings, view, request, self.now);
         for &voter in round.voters() {
-            self.mail
+            self.in_flight
                 .push(Message::Claim(self.seq, voter, *round.request()));
         }
         self.rounds.insert(self.seq, round);
         self.keys.insert(self.seq, key);
     }
 
-    fn give_up(&mut self, n: usize) {
+    fn time_out(&mut self, n: usize) {
         let rounds = self.rounds.len().max(1);
         let Some((&id, round)) = self.rounds.iter_mut().nth(n % rounds) else {
             return;
@@ -268,7 +269,7 @@
         };
         settlement.on_view(&self.view);
         for &voter in settlement.pending() {
-            self.mail
+            self.in_flight
                 .push(Message::Settle(voter, *settlement.request()));
         }
     }
@@ -276,10 +277,10 @@
     fn deliver(&mut self, message: Message) {
         let now = self.now;
         match message {
-            Message::Claim(id, voter, request) if self.runs(voter) => {
+            Message::Claim(id, voter, request) if self.is_running(voter) => {
                 let node = self.nodes.get_mut(&voter).expect("a member");
                 let vote = node.on_claim(&request, now);
-                self.mail.push(Message::Vote(id, voter, vote));
+                self.in_flight.push(Message::Vote(id, voter, vote));
             }
             Message::Vote(id, voter, vote) => {
                 let Some(round) = self.rounds.get_mut(&id) else {
@@ -287,20 +288,20 @@
                 };
                 let claimant = round.request().claim.claimant;
                 let verdict = round.on_vote(voter, vote);
-                if self.runs(claimant) {
+                if self.is_running(claimant) {
                     self.conclude(id, verdict);
                 }
             }
-            Message::Settle(voter, request) if self.runs(voter) => {
+            Message::Settle(voter, request) if self.is_running(voter) => {
                 let node = self.nodes.get_mut(&voter).expect("a member");
                 node.on_settle(&request, now);
             }
-            Message::Transfer(from, transfer) if self.runs(transfer.to) => {
+            Message::Transfer(from, transfer) if self.is_running(transfer.to) => {
                 let node = self.nodes.get_mut(&transfer.to).expect("a member");
                 node.on_transfer(from, &transfer.request, now);
-                self.mail.push(Message::Taken(from, transfer));
+                self.in_flight.push(Message::Acknowledge(from, transfer));
             }
-            Message::Taken(from, transfer) if self.runs(from) => {
+            Message::Acknowledge(from, transfer) if self.is_running(from) => {
                 let node = self.nodes.get_mut(&from).expect("a member");
                 node.on_transfer_acknowledged(&transfer);
             }
@@ -312,24 +313,25 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// Callers repeat three keys through five instances that are replaced, stopped and woken, while
-    /// messages are lost, late, doubled and out of order. No key is ever sent twice.
+    /// Callers repeat three keys through five instances that are replaced, paused and resumed,
+    /// while messages are lost, delayed, duplicated and reordered. No key is ever sent twice.
     #[test]
     fn no_key_is_sent_twice(steps in prop::collection::vec(step(), 50..300)) {
         let mut fleet = Fleet::new();
         for step in &steps {
-            fleet.take(step);
+            fleet.apply(step);
             assert!(fleet.sent.values().all(|count| *count <= 1), "{:?}", fleet.sent);
         }
     }
 }
 
-/// The random runs prove something only if they do send: a plain run of one claim does.
+/// The random runs are only meaningful if requests are sent at all; a single claim without faults
+/// must be sent.
 #[test]
-fn a_plain_claim_is_sent() {
+fn a_claim_without_faults_is_sent() {
     let mut fleet = Fleet::new();
     fleet.claim(0, 0);
-    while let Some(message) = fleet.mail.pop() {
+    while let Some(message) = fleet.in_flight.pop() {
         fleet.deliver(message);
     }
     assert_eq!(fleet.sent.get(&0), Some(&1));
--- a/crates/ownership/tests/claims.rs
+++ b/crates/ownership/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Failures of claims, each by name.
+//! Failure scenarios of claims.
 
 use std::collections::BTreeMap;
 
@@ -35,14 +35,14 @@
     Member::new(&format!("entry-{n}"), 1)
 }
 
-/// Instances whose messages arrive at once, but between cut or stopped ones.
+/// Instances whose messages are delivered at once, except to and from partitioned or stopped ones.
 struct Fleet {
     settings: ClaimSettings,
     nodes: BTreeMap<Member, Claims>,
-    /// Members that answer nobody.
-    silent: Vec<Member>,
-    /// Members on the far side of a partition.
-    far: Vec<Member>,
+    /// Members that don't respond.
+    stopped: Vec<Member>,
+    /// Members on the other side of a partition.
+    other_side: Vec<Member>,
     seq: u64,
     now: Millis,
 }
@@ -50,16 +50,16 @@
 impl Fleet {
     fn new(count: usize, settings: ClaimSettings) -> Fleet {
         let members: Vec<Member> = (0..count).map(member).collect();
-        let fresh = ClaimSettings {
+        let first_start = ClaimSettings {
             cold_start: Millis::ZERO,
             ..settings
         };
-        let start = |m: &Member| (*m, Claims::new(fresh, *m, SECOND));
+        let start = |m: &Member| (*m, Claims::new(first_start, *m, SECOND));
         let mut fleet = Fleet {
             settings,
             nodes: members.iter().map(start).collect(),
-            silent: Vec::new(),
-            far: Vec::new(),
+            stopped: Vec::new(),
+            other_side: Vec::new(),
             seq: 0,
             now: SECOND,
         };
@@ -67,9 +67,9 @@
         fleet
     }
 
-    /// Lets time pass in steps below a lease; stopped members don't notice.
-    fn pass(&mut self, span: Millis) {
-        let end = self.now + span;
+    /// Advances the time in steps shorter than a lease; stopped members aren't ticked.
+    fn advance(&mut self, duration: Millis) {
+        let end = self.now + duration;
         while self.now < end {
             self.now = (self.now + Millis::from_secs(5)).min(end);
             self.tick();
@@ -77,16 +77,16 @@
     }
 
     fn tick(&mut self) {
-        for from in self.awake() {
+        for from in self.running() {
             let now = self.now;
             let transfers = self.node(from).on_tick(now);
-            self.carry(from, transfers);
+            self.deliver(from, transfers);
         }
     }
 
-    fn awake(&self) -> Vec<Member> {
-        let awake = |m: &Member| !self.silent.contains(m);
-        self.nodes.keys().copied().filter(awake).collect()
+    fn running(&self) -> Vec<Member> {
+        let running = |m: &Member| !self.stopped.contains(m);
+        self.nodes.keys().copied().filter(running).collect()
     }
 
     fn node(&mut self, member: Member) -> &mut Claims {
@@ -94,16 +94,16 @@
     }
 
     fn adopt(&mut self, view: &View) {
-        for member in self.awake() {
+        for member in self.running() {
             let now = self.now;
             let transfers = self.node(member).on_view(view.clone(), now);
-            self.carry(member, transfers);
+            self.deliver(member, transfers);
         }
         self.tick();
         self.tick();
     }
 
-    fn carry(&mut self, from: Member, transfers: Vec<Transfer>) {
+    fn deliver(&mut self, from: Member, transfers: Vec<Transfer>) {
         for transfer in transfers {
             if self.reaches(from, transfer.to) {
                 let now = self.now;
@@ -115,8 +115,8 @@
     }
 
     fn reaches(&self, from: Member, to: Member) -> bool {
-        let same_side = self.far.contains(&from) == self.far.contains(&to);
-        same_side && self.nodes.contains_key(&to) && !self.silent.contains(&to)
+        let same_side = self.other_side.contains(&from) == self.other_side.contains(&to);
+        same_side && self.nodes.contains_key(&to) && !self.stopped.contains(&to)
     }
 
     fn request(&mut self, claimant: Member, key: u128, digest: u64) -> ClaimRequest {
@@ -184,34 +184,38 @@
     }
 
     /// A member that doesn't hold the record of `key`.
-    fn outsider(&self, key: u128) -> Member {
+    fn non_holder(&self, key: u128) -> Member {
         let group = self.group(key);
-        let outside = |m: &&Member| !group.contains(m) && !self.silent.contains(m);
-        *self.nodes.keys().find(outside).expect("an outsider")
+        let is_non_holder = |m: &&Member| !group.contains(m) && !self.stopped.contains(m);
+        *self
+            .nodes
+            .keys()
+            .find(is_non_holder)
+            .expect("a member outside the group")
     }
 
     fn kill(&mut self, member: Member) {
         self.nodes.remove(&member);
     }
 
-    /// Starts a member, of whom all learn.
-    fn join(&mut self, newcomer: Member) {
-        let claims = Claims::new(self.settings, newcomer, self.now);
-        self.nodes.insert(newcomer, claims);
-        let view = self.view_of_living();
+    /// Starts a member and announces it to all others.
+    fn join(&mut self, new_member: Member) {
+        let claims = Claims::new(self.settings, new_member, self.now);
+        self.nodes.insert(new_member, claims);
+        let view = self.live_view();
         self.adopt(&view);
     }
 
-    /// Begins a member's planned stop: it passes everything on, and may then end.
-    fn hand_over(&mut self, leaver: Member) {
-        let (now, view) = (self.now, self.node(leaver).view().without(leaver));
-        let transfers = self.node(leaver).on_view(view, now);
-        self.carry(leaver, transfers);
+    /// Starts a member's planned stop: it transfers all its records and may then end.
+    fn hand_over(&mut self, leaving: Member) {
+        let (now, view) = (self.now, self.node(leaving).view().without(leaving));
+        let transfers = self.node(leaving).on_view(view, now);
+        self.deliver(leaving, transfers);
         self.tick();
-        assert!(self.node(leaver).is_handover_complete());
+        assert!(self.node(leaving).is_handover_complete());
     }
 
-    fn view_of_living(&self) -> View {
+    fn live_view(&self) -> View {
         View::new(self.nodes.keys().copied())
     }
 }
@@ -220,12 +224,12 @@
     Fleet::new(8, ClaimSettings::default())
 }
 
-/// A caller loses its answer and repeats the request through another instance. It is told how the
-/// first try ended; a reuse of the key for another request is told so too.
+/// A caller loses the answer and repeats the request through another instance. The repeat must get
+/// the outcome of the first attempt; reusing the key for a different request must be refused.
 #[test]
-fn a_repeat_learns_the_outcome() {
+fn a_repeated_request_gets_the_outcome() {
     let mut fleet = fleet();
-    let grant = fleet.claim(member(0), 1).expect("a fresh key");
+    let grant = fleet.claim(member(0), 1).expect("a new key");
     let retry_after = Millis::from_secs(1);
     assert_eq!(
         fleet.claim(member(1), 1),
@@ -239,115 +243,117 @@
     assert_eq!(fleet.claim_digest(member(3), 1, 2), Err(Refusal::KeyReused));
 }
 
-/// The backend server couldn't be connected to: not a byte left. The key is free again at once, for
-/// any instance.
+/// Connecting to the backend server failed and no byte was sent. The key must be available again at
+/// once, on any instance.
 #[test]
 fn a_released_key_is_granted_again() {
     let mut fleet = fleet();
-    let grant = fleet.claim(member(0), 1).expect("a fresh key");
+    let grant = fleet.claim(member(0), 1).expect("a new key");
     let release = grant.release();
     fleet.settle(member(0), &release);
     assert!(fleet.claim(member(1), 1).is_ok());
 }
 
-/// The instance that sent the request is killed before the answer. Nobody can tell whether the
-/// booking was made: a repeat is answered "unknown", never "not run", and is not granted.
+/// The instance that sent the request is killed before the answer. Whether the booking was made is
+/// unknown: a repeat must be answered "unknown" and never "not run", and must not be granted.
 #[test]
 fn a_killed_claimant_leaves_its_key_unknown() {
     let mut fleet = fleet();
-    let claimant = fleet.outsider(1);
-    let _grant = fleet.claim(claimant, 1).expect("a fresh key");
+    let claimant = fleet.non_holder(1);
+    let _grant = fleet.claim(claimant, 1).expect("a new key");
     fleet.kill(claimant);
-    let view = fleet.view_of_living();
+    let view = fleet.live_view();
     fleet.adopt(&view);
-    let other = fleet.awake()[0];
+    let other = fleet.running()[0];
     assert_eq!(fleet.claim(other, 1), Err(Refusal::Unknown));
-    fleet.pass(Millis::from_secs(500));
+    fleet.advance(Millis::from_secs(500));
     assert_eq!(fleet.claim(other, 1), Err(Refusal::Unknown));
 }
 
-/// The owner of the key is killed right after the grant. The repeat is answered from the two other
-/// members' records, both before and after the membership has noticed.
+/// The owner of the key is killed right after the grant. The other two members must answer the
+/// repeat from their records, both before and after the membership has changed.
 #[test]
-fn an_owner_killed_after_the_grant_loses_nothing() {
+fn records_survive_the_loss_of_the_owner() {
     let mut fleet = fleet();
-    let claimant = fleet.outsider(1);
-    let grant = fleet.claim(claimant, 1).expect("a fresh key");
+    let claimant = fleet.non_holder(1);
+    let grant = fleet.claim(claimant, 1).expect("a new key");
     let owner = fleet.group(1)[0];
     fleet.kill(owner);
     let done = Err(Refusal::Done { status: 201 });
     fleet.complete(claimant, grant);
-    let other = fleet.awake()[1];
+    let other = fleet.running()[1];
     assert_eq!(fleet.claim(other, 1), done);
-    let view = fleet.view_of_living();
+    let view = fleet.live_view();
     fleet.adopt(&view);
     assert_eq!(fleet.claim(other, 1), done);
     let next = fleet.group(1)[0];
     fleet.kill(next);
-    let view = fleet.view_of_living();
+    let view = fleet.live_view();
     fleet.adopt(&view);
-    let other = fleet.awake()[0];
+    let other = fleet.running()[0];
     assert_eq!(fleet.claim(other, 1), done);
 }
 
-/// Two members are killed at once that alone hold the record of a grant. The third and the newcomers
-/// to the group know nothing of it. They must not grant for a window, and must not say "not run".
+/// Two members are killed at once that were the only holders of a grant's record. The third member
+/// and the ones new to the group don't know of the grant: they must not grant the key for a window
+/// and must not say "not run".
 #[test]
-fn two_holders_killed_at_once_leave_the_key_ungranted() {
+fn a_key_is_refused_after_two_holders_are_lost() {
     let mut fleet = fleet();
     let group = fleet.group(1);
-    let claimant = fleet.outsider(1);
-    fleet.silent.push(group[2]);
+    let claimant = fleet.non_holder(1);
+    fleet.stopped.push(group[2]);
     let _grant = fleet.claim(claimant, 1).expect("a majority");
-    fleet.silent.clear();
+    fleet.stopped.clear();
     fleet.kill(group[0]);
     fleet.kill(group[1]);
-    let view = fleet.view_of_living();
+    let view = fleet.live_view();
     fleet.adopt(&view);
     for _ in 0..9 {
         let refusal = fleet.claim(claimant, 1).expect_err("not granted");
         assert!(matches!(refusal, Refusal::NoQuorum { .. }), "{refusal:?}");
-        fleet.pass(Millis::from_secs(60));
+        fleet.advance(Millis::from_secs(60));
     }
-    fleet.pass(Millis::from_secs(120));
+    fleet.advance(Millis::from_secs(120));
     assert!(fleet.claim(claimant, 1).is_ok(), "the window is over");
 }
 
-/// A member is stopped by a signal, and wakes minutes later with an old view and a queue of old
-/// messages. It grants nothing until the membership has been confirmed.
+/// A member is stopped by a signal and resumes minutes later with an old view and a queue of old
+/// messages. It must not grant anything until the membership is confirmed.
 #[test]
-fn a_woken_member_grants_nothing_before_it_has_rejoined() {
+fn a_resumed_member_grants_nothing_before_it_rejoins() {
     let mut fleet = Fleet::new(3, ClaimSettings::default());
-    let sleeper = member(0);
-    fleet.silent.push(sleeper);
-    fleet.pass(Millis::from_secs(60));
-    fleet.silent.clear();
-    fleet.silent.push(member(1));
+    let paused = member(0);
+    fleet.stopped.push(paused);
+    fleet.advance(Millis::from_secs(60));
+    fleet.stopped.clear();
+    fleet.stopped.push(member(1));
     let refusal = fleet.claim(member(2), 1).expect_err("one vote of three");
     assert!(matches!(refusal, Refusal::NoQuorum { .. }), "{refusal:?}");
-    let view = fleet.node(sleeper).view().clone();
+    let view = fleet.node(paused).view().clone();
     let now = fleet.now;
-    fleet.node(sleeper).on_view(view, now);
+    fleet.node(paused).on_view(view, now);
     assert!(fleet.claim(member(2), 1).is_ok());
 }
 
-/// A claimant is stopped between the grant and the sending, for so long that the members may have
-/// given the key to another. The grant has run out when it wakes.
+/// A claimant is paused between the grant and the sending, for so long that the members may have
+/// granted the key to another claimant. The grant must have expired when it resumes.
 #[test]
-fn a_woken_claimant_does_not_send() {
+fn a_resumed_claimant_does_not_send() {
     let mut fleet = fleet();
-    let grant = fleet.claim(member(0), 1).expect("a fresh key");
+    let grant = fleet.claim(member(0), 1).expect("a new key");
     assert!(grant.start(fleet.now + Millis::from_secs(6)).is_err());
 }
 
-/// The fleet splits. Both sides go on with the same reference membership; of the three holders of a
-/// key one side has two, so one side grants it and the other can't. Over many keys both are useful.
+/// The fleet is partitioned, and both sides continue with the same reference membership. One side
+/// has two of the three holders of a key, so only that side can grant it. Each key must be granted
+/// on one of the sides.
 #[test_case(4)]
 #[test_case(3)]
 #[test_case(1)]
-fn a_partition_never_grants_on_both_sides(far: usize) {
+fn a_partition_never_grants_on_both_sides(other_side: usize) {
     let mut fleet = fleet();
-    fleet.far = (0..far).map(member).collect();
+    fleet.other_side = (0..other_side).map(member).collect();
     let mut granted = 0;
     for key in 0..500 {
         let here = fleet.claim(member(7), key).is_ok();
@@ -358,44 +364,45 @@
     assert_eq!(granted, 500);
 }
 
-/// An instance stops as planned: it passes on its records, may then end, and a repeat is answered.
+/// An instance leaves in a planned stop: it transfers its records and ends, and a repeat must still
+/// be answered.
 #[test]
 fn a_planned_stop_hands_over() {
     let mut fleet = fleet();
-    let grant = fleet.claim(member(0), 1).expect("a fresh key");
+    let grant = fleet.claim(member(0), 1).expect("a new key");
     fleet.complete(member(0), grant);
     for _ in 0..5 {
-        let leaver = fleet.group(1)[0];
-        let view = View::new(fleet.awake().into_iter().filter(|m| *m != leaver));
+        let leaving = fleet.group(1)[0];
+        let view = View::new(fleet.running().into_iter().filter(|m| *m != leaving));
         fleet.adopt(&view);
-        assert!(fleet.node(leaver).is_handover_complete());
-        fleet.kill(leaver);
-        let other = fleet.awake()[0];
+        assert!(fleet.node(leaving).is_handover_complete());
+        fleet.kill(leaving);
+        let other = fleet.running()[0];
         assert_eq!(fleet.claim(other, 1), Err(Refusal::Done { status: 201 }));
     }
 }
 
-/// Two instances stop as planned. Each has handed over and waits for its neighbours to hear that it
-/// leaves; meanwhile its own membership changes, in whose view an instance always counts itself. Did it
-/// take itself in again, its next mark would undo the one that says that it leaves: the others would
-/// count both as lost, and refuse callers with fresh keys for a window.
+/// Two instances leave in a planned stop. Each has handed over and waits until its peers know that
+/// it is leaving; meanwhile its own membership changes, and an instance's own view always includes
+/// itself. If it readmitted itself, its next mark would replace the one that says that it is
+/// leaving: the others would count both as lost and refuse new keys for a window.
 #[test]
-fn leavers_that_are_told_of_themselves_are_not_counted_as_lost() {
+fn leaving_members_that_see_themselves_in_a_view_do_not_count_as_lost() {
     let mut fleet = fleet();
-    let all = fleet.view_of_living();
-    let leavers = [member(0), member(1)];
-    for leaver in leavers {
-        fleet.hand_over(leaver);
+    let all = fleet.live_view();
+    let leaving_members = [member(0), member(1)];
+    for leaving in leaving_members {
+        fleet.hand_over(leaving);
     }
-    for leaver in leavers {
+    for leaving in leaving_members {
         let now = fleet.now;
-        let transfers = fleet.node(leaver).on_view(all.clone(), now);
-        fleet.carry(leaver, transfers);
+        let transfers = fleet.node(leaving).on_view(all.clone(), now);
+        fleet.deliver(leaving, transfers);
     }
-    for leaver in leavers {
-        fleet.kill(leaver);
+    for leaving in leaving_members {
+        fleet.kill(leaving);
     }
-    let rest = fleet.view_of_living();
+    let rest = fleet.live_view();
     fleet.adopt(&rest);
     for key in 0..100 {
         let claim = fleet.claim(member(2), key);
@@ -403,53 +410,55 @@
     }
 }
 
-/// An instance has handed over and is about to end; its own membership names it still. A caller's key
-/// comes under the view of before, while one holder is cut off; then the other holder freezes, and the
-/// first comes back. Had the leaver voted, its record would end with it, and the one that came back and
-/// the newcomer to the group, who knows that the leaver has passed on everything, would grant again.
+/// An instance has handed over and is about to end, but its own membership still includes it. A
+/// claim arrives that is based on the previous view, while one holder is unreachable; then the
+/// other holder freezes and the first one is reachable again. If the leaving instance voted, its
+/// record would be lost with it. The holder that returns and the member new to the group, which has
+/// the leaving instance's mark, would grant the key again.
 #[test]
-fn a_leaver_that_is_told_of_itself_grants_nothing() {
+fn a_leaving_member_that_sees_itself_in_a_view_grants_nothing() {
     let mut fleet = fleet();
-    let all = fleet.view_of_living();
+    let all = fleet.live_view();
     let group = fleet.group(1);
-    let (leaver, frozen, cut) = (group[0], group[1], group[2]);
-    let claimant = fleet.outsider(1);
-    fleet.hand_over(leaver);
+    let (leaving, frozen, cut) = (group[0], group[1], group[2]);
+    let claimant = fleet.non_holder(1);
+    fleet.hand_over(leaving);
     let now = fleet.now;
-    // The process ends before it can send any of this.
-    drop(fleet.node(leaver).on_view(all, now));
-    fleet.silent.push(cut);
+    // The process ends before it can send any of these transfers.
+    drop(fleet.node(leaving).on_view(all, now));
+    fleet.stopped.push(cut);
     let first = fleet.claim(claimant, 1);
-    fleet.kill(leaver);
-    fleet.silent = vec![frozen];
-    let rest = fleet.view_of_living();
+    fleet.kill(leaving);
+    fleet.stopped = vec![frozen];
+    let rest = fleet.live_view();
     fleet.adopt(&rest);
     let second = fleet.claim(claimant, 1);
     assert!(second.is_ok(), "{second:?}");
     assert!(first.is_err(), "granted twice");
 }
 
-/// Of three instances one voted for a claim that the third never heard of, and stops as planned; its
-/// successor joins while the second is frozen. The two that are left for the group hold it already, so
-/// nobody is new to the key. Did the leaver pass its record to newcomers alone, the frozen one would
-/// be the only holder, whom a newcomer does without: the third and the successor would grant it again.
+/// In a fleet of three, one instance votes for a claim that the third never receives, and leaves in
+/// a planned stop; its replacement joins while the second one is frozen. The two remaining members
+/// of the group already held the key, so neither is new to it. If the leaving instance transferred
+/// its record only to new members, the frozen one would be the only holder, and a new member
+/// doesn't wait for it: the third and the replacement would grant the key again.
 #[test]
-fn a_leaver_of_a_small_fleet_leaves_its_records_with_the_rest() {
+fn a_leaving_member_of_a_small_fleet_hands_over_to_all_members() {
     let mut fleet = Fleet::new(3, ClaimSettings::default());
-    let (leaver, frozen, third) = (member(0), member(1), member(2));
-    fleet.silent.push(third);
+    let (leaving, frozen, third) = (member(0), member(1), member(2));
+    fleet.stopped.push(third);
     let _grant = fleet.claim(frozen, 1).expect("a majority");
-    fleet.silent.clear();
-    fleet.hand_over(leaver);
-    fleet.kill(leaver);
-    let rest = fleet.view_of_living();
+    fleet.stopped.clear();
+    fleet.hand_over(leaving);
+    fleet.kill(leaving);
+    let rest = fleet.live_view();
     fleet.adopt(&rest);
-    fleet.silent.push(frozen);
-    let successor = Member {
+    fleet.stopped.push(frozen);
+    let restarted = Member {
         incarnation: 2,
-        ..leaver
+        ..leaving
     };
-    fleet.join(successor);
+    fleet.join(restarted);
     let refusal = fleet.claim(third, 1).expect_err("it may run");
     assert!(
         !matches!(refusal, Refusal::NotRun { .. }),
@@ -457,36 +466,37 @@
     );
 }
 
-/// An instance joins while one holder is frozen, grants a claim together with the other, and is killed.
-/// The other is left with the only record, and the newcomer's place falls back to one that held the key
-/// before it came. Were that one not sent the record, all would agree without a second copy; once the
-/// other freezes too, the rest and the next newcomer would grant the key again.
+/// An instance joins while one holder is frozen, grants a claim together with the other holder, and
+/// is killed. The other holder then has the only record, and the place of the new instance falls
+/// back to a member that held the key before it joined. If that member weren't sent the record, the
+/// hand-over would finish without a second copy; once the other holder freezes too, the rest and
+/// the next new member would grant the key again.
 #[test]
-fn a_grant_of_a_newcomer_that_is_killed_gets_a_second_holder_back() {
-    let granted = (0..300).filter(|key| is_granted_with_a_newcomer(*key));
+fn a_grant_of_a_killed_new_member_is_replicated_again() {
+    let granted = (0..300).filter(|key| is_granted_with_a_new_member(*key));
     assert!(granted.count() > 20);
 }
 
-/// Whether the first claim was granted, in which case the second one is not.
-fn is_granted_with_a_newcomer(key: u128) -> bool {
-    let newcomer = member(4);
+/// Returns whether the first claim was granted; the second must not be granted then.
+fn is_granted_with_a_new_member(key: u128) -> bool {
+    let new_member = member(4);
     let group = View::new((0..5).map(member)).group(ClaimKey(key).placement_hash());
-    let is_old = |m: &Member| *m != newcomer;
+    let is_old = |m: &Member| *m != new_member;
     let old: Vec<Member> = group.members().iter().copied().filter(is_old).collect();
     let [other, frozen] = old[..] else {
         return false;
     };
     let mut fleet = Fleet::new(4, ClaimSettings::default());
-    let claimant = fleet.awake().into_iter().find(|m| !group.contains(*m));
-    let claimant = claimant.expect("two are outside of the group");
-    fleet.silent.push(frozen);
-    fleet.join(newcomer);
+    let claimant = fleet.running().into_iter().find(|m| !group.contains(*m));
+    let claimant = claimant.expect("two members are outside the group");
+    fleet.stopped.push(frozen);
+    fleet.join(new_member);
     let first = fleet.claim(claimant, key);
-    fleet.kill(newcomer);
-    fleet.silent.clear();
-    let rest = fleet.view_of_living();
+    fleet.kill(new_member);
+    fleet.stopped.clear();
+    let rest = fleet.live_view();
     fleet.adopt(&rest);
-    fleet.silent.push(other);
+    fleet.stopped.push(other);
     fleet.join(member(5));
     let second = fleet.claim(claimant, key);
     let twice = first.is_ok() && second.is_ok();
@@ -494,17 +504,18 @@
     first.is_ok()
 }
 
-/// A claim is on its way to a newcomer, and overtaken by the record of another voter's grant. The
-/// newcomer can't tell yet whether an earlier try was granted. Did it answer from the record that it was
-/// sent, the one voter would count twice, and a caller's repeat would run beside the first try.
+/// A claim sent to a new member is overtaken by the record of another voter's grant. The new member
+/// can't know yet whether an earlier attempt was granted. If it answered from the transferred
+/// record, the one vote would count twice, and a repeat would run in parallel with the first
+/// attempt.
 #[test]
-fn a_record_that_was_passed_on_is_no_vote() {
+fn a_transferred_record_is_not_a_vote() {
     let mut fleet = Fleet::new(3, ClaimSettings::default());
-    let (voter, newcomer, now) = (member(1), member(3), fleet.now);
-    let view = View::new([voter, member(2), newcomer]);
+    let (voter, new_member, now) = (member(1), member(3), fleet.now);
+    let view = View::new([voter, member(2), new_member]);
     let claim = fleet.request(member(2), 1, 1);
     let claim = *ClaimRound::new(&fleet.settings, &view, claim, now).request();
-    let mut claims = Claims::new(fleet.settings, newcomer, now);
+    let mut claims = Claims::new(fleet.settings, new_member, now);
     claims.on_view(view.clone(), now);
     let record = Record {
         account: claim.account,
@@ -526,21 +537,22 @@
     assert!(matches!(vote, Vote::NotReady { .. }), "{vote:?}");
 }
 
-/// A voter's record is on its way to a newcomer when a leaver's record of an earlier try reaches the
-/// voter. The newcomer acknowledges what it was sent. Did that count, it would be marked without ever
-/// hearing of the earlier try, and vote for the later one: both would run.
+/// While a voter's record is in flight to a new member, the voter receives a leaving member's
+/// record of an earlier attempt. The new member acknowledges what it was sent. If that counted, it
+/// would be marked without ever receiving the earlier attempt and vote for the later one: both
+/// would run.
 #[test]
-fn a_record_that_changes_on_its_way_is_sent_again() {
+fn a_record_that_changes_in_flight_is_sent_again() {
     let mut fleet = Fleet::new(3, ClaimSettings::default());
-    let (voter, newcomer, now) = (member(1), member(3), fleet.now);
-    let view = View::new([voter, member(2), newcomer]);
+    let (voter, new_member, now) = (member(1), member(3), fleet.now);
+    let view = View::new([voter, member(2), new_member]);
     let later = fleet.request(member(2), 1, 1);
     let old = fleet.node(voter).view().clone();
     let later = *ClaimRound::new(&fleet.settings, &old, later, now).request();
     assert_eq!(fleet.node(voter).on_claim(&later, now), Vote::Granted);
     let transfers = fleet.node(voter).on_view(view.clone(), now);
-    let on_its_way = transfers.into_iter().find(|t| t.to == newcomer);
-    let on_its_way = on_its_way.expect("the record");
+    let in_flight = transfers.into_iter().find(|t| t.to == new_member);
+    let in_flight = in_flight.expect("the record");
     let earlier = fleet.request(member(0), 1, 1);
     let record = Record {
         account: earlier.account,
@@ -558,18 +570,18 @@
         mark: None,
     };
     fleet.node(voter).on_transfer(member(0), &transfer, now);
-    fleet.node(voter).on_transfer_acknowledged(&on_its_way);
+    fleet.node(voter).on_transfer_acknowledged(&in_flight);
     let transfers = fleet.node(voter).on_tick(now);
-    let next = transfers.into_iter().find(|t| t.to == newcomer);
+    let next = transfers.into_iter().find(|t| t.to == new_member);
     let entries = next.expect("the record again").request.entries;
     let states: Vec<ClaimState> = entries.iter().map(|e| e.record.state).collect();
     assert_eq!(states, [ClaimState::Unknown]);
 }
 
-/// Every instance is restarted at once and all memory is gone. A repeat of a booking from before
-/// must not be granted, nor be told that it wasn't run, until the window is over.
+/// All instances restart at once and all memory is lost. A repeat of an earlier booking must not be
+/// granted, and must not be answered "not run", until the window has passed.
 #[test]
-fn a_fleet_without_memory_waits_for_a_window() {
+fn a_fleet_restarted_at_once_refuses_keys_for_a_window() {
     let mut fleet = fleet();
     for claims in fleet.nodes.values_mut() {
         *claims = Claims::new(fleet.settings, member(0), SECOND);
@@ -583,14 +595,14 @@
     fleet.adopt(&View::new(members));
     let refusal = fleet.claim(member(0), 1).expect_err("cold");
     assert!(matches!(refusal, Refusal::NoQuorum { .. }), "{refusal:?}");
-    fleet.pass(Millis::from_secs(601));
+    fleet.advance(Millis::from_secs(601));
     assert!(fleet.claim(member(0), 1).is_ok());
 }
 
-/// The tables are full of records within their window. Fresh keys are refused, truly as not run, and
-/// nothing is evicted; after the window there is room again.
+/// The tables are full of records within their window. New keys must be refused, truthfully as "not
+/// run", and nothing may be evicted; after the window there must be room again.
 #[test]
-fn a_full_table_refuses_and_forgets_nothing() {
+fn a_full_table_refuses_new_keys_and_evicts_nothing() {
     let settings = ClaimSettings {
         capacity: 10,
         ..ClaimSettings::default()
@@ -607,44 +619,44 @@
         fleet.claim(member(1), 3),
         Err(Refusal::Done { status: 201 })
     );
-    fleet.pass(Millis::from_secs(601));
+    fleet.advance(Millis::from_secs(601));
     assert!(fleet.claim(member(1), 10).is_ok());
 }
 
-/// A request runs on past every limit and is never settled. Its key must not be forgotten with the
-/// window of its claim, for the request may be running still.
+/// A request runs beyond every limit and is never settled. Its key must not be forgotten at the end
+/// of the claim's window, because the request may still be running.
 #[test]
 fn an_unsettled_claim_outlives_its_window() {
     let mut fleet = fleet();
-    let _grant = fleet.claim(member(0), 1).expect("a fresh key");
-    fleet.pass(Millis::from_secs(700));
+    let _grant = fleet.claim(member(0), 1).expect("a new key");
+    fleet.advance(Millis::from_secs(700));
     assert_eq!(fleet.claim(member(1), 1), Err(Refusal::Unknown));
 }
 
 proptest! {
-    /// Kills, restarts, partitions, stops and claims in random order, one unplanned loss between two
-    /// full rounds of transfers: whatever happens, a key is sent at most once.
+    /// Kills, restarts, partitions, stops and claims in random order, with one unplanned loss
+    /// between two complete rounds of transfers: a key is never sent more than once.
     #[test]
     fn a_key_is_sent_at_most_once(steps in prop::collection::vec((0..7u8, 0..8usize), 1..60)) {
         let mut fleet = fleet();
         let mut incarnations = [1; 8];
         let mut sent = [0; 4];
         for (step, n) in steps {
-            let living = fleet.awake();
-            let some = living[n % living.len()];
+            let live = fleet.running();
+            let some = live[n % live.len()];
             match step {
                 0 => {
-                    fleet.far.clear();
+                    fleet.other_side.clear();
                     fleet.kill(some);
                     let place = (0..8).find(|k| member(*k).id == some.id).expect("a place");
                     incarnations[place] += 1;
-                    let fresh = Member::new(&format!("entry-{place}"), incarnations[place]);
-                    fleet.nodes.insert(fresh, Claims::new(fleet.settings, fresh, fleet.now));
-                    let view = fleet.view_of_living();
+                    let started = Member::new(&format!("entry-{place}"), incarnations[place]);
+                    fleet.nodes.insert(started, Claims::new(fleet.settings, started, fleet.now));
+                    let view = fleet.live_view();
                     fleet.adopt(&view);
                 }
-                1 => fleet.far = living.into_iter().take(n).collect(),
-                2 => fleet.far.clear(),
+                1 => fleet.other_side = live.into_iter().take(n).collect(),
+                2 => fleet.other_side.clear(),
                 _ => {
                     let key = n % 4;
                     if let Ok(grant) = fleet.claim(some, key as u128) {
@@ -655,15 +667,16 @@
                     }
                 }
             }
-            fleet.pass(Millis(100));
+            fleet.advance(Millis(100));
         }
         assert!(sent.iter().all(|count| *count <= 1), "{sent:?}");
     }
 }
 
-/// Two tries hold the key on different members when the membership changes: one of them was granted,
-/// the other lost and is being released. A newcomer gets both records. Did it keep only the loser's,
-/// the release would free the key and a third try would run what the first one runs.
+/// When the membership changes, two attempts hold the key on different members: one was granted,
+/// the other was refused and is being released. A new member receives both records. If it kept only
+/// that of the refused attempt, the release would free the key, and a third attempt would run the
+/// request again.
 #[test]
 fn conflicting_records_are_never_released() {
     let mut fleet = Fleet::new(3, ClaimSettings::default());
@@ -694,7 +707,7 @@
     };
     fleet.node(voter).on_transfer(member(0), &transfer, now);
     let Some(Verdict::Refused(_, release)) = round.on_deadline() else {
-        panic!("no vote has reached the loser");
+        panic!("the loser received no vote");
     };
     fleet.node(voter).on_settle(release.request(), now);
     let third = fleet.request(member(1), 1, 1);
@@ -702,8 +715,8 @@
     assert_eq!(fleet.node(voter).on_claim(&third, now), Vote::Unknown);
 }
 
-/// A release overtakes the claim that it releases. The late claim must not lock the key again, for
-/// nobody would ever free it.
+/// A release overtakes the claim that it releases. The late claim must not lock the key again,
+/// since it would never be released.
 #[test]
 fn a_claim_overtaken_by_its_release_locks_nothing() {
     let mut fleet = Fleet::new(3, ClaimSettings::default());
@@ -712,7 +725,7 @@
     let view = fleet.node(member(0)).view().clone();
     let mut round = ClaimRound::new(&fleet.settings, &view, late, now);
     let Some(Verdict::Refused(_, release)) = round.on_deadline() else {
-        panic!("no vote has come");
+        panic!("no vote was received");
     };
     fleet.settle(member(0), &release);
     let vote = fleet.node(member(2)).on_claim(round.request(), now);
@@ -720,10 +733,10 @@
     assert!(fleet.claim(member(1), 1).is_ok());
 }
 
-/// One account sends fresh keys without end. It uses up its share of the table; another account's
-/// keys are granted all the same.
+/// An account sends new keys without end. It must fill only its own part of the table; keys of
+/// other accounts must still be granted.
 #[test]
-fn an_account_that_runs_wild_shuts_out_no_other() {
+fn an_account_at_its_capacity_does_not_block_others() {
     let settings = ClaimSettings {
         max_per_account: 5,
         ..ClaimSettings::default()
@@ -739,6 +752,6 @@
     let (now, view) = (fleet.now, fleet.node(member(0)).view().clone());
     let request = *ClaimRound::new(&settings, &view, request, now).request();
     assert_eq!(fleet.node(member(0)).on_claim(&request, now), Vote::Granted);
-    fleet.pass(Millis::from_secs(1_300));
+    fleet.advance(Millis::from_secs(1_300));
     assert!(fleet.claim(member(0), 5).is_ok());
 }
--- a/crates/ownership/tests/explore.rs
+++ b/crates/ownership/tests/explore.rs
@@ -1,4 +1,4 @@
-//! Exhaustive exploration of claims: every order of the messages, every loss, every death.
+//! Exhaustive exploration of claims: every order of messages, every loss, every crash.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,12 +28,12 @@
 use test_case::test_case;
 
 const NOW: Millis = Millis(1_000);
-const MOST_STATES: usize = 3_000_000;
+const MAX_STATES: usize = 3_000_000;
 
-/// States that a sample visits.
-const SAMPLE: usize = 30_000;
+/// States visited by a sample.
+const SAMPLE_STATES: usize = 30_000;
 
-/// A message on its way. Identical messages count as one, so a repetition adds no state.
+/// A message in flight. Identical messages are merged, so a duplicate adds no state.
 #[derive(Clone, Debug)]
 enum Message {
     Claim(usize, Member, ClaimRequest),
@@ -41,16 +41,16 @@
     Transfer(Member, Transfer),
 }
 
-/// A change of the membership, which each member learns of at a step of its own.
+/// A change of the membership, which each member learns in a step of its own.
 #[derive(Clone, Copy, Debug, Default)]
 struct Change {
-    gone: Option<Member>,
-    come: Option<Member>,
-    /// Whether the one that goes is the first to learn of it.
+    left: Option<Member>,
+    joined: Option<Member>,
+    /// Whether the leaving member is the first to learn of it.
     planned: bool,
 }
 
-/// A part of a state, shared between the states that have it in common, with its hash.
+/// A part of a state that is shared by several states, with its hash.
 #[derive(Clone, Debug)]
 struct Hashed<T> {
     value: Rc<T>,
@@ -83,20 +83,20 @@
 #[derive(Clone, Debug)]
 struct World {
     nodes: BTreeMap<Member, Hashed<Claims>>,
-    /// Claimants that haven't begun.
-    waiting: BTreeSet<usize>,
+    /// Claimants that haven't started yet.
+    unstarted: BTreeSet<usize>,
     claimants: Vec<Member>,
     rounds: BTreeMap<usize, Hashed<ClaimRound>>,
-    mail: BTreeMap<u64, Rc<Message>>,
+    in_flight: BTreeMap<u64, Rc<Message>>,
     sent: usize,
-    first: View,
+    initial_view: View,
     changes: Vec<Change>,
-    /// Which changes each member knows of.
-    known: BTreeMap<Member, BTreeSet<usize>>,
+    /// The changes that each member knows of.
+    known_changes: BTreeMap<Member, BTreeSet<usize>>,
     /// Changes that a member never learns of.
-    hidden: BTreeSet<(Member, usize)>,
+    never_learned: BTreeSet<(Member, usize)>,
     /// Whether settlements are delivered too.
-    settling: bool,
+    deliver_settlements: bool,
 }
 
 impl World {
@@ -111,18 +111,18 @@
         }
         let mut world = World {
             nodes,
-            waiting: (0..claimants.len()).collect(),
+            unstarted: (0..claimants.len()).collect(),
             claimants: claimants.to_vec(),
             rounds: BTreeMap::new(),
-            mail: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: 0,
-            first: view.clone(),
+            initial_view: view.clone(),
             changes: Vec::new(),
-            known: BTreeMap::new(),
-            hidden: BTreeSet::new(),
-            settling: false,
+            known_changes: BTreeMap::new(),
+            never_learned: BTreeSet::new(),
+            deliver_settlements: false,
         };
-        world.settle_first_view(view);
+        world.settle_initial_view(view);
         for &member in joining {
             let node = Claims::new(settings, member, NOW);
             world.nodes.insert(member, Hashed::new(node));
@@ -130,12 +130,12 @@
         world
     }
 
-    fn settle_first_view(&mut self, view: &View) {
+    fn settle_initial_view(&mut self, view: &View) {
         for &member in view.members() {
             let transfers = self.change(member, |node| node.on_view(view.clone(), NOW));
-            self.post_transfers(member, transfers);
+            self.send_transfers(member, transfers);
         }
-        while let Some(id) = self.mail.keys().next().copied() {
+        while let Some(id) = self.in_flight.keys().next().copied() {
             self.deliver(id);
         }
     }
@@ -145,82 +145,83 @@
         node.change(step)
     }
 
-    fn post(&mut self, message: Message) {
-        self.mail.insert(hash_of(&message), Rc::new(message));
+    fn send(&mut self, message: Message) {
+        self.in_flight.insert(hash_of(&message), Rc::new(message));
     }
 
-    fn post_transfers(&mut self, from: Member, transfers: Vec<Transfer>) {
+    fn send_transfers(&mut self, from: Member, transfers: Vec<Transfer>) {
         for transfer in transfers {
-            // A mark makes its receiver vote sooner, a record makes it refuse: the dangerous orders
-            // are those where marks are as early as can be and records late.
+            // A mark lets its receiver vote earlier, and a record makes it refuse: the critical
+            // orders are those where marks arrive as early as possible and records late.
             if transfer.request.mark.is_some() {
                 self.deliver_transfer(from, &transfer);
             } else {
-                self.post(Message::Transfer(from, transfer));
+                self.send(Message::Transfer(from, transfer));
             }
         }
     }
 
-    /// Every state that can follow this one.
+    /// All successors of this state.
     fn successors(&self) -> Vec<World> {
         let mut next = Vec::new();
-        for &id in self.mail.keys() {
-            next.push(self.with(|w| w.deliver(id)));
+        for &id in self.in_flight.keys() {
+            next.push(self.after(|w| w.deliver(id)));
         }
-        for &claimant in &self.waiting {
-            next.push(self.with(|w| w.begin(claimant)));
+        for &claimant in &self.unstarted {
+            next.push(self.after(|w| w.start_round(claimant)));
         }
-        for &claimant in self.rounds.keys().filter(|_| self.settling) {
-            next.push(self.with(|w| w.give_up(claimant)));
+        for &claimant in self.rounds.keys().filter(|_| self.deliver_settlements) {
+            next.push(self.after(|w| w.time_out(claimant)));
         }
         for &member in self.nodes.keys() {
             for change in 0..self.changes.len() {
                 if self.may_learn(member, change) {
-                    next.push(self.with(|w| w.learn(member, change)));
+                    next.push(self.after(|w| w.learn(member, change)));
                 }
             }
             if self.has_left(member) {
-                next.push(self.with(|w| w.tell_of_itself(member)));
+                next.push(self.after(|w| w.readd_itself(member)));
             }
         }
         next
     }
 
     fn knows(&self, member: Member, change: usize) -> bool {
-        let known = self.known.get(&member);
+        let known = self.known_changes.get(&member);
         known.is_some_and(|known| known.contains(&change))
     }
 
     fn may_learn(&self, member: Member, change: usize) -> bool {
-        let Change { gone, planned, .. } = self.changes[change];
-        let is_first = gone.is_none_or(|gone| gone == member || self.knows(gone, change));
-        let hidden = self.hidden.contains(&(member, change)) || (planned && !is_first);
-        !hidden && !self.knows(member, change)
+        let Change { left, planned, .. } = self.changes[change];
+        let is_first = left.is_none_or(|left| left == member || self.knows(left, change));
+        let never_learned =
+            self.never_learned.contains(&(member, change)) || (planned && !is_first);
+        !never_learned && !self.knows(member, change)
     }
 
     fn has_left(&self, member: Member) -> bool {
         let mut changes = (0..self.changes.len()).filter(|at| self.changes[*at].planned);
-        changes.any(|at| self.changes[at].gone == Some(member) && self.knows(member, at))
+        changes.any(|at| self.changes[at].left == Some(member) && self.knows(member, at))
     }
 
-    /// The membership as far as a member knows of its changes.
+    /// The membership according to the changes that a member knows of.
     fn view_of(&self, member: Member) -> View {
-        let known = self.known.get(&member).into_iter().flatten();
+        let known = self.known_changes.get(&member).into_iter().flatten();
         let changes: Vec<Change> = known.map(|at| self.changes[*at]).collect();
-        let first = self.first.members().iter().copied();
-        let all = first.chain(changes.iter().filter_map(|change| change.come));
-        let is_gone = |m: &Member| changes.iter().any(|change| change.gone == Some(*m));
-        View::new(all.filter(|m| !is_gone(m)))
+        let first = self.initial_view.members().iter().copied();
+        let all = first.chain(changes.iter().filter_map(|change| change.joined));
+        let has_left = |m: &Member| changes.iter().any(|change| change.left == Some(*m));
+        View::new(all.filter(|m| !has_left(m)))
     }
 
-    fn with(&self, step: impl FnOnce(&mut World)) -> World {
+    fn after(&self, step: impl FnOnce(&mut World)) -> World {
         let mut next = self.clone();
         step(&mut next);
         next
     }
 
-    fn begin(&mut self, claimant: usize) {
-        self.waiting.remove(&claimant);
+    fn start_round(&mut self, claimant: usize) {
+        self.unstarted.remove(&claimant);
         let member = self.claimants[claimant];
         let view = self.nodes[&member].value.view().clone();
         let request = ClaimRequest {
@@ -235,12 +236,12 @@
         };
         let round = ClaimRound::new(&ClaimSettings::default(), &view, request, NOW);
         for &voter in round.voters() {
-            self.post(Message::Claim(claimant, voter, *round.request()));
+            self.send(Message::Claim(claimant, voter, *round.request()));
         }
         self.rounds.insert(claimant, Hashed::new(round));
     }
 
-    fn give_up(&mut self, claimant: usize) {
+    fn time_out(&mut self, claimant: usize) {
         let round = self.rounds.get_mut(&claimant).expect("a round");
         let verdict = round.change(ClaimRound::on_deadline);
         self.conclude(claimant, verdict);
@@ -251,10 +252,11 @@
             return;
         };
         self.rounds.remove(&claimant);
-        if !self.settling {
-            // Claims of a round that is over could only make voters refuse more.
-            let over = |m: &Message| matches!(m, Message::Claim(other, ..) if *other == claimant);
-            self.mail.retain(|_, message| !over(message));
+        if !self.deliver_settlements {
+            // Claims of a finished round could only cause more refusals.
+            let is_obsolete =
+                |m: &Message| matches!(m, Message::Claim(other, ..) if *other == claimant);
+            self.in_flight.retain(|_, message| !is_obsolete(message));
         }
         let settlement = match verdict {
             Verdict::Refused(_, settlement) => settlement,
@@ -264,21 +266,21 @@
                 started.settle(Outcome::Completed { status: 201 })
             }
         };
-        // A settled success only makes the voters refuse more.
-        if self.settling && settlement.request().outcome == Outcome::NotRun {
+        // The settlement of a successful request only causes more refusals.
+        if self.deliver_settlements && settlement.request().outcome == Outcome::NotRun {
             for &voter in settlement.pending() {
-                self.post(Message::Settle(voter, *settlement.request()));
+                self.send(Message::Settle(voter, *settlement.request()));
             }
         }
     }
 
     fn deliver(&mut self, id: u64) {
-        let message = self.mail.remove(&id).expect("a message in the mail");
+        let message = self.in_flight.remove(&id).expect("a message in flight");
         match &*message {
             Message::Claim(claimant, voter, request) => {
                 let vote = self.change(*voter, |node| node.on_claim(request, NOW));
-                // A vote that comes later, or never, leads to no other grant than one that comes at
-                // once, or a claimant that gives up.
+                // A vote that arrives later or never leads to no other grants than one that arrives
+                // at once, or a claimant that times out.
                 let Some(round) = self.rounds.get_mut(claimant) else {
                     return;
                 };
@@ -292,16 +294,16 @@
         }
     }
 
-    /// Delivers the claim that is on its way to a voter.
+    /// Delivers the claim that is in flight to a voter.
     fn deliver_claim(&mut self, voter: Member) {
-        let is_it = |m: &Message| matches!(m, Message::Claim(_, to, _) if *to == voter);
-        let ids: Vec<u64> = self.mail.keys().copied().collect();
-        let id = ids.into_iter().find(|id| is_it(&self.mail[id]));
+        let is_claim = |m: &Message| matches!(m, Message::Claim(_, to, _) if *to == voter);
+        let ids: Vec<u64> = self.in_flight.keys().copied().collect();
+        let id = ids.into_iter().find(|id| is_claim(&self.in_flight[id]));
         self.deliver(id.expect("a claim for the voter"));
     }
 
-    /// The receiver takes the records, and the acknowledgement arrives at once; its loss is the same
-    /// as the loss of the message, which is repeated at the next tick.
+    /// The receiver takes the records, and its acknowledgement is delivered at once. Losing it is
+    /// equivalent to losing the message, which is repeated at the next tick.
     fn deliver_transfer(&mut self, from: Member, transfer: &Transfer) {
         self.change(transfer.to, |node| {
             node.on_transfer(from, &transfer.request, NOW);
@@ -310,20 +312,20 @@
             node.on_transfer_acknowledged(transfer);
             node.on_tick(NOW)
         });
-        self.post_transfers(from, transfers);
+        self.send_transfers(from, transfers);
     }
 
     fn learn(&mut self, member: Member, change: usize) {
-        let own = |change: &Change| change.come == Some(member);
-        // A member always counts itself.
+        let own = |change: &Change| change.joined == Some(member);
+        // A member's own view always includes itself.
         let own = self.changes.iter().position(own);
-        let known = self.known.entry(member).or_default();
+        let known = self.known_changes.entry(member).or_default();
         known.extend([change].into_iter().chain(own));
         self.adopt(member, self.view_of(member));
     }
 
-    /// The membership of a process counts the process until it ends, also one that leaves.
-    fn tell_of_itself(&mut self, member: Member) {
+    /// The membership of a process includes the process until it ends, even while it is leaving.
+    fn readd_itself(&mut self, member: Member) {
         let others = self.view_of(member);
         let others = others.members().iter().copied();
         self.adopt(member, View::new(others.chain([member])));
@@ -331,7 +333,7 @@
 
     fn adopt(&mut self, member: Member, view: View) {
         let transfers = self.change(member, |node| node.on_view(view, NOW));
-        self.post_transfers(member, transfers);
+        self.send_transfers(member, transfers);
     }
 
     fn fingerprint(&self) -> u64 {
@@ -340,13 +342,13 @@
             .rounds
             .iter()
             .map(|(id, round)| round.hash ^ *id as u64);
-        let known = self.known.iter().map(hash_of_known);
+        let known = self.known_changes.iter().map(hash_known_changes);
         let parts: Vec<u64> = nodes
             .chain(std::iter::once(u64::MAX))
             .chain(known)
             .chain(rounds)
-            .chain(self.waiting.iter().map(|id| *id as u64))
-            .chain(self.mail.keys().copied())
+            .chain(self.unstarted.iter().map(|id| *id as u64))
+            .chain(self.in_flight.keys().copied())
             .chain(std::iter::once(self.sent as u64))
             .collect();
         let mut hasher = DefaultHasher::new();
@@ -355,83 +357,85 @@
     }
 }
 
-fn hash_of_known(known: (&Member, &BTreeSet<usize>)) -> u64 {
+fn hash_known_changes(known: (&Member, &BTreeSet<usize>)) -> u64 {
     let mut hasher = DefaultHasher::new();
     known.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Visits every reachable state; returns how many there are and whether the key was ever granted.
+/// Visits all reachable states; returns their number and whether the key was ever granted.
 fn explore(start: World) -> (usize, bool) {
-    let (states, granted) = walk(start, MOST_STATES, |todo| todo - 1);
-    assert!(states < MOST_STATES, "too many states");
+    let (states, granted) = visit(start, MAX_STATES, |frontier| frontier - 1);
+    assert!(states < MAX_STATES, "too many states");
     (states, granted)
 }
 
-/// Visits some of the states, chosen among those in reach by a hash of the seed and the step.
+/// Visits some of the reachable states, selected by a hash of the seed and the step.
 fn sample(start: World, seed: u64) -> (usize, bool) {
     let mut step = seed;
-    walk(start, SAMPLE, |todo| {
+    visit(start, SAMPLE_STATES, |frontier| {
         step += 1;
-        // Mostly the newest, so that long ways are walked to their end too.
+        // Mostly the newest, so that long paths are also followed to their end.
         if !step.is_multiple_of(16) {
-            return todo - 1;
+            return frontier - 1;
         }
-        hash_of(&step) as usize % todo
+        hash_of(&step) as usize % frontier
     })
 }
 
-/// Visits states until none is left or `limit` are known; `choose` picks the next of those in reach.
-fn walk(start: World, limit: usize, mut choose: impl FnMut(usize) -> usize) -> (usize, bool) {
-    let mut seen = HashSet::from([start.fingerprint()]);
-    let mut todo = vec![start];
+/// Visits states until none is left or `limit` states are known; `choose` selects the next one from
+/// the frontier.
+fn visit(start: World, limit: usize, mut choose: impl FnMut(usize) -> usize) -> (usize, bool) {
+    let mut visited = HashSet::from([start.fingerprint()]);
+    let mut frontier = vec![start];
     let mut granted = false;
-    while !todo.is_empty() && seen.len() < limit {
-        let world = todo.swap_remove(choose(todo.len()));
+    while !frontier.is_empty() && visited.len() < limit {
+        let world = frontier.swap_remove(choose(frontier.len()));
         granted |= world.sent == 1;
         assert!(world.sent <= 1, "sent {} times", world.sent);
         for next in world.successors() {
-            if seen.insert(next.fingerprint()) {
-                todo.push(next);
+            if visited.insert(next.fingerprint()) {
+                frontier.push(next);
             }
         }
     }
-    (seen.len(), granted)
+    (visited.len(), granted)
 }
 
 fn members(names: &[&str]) -> Vec<Member> {
     names.iter().map(|name| Member::new(name, 1)).collect()
 }
 
-/// A caller repeats a request through another instance while the first try is still collecting
-/// votes. Messages arrive in any order, and any of them never: that covers losses, deaths and a
-/// partition. A second grant would run a booking twice; two majorities share a voter.
+/// A caller repeats a request through another instance while the first attempt is still collecting
+/// votes. Messages arrive in any order, or never, which covers losses, crashes and a partition. A
+/// second grant would run a booking twice; two majorities share a voter.
 #[test]
 fn two_claimants_never_both_send() {
     let all = members(&["a", "b", "c"]);
     let mut world = World::new(&View::new(all.clone()), &[], &all[..2]);
-    world.settling = true;
+    world.deliver_settlements = true;
     let (states, granted) = explore(world);
     println!("{states} states");
     assert!(granted);
 }
 
-/// A fourth instance joins, or replaces one that was killed, while two claimants want the key. Each
-/// instance learns of the change at a step of its own; transfers come in any order, or never. The
-/// newcomer holds no record: were it to vote before it was told, the key would be granted twice.
+/// A fourth instance joins, or replaces one that was killed, while two claimants compete for the
+/// key. Each instance learns of the change in a step of its own, and transfers arrive in any order
+/// or never. The new member has no records: if it voted before it received them, the key would be
+/// granted twice.
 #[test_case(None; "joins")]
 #[test_case(Some(0); "replaces the first")]
 #[test_case(Some(2); "replaces the third")]
-fn a_newcomer_never_grants_what_was_granted(gone: Option<usize>) {
+fn a_new_member_never_grants_a_granted_key(left: Option<usize>) {
     let all = members(&["a", "b", "c", "d"]);
     let old = View::new(all[..3].to_vec());
     let mut world = World::new(&old, &all[3..], &all[1..3]);
     world.changes.push(Change {
-        gone: gone.map(|at| all[at]),
-        come: Some(all[3]),
+        left: left.map(|at| all[at]),
+        joined: Some(all[3]),
         planned: false,
     });
-    world.begin(0);
+    world.start_round(0);
     let (states, granted) = explore(world);
     println!("{states} states");
     assert!(granted);
@@ -439,52 +443,54 @@
 
 /// Two changes of the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Pair {
+enum ChangePair {
     LeaveAndJoin,
     LossAndReturn,
     JoinAndLoss,
 }
 
-/// The key is granted by two of three instances, and the third never hears of it, when two changes of
-/// the membership come: one leaves and another joins, one is replaced after its loss was seen, or one
-/// joins and another is lost. Each instance learns of each change at a step of its own, in any order,
-/// or never; one that leaves is told of itself once more. A repeat comes at any time. Where a change
-/// left the grant with one holder, the next newcomer would do without that one and grant again.
-#[test_case(Pair::LeaveAndJoin; "one leaves that voted, one joins")]
-#[test_case(Pair::LossAndReturn; "one is lost that voted, and returns")]
-#[test_case(Pair::JoinAndLoss; "one joins, one is lost that voted")]
-fn two_changes_never_grant_again(pair: Pair) {
+/// The key is granted by two of three instances, and the third never receives the claim. Then the
+/// membership changes twice: one instance leaves and another joins, one is lost and its replacement
+/// joins, or one joins and another is lost. Each instance learns of each change in a step of its
+/// own, in any order or never; one that leaves sees itself in its own view once more. A repeat
+/// arrives at any time. If a change left the grant with a single holder, the next new member would
+/// not wait for that holder, and the key would be granted again.
+#[test_case(ChangePair::LeaveAndJoin; "a voter leaves, a member joins")]
+#[test_case(ChangePair::LossAndReturn; "a voter is lost and returns")]
+#[test_case(ChangePair::JoinAndLoss; "a member joins, a voter is lost")]
+fn two_membership_changes_never_grant_again(pair: ChangePair) {
     let all = members(&["a", "b", "c", "d"]);
-    let again = Member {
+    let restarted = Member {
         incarnation: 2,
         ..all[0]
     };
-    let newcomer = match pair {
-        Pair::LossAndReturn => again,
-        Pair::LeaveAndJoin | Pair::JoinAndLoss => all[3],
+    let new_member = match pair {
+        ChangePair::LossAndReturn => restarted,
+        ChangePair::LeaveAndJoin | ChangePair::JoinAndLoss => all[3],
     };
     let old = View::new(all[..3].to_vec());
-    let mut world = World::new(&old, &[newcomer], &all[1..3]);
-    world.begin(0);
+    let mut world = World::new(&old, &[new_member], &all[1..3]);
+    world.start_round(0);
     for voter in &all[..2] {
         world.deliver_claim(*voter);
     }
     assert_eq!(world.sent, 1);
     world.changes.push(Change {
-        gone: Some(all[0]),
-        come: None,
-        planned: pair == Pair::LeaveAndJoin,
+        left: Some(all[0]),
+        joined: None,
+        planned: pair == ChangePair::LeaveAndJoin,
     });
     world.changes.push(Change {
-        gone: None,
-        come: Some(newcomer),
+        left: None,
+        joined: Some(new_member),
         planned: false,
     });
-    // One that is killed doesn't learn of it, and one that leaves doesn't wait for a newcomer.
-    world.hidden = match pair {
-        Pair::LeaveAndJoin => [(all[0], 1)].into(),
-        Pair::LossAndReturn => [(all[0], 0), (all[0], 1)].into(),
-        Pair::JoinAndLoss => [(all[0], 0)].into(),
+    // An instance that is killed doesn't learn of its loss, and one that leaves doesn't wait for a
+    // new member.
+    world.never_learned = match pair {
+        ChangePair::LeaveAndJoin => [(all[0], 1)].into(),
+        ChangePair::LossAndReturn => [(all[0], 0), (all[0], 1)].into(),
+        ChangePair::JoinAndLoss => [(all[0], 0)].into(),
     };
     let (states, _) = sample(world, 1);
     println!("{states} states");
--- a/crates/ownership/tests/explore_orders.rs
+++ b/crates/ownership/tests/explore_orders.rs
@@ -1,9 +1,10 @@
-//! Exhaustive exploration of orders: two instances that may both act on an engine, every order of
-//! their steps, every loss and delay, a pause at any moment.
+//! Exhaustive exploration of orders: two instances that may both act on an engine, with every order
+//! of their steps, every loss and delay, and a pause at any time.
 //!
-//! The bounds: settings scaled down; from the moment before the first order, three seconds where numbers
-//! are checked and five where they aren't, then each state is run to its rest; within a second the first
-//! owner goes first; one cut and no return of who was cut off.
+//! The exploration is bounded: settings are scaled down; it covers the time from just before the
+//! first order, three seconds with fencing and five without, and then runs each state until it is
+//! at rest; within a second, the first owner goes first; there is one partition, and the
+//! partitioned instance never returns.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -33,7 +34,7 @@
 use crocushold_ownership::View;
 use test_case::test_case;
 
-/// The daemon's settings, scaled down so that few seconds hold a takeover.
+/// The daemon's settings, scaled down so that a takeover takes a few seconds.
 const SETTINGS: OrderSettings = OrderSettings {
     lease: Millis(1_000),
     takeover_delay: Millis(4_000),
@@ -43,41 +44,42 @@
     stabilization: Millis(3_000),
     rate: 20,
 };
-const MOST_STATES: usize = 2_000_000;
+const MAX_STATES: usize = 2_000_000;
 
-/// The first owner, which may be stopped and cut off.
-const A: usize = 0;
-/// The one that takes over.
-const B: usize = 1;
+/// The first owner, which may be paused and partitioned.
+const FIRST_OWNER: usize = 0;
+/// The instance that takes over.
+const SECOND_OWNER: usize = 1;
 
-const OLD: u64 = 4;
-const NEW: u64 = 5;
+const OLD_REVISION: u64 = 4;
+const NEW_REVISION: u64 = 5;
 
-const WHOLE: RoleId = RoleId(0);
+const BOTH: RoleId = RoleId(0);
 const PREFILL: RoleId = RoleId(1);
 
-/// A model that every text wants and that the engine holds from the start.
+/// A model that every configuration requires and that the engine has from the start.
 const COMMON: ModelId = ModelId(1);
 
-/// What the two texts want.
+/// What the two configurations require.
 #[derive(Clone, Copy, Debug)]
-enum Texts {
-    /// The older one unloads what the newer one keeps, and the newer one loads another.
+enum Configs {
+    /// The older one unloads what the newer one keeps, and the newer one loads another model.
     Models,
-    /// The older one unloads what the newer one wants, and the engine happens to be as the newer wants.
-    AsWanted,
+    /// The older one unloads what the newer one requires, and the engine already matches the newer
+    /// one.
+    AlreadyMatching,
     /// The older one changes the role.
     Roles,
 }
 
-impl Texts {
+impl Configs {
     fn wanted(self, revision: u64) -> (Vec<ModelId>, RoleId) {
-        let newer = revision == NEW;
+        let newer = revision == NEW_REVISION;
         let (models, role): (&[u32], RoleId) = match self {
-            Texts::Models if newer => (&[1, 2, 3], WHOLE),
-            Texts::AsWanted | Texts::Roles if newer => (&[1, 2], WHOLE),
-            Texts::Models | Texts::AsWanted => (&[1], WHOLE),
-            Texts::Roles => (&[1, 2], PREFILL),
+            Configs::Models if newer => (&[1, 2, 3], BOTH),
+            Configs::AlreadyMatching | Configs::Roles if newer => (&[1, 2], BOTH),
+            Configs::Models | Configs::AlreadyMatching => (&[1], BOTH),
+            Configs::Roles => (&[1, 2], PREFILL),
         };
         (models.iter().copied().map(ModelId).collect(), role)
     }
@@ -90,42 +92,42 @@
     fence: u64,
 }
 
-/// An order on its way.
+/// An order in flight.
 #[derive(Clone, Debug)]
 struct Call {
     from: usize,
     order: Order,
-    /// The text that it was decided on.
-    text: u64,
+    /// The configuration revision on which it was decided.
+    revision: u64,
     sent_at: Millis,
-    /// How often it may still arrive.
+    /// How many more times it may arrive.
     copies: u8,
 }
 
 #[derive(Clone, Debug)]
 enum Action {
-    /// A second of an instance, with or without a confirmation of its view. The engine is read at once,
-    /// and the report is heard before the next second or never; what the engine obeys in between, the
-    /// report doesn't tell. An older one moves no order.
+    /// One second of an instance, with or without a confirmation of its view. The engine's report
+    /// is requested at once and received before the next second or never; orders executed in
+    /// between aren't in the report. An older report causes no order.
     Tick(usize, bool, bool),
-    /// An order that was decided is about to leave.
-    Release(usize),
-    /// An order arrives, and its answer too before the next second, or never.
+    /// A decided order is sent.
+    Send(usize),
+    /// An order arrives; its answer arrives before the next second or never.
     Deliver(u64, bool),
-    /// The newer text arrives.
+    /// The newer configuration arrives.
     Learn(usize),
-    /// The first owner is cut off from the others, which drop it from their view.
-    Cut,
+    /// The first owner is partitioned from the others, which remove it from their view.
+    Partition,
     Advance,
 }
 
 #[derive(Clone, Debug)]
 struct Instance {
     orders: Rc<Orders>,
-    /// Of the orders; none where they have changed since it was taken.
+    /// The hash of `orders`; `None` if they have changed since it was computed.
     hash: Option<u64>,
-    text: u64,
-    hand: Option<(Order, u64)>,
+    revision: u64,
+    pending_order: Option<(Order, u64)>,
     ticked: bool,
 }
 
@@ -142,30 +144,31 @@
     hasher.finish()
 }
 
-/// The views of the first and the second instance alone, of all, and without the first.
+/// The views with the first or second instance alone, with all, and without the first.
 static VIEWS: LazyLock<[View; 4]> =
     LazyLock::new(|| [&[0][..], &[1], &[0, 1, 2], &[1, 2]].map(fleet));
 
-/// The parts of a scene that never change.
+/// The parameters of a scenario, which never change.
 #[derive(Clone, Copy, Debug)]
-struct Scene {
+struct Scenario {
     fencing: Fencing,
-    texts: Texts,
+    configs: Configs,
     engine: EngineId,
 }
 
 #[derive(Clone, Debug)]
 struct World {
-    scene: Scene,
+    scenario: Scenario,
     now: Millis,
-    cut: bool,
+    partitioned: bool,
     instances: [Instance; 2],
-    mail: BTreeMap<u64, Rc<Call>>,
+    in_flight: BTreeMap<u64, Rc<Call>>,
     engine: Engine,
-    /// The newest text that was acted on: of an order that an engine with numbers obeyed, or, where
-    /// none are kept, of an instance that began to act, which its silence is to make safe.
-    acted: u64,
-    fault: Option<&'static str>,
+    /// The newest revision that was acted on. With fencing, that of an order executed by the
+    /// engine; without, that of an instance that began to act, since its waiting time must make
+    /// acting safe.
+    newest_acted: u64,
+    violation: Option<&'static str>,
 }
 
 fn member(at: usize) -> Member {
@@ -176,23 +179,23 @@
     View::new(members.iter().map(|at| member(*at)))
 }
 
-impl Scene {
-    fn new(fencing: Fencing, texts: Texts) -> Scene {
-        // The first instance owns it, and the second one once the first is gone.
-        let fits = |id: &u64| {
-            let first = fleet(&[0, 1, 2]).owner(*id) == Some(member(A));
-            first && fleet(&[1, 2]).owner(*id) == Some(member(B))
+impl Scenario {
+    fn new(fencing: Fencing, configs: Configs) -> Scenario {
+        // The first instance is the owner, and the second one is if the first leaves.
+        let has_owners = |id: &u64| {
+            let first = fleet(&[0, 1, 2]).owner(*id) == Some(member(FIRST_OWNER));
+            first && fleet(&[1, 2]).owner(*id) == Some(member(SECOND_OWNER))
         };
-        let engine = EngineId((0..).find(fits).expect("an engine"));
-        Scene {
+        let engine = EngineId((0..).find(has_owners).expect("an engine"));
+        Scenario {
             fencing,
-            texts,
+            configs,
             engine,
         }
     }
 
     fn target(self, revision: u64) -> Target {
-        let (models, role) = self.texts.wanted(revision);
+        let (models, role) = self.configs.wanted(revision);
         Target {
             engine: self.engine,
             revision,
@@ -204,39 +207,39 @@
 
     fn instance(self, at: usize) -> Instance {
         let mut orders = Orders::new(SETTINGS, member(at), Millis::ZERO);
-        orders.on_target(self.target(OLD), Millis::ZERO);
+        orders.on_target(self.target(OLD_REVISION), Millis::ZERO);
         Instance {
             hash: None,
             orders: Rc::new(orders),
-            text: OLD,
-            hand: None,
+            revision: OLD_REVISION,
+            pending_order: None,
             ticked: false,
         }
     }
 
-    /// The first owner has outwaited its takeover and has read the engine.
+    /// The first owner has waited for its takeover and has read the engine.
     fn start(self) -> World {
         let mut world = World {
-            scene: self,
+            scenario: self,
             now: Millis::ZERO,
-            cut: false,
-            instances: [self.instance(A), self.instance(B)],
-            mail: BTreeMap::new(),
+            partitioned: false,
+            instances: [self.instance(FIRST_OWNER), self.instance(SECOND_OWNER)],
+            in_flight: BTreeMap::new(),
             engine: Engine {
                 models: vec![COMMON, ModelId(2)],
-                role: WHOLE,
+                role: BOTH,
                 fence: 0,
             },
-            acted: 0,
-            fault: None,
+            newest_acted: 0,
+            violation: None,
         };
-        let silence = match self.fencing {
+        let wait = match self.fencing {
             Fencing::Checked => Millis(SETTINGS.stabilization.0 - 1_000),
             Fencing::Ignored => SETTINGS.takeover_delay,
         };
-        while world.now < silence {
-            world.apply(&Action::Tick(A, true, true));
-            world.apply(&Action::Tick(B, true, true));
+        while world.now < wait {
+            world.apply(&Action::Tick(FIRST_OWNER, true, true));
+            world.apply(&Action::Tick(SECOND_OWNER, true, true));
             world.apply(&Action::Advance);
         }
         world
@@ -244,13 +247,13 @@
 }
 
 impl World {
-    /// Where numbers are checked both are sure for ever that they own the engine. Where they aren't, the
-    /// membership no longer confirms the view of the one that the others have dropped.
+    /// With fencing, both instances believe forever that they own the engine. Without it, the
+    /// membership no longer confirms the view of the instance that the others have removed.
     fn view_of(&self, at: usize) -> Option<(&'static View, &'static View)> {
         let [.., all, others] = &*VIEWS;
-        match (self.scene.fencing, self.cut, at) {
+        match (self.scenario.fencing, self.partitioned, at) {
             (Fencing::Checked, ..) => Some((&VIEWS[at], &VIEWS[at])),
-            (Fencing::Ignored, true, A) => None,
+            (Fencing::Ignored, true, FIRST_OWNER) => None,
             (Fencing::Ignored, true, _) => Some((others, all)),
             (Fencing::Ignored, false, _) => Some((all, all)),
         }
@@ -258,59 +261,68 @@
 
     fn actions(&self) -> Vec<Action> {
         let mut actions = Vec::new();
-        for id in self.mail.keys() {
+        for id in self.in_flight.keys() {
             actions.extend([true, false].map(|answered| Action::Deliver(*id, answered)));
         }
         for (at, instance) in self.instances.iter().enumerate() {
-            // Within a second the first owner goes first.
-            if !instance.ticked && !self.instances[B].ticked {
+            // Within a second, the first owner goes first.
+            if !instance.ticked && !self.instances[SECOND_OWNER].ticked {
                 actions.extend(self.ticks(at));
             }
-            if instance.hand.is_some() {
-                actions.push(Action::Release(at));
+            if instance.pending_order.is_some() {
+                actions.push(Action::Send(at));
             }
-            // A text that comes after the tick comes as well before the next, but for an order at hand.
-            let counts = !instance.ticked || instance.hand.is_some();
-            if instance.text == OLD && counts && self.may_learn(at) {
+            // Learning a configuration after the tick is equivalent to learning it before the next
+            // tick, unless an order is pending.
+            let is_distinct = !instance.ticked || instance.pending_order.is_some();
+            if instance.revision == OLD_REVISION && is_distinct && self.may_learn(at) {
                 actions.push(Action::Learn(at));
             }
         }
-        if self.may_cut() {
-            actions.push(Action::Cut);
+        if self.may_partition() {
+            actions.push(Action::Partition);
         }
-        // Only the first owner is ever stopped.
-        if self.instances[B].ticked {
+        // Only the first owner is ever paused.
+        if self.instances[SECOND_OWNER].ticked {
             actions.push(Action::Advance);
         }
         actions
     }
 
-    /// Where no numbers are kept, a majority that holds an older text than who is cut off carries the older
-    /// one out until it has caught up: the design note doesn't promise otherwise, so it is left out, here
-    /// and in the cut.
+    /// Without fencing, a majority with an older configuration than the partitioned instance
+    /// applies it until it has caught up. The design note doesn't promise anything else, so this
+    /// case is left out here and in `may_partition`.
     fn may_learn(&self, at: usize) -> bool {
-        at == B || !self.cut || self.instances[B].text == NEW
+        at == SECOND_OWNER
+            || !self.partitioned
+            || self.instances[SECOND_OWNER].revision == NEW_REVISION
     }
 
-    fn may_cut(&self) -> bool {
+    fn may_partition(&self) -> bool {
         let [first, other] = &self.instances;
-        let knows = first.text <= other.text;
-        self.scene.fencing == Fencing::Ignored && !self.cut && !other.ticked && knows
+        let others_up_to_date = first.revision <= other.revision;
+        self.scenario.fencing == Fencing::Ignored
+            && !self.partitioned
+            && !other.ticked
+            && others_up_to_date
     }
 
     fn ticks(&self, at: usize) -> Vec<Action> {
         let mut confirmed = vec![];
         confirmed.extend(self.view_of(at).map(|_| true));
-        // An instance that is sure for ever is less dangerous while it isn't.
-        if at == A && self.scene.fencing == Fencing::Ignored {
+        // An instance that believes forever in its ownership is less dangerous while its view is
+        // unconfirmed.
+        if at == FIRST_OWNER && self.scenario.fencing == Fencing::Ignored {
             confirmed.push(false);
         }
-        let hears_late = at == A && self.scene.fencing == Fencing::Checked;
+        let may_miss_reports = at == FIRST_OWNER && self.scenario.fencing == Fencing::Checked;
         let ticks = confirmed.into_iter();
         ticks
-            .flat_map(|sure| [true, false].map(|heard| Action::Tick(at, sure, heard)))
-            // To hear nothing makes an instance slower alone, but where it doesn't hear of a number.
-            .filter(|tick| hears_late || !matches!(tick, Action::Tick(.., false)))
+            .flat_map(|is_confirmed| {
+                [true, false].map(|reported| Action::Tick(at, is_confirmed, reported))
+            })
+            // Missing reports only delay an instance, except where it misses a fencing token.
+            .filter(|tick| may_miss_reports || !matches!(tick, Action::Tick(.., false)))
             .collect()
     }
 
@@ -326,16 +338,16 @@
 
     fn apply(&mut self, action: &Action) {
         match action {
-            Action::Tick(at, confirmed, heard) => self.tick(*at, *confirmed, *heard),
-            Action::Release(at) => self.release(*at),
+            Action::Tick(at, confirmed, reported) => self.tick(*at, *confirmed, *reported),
+            Action::Send(at) => self.send(*at),
             Action::Deliver(id, answered) => self.deliver(*id, *answered),
             Action::Learn(at) => self.learn(*at),
-            Action::Cut => self.cut = true,
+            Action::Partition => self.partitioned = true,
             Action::Advance => self.advance(),
         }
     }
 
-    fn tick(&mut self, at: usize, confirmed: bool, heard: bool) {
+    fn tick(&mut self, at: usize, confirmed: bool, reported: bool) {
         let now = self.now;
         let view = self.view_of(at).filter(|_| confirmed);
         self.instances[at].ticked = true;
@@ -346,57 +358,58 @@
             orders.on_tick(now)
         });
         for action in actions {
-            self.take(at, &action);
+            self.handle(at, &action);
         }
-        if heard {
+        if reported {
             let report = self.report();
             self.instances[at].change(|orders| orders.on_report(report, now));
         }
     }
 
-    fn take(&mut self, at: usize, action: &OrderAction) {
-        let text = self.instances[at].text;
+    fn handle(&mut self, at: usize, action: &OrderAction) {
+        let revision = self.instances[at].revision;
         match action {
-            // Every engine is read once a second anyhow.
+            // Every engine is read once per second in any case.
             OrderAction::ReadBack(_) => {}
-            OrderAction::Send(order) => self.instances[at].hand = Some((*order, text)),
+            OrderAction::Send(order) => self.instances[at].pending_order = Some((*order, revision)),
             OrderAction::Outdated { .. } => return,
         }
-        if self.scene.fencing == Fencing::Ignored {
-            self.acted = self.acted.max(text);
+        if self.scenario.fencing == Fencing::Ignored {
+            self.newest_acted = self.newest_acted.max(revision);
         }
     }
 
     fn report(&self) -> EngineReport {
-        let keeps = self.scene.fencing == Fencing::Checked;
+        let checks_fencing = self.scenario.fencing == Fencing::Checked;
         EngineReport {
-            engine: self.scene.engine,
+            engine: self.scenario.engine,
             models: self.engine.models.clone(),
             role: self.engine.role,
-            fence: if keeps { self.engine.fence } else { 0 },
+            fence: if checks_fencing { self.engine.fence } else { 0 },
             asked_at: self.now,
         }
     }
 
-    fn post(&mut self, call: Call) {
-        self.mail.insert(hash_of(&call), Rc::new(call));
+    fn dispatch(&mut self, call: Call) {
+        self.in_flight.insert(hash_of(&call), Rc::new(call));
     }
 
-    fn release(&mut self, at: usize) {
+    fn send(&mut self, at: usize) {
         let now = self.now;
-        let (order, text) = self.instances[at].hand.take().expect("an order");
+        let (order, revision) = self.instances[at].pending_order.take().expect("an order");
         if !self.instances[at].change(|orders| orders.may_send(&order, now)) {
             self.answer(at, &order, OrderAnswer::Failed);
             return;
         }
-        self.post(Call {
+        self.dispatch(Call {
             from: at,
             order,
-            text,
+            revision,
             sent_at: now,
-            copies: match self.scene.fencing {
+            copies: match self.scenario.fencing {
                 Fencing::Checked => 2,
-                // A call is one exchange; a second arrival would be the same order at a later time.
+                // A call is one exchange; a second arrival would be equivalent to the same order at
+                // a later time.
                 Fencing::Ignored => 1,
             },
         });
@@ -408,28 +421,28 @@
     }
 
     fn deliver(&mut self, id: u64, answered: bool) {
-        let call = self.mail.remove(&id).expect("an order in the mail");
-        let answer = self.obey(&call.order, call.text);
+        let call = self.in_flight.remove(&id).expect("an order in flight");
+        let answer = self.execute(&call.order, call.revision);
         if answered {
             self.answer(call.from, &call.order, answer);
         }
-        // A call that was answered leaves nothing on its way to an engine that keeps no numbers.
-        let over = answered && self.scene.fencing == Fencing::Ignored;
+        // Without fencing, an answered call leaves nothing in flight.
+        let over = answered && self.scenario.fencing == Fencing::Ignored;
         if call.copies > 1 && !over {
             let copies = call.copies - 1;
-            self.post(Call { copies, ..*call });
+            self.dispatch(Call { copies, ..*call });
         }
     }
 
-    fn obey(&mut self, order: &Order, text: u64) -> OrderAnswer {
+    fn execute(&mut self, order: &Order, revision: u64) -> OrderAnswer {
         let fence = self.engine.fence;
-        if self.scene.fencing == Fencing::Checked && order.fence < fence {
+        if self.scenario.fencing == Fencing::Checked && order.fence < fence {
             return OrderAnswer::Fenced { fence };
         }
-        if order.kind.is_destructive() && text < self.acted {
-            self.fault = Some("an older text's destructive order was carried out");
+        if order.kind.is_destructive() && revision < self.newest_acted {
+            self.violation = Some("a destructive order of an older configuration was executed");
         }
-        self.acted = self.acted.max(text);
+        self.newest_acted = self.newest_acted.max(revision);
         self.engine.fence = order.fence;
         match order.kind {
             OrderKind::Load(model) if self.engine.models.contains(&model) => {}
@@ -438,14 +451,14 @@
             OrderKind::Role(role) => self.engine.role = role,
         }
         if !self.engine.models.contains(&COMMON) {
-            self.fault = Some("the engine lost a model that every text wants");
+            self.violation = Some("the engine lost a model that every configuration requires");
         }
         OrderAnswer::Obeyed
     }
 
     fn learn(&mut self, at: usize) {
-        let (now, target) = (self.now, self.scene.target(NEW));
-        self.instances[at].text = NEW;
+        let (now, target) = (self.now, self.scenario.target(NEW_REVISION));
+        self.instances[at].revision = NEW_REVISION;
         self.instances[at].change(|orders| orders.on_target(target, now));
     }
 
@@ -454,52 +467,54 @@
         for instance in &mut self.instances {
             instance.ticked = false;
         }
-        // The wire may hold an order for ever where the number makes that harmless.
-        if self.scene.fencing == Fencing::Ignored {
+        // With fencing, the network may delay an order forever, since the fencing token makes it
+        // harmless.
+        if self.scenario.fencing == Fencing::Ignored {
             let now = self.now;
-            self.mail
+            self.in_flight
                 .retain(|_, call| now.since(call.sent_at) < SETTINGS.call_timeout);
         }
     }
 
-    /// What is wrong with the state that this one comes to rest in: once the one that took over knows
-    /// the newer text and has had time, the engine is as that text wants, and stays so whatever the
-    /// first owner does.
-    fn fault_at_rest(&self) -> Option<&'static str> {
+    /// What is wrong with the state in which this one comes to rest. Once the instance that took
+    /// over knows the newer configuration and has had time, the engine must match that
+    /// configuration, and must continue to match whatever the first owner does.
+    fn violation_at_rest(&self) -> Option<&'static str> {
         let mut world = self.clone();
-        let owner = if self.scene.fencing == Fencing::Checked || self.cut {
-            B
+        let owner = if self.scenario.fencing == Fencing::Checked || self.partitioned {
+            SECOND_OWNER
         } else {
-            A
+            FIRST_OWNER
         };
         world.run(owner, true);
-        if !world.is_as_wanted() {
-            return Some("the engine doesn't come to what the newest text wants");
+        if !world.matches_target() {
+            return Some("the engine doesn't converge to the newest configuration");
         }
         world.run(1 - owner, false);
-        if !world.is_as_wanted() {
-            return Some("the engine doesn't stay as the newest text wants");
+        if !world.matches_target() {
+            return Some("the engine doesn't stay in the newest configuration");
         }
-        world.fault
+        world.violation
     }
 
-    fn is_as_wanted(&self) -> bool {
-        let (models, role) = self.scene.texts.wanted(NEW);
+    fn matches_target(&self) -> bool {
+        let (models, role) = self.scenario.configs.wanted(NEW_REVISION);
         let mut held = self.engine.models.clone();
         held.sort_unstable();
         held == models && self.engine.role == role
     }
 
-    /// Runs one instance alone until it has nothing left to do; late messages come first.
+    /// Runs one instance alone until it has nothing left to do; messages in flight are delivered
+    /// first.
     fn run(&mut self, at: usize, newest: bool) {
-        if newest && self.instances[at].text == OLD {
+        if newest && self.instances[at].revision == OLD_REVISION {
             self.learn(at);
         }
         for _ in 0..12 {
-            if self.instances[at].hand.is_some() {
-                self.release(at);
+            if self.instances[at].pending_order.is_some() {
+                self.send(at);
             }
-            while let Some(id) = self.mail.keys().next().copied() {
+            while let Some(id) = self.in_flight.keys().next().copied() {
                 self.deliver(id, true);
             }
             self.advance();
@@ -510,84 +525,91 @@
 
     fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        (self.now.0, self.cut, self.acted, &self.engine).hash(&mut hasher);
+        (
+            self.now.0,
+            self.partitioned,
+            self.newest_acted,
+            &self.engine,
+        )
+            .hash(&mut hasher);
         for instance in &self.instances {
-            (instance.hash, instance.text, instance.ticked).hash(&mut hasher);
-            hasher.write(format!("{:?}", instance.hand).as_bytes());
+            (instance.hash, instance.revision, instance.ticked).hash(&mut hasher);
+            hasher.write(format!("{:?}", instance.pending_order).as_bytes());
         }
-        for id in self.mail.keys() {
+        for id in self.in_flight.keys() {
             id.hash(&mut hasher);
         }
         hasher.finish()
     }
 }
 
-/// How each state was reached: the state before it, and the step.
-type Ways = HashMap<u64, Option<(u64, String)>>;
+/// How each state was reached: its predecessor and the step.
+type Paths = HashMap<u64, Option<(u64, String)>>;
 
-fn fail(ways: &Ways, at: u64, fault: &str) -> ! {
+fn report_violation(paths: &Paths, at: u64, violation: &str) -> ! {
     let mut steps = Vec::new();
     let mut at = at;
-    while let Some(Some((before, step))) = ways.get(&at) {
+    while let Some(Some((before, step))) = paths.get(&at) {
         steps.push(step.as_str());
         at = *before;
     }
     steps.reverse();
-    panic!("{fault}, after\n{}", steps.join("\n"));
+    panic!("{violation}, after\n{}", steps.join("\n"));
 }
 
 fn describe(world: &World, action: &Action) -> String {
     let call = match action {
-        Action::Deliver(id, _) => format!(" {:?}", world.mail[id]),
+        Action::Deliver(id, _) => format!(" {:?}", world.in_flight[id]),
         _ => String::new(),
     };
     format!("{:?} {action:?}{call}", world.now)
 }
 
-/// Visits every state in reach until the time is up, nearest first; returns how many there are and
-/// how many of them came to rest.
-fn explore(scene: Scene, end: Millis) -> (usize, usize) {
-    let start = scene.start();
-    let mut ways: Ways = HashMap::from([(start.fingerprint(), None)]);
-    let mut todo = VecDeque::from([start]);
-    let mut rests = 0;
-    while let Some(world) = todo.pop_front() {
+/// Visits all reachable states up to the time limit in breadth-first order; returns the number of
+/// states and how many of them were run until at rest.
+fn explore(scenario: Scenario, end: Millis) -> (usize, usize) {
+    let start = scenario.start();
+    let mut paths: Paths = HashMap::from([(start.fingerprint(), None)]);
+    let mut queue = VecDeque::from([start]);
+    let mut at_rest = 0;
+    while let Some(world) = queue.pop_front() {
         let here = world.fingerprint();
-        if let Some(fault) = world.fault {
-            fail(&ways, here, fault);
+        if let Some(violation) = world.violation {
+            report_violation(&paths, here, violation);
         }
         if world.now >= end {
-            rests += 1;
-            if let Some(fault) = world.fault_at_rest() {
-                fail(&ways, here, fault);
+            at_rest += 1;
+            if let Some(violation) = world.violation_at_rest() {
+                report_violation(&paths, here, violation);
             }
             continue;
         }
         for action in world.actions() {
             let next = world.next(&action);
             let id = next.fingerprint();
-            if let Entry::Vacant(way) = ways.entry(id) {
-                way.insert(Some((here, describe(&world, &action))));
-                todo.push_back(next);
+            if let Entry::Vacant(path) = paths.entry(id) {
+                path.insert(Some((here, describe(&world, &action))));
+                queue.push_back(next);
             }
         }
-        assert!(ways.len() < MOST_STATES, "too many states");
+        assert!(paths.len() < MAX_STATES, "too many states");
     }
-    (ways.len(), rests)
+    (paths.len(), at_rest)
 }
 
-/// Two instances act on an engine, one with an older text. The first may be stopped or cut off at any
-/// moment, also with an order in its hands; reports and answers come late or never, orders late, twice or
-/// never. An unload or a change of role of the older text, carried out after the newer text was acted on,
-/// would take away what the newer one wants; and at rest the engine must be as the newer one says.
-#[test_case(Fencing::Checked, Texts::Models, 5; "numbers, models")]
-#[test_case(Fencing::Checked, Texts::AsWanted, 5; "numbers, as wanted")]
-#[test_case(Fencing::Checked, Texts::Roles, 5; "numbers, roles")]
-#[test_case(Fencing::Ignored, Texts::Models, 9; "no numbers, models")]
-#[test_case(Fencing::Ignored, Texts::Roles, 9; "no numbers, roles")]
-fn an_older_text_never_undoes_a_newer_one(fencing: Fencing, texts: Texts, end: u64) {
-    let scene = Scene::new(fencing, texts);
-    let (states, rests) = explore(scene, Millis::from_secs(end));
-    println!("{states} states, {rests} at rest");
-    assert!(rests > 0);
+/// Two instances act on an engine, one with an older configuration. The first may be paused or
+/// partitioned at any time, even with a pending order; reports and answers are delayed or lost, and
+/// orders are delayed, duplicated or lost. If an unload or a role change of the older configuration
+/// were executed after the newer one was acted on, it would remove what the newer one requires; and
+/// at rest, the engine must match the newer one.
+#[test_case(Fencing::Checked, Configs::Models, 5; "fencing, models")]
+#[test_case(Fencing::Checked, Configs::AlreadyMatching, 5; "fencing, already matching")]
+#[test_case(Fencing::Checked, Configs::Roles, 5; "fencing, roles")]
+#[test_case(Fencing::Ignored, Configs::Models, 9; "no fencing, models")]
+#[test_case(Fencing::Ignored, Configs::Roles, 9; "no fencing, roles")]
+fn an_older_configuration_never_undoes_a_newer_one(fencing: Fencing, configs: Configs, end: u64) {
+    let scenario = Scenario::new(fencing, configs);
+    let (states, at_rest) = explore(scenario, Millis::from_secs(end));
+    println!("{states} states, {at_rest} at rest");
+    assert!(at_rest > 0);
 }
--- a/crates/ownership/tests/limits.rs
+++ b/crates/ownership/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Shared limits in a model of eight instances: skewed arrivals, joins, losses, a partition.
+//! Shared limits in a model of eight instances: skewed load, joins, losses, a partition.
 
 use crocushold_base::Millis;
 use crocushold_ownership::AccountId;
@@ -14,19 +14,20 @@
 
 const ACCOUNT: AccountId = AccountId(77);
 const RATE: f64 = 400.0;
-const STEP: u64 = 10;
+const STEP_MS: u64 = 10;
 
-/// An account of one request a second sends its first one to the last of eight instances, where its
-/// share is a sixteenth. It would be refused there, though it uses nothing; and so would any request
-/// that costs more than the share can save up. What the first one owes, the second one waits for.
+/// An account with a rate of one request per second sends its first request to the last of eight
+/// instances, where its share is a sixteenth. Without an initial unit it would be refused there
+/// although the account is idle, and so would any request that costs more than the share can
+/// accumulate. The second request must wait until the debt of the first is paid back.
 #[test]
-fn the_first_request_of_a_small_account_passes_wherever_it_comes() {
+fn the_first_request_of_a_small_account_is_admitted_by_any_instance() {
     let small = Limit {
         rate: 1.0,
         slots: 80,
     };
     for cost in [1.0, 5.0] {
-        let mut model = Model::new(&even(0.0), small, 0);
+        let mut model = Model::new(&even_load(0.0), small, 0);
         let node = &mut model.nodes[7];
         assert_eq!(node.admit(ACCOUNT, cost, Millis(1)), Admission::Admitted);
         let second = node.admit(ACCOUNT, cost, Millis(2));
@@ -34,20 +35,20 @@
     }
 }
 
-/// Instances that carry their loans at once inside a side, and never between sides.
+/// Instances that exchange loans at once within a side of a partition and never between sides.
 struct Model {
     members: Vec<Member>,
     nodes: Vec<Limits>,
-    /// The side that each instance is on.
+    /// The side of the partition that each instance is on.
     sides: Vec<usize>,
     /// Instances that are known to have ended.
-    gone: Vec<usize>,
-    /// Arrivals a second at each instance.
+    ended: Vec<usize>,
+    /// Requests per second that arrive at each instance.
     load: Vec<f64>,
     due: Vec<f64>,
-    /// Running requests: the instance and the end.
+    /// Running requests: instance and end time.
     running: Vec<(usize, u64)>,
-    span: u64,
+    duration: u64,
     now: u64,
     admitted: u64,
     peak: usize,
@@ -55,7 +56,7 @@
 }
 
 impl Model {
-    fn new(load: &[f64], limit: Limit, span: u64) -> Model {
+    fn new(load: &[f64], limit: Limit, duration: u64) -> Model {
         let count = load.len();
         let members: Vec<Member> = (0..count)
             .map(|n| Member::new(&format!("entry-{n}"), 1))
@@ -69,23 +70,23 @@
             nodes: members.iter().map(start).collect(),
             members,
             sides: vec![0; count],
-            gone: Vec::new(),
+            ended: Vec::new(),
             load: load.to_vec(),
             due: vec![0.0; count],
             running: Vec::new(),
-            span,
+            duration,
             now: 0,
             admitted: 0,
             peak: 0,
             messages: 0,
         };
-        model.tell_views();
+        model.update_views();
         model
     }
 
-    /// Each instance learns who is on its side, and who has ended.
-    fn tell_views(&mut self) {
-        let left = (0..self.members.len()).filter(|n| !self.gone.contains(n));
+    /// Updates each instance's view of its side and of the ended instances.
+    fn update_views(&mut self) {
+        let left = (0..self.members.len()).filter(|n| !self.ended.contains(n));
         let reference = View::new(left.map(|n| self.members[n]));
         for at in 0..self.nodes.len() {
             let live = View::new(self.side_of(at).map(|n| self.members[n]));
@@ -97,11 +98,11 @@
         (0..self.nodes.len()).filter(move |n| self.sides[*n] == self.sides[at])
     }
 
-    /// Runs for some seconds; returns the admissions a second.
+    /// Runs for some seconds; returns the admissions per second.
     fn run(&mut self, seconds: u64) -> f64 {
         let (start, before) = (self.now, self.admitted);
         while self.now < start + seconds * 1_000 {
-            self.now += STEP;
+            self.now += STEP_MS;
             self.finish();
             for at in 0..self.nodes.len() {
                 self.arrive(at);
@@ -121,12 +122,12 @@
     }
 
     fn arrive(&mut self, at: usize) {
-        self.due[at] += self.load[at] * STEP as f64 / 1_000.0;
+        self.due[at] += self.load[at] * STEP_MS as f64 / 1_000.0;
         while self.due[at] >= 1.0 {
             self.due[at] -= 1.0;
             if self.nodes[at].admit(ACCOUNT, 1.0, Millis(self.now)) == Admission::Admitted {
                 self.admitted += 1;
-                self.running.push((at, self.now + self.span));
+                self.running.push((at, self.now + self.duration));
             }
         }
     }
@@ -149,28 +150,28 @@
     }
 }
 
-fn even(each: f64) -> Vec<f64> {
+fn even_load(each: f64) -> Vec<f64> {
     vec![each; 8]
 }
 
-fn skewed() -> Vec<f64> {
+fn skewed_load() -> Vec<f64> {
     vec![300.0, 200.0, 100.0, 50.0, 50.0, 50.0, 25.0, 25.0]
 }
 
-fn wide() -> Limit {
+fn wide_limit() -> Limit {
     Limit {
         rate: RATE,
         slots: 100_000,
     }
 }
 
-/// All callers together ask for twice the rate. However unevenly the balancer spreads them, they get
-/// no more than the rate and the burst, and most of the rate.
-#[test_case(&even(100.0), 0.97; "even")]
-#[test_case(&skewed(), 0.97; "skewed")]
+/// The callers together request twice the rate. However unevenly the load balancer distributes
+/// them, they must get no more than the rate and the burst, and most of the rate.
+#[test_case(&even_load(100.0), 0.97; "even")]
+#[test_case(&skewed_load(), 0.97; "skewed")]
 #[test_case(&[800.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0], 0.54; "all at one")]
-fn the_rate_holds_and_is_used(load: &[f64], least: f64) {
-    let mut model = Model::new(load, wide(), 10);
+fn the_rate_is_enforced_and_used(load: &[f64], least: f64) {
+    let mut model = Model::new(load, wide_limit(), 10);
     let first = model.run(10) / RATE;
     let steady = model.run(60) / RATE;
     println!(
@@ -182,21 +183,21 @@
     assert!(steady >= least, "{steady}");
 }
 
-/// The fleet splits into halves that go on serving. Each has an owner that lends; did each lend the
-/// whole pool, the account would get one and a half times its rate.
+/// The fleet is partitioned and both sides continue to serve. Each side has an owner that lends; if
+/// each lent the whole pool, the account would get one and a half times its rate.
 #[test_case(4; "halves")]
 #[test_case(5; "five and three")]
 #[test_case(1; "one alone")]
 fn a_partition_admits_no_more_than_the_rate(first: usize) {
-    let mut model = Model::new(&even(100.0), wide(), 10);
+    let mut model = Model::new(&even_load(100.0), wide_limit(), 10);
     model.run(10);
     for at in first..8 {
         model.sides[at] = 1;
     }
-    model.tell_views();
+    model.update_views();
     let split = model.run(60) / RATE;
     model.sides = vec![0; 8];
-    model.tell_views();
+    model.update_views();
     let healed = model.run(60) / RATE;
     println!("split {split:.3}, healed {healed:.3} of the rate");
     assert!(split <= 1.01, "{split}");
@@ -204,27 +205,28 @@
     assert!(healed <= 1.01, "{healed}");
 }
 
-/// A quarter of the slots is in use everywhere, then one instance gets all the callers. Requests run
-/// for seconds, longer than a loan, so loans are renewed; the slots in use stay within the limit.
+/// The load first exceeds the slots on all instances alike, then is skewed to a few. Requests run
+/// for seconds, longer than a loan, so that loans are renewed; the slots in use must stay within
+/// the limit.
 #[test]
-fn concurrency_holds_over_all_instances() {
+fn concurrency_stays_within_the_limit() {
     let limit = Limit {
         rate: 10_000.0,
         slots: 80,
     };
-    let mut model = Model::new(&even(20.0), limit, 5_000);
+    let mut model = Model::new(&even_load(20.0), limit, 5_000);
     model.run(30);
     println!("even: peak {} of 80", model.peak);
     assert!(model.peak <= 80, "{}", model.peak);
     assert!(model.peak >= 72, "{}", model.peak);
-    model.load = skewed();
+    model.load = skewed_load();
     model.run(30);
     println!("skewed: peak {} of 80", model.peak);
     assert!(model.peak <= 80, "{}", model.peak);
 }
 
-/// The owner of an account is killed while its loans are out. The new owner knows nothing of them:
-/// did it lend at once, slots would be lent twice. It first only renews what is in use.
+/// The owner of an account is killed while its loans are in use. The new owner doesn't know of
+/// them: if it lent at once, slots would be lent twice. At first it must only renew slots in use.
 #[test]
 fn a_new_owner_waits_for_the_loans_of_the_former_one() {
     let members: Vec<Member> = (0..3).map(|n| Member::new(&format!("e{n}"), 1)).collect();
@@ -250,15 +252,15 @@
     assert_eq!(node.on_borrow(from, &request, Millis(2_100)).slots, 5);
 }
 
-/// Every account of a large fleet is over its limit at once. An instance still asks for at most its
-/// number of loans a second.
+/// All accounts of a large fleet are above their limits at once. An instance must not send more
+/// borrow requests per second than its limit.
 #[test]
 fn messages_are_bounded() {
     let members = [Member::new("a", 1), Member::new("b", 1)];
     let view = View::new(members);
     let mut node = Limits::new(LimitSettings::default(), members[0], Millis::ZERO);
     for id in 0..3_700 {
-        node.on_limit(AccountId(id), wide(), Millis::ZERO);
+        node.on_limit(AccountId(id), wide_limit(), Millis::ZERO);
     }
     node.on_view(view.clone(), &view, Millis::ZERO);
     let mut sent = 0;
@@ -275,26 +277,27 @@
     assert!(sent >= 150, "{sent}");
 }
 
-/// The owner of the account is killed with its callers, and two instances come back later. While the
-/// dead one is still counted its share lies idle; the rate is never passed, also when it moves.
+/// The owner of the account is killed with its callers, and joins again later. While it still
+/// counts as a member, its share is unused; the rate must never be exceeded, even when ownership
+/// moves.
 #[test]
 fn a_lost_owner_costs_its_share_until_it_is_known_to_have_ended() {
-    let mut model = Model::new(&even(100.0), wide(), 10);
+    let mut model = Model::new(&even_load(100.0), wide_limit(), 10);
     model.run(10);
     let owner = View::new(model.members.clone()).owner(ACCOUNT.0);
     let lost = model.members.iter().position(|m| Some(*m) == owner);
     let lost = lost.expect("a member");
     model.sides[lost] = 1;
     model.load[lost] = 0.0;
-    model.tell_views();
+    model.update_views();
     let counted = model.run(30) / RATE;
-    model.gone.push(lost);
-    model.tell_views();
+    model.ended.push(lost);
+    model.update_views();
     let known = model.run(30) / RATE;
-    model.gone.clear();
+    model.ended.clear();
     model.sides[lost] = 0;
     model.load[lost] = 100.0;
-    model.tell_views();
+    model.update_views();
     let joined = model.run(30) / RATE;
     println!("lost {counted:.3}, known {known:.3}, joined {joined:.3} of the rate");
     assert!((0.85..=0.90).contains(&counted), "{counted}");
@@ -302,10 +305,10 @@
     assert!((0.97..=1.04).contains(&joined), "{joined}");
 }
 
-/// A borrower is cut off from the owner while it holds lent slots. The owner lends them anew after a
-/// term; by then the borrower admits no more than its own share.
+/// A borrower is partitioned from the owner while it holds borrowed slots. The owner lends them
+/// again after the term of the loan; by then the borrower must admit no more than its own share.
 #[test]
-fn lent_slots_end_before_they_are_lent_anew() {
+fn borrowed_slots_expire_before_they_are_lent_again() {
     let members: Vec<Member> = (0..2).map(|n| Member::new(&format!("e{n}"), 1)).collect();
     let view = View::new(members.clone());
     let me = *members
