--- a/crates/gateway/examples/sharing_cost.rs
+++ b/crates/gateway/examples/sharing_cost.rs
@@ -7,12 +7,12 @@
 use std::time::Instant;
 
 use crocushold_base::Millis;
+use crocushold_gateway::CachedPrefix;
+use crocushold_gateway::EngineQueue;
+use crocushold_gateway::Gossip;
 use crocushold_gateway::Identity;
-use crocushold_gateway::Kept;
 use crocushold_gateway::Load;
-use crocushold_gateway::Sharing;
-use crocushold_gateway::Waiting;
-use crocushold_gateway::Work;
+use crocushold_gateway::ServiceWork;
 
 /// Between two rounds, in milliseconds.
 const ROUND: u64 = 100;
@@ -46,23 +46,27 @@
 
 fn load(number: usize, round: u64, engines: u32) -> Load {
     let first = number as u32 * 7 + round as u32;
-    let waiting = (0..BUSY).map(|step| Waiting {
+    let queues = (0..BUSY).map(|step| EngineQueue {
         // Identities are hashes, which spread over all numbers.
         engine: ((first + step) % engines).wrapping_mul(0x9e37_79b9),
-        reading: 150,
+        read_ms: 150,
     });
     Load {
-        waiting: waiting.collect(),
-        work: vec![Work {
+        queues: queues.collect(),
+        work: vec![ServiceWork {
             service: 0x9e37_79b9,
             lanes: [200, 200, 600],
             streams: [300, 100],
         }],
         // One in three instances sends a prompt to a place that wasn't told of lately.
-        kept: Vec::from_iter((number as u64 + round).is_multiple_of(3).then_some(Kept {
-            prefix: (round as u32).wrapping_mul(0x85eb_ca6b),
-            engine: number as u32,
-        })),
+        cached: Vec::from_iter(
+            (number as u64 + round)
+                .is_multiple_of(3)
+                .then_some(CachedPrefix {
+                    prefix: (round as u32).wrapping_mul(0x85eb_ca6b),
+                    engine: number as u32,
+                }),
+        ),
         ..Load::default()
     }
 }
@@ -74,10 +78,10 @@
         return;
     };
     let seeds = [0, 1, 2].map(|number| identity(number, zones).address);
-    let mut fleet: BTreeMap<SocketAddr, (usize, Sharing)> = (0..count)
+    let mut fleet: BTreeMap<SocketAddr, (usize, Gossip)> = (0..count)
         .map(|number| {
             let me = identity(number, zones);
-            (me.address, (number, Sharing::new(me, &seeds)))
+            (me.address, (number, Gossip::new(me, &seeds)))
         })
         .collect();
     let mut costs = vec![Cost::default(); count];
@@ -91,7 +95,7 @@
             let round = sharing.round(own, now);
             let told = round.into_iter();
             messages.extend(told.map(|(to, message)| (*number, *from, to, message.encode())));
-            sharing.others(now);
+            sharing.others_load(now);
         }
         for (number, from, to, bytes) in messages {
             let Some((target, sharing)) = fleet.get_mut(&to) else {
@@ -102,7 +106,7 @@
                 costs[*target].received += bytes.len() + ENVELOPE;
             }
             let message = crocushold_gateway::Message::decode(&bytes).expect("it was encoded");
-            sharing.hear(from, message, now);
+            sharing.receive(from, message, now);
         }
         if at >= START {
             spent += began.elapsed().as_secs_f64();
--- a/crates/gateway/src/callers.rs
+++ b/crates/gateway/src/callers.rs
@@ -68,7 +68,7 @@
 fn refuse(shared: &Shared, id: &str, refusal: &Refusal) -> Response {
     let mut response = refusal.response();
     if !id.is_empty() {
-        shared.protocol.label(response.as_mut(), id);
+        shared.protocol.set_request_id(response.as_mut(), id);
     }
     response
 }
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -23,32 +23,32 @@
 pub struct Directory {
     known: HashSet<String>,
     /// Entries that vanished around an outage, and when they count as gone.
-    doubted: HashMap<String, Millis>,
+    unconfirmed: HashMap<String, Millis>,
     /// What is believed of a store that went back.
     eras: EraGuard,
-    away: bool,
-    returned: Option<Millis>,
+    unavailable: bool,
+    recovered_at: Option<Millis>,
 }
 
 impl Directory {
     /// A call failed; true when the registry was there before.
-    pub fn failed(&mut self) -> bool {
-        !std::mem::replace(&mut self.away, true)
+    pub fn record_failure(&mut self) -> bool {
+        !std::mem::replace(&mut self.unavailable, true)
     }
 
     /// A call succeeded; true when the registry was away before.
-    pub fn succeeded(&mut self, now: Millis) -> bool {
-        let away = std::mem::take(&mut self.away);
-        if away {
-            self.returned = Some(now);
+    pub fn record_success(&mut self, now: Millis) -> bool {
+        let unavailable = std::mem::take(&mut self.unavailable);
+        if unavailable {
+            self.recovered_at = Some(now);
         }
-        away
+        unavailable
     }
 
     /// The registry has come back from an older copy. Servers that this lacks may have started since, so that their
     /// entries are doubted as after an outage.
-    pub fn went_back(&mut self, now: Millis) {
-        self.returned = Some(now);
+    pub fn record_rollback(&mut self, now: Millis) {
+        self.recovered_at = Some(now);
         self.eras.begin(now);
     }
 
@@ -58,11 +58,11 @@
     }
 
     /// The server has an entry; whether it is believed. One of an older copy isn't.
-    pub fn seen(&mut self, id: &str, version: EntryVersion) -> bool {
-        if !self.eras.believes(id, version) {
+    pub fn observe(&mut self, id: &str, version: EntryVersion) -> bool {
+        if !self.eras.accepts(id, version) {
             return false;
         }
-        self.doubted.remove(id);
+        self.unconfirmed.remove(id);
         if !self.known.contains(id) {
             self.known.insert(id.to_owned());
         }
@@ -70,13 +70,13 @@
     }
 
     /// The entry vanished; true when its server is gone.
-    pub fn vanished(&mut self, id: &str, now: Millis) -> bool {
+    pub fn remove(&mut self, id: &str, now: Millis) -> bool {
         if !self.known.contains(id) {
             return false;
         }
         match self.grace_ends(now) {
             Some(until) => {
-                self.doubted.entry(id.to_owned()).or_insert(until);
+                self.unconfirmed.entry(id.to_owned()).or_insert(until);
                 false
             }
             None => self.forget(id),
@@ -84,19 +84,19 @@
     }
 
     /// The whole list was read and holds only `ids`; returns the servers that are gone.
-    pub fn listed(&mut self, ids: &HashSet<&str>, now: Millis) -> Vec<String> {
+    pub fn reconcile(&mut self, ids: &HashSet<&str>, now: Millis) -> Vec<String> {
         let missing = self.known.iter().filter(|id| !ids.contains(id.as_str()));
         let missing: Vec<String> = missing.cloned().collect();
-        let gone = missing.into_iter().filter(|id| self.vanished(id, now));
+        let gone = missing.into_iter().filter(|id| self.remove(id, now));
         gone.collect()
     }
 
     /// The servers whose entries are still missing at the end of their grace.
     pub fn expire(&mut self, now: Millis) -> Vec<String> {
-        if self.away {
+        if self.unavailable {
             return Vec::new();
         }
-        let due = self.doubted.iter().filter(|(_, until)| **until <= now);
+        let due = self.unconfirmed.iter().filter(|(_, until)| **until <= now);
         let due: Vec<String> = due.map(|(id, _)| id.clone()).collect();
         for id in &due {
             self.forget(id);
@@ -106,23 +106,23 @@
 
     /// The entry was replaced by one that names no server; true when its server was known. Nothing is
     /// doubted here: the registry was there to take the entry.
-    pub fn replaced(&mut self, id: &str) -> bool {
+    pub fn invalidate(&mut self, id: &str) -> bool {
         self.forget(id)
     }
 
     /// How many entries are doubted.
-    pub fn doubted(&self) -> usize {
-        self.doubted.len()
+    pub fn unconfirmed(&self) -> usize {
+        self.unconfirmed.len()
     }
 
     /// When an entry that vanishes now counts as gone; `None` for at once.
     fn grace_ends(&self, now: Millis) -> Option<Millis> {
-        let ends = self.returned? + RETURN_GRACE;
+        let ends = self.recovered_at? + RETURN_GRACE;
         (now < ends).then_some(ends)
     }
 
     fn forget(&mut self, id: &str) -> bool {
-        self.doubted.remove(id);
+        self.unconfirmed.remove(id);
         self.eras.forget(id);
         self.known.remove(id)
     }
--- a/crates/gateway/src/era.rs
+++ b/crates/gateway/src/era.rs
@@ -92,7 +92,7 @@
     }
 
     /// An entry of a server was read; whether it is believed.
-    pub fn believes(&mut self, id: &str, version: EntryVersion) -> bool {
+    pub fn accepts(&mut self, id: &str, version: EntryVersion) -> bool {
         if let Some(floor) = self.floors.get(id) {
             if !floor.admits(version) {
                 return false;
@@ -120,7 +120,7 @@
     }
 
     /// The store holds no evacuation of `zone`, of which one is known; whether it holds on for the moment.
-    pub fn keeps_evacuated(&mut self, zone: &str, now: Millis) -> bool {
+    pub fn retains_evacuation(&mut self, zone: &str, now: Millis) -> bool {
         if self.zones.contains_key(zone) {
             return true;
         }
@@ -132,7 +132,7 @@
     }
 
     /// The store holds an evacuation of `zone`, or says that it has ended.
-    pub fn zone_told(&mut self, zone: &str) {
+    pub fn confirm_zone(&mut self, zone: &str) {
         self.zones.remove(zone);
     }
 
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -29,8 +29,8 @@
 use crate::fleet::Choice;
 use crate::intake::Job;
 use crate::placing::NoAdvice;
+use crate::placing::PlacementVerdict;
 use crate::placing::Question;
-use crate::placing::Verdict as Advice;
 use crate::protocol::AnswerMeta;
 use crate::protocol::Forward;
 use crate::quarantine::run_cut;
@@ -96,7 +96,7 @@
     /// It goes to another server.
     Again,
     /// Nothing that can be passed on: whether it may be sent again is asked.
-    Ask(Stage, Reason),
+    CheckRetry(Stage, Reason),
     Gone,
 }
 
@@ -165,7 +165,7 @@
                     return Ok(self.relay(*answer, verdict, choice));
                 }
                 Next::Again => {}
-                Next::Ask(stage, reason) => self.ask(stage, reason)?,
+                Next::CheckRetry(stage, reason) => self.ask(stage, reason)?,
             }
         }
     }
@@ -205,13 +205,13 @@
     /// engine's, there is no answer, or it isn't of use here.
     async fn ask_placer(&self, now: Millis) -> Option<Result<Choice, NoServer>> {
         let need = &self.job.need;
-        if need.own == 0 {
+        if need.unique_tokens == 0 {
             return None;
         }
         let question = Question {
             need,
             zone: &self.shared.settings.zone,
-            left: self.job.ends.since(now),
+            remaining: self.job.ends.since(now),
             tried: self.shared.fleet().hashes_of(&self.tried),
             now,
         };
@@ -227,7 +227,7 @@
         };
         let now = self.shared.clock.now();
         match advice {
-            Advice::At(place) => {
+            PlacementVerdict::Placed(place) => {
                 let adopted = self.shared.fleet().adopt(need, &place, &self.tried, now);
                 report.placement(if adopted.is_some() {
                     "placed"
@@ -242,14 +242,14 @@
                     Ok(choice)
                 })
             }
-            Advice::Late { wait, back } => {
+            PlacementVerdict::Late { wait, retry_delay } => {
                 report.placement("late");
                 Some(Err(NoServer {
                     reason: routing::Reason::Late { wait },
-                    retry_after: back,
+                    retry_after: retry_delay,
                 }))
             }
-            Advice::Unable => {
+            PlacementVerdict::Unable => {
                 report.placement("unable");
                 None
             }
@@ -289,13 +289,13 @@
 
     async fn attempt(&mut self, choice: &Choice, hangup: &Hangup) -> Attempted {
         let job = self.job;
-        let left = job.ends.since(self.shared.clock.now()).max(LEAST_TIMEOUT);
+        let remaining = job.ends.since(self.shared.clock.now()).max(LEAST_TIMEOUT);
         let limits = SendLimits {
-            connect_timeout: CONNECT_TIMEOUT.min(left),
-            write_timeout: left,
-            head_timeout: left,
+            connect_timeout: CONNECT_TIMEOUT.min(remaining),
+            write_timeout: remaining,
+            head_timeout: remaining,
             // A silent server may still be at work; the request's own time bounds the wait.
-            stall_timeout: left,
+            stall_timeout: remaining,
             close_delimited: true,
         };
         let reuse = if job.need.idempotent {
@@ -307,7 +307,7 @@
         let forward = Forward {
             server: &choice.id,
             account: job.account.as_deref(),
-            left,
+            remaining,
             priority: job.need.priority,
             ranked: choice.engine,
             source: choice.source,
@@ -322,8 +322,8 @@
         // Dropping the future cuts the connection, and with it the server's work.
         match select(sent, gone).await {
             Either::Left((Ok(mut answer), _)) => {
-                let left = job.ends.since(self.shared.clock.now()).max(LEAST_TIMEOUT);
-                answer.body.end_within(left);
+                let remaining = job.ends.since(self.shared.clock.now()).max(LEAST_TIMEOUT);
+                answer.body.end_within(remaining);
                 let meta = self.shared.protocol.answer(answer.status, &answer.headers);
                 Attempted::Answered(Box::new(answer), Box::new(meta))
             }
@@ -352,7 +352,7 @@
                 } else {
                     Reason::ServerFailed
                 };
-                Next::Ask(stage, reason)
+                Next::CheckRetry(stage, reason)
             }
             Attempted::Answered(answer, meta) => self.review_answer(answer, &meta, choice, held),
         }
@@ -389,12 +389,12 @@
             Verdict::Rejected | Verdict::Misdirected => {
                 held.done(outcome_of_verdict(verdict));
                 self.note(choice, Stage::Rejected, "the server didn't run it");
-                Next::Ask(Stage::Rejected, Reason::Rejected)
+                Next::CheckRetry(Stage::Rejected, Reason::Rejected)
             }
             Verdict::Bad => {
                 held.done(outcome_of_verdict(verdict));
                 self.note(choice, Stage::Answered, "not an answer to this request");
-                Next::Ask(Stage::Answered, Reason::BadAnswer)
+                Next::CheckRetry(Stage::Answered, Reason::BadAnswer)
             }
         }
     }
@@ -493,11 +493,11 @@
             version: self.job.version,
             arrived: self.job.arrived,
             attempts: self.facts.attempts,
-            output: self.job.need.output,
+            output: self.job.need.max_output_tokens,
             prefix: self.job.need.prefix,
             source: self.source,
             wait: self.wait,
-            limit: self.job.need.limit,
+            limit: self.job.need.wait_limit,
             read: self.read,
             placer: self.placer,
         }
--- a/crates/gateway/src/fleet/news.rs
+++ b/crates/gateway/src/fleet/announcements.rs
@@ -4,7 +4,7 @@
 
 use crocushold_base::Millis;
 
-use crate::sharing::Kept;
+use crate::sharing::CachedPrefix;
 use crate::sharing::MOST_KEPT;
 
 /// How long a holding that was told or heard isn't told again. It bounds what is told: each part in use
@@ -23,42 +23,42 @@
 
 /// What this instance has to tell of the places that it sent requests to.
 #[derive(Debug, Default)]
-pub(super) struct News {
+pub(super) struct Announcements {
     /// When each was last told or heard.
-    told: HashMap<Kept, Millis>,
-    waiting: Vec<Kept>,
+    told: HashMap<CachedPrefix, Millis>,
+    waiting: Vec<CachedPrefix>,
 }
 
-impl News {
+impl Announcements {
     /// A request that shares `shared` tokens of its prompt was sent.
-    pub(super) fn sent(&mut self, kept: Kept, shared: u32, now: Millis) {
+    pub(super) fn sent(&mut self, cached: CachedPrefix, shared: u32, now: Millis) {
         let quiet = |at: &Millis| now.since(*at) < QUIET;
-        if shared < LEAST_SHARED || self.told.get(&kept).is_some_and(quiet) {
+        if shared < LEAST_SHARED || self.told.get(&cached).is_some_and(quiet) {
             return;
         }
         if self.waiting.len() < MOST_WAITING {
-            self.waiting.push(kept);
-            self.note(kept, now);
+            self.waiting.push(cached);
+            self.note(cached, now);
         }
     }
 
     /// Another instance told it.
-    pub(super) fn heard(&mut self, kept: Kept, now: Millis) {
-        self.note(kept, now);
+    pub(super) fn heard(&mut self, cached: CachedPrefix, now: Millis) {
+        self.note(cached, now);
     }
 
     /// What is to be told in this round: as much as fits into a message.
-    pub(super) fn take(&mut self) -> Vec<Kept> {
+    pub(super) fn take(&mut self) -> Vec<CachedPrefix> {
         let count = self.waiting.len().min(MOST_KEPT);
         self.waiting.drain(..count).collect()
     }
 
-    fn note(&mut self, kept: Kept, now: Millis) {
+    fn note(&mut self, cached: CachedPrefix, now: Millis) {
         if self.told.len() >= MOST_HELD {
             self.told.retain(|_, at| now.since(*at) < QUIET);
         }
         if self.told.len() < MOST_HELD {
-            self.told.insert(kept, now);
+            self.told.insert(cached, now);
         }
     }
 }
--- a/crates/gateway/src/fleet/choose.rs
+++ b/crates/gateway/src/fleet/choose.rs
@@ -16,8 +16,8 @@
 use super::Server;
 use super::service::ModelLanes;
 use super::service::Service;
-use crate::placing::Place;
-use crate::sharing::Kept;
+use crate::placing::Placement;
+use crate::sharing::CachedPrefix;
 
 /// When to come back where no service is known yet.
 const UNKNOWN_RETRY: Millis = Millis::from_secs(1);
@@ -34,7 +34,7 @@
         tried: &[ServerKey],
         now: Millis,
     ) -> Result<Choice, NoServer> {
-        let central = self.places;
+        let central = self.is_placer;
         let choice = self.decide(need, tried, None, central, now)?;
         self.note_first(need, tried, now);
         Ok(choice)
@@ -61,7 +61,7 @@
     pub fn adopt(
         &mut self,
         need: &Need,
-        place: &Place,
+        place: &Placement,
         tried: &[ServerKey],
         now: Millis,
     ) -> Option<Choice> {
@@ -91,8 +91,8 @@
 
     /// Whether this instance chooses for others from now on. What it chooses for its own requests goes by
     /// the same knowledge.
-    pub fn set_places(&mut self, places: bool) {
-        self.places = places;
+    pub fn set_placer(&mut self, is_placer: bool) {
+        self.is_placer = is_placer;
     }
 
     /// The names under which other instances know servers.
@@ -115,24 +115,24 @@
             retry_after: UNKNOWN_RETRY,
         })?;
         if tried.is_empty() {
-            let work = need.work(service.router.reading_speed(), service.slots);
+            let work = need.work_ms(service.router.reading_speed(), service.slots);
             service.lanes.note(need.lane(), work, now);
             service.take_pause(need);
         }
         let demand = Demand {
             zone,
             central,
-            paced: self.places || self.settings.alone,
+            paced: self.is_placer || self.settings.alone,
             ..demand(service, &self.models, need, tried)
         };
         let pick = service.router.pick(&demand, now)?;
         let choice = choice(&self.servers, service, &pick, need.lane(), now);
         if let Some(prefix) = need.prefix {
-            let kept = Kept {
+            let cached = CachedPrefix {
                 prefix,
                 engine: choice.hash,
             };
-            self.news.sent(kept, need.shared(), now);
+            self.announcements.sent(cached, need.shared_tokens(), now);
         }
         Ok(choice)
     }
@@ -148,8 +148,8 @@
 
 impl Choice {
     /// The choice as another instance is told of it.
-    pub fn placed(&self) -> Place {
-        Place {
+    pub fn placed(&self) -> Placement {
+        Placement {
             engine: self.hash,
             source: self.source_hash,
             wait: self.wait,
@@ -171,12 +171,12 @@
         prefix: need.prefix.map(u64::from),
         priority: need.priority,
         idempotent: need.idempotent,
-        tokens: need.prompt.saturating_add(need.output),
-        own: need.own,
-        shared: need.shared(),
-        pause: need.pause,
+        tokens: need.prompt_tokens.saturating_add(need.max_output_tokens),
+        own: need.unique_tokens,
+        shared: need.shared_tokens(),
+        pause: need.max_pause,
         spill,
-        limit: need.limit,
+        limit: need.wait_limit,
         regions: need.regions.as_deref(),
         exclude: tried,
         ..Demand::default()
--- a/crates/gateway/src/fleet/evacuation.rs
+++ b/crates/gateway/src/fleet/evacuation.rs
@@ -31,7 +31,7 @@
     }
 
     /// The evacuated zones that aren't among `zones`.
-    pub fn evacuated_beside(&self, zones: &HashSet<&str>) -> Vec<String> {
+    pub fn evacuated_except(&self, zones: &HashSet<&str>) -> Vec<String> {
         let zones = self
             .evacuated
             .iter()
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! A pure state machine: records and the outcomes of attempts go in, choices come out.
 
+mod announcements;
 mod choose;
 mod evacuation;
 mod need;
-mod news;
 mod service;
 mod slow_start;
 
@@ -32,21 +32,21 @@
 use slotmap::SlotMap;
 use twox_hash::XxHash3_64;
 
+use self::announcements::Announcements;
 pub use self::need::Need;
-use self::news::News;
 use self::service::ModelLanes;
 use self::service::Service;
-use crate::placing::Ticket;
+use crate::placing::PlacementId;
 use crate::routes::EngineSpec;
 use crate::routes::Heartbeat;
 use crate::routes::Presence;
 use crate::routes::ServerRecord;
 use crate::routes::SlowStart;
-use crate::sharing::Kept;
+use crate::sharing::CachedPrefix;
+use crate::sharing::EngineQueue;
 use crate::sharing::Load;
-use crate::sharing::Sums;
-use crate::sharing::Waiting;
-use crate::sharing::Work;
+use crate::sharing::LoadSum;
+use crate::sharing::ServiceWork;
 
 /// Requests that one instance has at a server at a time, as a multiple of the server's slots.
 ///
@@ -104,7 +104,7 @@
     /// How long the request is expected to wait there.
     pub wait: Millis,
     /// Where another instance chose the server: whom to tell of the attempt.
-    pub ticket: Option<Ticket>,
+    pub ticket: Option<PlacementId>,
     /// Tokens of the prompt that it is expected to read; zero where that isn't known.
     pub read: u32,
     /// The server and the source, as other instances name them.
@@ -117,7 +117,7 @@
 
 /// How the engines of a service are divided, and by what.
 #[derive(Clone, Debug)]
-pub struct Borders {
+pub struct LaneAllocation {
     /// The service's name.
     pub service: Arc<str>,
     /// Engines by lane.
@@ -125,16 +125,16 @@
     /// Tokens that an engine reads in a millisecond.
     pub speed: f64,
     /// What the fleet saw of late.
-    pub news: LaneNews,
+    pub stats: LaneNews,
 }
 
 /// What an entry of the registry said.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListOutcome {
     /// Nothing new.
-    Known,
+    Unchanged,
     /// A new server, or something new of a known one.
-    News,
+    Changed,
     /// A known server has started anew.
     Restarted,
 }
@@ -182,7 +182,7 @@
     models: ModelLanes,
     /// By a short hash of their identity, as other instances name them.
     hashes: HashMap<u32, ServerKey>,
-    news: News,
+    announcements: Announcements,
     /// What is published of the engines of a service.
     engines: HashMap<String, EngineSpec>,
     /// What is published of the services whose servers start slowly.
@@ -191,9 +191,9 @@
     evacuated: HashSet<String>,
     /// Services whose servers have changed since their routers were given them.
     changed: HashSet<String>,
-    updates: u64,
+    router_updates: u64,
     /// Whether this instance chooses for others.
-    places: bool,
+    is_placer: bool,
 }
 
 impl Fleet {
@@ -206,13 +206,13 @@
             ids: HashMap::new(),
             models: ModelLanes::default(),
             hashes: HashMap::new(),
-            news: News::default(),
+            announcements: Announcements::default(),
             engines: HashMap::new(),
             slow_starts: HashMap::new(),
             evacuated: HashSet::new(),
             changed: HashSet::new(),
-            updates: 0,
-            places: false,
+            router_updates: 0,
+            is_placer: false,
         }
     }
 
@@ -233,13 +233,13 @@
     /// jump: one that goes back is a late entry of the life before, or a new life by a clock that was set
     /// back. Either way what was learned is doubtful; and a server that is leaving isn't taken back on the
     /// word of an earlier life.
-    pub fn list(&mut self, record: &ServerRecord, now: Millis) -> Listed {
+    pub fn list(&mut self, record: &ServerRecord, now: Millis) -> ListOutcome {
         let listed = self.list_record(record);
-        self.note_cold(&record.id, record.heartbeat.cold, now);
+        self.note_cold(&record.id, record.heartbeat.cold_remaining, now);
         listed
     }
 
-    fn list_record(&mut self, record: &ServerRecord) -> Listed {
+    fn list_record(&mut self, record: &ServerRecord) -> ListOutcome {
         let service = record.service.clone();
         // It changes with each entry, and says nothing else of the server.
         let mut record = record.clone();
@@ -250,7 +250,7 @@
             self.hashes.insert(short_hash(&id), key);
             self.ids.insert(id, key);
             self.changed.insert(service);
-            return Listed::News;
+            return ListOutcome::Changed;
         };
         let held = &self.servers[key].record;
         if record.started < held.started && held.presence == Presence::Leaving {
@@ -258,7 +258,7 @@
             record.started = held.started;
         }
         if record == *held {
-            return Listed::Known;
+            return ListOutcome::Unchanged;
         }
         let before = held.service.clone();
         let restarted = record.started != held.started;
@@ -266,12 +266,12 @@
         self.changed.insert(before);
         self.changed.insert(service.clone());
         if !restarted {
-            return Listed::News;
+            return ListOutcome::Changed;
         }
         if let Some(service) = self.services.get_mut(&service) {
             service.router.server_restarted(key);
         }
-        Listed::Restarted
+        ListOutcome::Restarted
     }
 
     /// The process behind an entry of the registry, if it is to serve on. Of one that is leaving, the end is no news.
@@ -293,12 +293,12 @@
     }
 
     /// How often a router was given its servers anew, which costs it a pass over all of them.
-    pub fn updates(&self) -> u64 {
-        self.updates
+    pub fn router_updates(&self) -> u64 {
+        self.router_updates
     }
 
     /// Takes in what is published of the engines.
-    pub fn take_engines(&mut self, engines: &[EngineSpec]) {
+    pub fn set_engines(&mut self, engines: &[EngineSpec]) {
         let engines = engines.iter().cloned();
         let engines = engines.map(|spec| (spec.service.clone(), spec));
         self.engines = engines.collect();
@@ -308,10 +308,10 @@
     }
 
     /// Takes in where other instances sent requests, and with what shared part.
-    pub fn take_kept(&mut self, kept: &[Kept], now: Millis) {
+    pub fn add_cached_prefixes(&mut self, cached: &[CachedPrefix], now: Millis) {
         self.update_routers(now);
-        for &entry in kept {
-            self.news.heard(entry, now);
+        for &entry in cached {
+            self.announcements.heard(entry, now);
             let Some(&key) = self.hashes.get(&entry.engine) else {
                 continue;
             };
@@ -380,35 +380,35 @@
     }
 
     /// What this instance has, to tell the others.
-    pub fn load_told(&mut self, now: Millis) -> Load {
+    pub fn local_load(&mut self, now: Millis) -> Load {
         let mut load = Load::default();
         for service in self.services.values_mut() {
-            for (key, reading) in service.router.pending() {
+            for (key, read_ms) in service.router.pending() {
                 if let Some(server) = self.servers.get(key) {
-                    load.waiting.push(Waiting {
+                    load.queues.push(EngineQueue {
                         engine: server.hash,
-                        reading: reading as u32,
+                        read_ms: read_ms as u32,
                     });
                 }
             }
-            let work = Work::new(short_hash(&service.name), &service.lanes.told(now));
+            let work = ServiceWork::new(short_hash(&service.name), &service.lanes.told(now));
             if !work.is_empty() {
                 load.work.push(work);
             }
         }
-        load.kept = self.news.take();
+        load.cached = self.announcements.take();
         load
     }
 
     /// Takes in what the other instances have.
-    pub fn take_others(&mut self, others: &Sums) {
+    pub fn set_others_load(&mut self, others: &LoadSum) {
         for (key, server) in &self.servers {
             if server.record.models.is_empty() {
                 continue;
             }
             if let Some(service) = self.services.get_mut(&server.record.service) {
-                let reading = others.waiting_at(server.hash);
-                service.router.pending_elsewhere(key, reading);
+                let read_ms = others.queue_at(server.hash);
+                service.router.pending_elsewhere(key, read_ms);
             }
         }
         for service in self.services.values_mut() {
@@ -418,7 +418,7 @@
     }
 
     /// Runs timers out and moves the borders between lanes, which it returns; call it about once a second.
-    pub fn tick(&mut self, now: Millis) -> Vec<Borders> {
+    pub fn tick(&mut self, now: Millis) -> Vec<LaneAllocation> {
         self.update_routers(now);
         let mut moved = Vec::new();
         for service in self.services.values_mut() {
@@ -428,17 +428,17 @@
                 moved.push(service.name.clone());
             }
         }
-        let borders = moved.into_iter().map(|name| {
+        let allocations = moved.into_iter().map(|name| {
             self.configure(&name, now);
             let service = &self.services[&*name];
-            Borders {
+            LaneAllocation {
                 engines: service.engines,
                 speed: service.router.reading_speed(),
-                news: service.lanes.fleet(),
+                stats: service.lanes.fleet(),
                 service: name,
             }
         });
-        borders.collect()
+        allocations.collect()
     }
 
     /// Hands the servers of services that have changed to their routers, before one of these is asked.
@@ -454,7 +454,7 @@
 
     /// Hands the servers of a service that take work to its router.
     fn configure(&mut self, name: &str, now: Millis) {
-        self.updates += 1;
+        self.router_updates += 1;
         let settings = &self.settings;
         let service = self.services.entry(name.to_owned()).or_insert_with(|| {
             let mut service = Service::new(name, settings, now);
--- a/crates/gateway/src/fleet/service.rs
+++ b/crates/gateway/src/fleet/service.rs
@@ -99,7 +99,7 @@
     /// Takes in what is published of its engines.
     pub(super) fn take_engine(&mut self, spec: Option<&EngineSpec>) {
         self.router
-            .set_transfer(spec.and_then(|spec| spec.transfer));
+            .set_transfer(spec.and_then(|spec| spec.transfer_rate));
         self.router.set_room(spec.and_then(|spec| spec.room));
     }
 
@@ -110,8 +110,8 @@
 
     /// Takes in how long a live stream may pause.
     pub(super) fn take_pause(&mut self, need: &Need) {
-        if need.pause.is_some() {
-            self.pause = need.pause;
+        if need.max_pause.is_some() {
+            self.pause = need.max_pause;
         }
     }
 
--- a/crates/gateway/src/fleet/slow_start.rs
+++ b/crates/gateway/src/fleet/slow_start.rs
@@ -13,7 +13,7 @@
 
 impl Fleet {
     /// Takes in which services' servers start slowly.
-    pub fn take_slow_starts(&mut self, slow_starts: &[SlowStart]) {
+    pub fn set_slow_starts(&mut self, slow_starts: &[SlowStart]) {
         let slow_starts = slow_starts.iter().cloned();
         let slow_starts = slow_starts.map(|spec| (spec.service.clone(), spec));
         self.slow_starts = slow_starts.collect();
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -13,7 +13,7 @@
 use log::warn;
 
 use crate::era::Revision;
-use crate::fleet::Listed;
+use crate::fleet::ListOutcome;
 use crate::quarantine::Evidence;
 use crate::quarantine::server_ended;
 use crate::routes::RouteTable;
@@ -46,7 +46,7 @@
     loop {
         let result = match follower.at {
             None => source.list().await.and_then(|listing| {
-                follower.succeed(&shared, listing.at)?;
+                follower.succeed(&shared, listing.revision)?;
                 follower.list(&shared, listing);
                 Ok(Pace::Gather)
             }),
@@ -61,8 +61,8 @@
                     continue;
                 };
                 watch.and_then(|changes| {
-                    follower.succeed(&shared, changes.at)?;
-                    shared.store.saw(changes.changed);
+                    follower.succeed(&shared, changes.revision)?;
+                    shared.store.saw(changes.last_change);
                     Ok(follower.take(&shared, changes))
                 })
             }
@@ -122,7 +122,7 @@
         }
         self.backoff.succeed();
         let now = shared.clock.now();
-        if shared.directory().succeeded(now) {
+        if shared.directory().record_success(now) {
             let event = Event::new("store-regained").with("revision", at.number);
             info!("{event}");
         }
@@ -131,7 +131,7 @@
             return Ok(());
         }
         self.era = Some(at.era);
-        shared.directory().went_back(now);
+        shared.directory().record_rollback(now);
         let event = Event::new("store-went-back")
             .with("era", at.era)
             .with("before", held)
@@ -151,7 +151,7 @@
             info!("{event}");
             return;
         }
-        if shared.directory().failed() {
+        if shared.directory().record_failure() {
             let event = Event::new("store-lost")
                 .with("cause", error)
                 .with("revision", self.at.unwrap_or_default().number);
@@ -172,27 +172,27 @@
         let now = shared.clock.now();
         let ids: HashSet<&str> = listing.entries.iter().filter_map(server_id).collect();
         let zones: HashSet<&str> = listing.entries.iter().filter_map(evacuated_zone).collect();
-        let readmitted = shared.fleet().evacuated_beside(&zones);
+        let readmitted = shared.fleet().evacuated_except(&zones);
         for zone in readmitted {
-            if !shared.directory().eras().keeps_evacuated(&zone, now) {
+            if !shared.directory().eras().retains_evacuation(&zone, now) {
                 readmit(shared, &zone, now);
             }
         }
-        let gone = shared.directory().listed(&ids, now);
+        let gone = shared.directory().reconcile(&ids, now);
         for id in gone {
             lose_server(shared, &id, "not-listed");
         }
-        shared.store.saw(listing.changed);
+        shared.store.saw(listing.last_change);
         let count = listing.entries.len();
         let mut malformed = Malformed::default();
         for entry in listing.entries {
             set(shared, entry, &mut malformed, now);
         }
         malformed.report(shared);
-        self.at = Some(listing.at);
+        self.at = Some(listing.revision);
         let event = Event::new("store-listed")
-            .with("revision", listing.at.number)
-            .with("era", listing.at.era)
+            .with("revision", listing.revision.number)
+            .with("era", listing.revision.era)
             .with("entries", count);
         info!("{event}");
     }
@@ -209,18 +209,18 @@
             match change {
                 Change::Set(entry) => set(shared, entry, &mut malformed, now),
                 Change::Unlisted(id) => {
-                    if shared.directory().vanished(&id, now) {
+                    if shared.directory().remove(&id, now) {
                         lose_server(shared, &id, "removed");
                     }
                 }
                 Change::Readmission(zone) => {
-                    shared.directory().eras().zone_told(&zone);
+                    shared.directory().eras().confirm_zone(&zone);
                     readmit(shared, &zone, now);
                 }
             }
         }
         malformed.report(shared);
-        self.at = Some(changes.at.max(self.at.unwrap_or_default()));
+        self.at = Some(changes.revision.max(self.at.unwrap_or_default()));
         pace
     }
 }
@@ -265,7 +265,7 @@
             // A server that was listed under the name before must get no new work: whatever runs there now,
             // the registry no longer says that it takes any.
             if let Some(id) = server
-                && shared.directory().replaced(&id)
+                && shared.directory().invalidate(&id)
             {
                 drop_server(shared, &id, "entry-malformed");
             }
@@ -320,7 +320,7 @@
 }
 
 fn evacuate(shared: &Shared, zone: &str) {
-    shared.directory().eras().zone_told(zone);
+    shared.directory().eras().confirm_zone(zone);
     if shared.fleet().evacuate(zone) {
         info!("{}", Event::new("zone-evacuated").with("zone", zone));
     }
@@ -333,7 +333,7 @@
 }
 
 fn list_server(shared: &Shared, record: &ServerRecord, now: Millis) {
-    if !shared.directory().seen(&record.id, record.version()) {
+    if !shared.directory().observe(&record.id, record.version()) {
         let event = Event::new("entry-outdated")
             .with("server", &record.id)
             .with("sequence", record.heartbeat.sequence);
@@ -344,18 +344,18 @@
     let was_cold = shared.fleet().cold_until(&record.id, now).is_some();
     let listed = shared.fleet().list(record, now);
     note_cold(shared, record, was_cold, now);
-    if listed == Listed::Known {
+    if listed == ListOutcome::Unchanged {
         return;
     }
     let event = Event::new("server-listed")
         .with("server", &record.id)
-        .with("restarted", listed == Listed::Restarted)
+        .with("restarted", listed == ListOutcome::Restarted)
         .with("service", &record.service)
         .with("address", record.address)
         .with("presence", format!("{:?}", record.presence))
         .with("started", record.started.unwrap_or_default());
     info!("{event}");
-    if let (Listed::Restarted, Some(before)) = (listed, before) {
+    if let (ListOutcome::Restarted, Some(before)) = (listed, before) {
         server_ended(shared, &record.id, before, Evidence::Restarted);
     }
 }
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -26,7 +26,7 @@
 use twox_hash::XxHash3_64;
 
 use crate::callers;
-use crate::fleet::Borders;
+use crate::fleet::LaneAllocation;
 use crate::follow;
 use crate::protocol::Protocol;
 use crate::quarantine;
@@ -273,8 +273,8 @@
     ListenerLimits {
         max_connections: (settings.descriptors / DESCRIPTORS_EACH).max(1),
         server: ServerLimits {
-            head_bytes: limits.head,
-            body_bytes: limits.body,
+            head_bytes: limits.head_bytes,
+            body_bytes: limits.body_bytes,
             head_timeout: limits.head_timeout,
             idle_timeout: limits.idle_timeout,
             ..ServerLimits::default()
@@ -339,20 +339,20 @@
     loop {
         let due = shared.clock.now() + TICK;
         task::sleep(TICK.into()).await;
-        note_late_timers(&shared, due);
+        log_late_timers(&shared, due);
         follow::expire(&shared);
         quarantine::expire(&shared);
         let now = shared.clock.now();
         shared.placing.expire(&mut shared.fleet(), now);
         let moved = shared.fleet().tick(now);
-        for borders in moved {
-            note_borders(&borders);
+        for allocation in moved {
+            log_lane_allocation(&allocation);
         }
     }
 }
 
 /// Reports a round of timers that ran late, as when the process was paused or short of processor time.
-fn note_late_timers(shared: &Shared, due: Millis) {
+fn log_late_timers(shared: &Shared, due: Millis) {
     let late = shared.clock.now().since(due);
     if late >= LATE_THRESHOLD {
         shared.report.late_timers();
@@ -360,21 +360,21 @@
     }
 }
 
-fn note_borders(borders: &Borders) {
-    let [live, light, heavy] = borders.engines;
-    let news = &borders.news;
-    let [live_work, light_work, heavy_work] = news.work;
+fn log_lane_allocation(allocation: &LaneAllocation) {
+    let [live, light, heavy] = allocation.engines;
+    let stats = &allocation.stats;
+    let [live_work, light_work, heavy_work] = stats.work;
     let event = Event::new("lanes-moved")
-        .with("service", &borders.service)
+        .with("service", &allocation.service)
         .with("live", live)
         .with("light", light)
         .with("heavy", heavy)
-        .with("speed", format!("{:.1}", borders.speed))
+        .with("speed", format!("{:.1}", allocation.speed))
         .with("live-work", live_work as u64)
         .with("light-work", light_work as u64)
         .with("heavy-work", heavy_work as u64)
-        .with("streams", news.streams as u64)
-        .with("strained", news.strained as u64);
+        .with("streams", stats.streams as u64)
+        .with("strained", stats.strained as u64);
     info!("{event}");
 }
 
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -117,7 +117,7 @@
             .ok_or(Refusal::later(Reason::NoConfiguration, START_RETRY))?;
         let mut job = Job::resolve(&table, request, meta, arrived)?;
         let limits = ServerLimits {
-            body_bytes: table.limits().body,
+            body_bytes: table.limits().body_bytes,
             ..ServerLimits::default()
         };
         drop(table);
@@ -144,7 +144,7 @@
         let route = table
             .route(host, request.url().path())
             .ok_or(Refusal::new(Reason::NoRoute))?;
-        let account = match (&meta.key, route.public || !table.asks_keys()) {
+        let account = match (&meta.key, route.public || !table.requires_keys()) {
             (Some(key), true) => table.account(key),
             (None, true) => None,
             (key, false) => {
@@ -157,7 +157,7 @@
         let service = route
             .service(draw)
             .ok_or(Refusal::later(Reason::NoServer, START_RETRY))?;
-        let patience = meta.patience.unwrap_or(Millis::MAX);
+        let timeout = meta.timeout.unwrap_or(Millis::MAX);
         let rank = table.rank(route, account);
         Ok(Job {
             id,
@@ -172,20 +172,20 @@
                 prefix: shared_prefix(&meta.prompt),
                 priority: rank,
                 idempotent: route.repeat.is_idempotent(),
-                prompt: meta.prompt_tokens,
-                own: meta
+                prompt_tokens: meta.prompt_tokens,
+                unique_tokens: meta
                     .prompt
                     .last()
                     .map_or(meta.prompt_tokens, |part| part.tokens),
-                output: meta.output_tokens,
-                expected: meta.expected_tokens.unwrap_or(meta.output_tokens),
-                pause: Some(route.gap).filter(|_| table.is_live(route)),
-                limit: wait_limit(table, route, patience),
+                max_output_tokens: meta.output_tokens,
+                expected_output_tokens: meta.expected_tokens.unwrap_or(meta.output_tokens),
+                max_pause: Some(route.gap).filter(|_| table.is_live(route)),
+                wait_limit: wait_limit(table, route, timeout),
                 regions: table.regions(route, account),
             },
             content: Fingerprint::of(&[]),
             arrived,
-            ends: arrived + patience.min(route.timeout),
+            ends: arrived + timeout.min(route.timeout),
             outgoing: Outgoing::new(request),
             reserved: Vec::new(),
         })
@@ -242,16 +242,16 @@
 /// Only the least urgent requests are turned away for a long queue. The servers' own queues put more
 /// urgent ones before them, so that the wait doesn't hold for those, and a live request is never
 /// refused in favour of batch work.
-fn wait_limit(table: &RouteTable, route: &Route, patience: Millis) -> Option<Millis> {
-    if !table.is_last(route) {
+fn wait_limit(table: &RouteTable, route: &Route, timeout: Millis) -> Option<Millis> {
+    if !table.is_least_urgent(route) {
         return None;
     }
     // A request that has less than the route's timeout by more than the route's target is taken for one that was
     // refused before: a late answer is worth more to it than a second refusal. A smaller difference may be the
     // caller's own timeout, and the longer limit would let queues grow to twice the intended length.
-    let returned = patience + route.target < route.timeout;
+    let returned = timeout + route.target < route.timeout;
     let limit = if returned {
-        Millis(patience.0 * RETURNED_PART / 100)
+        Millis(timeout.0 * RETURNED_PART / 100)
     } else {
         Millis(route.target.0 * FRESH_LIMIT / 100)
     };
--- a/crates/gateway/src/intake/tests.rs
+++ b/crates/gateway/src/intake/tests.rs
@@ -31,12 +31,12 @@
 #[test_case(9600, 1200; "a little less")]
 #[test_case(8600, 1200; "a seventh less")]
 #[test_case(8000, 2000; "less by more than the target")]
-fn only_requests_refused_before_get_the_longer_wait_limit(patience: u64, limit: u64) {
+fn only_requests_refused_before_get_the_longer_wait_limit(timeout: u64, limit: u64) {
     let route = batch_route();
     let table = RouteTable::new(TableSpec {
         routes: vec![route.clone()],
         ..TableSpec::default()
     });
-    let found = wait_limit(&table, &route, Millis(patience));
+    let found = wait_limit(&table, &route, Millis(timeout));
     assert_eq!(found, Some(Millis(limit)));
 }
--- a/crates/gateway/src/lag.rs
+++ b/crates/gateway/src/lag.rs
@@ -29,7 +29,7 @@
 
 impl Lag {
     /// Somebody saw a change at `revision`.
-    pub fn hear(&mut self, revision: Revision) {
+    pub fn observe(&mut self, revision: Revision) {
         self.newest = self.newest.max(revision);
     }
 
--- a/crates/gateway/src/latencies.rs
+++ b/crates/gateway/src/latencies.rs
@@ -17,19 +17,19 @@
 /// What a line says of a request that was answered.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
-    first: Millis,
-    pause: Millis,
-    expected: Millis,
-    moved: bool,
+    first_byte: Millis,
+    longest_pause: Millis,
+    expected_wait: Millis,
+    transferred: bool,
 }
 
 /// One class in one span of time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Span {
+pub struct ClassInterval {
     /// The route's name.
     pub route: String,
     /// When the span begins, since the first request of the logs.
-    pub at: Millis,
+    pub start: Millis,
     /// Requests that ended in it.
     pub ended: usize,
     /// Those of them that weren't answered.
@@ -37,19 +37,22 @@
     /// Those of them that ended before the head of an answer.
     pub unanswered: usize,
     /// Those that brought the shared part of their prompt from another engine.
-    pub moved: usize,
+    pub transferred: usize,
     /// From a request's head to that of its answer, at the 50th, 90th and 99th percentile.
-    pub first: [Millis; 3],
+    pub first_byte: [Millis; 3],
     /// The longest pause between events, the same.
-    pub pause: [Millis; 3],
+    pub longest_pause: [Millis; 3],
     /// The wait that was expected, the same.
-    pub expected: [Millis; 3],
+    pub expected_wait: [Millis; 3],
 }
 
 /// Sums up the requests of several logs by route and by spans of `width`.
 ///
 /// Requests are taken where they ended. Lines that aren't of requests, or can't be read, are passed over.
-pub fn latencies<'a>(lines: impl IntoIterator<Item = &'a str>, width: Millis) -> Vec<Span> {
+pub fn latencies<'a>(
+    lines: impl IntoIterator<Item = &'a str>,
+    width: Millis,
+) -> Vec<ClassInterval> {
     let ended = lines.into_iter().filter_map(|line| {
         let is_end = field(line, "event") == Some("request-ended");
         Some((time_of(line)?, line)).filter(|_| is_end)
@@ -62,15 +65,17 @@
         let span = at.since(start).0 / width.0.max(1);
         groups.entry((route, span)).or_default().push(line);
     }
-    let spans = groups.into_iter().map(|((route, span), lines)| Span {
-        route: route.to_owned(),
-        at: Millis(span * width.0),
-        ..summary(&lines)
-    });
+    let spans = groups
+        .into_iter()
+        .map(|((route, span), lines)| ClassInterval {
+            route: route.to_owned(),
+            start: Millis(span * width.0),
+            ..summary(&lines)
+        });
     spans.collect()
 }
 
-fn summary(lines: &[&str]) -> Span {
+fn summary(lines: &[&str]) -> ClassInterval {
     let answered = lines
         .iter()
         .filter(|line| field(line, "outcome") == Some("answered"));
@@ -81,24 +86,24 @@
         values.sort_unstable();
         PERCENTILES.map(|part| percentile(&values, part))
     };
-    Span {
+    ClassInterval {
         ended: lines.len(),
         unserved: lines.len() - samples.len(),
         unanswered: unanswered.count(),
-        moved: samples.iter().filter(|sample| sample.moved).count(),
-        first: percentiles(|sample| sample.first),
-        pause: percentiles(|sample| sample.pause),
-        expected: percentiles(|sample| sample.expected),
-        ..Span::default()
+        transferred: samples.iter().filter(|sample| sample.transferred).count(),
+        first_byte: percentiles(|sample| sample.first_byte),
+        longest_pause: percentiles(|sample| sample.longest_pause),
+        expected_wait: percentiles(|sample| sample.expected_wait),
+        ..ClassInterval::default()
     }
 }
 
 fn sample(line: &str) -> Option<Sample> {
     Some(Sample {
-        first: millis(line, "first")?,
-        pause: millis(line, "longest-pause").unwrap_or_default(),
-        expected: millis(line, "expected-wait").unwrap_or_default(),
-        moved: field(line, "source").is_some_and(|source| source != "none"),
+        first_byte: millis(line, "first")?,
+        longest_pause: millis(line, "longest-pause").unwrap_or_default(),
+        expected_wait: millis(line, "expected-wait").unwrap_or_default(),
+        transferred: field(line, "source").is_some_and(|source| source != "none"),
     })
 }
 
--- a/crates/gateway/src/placing/asker.rs
+++ b/crates/gateway/src/placing/asker.rs
@@ -6,8 +6,8 @@
 
 use crocushold_base::Millis;
 
-use super::message::Note;
-use super::message::NoteKind;
+use super::message::RequestUpdate;
+use super::message::UpdateKind;
 
 /// Questions in a row without an answer after which the placer is left alone for a while. A single datagram
 /// may get lost.
@@ -22,7 +22,7 @@
 
 /// A question that was answered: whom to tell what became of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ticket {
+pub struct PlacementId {
     /// The placer.
     pub placer: SocketAddr,
     /// The number of the question.
@@ -31,23 +31,23 @@
 
 /// One instance's questions.
 #[derive(Clone, Debug, Default)]
-pub struct Asker {
+pub struct PlacementClient {
     placer: Option<SocketAddr>,
     next: u32,
     open: HashSet<u32>,
     misses: u32,
     /// The placer isn't asked before then.
     doubted: Millis,
-    recent: VecDeque<(SocketAddr, Note)>,
+    recent: VecDeque<(SocketAddr, RequestUpdate)>,
 }
 
-impl Asker {
+impl PlacementClient {
     /// Asks nobody yet. Numbers begin at `first`, which should differ between lives of an instance: notes and
     /// replies of a former life then name no question of this one.
-    pub fn new(first: u32) -> Asker {
-        Asker {
+    pub fn new(first: u32) -> PlacementClient {
+        PlacementClient {
             next: first,
-            ..Asker::default()
+            ..PlacementClient::default()
         }
     }
 
@@ -63,16 +63,16 @@
     }
 
     /// Opens a question; `None` while nobody is asked.
-    pub fn open(&mut self, now: Millis) -> Option<Ticket> {
+    pub fn open(&mut self, now: Millis) -> Option<PlacementId> {
         let placer = self.placer.filter(|_| self.doubted <= now)?;
         let number = self.next;
         self.next = self.next.wrapping_add(1);
         self.open.insert(number);
-        Some(Ticket { placer, number })
+        Some(PlacementId { placer, number })
     }
 
     /// A reply came; returns whether the question was still open. Otherwise the request went elsewhere.
-    pub fn answered(&mut self, ticket: Ticket) -> bool {
+    pub fn answered(&mut self, ticket: PlacementId) -> bool {
         if Some(ticket.placer) == self.placer {
             self.misses = 0;
         }
@@ -80,7 +80,7 @@
     }
 
     /// No reply came in time. Returns whether the placer is left alone from now on.
-    pub fn missed(&mut self, ticket: Ticket, now: Millis) -> bool {
+    pub fn missed(&mut self, ticket: PlacementId, now: Millis) -> bool {
         if !self.open.remove(&ticket.number) || Some(ticket.placer) != self.placer {
             return false;
         }
@@ -94,14 +94,15 @@
     }
 
     /// The request of an open question isn't sent any more.
-    pub fn dropped(&mut self, ticket: Ticket) {
+    pub fn dropped(&mut self, ticket: PlacementId) {
         self.open.remove(&ticket.number);
     }
 
     /// Something happened to a request: returns what to tell its placer.
-    pub fn note(&mut self, ticket: Ticket, kind: NoteKind) -> Vec<Note> {
-        let Ticket { placer, number } = ticket;
-        self.recent.push_back((placer, Note { number, kind }));
+    pub fn note(&mut self, ticket: PlacementId, kind: UpdateKind) -> Vec<RequestUpdate> {
+        let PlacementId { placer, number } = ticket;
+        self.recent
+            .push_back((placer, RequestUpdate { number, kind }));
         if self.recent.len() > TOLD_AGAIN + 1 {
             self.recent.pop_front();
         }
--- a/crates/gateway/src/placing/message.rs
+++ b/crates/gateway/src/placing/message.rs
@@ -14,13 +14,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Packet {
     /// What the sender and others have.
-    News(Message),
+    Gossip(Message),
     /// Where should a request go?
-    Ask(Ask),
+    Request(PlacementRequest),
     /// There.
-    Reply(Reply),
+    Reply(PlacementReply),
     /// What became of requests that the receiver placed, the latest last.
-    Notes(Vec<Note>),
+    Updates(Vec<RequestUpdate>),
     /// Requests under which servers ended.
     Suspicions(Vec<Suspicion>),
 }
@@ -39,13 +39,13 @@
 
 /// The question where a request should go.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct PlacementRequest {
     /// The sender's number of the question, by which the reply and the notes are known.
     pub number: u32,
     /// The sender's availability zone.
     pub zone: String,
     /// How long the request has left.
-    pub left: Millis,
+    pub remaining: Millis,
     /// Engines that it was sent to already, by hashes of their identities.
     pub tried: Vec<u32>,
     /// What it needs.
@@ -54,7 +54,7 @@
 
 /// An engine that was chosen for a request of another instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct Placement {
     /// A hash of the engine's identity.
     pub engine: u32,
     /// The same of the engine from which it should bring the shared part of the prompt.
@@ -67,15 +67,15 @@
 
 /// What the placer says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum PlacementVerdict {
     /// The request goes there.
-    At(Place),
+    Placed(Placement),
     /// At every engine it would wait for longer than its answer is of use.
     Late {
         /// How long at the best one.
         wait: Millis,
         /// When to come back.
-        back: Millis,
+        retry_delay: Millis,
     },
     /// The placer knows no server for it.
     Unable,
@@ -83,45 +83,45 @@
 
 /// The answer to an [`Ask`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reply {
+pub struct PlacementReply {
     /// The number of the question.
     pub number: u32,
     /// What the placer says.
-    pub verdict: Verdict,
+    pub verdict: PlacementVerdict,
 }
 
 /// What became of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Note {
+pub struct RequestUpdate {
     /// The number of the question.
     pub number: u32,
     /// What happened.
-    pub kind: NoteKind,
+    pub kind: UpdateKind,
 }
 
 /// What happened to a request that was placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NoteKind {
+pub enum UpdateKind {
     /// Its answer has begun; with how many requests the engine had then, running and waiting, where it told.
-    Began(Option<[u32; 2]>),
+    Started(Option<[u32; 2]>),
     /// It has ended.
-    Ended(Ended),
+    Ended(RequestEnd),
 }
 
 /// How a request that was placed has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ended {
+pub struct RequestEnd {
     /// How.
-    pub how: Outcome,
+    pub outcome: Outcome,
     /// After how many tokens.
     pub tokens: u32,
     /// The longest pause of its stream, where that is known.
     pub pause: Option<Millis>,
 }
 
-impl NoteKind {
+impl UpdateKind {
     /// The answer began, with what the engine told of its load.
-    pub fn began(load: Option<LoadReport>) -> NoteKind {
-        NoteKind::Began(load.map(|load| [load.running, load.waiting]))
+    pub fn started(load: Option<LoadReport>) -> UpdateKind {
+        UpdateKind::Started(load.map(|load| [load.running, load.waiting]))
     }
 }
--- a/crates/gateway/src/placing/placer.rs
+++ b/crates/gateway/src/placing/placer.rs
@@ -9,11 +9,11 @@
 use crocushold_routing::Outcome;
 use crocushold_routing::Reason;
 
-use super::message::Ask;
-use super::message::Note;
-use super::message::NoteKind;
-use super::message::Reply;
-use super::message::Verdict;
+use super::message::PlacementReply;
+use super::message::PlacementRequest;
+use super::message::PlacementVerdict;
+use super::message::RequestUpdate;
+use super::message::UpdateKind;
 use crate::fleet::Choice;
 use crate::fleet::Fleet;
 
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 struct Held {
     choice: Choice,
-    reply: Reply,
+    reply: PlacementReply,
     began: bool,
     ends: Millis,
 }
@@ -52,51 +52,57 @@
     /// Says where a request of `from` should go, and takes a slot there.
     ///
     /// A question that comes twice gets the same reply: a datagram may be doubled on its way.
-    pub fn place(&mut self, fleet: &mut Fleet, from: SocketAddr, ask: &Ask, now: Millis) -> Reply {
+    pub fn place(
+        &mut self,
+        fleet: &mut Fleet,
+        from: SocketAddr,
+        ask: &PlacementRequest,
+        now: Millis,
+    ) -> PlacementReply {
         let number = ask.number;
         if let Some(held) = self.held.get(&(from, number)) {
             return held.reply;
         }
-        let unable = Reply {
+        let unable = PlacementReply {
             number,
-            verdict: Verdict::Unable,
+            verdict: PlacementVerdict::Unable,
         };
         if self.held.len() >= MOST_HELD {
             return unable;
         }
         match fleet.place(&ask.need, &ask.zone, &ask.tried, now) {
             Ok(choice) => {
-                let verdict = Verdict::At(choice.placed());
-                let reply = Reply { number, verdict };
+                let verdict = PlacementVerdict::Placed(choice.placed());
+                let reply = PlacementReply { number, verdict };
                 let held = Held {
                     choice,
                     reply,
                     began: false,
-                    ends: now + ask.left + HELD_BEYOND,
+                    ends: now + ask.remaining + HELD_BEYOND,
                 };
                 self.held.insert((from, number), held);
                 reply
             }
             Err(NoServer {
                 reason: Reason::Late { wait },
-                retry_after: back,
-            }) => Reply {
+                retry_after: retry_delay,
+            }) => PlacementReply {
                 number,
-                verdict: Verdict::Late { wait, back },
+                verdict: PlacementVerdict::Late { wait, retry_delay },
             },
             Err(_) => unable,
         }
     }
 
     /// Takes in what became of a request of `from`. Notes come more than once, and late.
-    pub fn note(&mut self, fleet: &mut Fleet, from: SocketAddr, note: Note, now: Millis) {
+    pub fn note(&mut self, fleet: &mut Fleet, from: SocketAddr, note: RequestUpdate, now: Millis) {
         let key = (from, note.number);
         let Some(held) = self.held.get_mut(&key) else {
             return;
         };
         match note.kind {
-            NoteKind::Began(_) if held.began => {}
-            NoteKind::Began(load) => {
+            UpdateKind::Started(_) if held.began => {}
+            UpdateKind::Started(load) => {
                 held.began = true;
                 fleet.first_byte(&held.choice, now);
                 if let Some([running, waiting]) = load {
@@ -109,11 +115,11 @@
                     fleet.load(&held.choice, report, now);
                 }
             }
-            NoteKind::Ended(ended) => {
+            UpdateKind::Ended(ended) => {
                 if let Some(pause) = ended.pause {
                     fleet.paused_elsewhere(&held.choice, pause);
                 }
-                fleet.done(&held.choice, ended.how, ended.tokens, now);
+                fleet.done(&held.choice, ended.outcome, ended.tokens, now);
                 self.held.remove(&key);
             }
         }
--- a/crates/gateway/src/placing/shell.rs
+++ b/crates/gateway/src/placing/shell.rs
@@ -16,15 +16,15 @@
 use futures::channel::oneshot;
 use log::info;
 
-use super::asker::Asker;
-use super::asker::Ticket;
-use super::message::Ask;
-use super::message::Ended;
-use super::message::Note;
-use super::message::NoteKind;
+use super::asker::PlacementClient;
+use super::asker::PlacementId;
 use super::message::Packet;
-use super::message::Reply;
-use super::message::Verdict;
+use super::message::PlacementReply;
+use super::message::PlacementRequest;
+use super::message::PlacementVerdict;
+use super::message::RequestEnd;
+use super::message::RequestUpdate;
+use super::message::UpdateKind;
 use super::placer::Placer;
 use crate::fleet::Fleet;
 use crate::fleet::Need;
@@ -38,15 +38,15 @@
 pub(crate) struct Placing {
     /// The socket that the instances tell each other by; none where they don't.
     socket: OnceLock<UdpSocket>,
-    asker: Mutex<Asker>,
+    asker: Mutex<PlacementClient>,
     placer: Mutex<Placer>,
-    waiting: Mutex<HashMap<u32, oneshot::Sender<Verdict>>>,
+    waiting: Mutex<HashMap<u32, oneshot::Sender<PlacementVerdict>>>,
 }
 
 /// Forgets an open question when the caller leaves meanwhile.
 struct Open<'a> {
     placing: &'a Placing,
-    ticket: Ticket,
+    ticket: PlacementId,
 }
 
 impl Drop for Open<'_> {
@@ -60,7 +60,7 @@
     /// Numbers of questions begin at `first`.
     pub(crate) fn new(first: u32) -> Placing {
         Placing {
-            asker: Mutex::new(Asker::new(first)),
+            asker: Mutex::new(PlacementClient::new(first)),
             ..Placing::default()
         }
     }
@@ -85,7 +85,10 @@
     /// # Errors
     ///
     /// Says why there is no answer; the instance chooses by itself then.
-    pub(crate) async fn ask(&self, question: Question<'_>) -> Result<(Ticket, Verdict), NoAdvice> {
+    pub(crate) async fn ask(
+        &self,
+        question: Question<'_>,
+    ) -> Result<(PlacementId, PlacementVerdict), NoAdvice> {
         let now = question.now;
         let opened = lock(&self.asker).open(now);
         let ticket = opened.ok_or(NoAdvice::Nobody)?;
@@ -95,14 +98,14 @@
         };
         let (sender, receiver) = oneshot::channel();
         lock(&self.waiting).insert(ticket.number, sender);
-        let ask = Ask {
+        let ask = PlacementRequest {
             number: ticket.number,
             zone: question.zone.to_owned(),
-            left: question.left,
+            remaining: question.remaining,
             tried: question.tried,
             need: question.need.clone(),
         };
-        self.send(ticket.placer, &Packet::Ask(ask));
+        self.send(ticket.placer, &Packet::Request(ask));
         let verdict = timeout(ASK_TIMEOUT.into(), receiver).await;
         if let Ok(Ok(verdict)) = verdict {
             return Ok((ticket, verdict));
@@ -117,19 +120,19 @@
     }
 
     /// The answer to a placed request has begun.
-    pub(crate) fn began(&self, ticket: Option<Ticket>, load: Option<LoadReport>) {
-        self.note(ticket, NoteKind::began(load));
+    pub(crate) fn began(&self, ticket: Option<PlacementId>, load: Option<LoadReport>) {
+        self.note(ticket, UpdateKind::started(load));
     }
 
     /// A placed request has ended.
-    pub(crate) fn ended(&self, ticket: Option<Ticket>, ended: Ended) {
-        self.note(ticket, NoteKind::Ended(ended));
+    pub(crate) fn ended(&self, ticket: Option<PlacementId>, ended: RequestEnd) {
+        self.note(ticket, UpdateKind::Ended(ended));
     }
 
     /// The server that was chosen for a request isn't used.
-    pub(crate) fn unused(&self, ticket: Ticket) {
-        let ended = Ended {
-            how: Outcome::Cancelled,
+    pub(crate) fn unused(&self, ticket: PlacementId) {
+        let ended = RequestEnd {
+            outcome: Outcome::Cancelled,
             tokens: 0,
             pause: None,
         };
@@ -137,7 +140,13 @@
     }
 
     /// Another instance asks.
-    pub(crate) fn place(&self, fleet: &mut Fleet, from: SocketAddr, ask: &Ask, now: Millis) {
+    pub(crate) fn place(
+        &self,
+        fleet: &mut Fleet,
+        from: SocketAddr,
+        ask: &PlacementRequest,
+        now: Millis,
+    ) {
         let reply = lock(&self.placer).place(fleet, from, ask, now);
         self.send(from, &Packet::Reply(reply));
     }
@@ -147,7 +156,7 @@
         &self,
         fleet: &mut Fleet,
         from: SocketAddr,
-        notes: Vec<Note>,
+        notes: Vec<RequestUpdate>,
         now: Millis,
     ) {
         let mut placer = lock(&self.placer);
@@ -157,8 +166,8 @@
     }
 
     /// The placer answers.
-    pub(crate) fn take_reply(&self, from: SocketAddr, reply: Reply) {
-        let ticket = Ticket {
+    pub(crate) fn take_reply(&self, from: SocketAddr, reply: PlacementReply) {
+        let ticket = PlacementId {
             placer: from,
             number: reply.number,
         };
@@ -167,7 +176,7 @@
         let taken = waiting.filter(|_| open);
         let taken = taken.is_some_and(|waiting| waiting.send(reply.verdict).is_ok());
         // The request went elsewhere meanwhile: the slot that was taken for it is given back.
-        if !taken && matches!(reply.verdict, Verdict::At(_)) {
+        if !taken && matches!(reply.verdict, PlacementVerdict::Placed(_)) {
             self.unused(ticket);
         }
     }
@@ -177,10 +186,10 @@
         lock(&self.placer).expire(fleet, now);
     }
 
-    fn note(&self, ticket: Option<Ticket>, kind: NoteKind) {
+    fn note(&self, ticket: Option<PlacementId>, kind: UpdateKind) {
         if let Some(ticket) = ticket {
             let notes = lock(&self.asker).note(ticket, kind);
-            self.send(ticket.placer, &Packet::Notes(notes));
+            self.send(ticket.placer, &Packet::Updates(notes));
         }
     }
 
@@ -207,7 +216,7 @@
     /// This instance's availability zone.
     pub(crate) zone: &'a str,
     /// How long the request has left.
-    pub(crate) left: Millis,
+    pub(crate) remaining: Millis,
     /// Engines that it was sent to, by hashes of their identities.
     pub(crate) tried: Vec<u32>,
     pub(crate) now: Millis,
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -25,7 +25,7 @@
     /// Names the request, as the caller gave it.
     pub id: Option<String>,
     /// How long the caller will wait.
-    pub patience: Option<Millis>,
+    pub timeout: Option<Millis>,
     /// The caller's key.
     pub key: Option<String>,
     /// The model.
@@ -48,7 +48,7 @@
     /// The caller's account.
     pub account: Option<&'a str>,
     /// How long the caller still waits.
-    pub left: Millis,
+    pub remaining: Millis,
     /// The request's rank; 0 is the most urgent.
     pub priority: u8,
     /// Where another engine listens that holds the shared part of the prompt.
@@ -95,7 +95,7 @@
     fn answer(&self, status: StatusCode, headers: &Headers) -> AnswerMeta;
 
     /// Names the request in an answer of the gateway's own.
-    fn label(&self, headers: &mut Headers, id: &str);
+    fn set_request_id(&self, headers: &mut Headers, id: &str);
 
     /// The path at which a balancer asks whether the instance takes connections.
     fn readiness_path(&self) -> &str;
--- a/crates/gateway/src/routes.rs
+++ b/crates/gateway/src/routes.rs
@@ -119,9 +119,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
     /// The longest head, in bytes.
-    pub head: usize,
+    pub head_bytes: usize,
     /// The longest body, in bytes.
-    pub body: u64,
+    pub body_bytes: u64,
     /// From the first byte of a head to its end.
     pub head_timeout: Millis,
     /// How long a connection may stay idle.
@@ -132,8 +132,8 @@
     fn default() -> CallerLimits {
         // The defaults of `crocushold_http`, for a configuration that names no limits.
         CallerLimits {
-            head: 8 * 1024 - 1,
-            body: 4 * 1024 * 1024,
+            head_bytes: 8 * 1024 - 1,
+            body_bytes: 4 * 1024 * 1024,
             head_timeout: Millis::from_secs(10),
             idle_timeout: Millis::from_secs(75),
         }
@@ -147,7 +147,7 @@
     pub service: String,
     /// Tokens of a prompt's memory that an engine brings from another in a millisecond; `None` where it
     /// can't.
-    pub transfer: Option<f64>,
+    pub transfer_rate: Option<f64>,
     /// What an engine runs at a time; `None` where that isn't published.
     pub room: Option<Room>,
 }
@@ -310,7 +310,7 @@
     }
 
     /// Whether no stream is less urgent than those of the route.
-    pub fn is_last(&self, route: &Route) -> bool {
+    pub fn is_least_urgent(&self, route: &Route) -> bool {
         route.repeat.is_stream() && route.priority >= self.last_priority
     }
 
@@ -326,7 +326,7 @@
     }
 
     /// Whether callers must send a key on routes that aren't public.
-    pub fn asks_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         !self.accounts.is_empty()
     }
 
@@ -393,5 +393,5 @@
     /// Counts its entries.
     pub sequence: u64,
     /// How much longer it is cold.
-    pub cold: Millis,
+    pub cold_remaining: Millis,
 }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -26,8 +26,8 @@
 use crate::fleet::FleetSettings;
 use crate::instance::Settings;
 use crate::instance::caller_limits;
-use crate::placing::Ended;
 use crate::placing::Placing;
+use crate::placing::RequestEnd;
 use crate::protocol::Protocol;
 use crate::report::Report;
 use crate::routes::RouteTable;
@@ -128,8 +128,8 @@
             callers.set_limits(limits);
         }
         let mut fleet = self.fleet();
-        fleet.take_engines(table.engines());
-        fleet.take_slow_starts(table.slow_starts());
+        fleet.set_engines(table.engines());
+        fleet.set_slow_starts(table.slow_starts());
         drop(fleet);
         let mut held = self.table.write().unwrap_or_else(PoisonError::into_inner);
         *held = Some(Arc::new(table));
@@ -167,8 +167,8 @@
         }
         fleet.done(choice, outcome, tokens, now);
         drop(fleet);
-        let ended = Ended {
-            how: outcome,
+        let ended = RequestEnd {
+            outcome: outcome,
             tokens,
             pause,
         };
--- a/crates/gateway/src/sharing/members.rs
+++ b/crates/gateway/src/sharing/members.rs
@@ -10,7 +10,7 @@
 
 use super::message::Identity;
 use super::message::MOST_NAMES;
-use super::message::Named;
+use super::message::MemberEntry;
 
 /// How long an instance counts that wasn't heard of. In a zone of twenty that has nothing to tell, names go
 /// round in two seconds.
@@ -25,7 +25,7 @@
     /// When it was last heard, by this instance or by one that told of it.
     heard: Millis,
     /// It doesn't collect before then, as it didn't answer.
-    shunned: Millis,
+    suspended_until: Millis,
 }
 
 /// The other instances, by their addresses.
@@ -34,7 +34,7 @@
     me: Identity,
     members: BTreeMap<SocketAddr, Member>,
     /// Where the last names ended: those of the zone alone, and those of all.
-    named: [Option<SocketAddr>; 2],
+    last_entry: [Option<SocketAddr>; 2],
 }
 
 impl Members {
@@ -43,7 +43,7 @@
         Members {
             me,
             members: BTreeMap::new(),
-            named: [None; 2],
+            last_entry: [None; 2],
         }
     }
 
@@ -56,12 +56,12 @@
     }
 
     /// Whether an instance was heard of lately.
-    pub fn knows(&self, address: &SocketAddr) -> bool {
+    pub fn contains(&self, address: &SocketAddr) -> bool {
         self.members.contains_key(address)
     }
 
     /// The instance itself was heard.
-    pub fn hear(&mut self, identity: Identity, now: Millis) {
+    pub fn observe(&mut self, identity: Identity, now: Millis) {
         self.note(identity, now);
     }
 
@@ -69,24 +69,24 @@
     ///
     /// Only when it was heard counts, not when it was told of. Otherwise two instances would remind each
     /// other for ever of one that is gone.
-    pub fn hear_of(&mut self, named: Named, now: Millis) {
-        let age = Millis(u64::from(named.age));
+    pub fn observe_reported(&mut self, entry: MemberEntry, now: Millis) {
+        let age = Millis(u64::from(entry.age));
         if age < SILENCE {
-            self.note(named.identity, Millis(now.0.saturating_sub(age.0)));
+            self.note(entry.identity, Millis(now.0.saturating_sub(age.0)));
         }
     }
 
     /// Forgets those that weren't heard of for long.
-    pub fn forget(&mut self, now: Millis) {
+    pub fn expire(&mut self, now: Millis) {
         self.members
             .retain(|_, member| now.since(member.heard) < SILENCE);
     }
 
     /// The instance didn't answer; for a while it doesn't collect. That it is heard changes nothing: it
     /// may be one that hears nobody.
-    pub fn shun(&mut self, address: &SocketAddr, now: Millis) {
+    pub fn suspend(&mut self, address: &SocketAddr, now: Millis) {
         if let Some(member) = self.members.get_mut(address) {
-            member.shunned = now + SILENCE;
+            member.suspended_until = now + SILENCE;
         }
     }
 
@@ -94,7 +94,7 @@
     /// the least address. All instances that know the same ones agree on it.
     pub fn collector(&self, zone: u32, now: Millis) -> Option<SocketAddr> {
         let others = self.members.values();
-        let able = others.filter(|member| member.shunned <= now);
+        let able = others.filter(|member| member.suspended_until <= now);
         let others = able.map(|member| &member.identity);
         let all = others.chain(std::iter::once(&self.me));
         let inside = all.filter(|identity| identity.zone == zone);
@@ -123,20 +123,20 @@
     }
 
     /// The next few instances in turn, of this zone or of all, to name to others.
-    pub fn names(&mut self, inside: bool, now: Millis) -> Vec<Named> {
-        let start = bound(self.named[usize::from(inside)]);
+    pub fn next_entries(&mut self, inside: bool, now: Millis) -> Vec<MemberEntry> {
+        let start = bound(self.last_entry[usize::from(inside)]);
         let later = self.members.range((start, Bound::Unbounded));
         let next = later.chain(&self.members).take(self.members.len());
         let next = next.filter(|(_, member)| !inside || member.identity.zone == self.me.zone);
-        let names: Vec<Named> = next
+        let entries: Vec<MemberEntry> = next
             .take(MOST_NAMES)
-            .map(|(_, member)| Named {
+            .map(|(_, member)| MemberEntry {
                 identity: member.identity,
                 age: u16::try_from(now.since(member.heard).0).unwrap_or(u16::MAX),
             })
             .collect();
-        self.named[usize::from(inside)] = names.last().map(|named| named.identity.address);
-        names
+        self.last_entry[usize::from(inside)] = entries.last().map(|entry| entry.identity.address);
+        entries
     }
 
     /// Some of the instances, drawn by `seed`; one may be drawn twice.
@@ -151,7 +151,7 @@
     }
 
     /// The instance after `last` in the order of addresses, to greet them in turn.
-    pub fn after(&self, last: SocketAddr) -> Option<SocketAddr> {
+    pub fn next_after(&self, last: SocketAddr) -> Option<SocketAddr> {
         let mut later = self
             .members
             .range((Bound::Excluded(last), Bound::Unbounded));
@@ -170,7 +170,7 @@
         let member = self.members.entry(identity.address).or_insert(Member {
             identity,
             heard,
-            shunned: Millis::ZERO,
+            suspended_until: Millis::ZERO,
         });
         if heard >= member.heard {
             member.identity = identity;
--- a/crates/gateway/src/sharing/message.rs
+++ b/crates/gateway/src/sharing/message.rs
@@ -35,16 +35,16 @@
 
 /// What waits at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Waiting {
+pub struct EngineQueue {
     /// A hash of the engine's identity.
     pub engine: u32,
     /// How long the prompts that have no answer yet take to be read, in milliseconds.
-    pub reading: u32,
+    pub read_ms: u32,
 }
 
 /// An engine that holds a shared part of prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Kept {
+pub struct CachedPrefix {
     /// A hash of the part.
     pub prefix: u32,
     /// A hash of the engine's identity.
@@ -53,7 +53,7 @@
 
 /// The work that came of late, which divides a service's engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Work {
+pub struct ServiceWork {
     /// A hash of the service's name.
     pub service: u32,
     /// By lane, in milliseconds of an engine.
@@ -66,10 +66,10 @@
 /// Parts of a stream that are told: what fades is counted in fractions.
 const STREAM_PARTS: f64 = 16.0;
 
-impl Work {
-    pub(crate) fn new(service: u32, news: &LaneNews) -> Work {
+impl ServiceWork {
+    pub(crate) fn new(service: u32, news: &LaneNews) -> ServiceWork {
         let streams = [news.streams, news.strained];
-        Work {
+        ServiceWork {
             service,
             lanes: news.work.map(|work| work.round() as u32),
             streams: streams.map(|count| (count * STREAM_PARTS).round() as u32),
@@ -94,14 +94,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// By engine; those that aren't named have [`Load::least`] waiting at most.
-    pub waiting: Vec<Waiting>,
+    pub queues: Vec<EngineQueue>,
     /// By service.
-    pub work: Vec<Work>,
+    pub work: Vec<ServiceWork>,
     /// Shared parts that requests were sent with lately, and where.
-    pub kept: Vec<Kept>,
+    pub cached: Vec<CachedPrefix>,
     /// How long the prompts at an engine that isn't named take at most, in milliseconds: zero where all are
     /// named that have any.
-    pub least: u32,
+    pub unlisted_max: u32,
     /// Which of several parts this is.
     pub part: Part,
 }
@@ -125,7 +125,7 @@
 impl Load {
     /// Whether there is nothing to tell at once. The work of late changes slowly; it goes along.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty() && self.kept.is_empty()
+        self.queues.is_empty() && self.cached.is_empty()
     }
 
     /// Divides it into as many parts as it takes to name all engines that have something waiting.
@@ -133,7 +133,7 @@
     /// An engine that has a queue and isn't named looks idle to the whole fleet, which sends all there. So
     /// all are named; and where there are too many for that, it is told how long the others' queues may be.
     pub(crate) fn split(self) -> Vec<Load> {
-        let count = self.waiting.len().div_ceil(USUAL_ENGINES);
+        let count = self.queues.len().div_ceil(USUAL_ENGINES);
         let count = count.clamp(1, MOST_PARTS);
         let mut parts: Vec<Load> = (0..count)
             .map(|index| Load {
@@ -144,28 +144,31 @@
                 ..Load::default()
             })
             .collect();
-        for entry in self.waiting {
-            parts[entry.engine as usize % count].waiting.push(entry);
+        for entry in self.queues {
+            parts[entry.engine as usize % count].queues.push(entry);
         }
         parts[0].work = self.work;
-        parts[0].kept = self.kept;
+        parts[0].cached = self.cached;
         let parts: Vec<Load> = parts.into_iter().map(Load::bounded).collect();
-        let least = parts.iter().map(|part| part.least);
-        let least = least.fold(self.least, u32::max);
-        let parts = parts.into_iter().map(|part| Load { least, ..part });
+        let unlisted_max = parts.iter().map(|part| part.unlisted_max);
+        let unlisted_max = unlisted_max.fold(self.unlisted_max, u32::max);
+        let parts = parts.into_iter().map(|part| Load {
+            unlisted_max,
+            ..part
+        });
         parts.collect()
     }
 
     /// The longest queues, as many as a message holds.
     fn bounded(mut self) -> Load {
-        self.waiting
-            .sort_unstable_by_key(|entry| std::cmp::Reverse(entry.reading));
-        if let Some(left) = self.waiting.get(MOST_ENGINES) {
-            self.least = self.least.max(left.reading);
+        self.queues
+            .sort_unstable_by_key(|entry| std::cmp::Reverse(entry.read_ms));
+        if let Some(left) = self.queues.get(MOST_ENGINES) {
+            self.unlisted_max = self.unlisted_max.max(left.read_ms);
         }
-        self.waiting.truncate(MOST_ENGINES);
+        self.queues.truncate(MOST_ENGINES);
         self.work.truncate(MOST_SERVICES);
-        self.kept.truncate(MOST_KEPT);
+        self.cached.truncate(MOST_KEPT);
         self
     }
 }
@@ -183,7 +186,7 @@
 
 /// An instance that another one was told of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Named {
+pub struct MemberEntry {
     /// Which one.
     pub identity: Identity,
     /// How long ago it was last heard, in milliseconds.
@@ -196,9 +199,9 @@
     /// The sender asks for names.
     Hello,
     /// Names alone.
-    Names,
+    Members,
     /// What the sender itself has, for the collector of its zone.
-    Own(Load),
+    Instance(Load),
     /// What the sender's zone has, for the collectors of the other zones.
     Zone(Load),
     /// What the fleet has, for those that told the sender what they have, and which instance places for all.
@@ -207,10 +210,12 @@
 
 impl Content {
     /// Whether it names only the longest queues.
-    pub(crate) fn leaves_out(&self) -> bool {
+    pub(crate) fn is_truncated(&self) -> bool {
         match self {
-            Content::Hello | Content::Names => false,
-            Content::Own(load) | Content::Zone(load) | Content::Fleet(load, _) => load.least > 0,
+            Content::Hello | Content::Members => false,
+            Content::Instance(load) | Content::Zone(load) | Content::Fleet(load, _) => {
+                load.unlisted_max > 0
+            }
         }
     }
 }
@@ -225,17 +230,17 @@
     /// The newest revision of the store that the sender knows of a change at.
     pub revision: Revision,
     /// Some of the instances that the sender knows.
-    pub names: Vec<Named>,
+    pub members: Vec<MemberEntry>,
     /// What it says.
     pub content: Content,
 }
 
 impl Message {
     /// A message that fits into one packet.
-    pub fn new(from: &Identity, names: Vec<Named>, content: Content) -> Message {
+    pub fn new(from: &Identity, members: Vec<MemberEntry>, content: Content) -> Message {
         let content = match content {
-            Content::Hello | Content::Names => content,
-            Content::Own(load) => Content::Own(load.bounded()),
+            Content::Hello | Content::Members => content,
+            Content::Instance(load) => Content::Instance(load.bounded()),
             Content::Zone(load) => Content::Zone(load.bounded()),
             Content::Fleet(load, placer) => Content::Fleet(load.bounded(), placer),
         };
@@ -243,7 +248,7 @@
             zone: from.zone,
             capacity: from.capacity,
             revision: Revision::default(),
-            names: names.into_iter().take(MOST_NAMES).collect(),
+            members: members.into_iter().take(MOST_NAMES).collect(),
             content,
         }
     }
--- a/crates/gateway/src/sharing/shell.rs
+++ b/crates/gateway/src/sharing/shell.rs
@@ -14,12 +14,12 @@
 use log::info;
 use twox_hash::XxHash3_64;
 
+use super::message::CachedPrefix;
 use super::message::Identity;
-use super::message::Kept;
 use super::message::MOST_BYTES;
-use super::state::Sharing;
-use super::state::Sums;
-use super::suspicions::suspicions;
+use super::state::Gossip;
+use super::state::LoadSum;
+use super::suspicions::suspicion_packets;
 use crate::placing::Packet;
 use crate::quarantine;
 use crate::shared::Shared;
@@ -47,13 +47,13 @@
         zone: XxHash3_64::oneshot(shared.settings.zone.as_bytes()) as u32,
         capacity: shared.settings.capacity,
     };
-    let state = Arc::new(Mutex::new(Sharing::new(me, seeds)));
+    let state = Arc::new(Mutex::new(Gossip::new(me, seeds)));
     task::spawn(listen(shared.clone(), socket.clone(), state.clone()));
     task::spawn(tell(shared.clone(), socket, me.address, state));
     Ok(())
 }
 
-async fn listen(shared: Arc<Shared>, socket: Arc<UdpSocket>, state: Arc<Mutex<Sharing>>) {
+async fn listen(shared: Arc<Shared>, socket: Arc<UdpSocket>, state: Arc<Mutex<Gossip>>) {
     let mut bytes = [0; MOST_BYTES];
     loop {
         // An error tells of a peer that isn't there; the next message may come all the same.
@@ -63,11 +63,13 @@
         };
         let now = shared.clock.now();
         match Packet::decode(&bytes[..count]) {
-            Some(Packet::News(message)) => lock(&state).hear(from, message, now),
-            Some(Packet::Ask(ask)) => shared.placing.place(&mut shared.fleet(), from, &ask, now),
+            Some(Packet::Gossip(message)) => lock(&state).receive(from, message, now),
+            Some(Packet::Request(ask)) => {
+                shared.placing.place(&mut shared.fleet(), from, &ask, now)
+            }
             Some(Packet::Reply(reply)) => shared.placing.take_reply(from, reply),
             Some(Packet::Suspicions(suspicions)) => quarantine::hear(&shared, &suspicions),
-            Some(Packet::Notes(notes)) => {
+            Some(Packet::Updates(notes)) => {
                 let mut fleet = shared.fleet();
                 shared.placing.take_notes(&mut fleet, from, notes, now);
             }
@@ -80,7 +82,7 @@
     shared: Arc<Shared>,
     socket: Arc<UdpSocket>,
     me: SocketAddr,
-    state: Arc<Mutex<Sharing>>,
+    state: Arc<Mutex<Gossip>>,
 ) {
     let mut live = 0;
     let mut left_out = false;
@@ -90,16 +92,16 @@
         let places = round.placer == Some(me);
         {
             let mut fleet = shared.fleet();
-            fleet.take_others(&round.others);
-            fleet.take_kept(&round.kept, round.now);
-            fleet.set_places(places);
+            fleet.set_others_load(&round.others);
+            fleet.add_cached_prefixes(&round.cached, round.now);
+            fleet.set_placer(places);
         }
         shared.placing.follow(round.placer.filter(|_| !places));
-        if round.leaves_out {
+        if round.is_truncated {
             shared.report.left_out();
         }
-        if round.leaves_out != left_out {
-            left_out = round.leaves_out;
+        if round.is_truncated != left_out {
+            left_out = round.is_truncated;
             info!("{}", Event::new("queues-left-out").with("now", left_out));
         }
         if round.live != live {
@@ -118,41 +120,41 @@
     now: Millis,
     packets: Vec<(SocketAddr, Packet)>,
     /// What the other instances have.
-    others: Sums,
-    kept: Vec<Kept>,
+    others: LoadSum,
+    cached: Vec<CachedPrefix>,
     /// Other instances of the zone.
     live: usize,
     /// Which instance places for all.
     placer: Option<SocketAddr>,
     /// Whether engines with a queue couldn't be named.
-    leaves_out: bool,
+    is_truncated: bool,
 }
 
 impl Round {
-    fn run(shared: &Shared, state: &Mutex<Sharing>) -> Round {
+    fn run(shared: &Shared, state: &Mutex<Gossip>) -> Round {
         let now = shared.clock.now();
-        let own = shared.fleet().load_told(now);
+        let own = shared.fleet().local_load(now);
         let mut state = lock(state);
-        state.saw(shared.store.changed());
+        state.observe_revision(shared.store.changed());
         if state.is_behind(shared.store.watched(), now) {
             shared.store.give_up();
         }
         let messages = state.round(own, now);
-        let mut packets = suspicions(&mut shared.quarantine(), &state, &messages, now);
+        let mut packets = suspicion_packets(&mut shared.quarantine(), &state, &messages, now);
         let news = messages.into_iter();
-        packets.extend(news.map(|(to, message)| (to, Packet::News(message))));
+        packets.extend(news.map(|(to, message)| (to, Packet::Gossip(message))));
         Round {
             now,
             packets,
-            others: state.others(now),
-            kept: state.kept(),
-            live: state.live(),
+            others: state.others_load(now),
+            cached: state.take_cached_prefixes(),
+            live: state.live_members(),
             placer: state.placer(now),
-            leaves_out: state.leaves_out(),
+            is_truncated: state.is_truncated(),
         }
     }
 }
 
-fn lock(state: &Mutex<Sharing>) -> MutexGuard<'_, Sharing> {
+fn lock(state: &Mutex<Gossip>) -> MutexGuard<'_, Gossip> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/gateway/src/sharing/state.rs
+++ b/crates/gateway/src/sharing/state.rs
@@ -10,13 +10,13 @@
 
 use super::holdings::Holdings;
 use super::members::Members;
+use super::message::CachedPrefix;
 use super::message::Content;
+use super::message::EngineQueue;
 use super::message::Identity;
-use super::message::Kept;
 use super::message::Load;
 use super::message::Message;
-use super::message::Waiting;
-use super::message::Work;
+use super::message::ServiceWork;
 use crate::era::Revision;
 use crate::lag::Lag;
 
@@ -74,35 +74,35 @@
 
 /// What several instances have together.
 #[derive(Clone, Debug, Default)]
-pub struct Sums {
+pub struct LoadSum {
     /// What waits at each engine beyond [`Sums::unnamed`], in milliseconds of reading, by a hash of its
     /// identity.
-    pub waiting: HashMap<u32, f64>,
+    pub queues: HashMap<u32, f64>,
     /// What is taken to wait at each engine that isn't named, in milliseconds. It isn't nothing where a sender
     /// had too many to name.
-    pub unnamed: f64,
+    pub unlisted: f64,
     /// The work of late of each service, by a hash of its name.
     pub work: HashMap<u32, LaneNews>,
 }
 
-impl Sums {
+impl LoadSum {
     /// What waits at an engine, in milliseconds of reading.
-    pub fn waiting_at(&self, engine: u32) -> f64 {
-        let named = self.waiting.get(&engine).copied().unwrap_or(0.0);
-        (self.unnamed + named).max(0.0)
+    pub fn queue_at(&self, engine: u32) -> f64 {
+        let named = self.queues.get(&engine).copied().unwrap_or(0.0);
+        (self.unlisted + named).max(0.0)
     }
 
     /// Adds what was told, with a weight.
     ///
     /// An engine that a sender didn't name has between nothing and its least there: half of it is taken.
     pub fn add(&mut self, load: &Load, weight: f64) {
-        let unnamed = f64::from(load.least) / 2.0;
+        let unlisted = f64::from(load.unlisted_max) / 2.0;
         if load.part.index == 0 {
-            self.unnamed += weight * unnamed;
+            self.unlisted += weight * unlisted;
         }
-        for entry in &load.waiting {
-            let sum = self.waiting.entry(entry.engine).or_default();
-            *sum += weight * (f64::from(entry.reading) - unnamed);
+        for entry in &load.queues {
+            let sum = self.queues.entry(entry.engine).or_default();
+            *sum += weight * (f64::from(entry.read_ms) - unlisted);
         }
         for entry in &load.work {
             let sum = self.work.entry(entry.service).or_default();
@@ -124,21 +124,21 @@
     /// Leaves out a part of the sums, and what is nothing without it.
     fn leave_out(&mut self, load: &Load) {
         self.add(load, -1.0);
-        let unnamed = self.unnamed;
-        self.waiting.retain(|_, sum| *sum + unnamed > 0.0);
+        let unlisted = self.unlisted;
+        self.queues.retain(|_, sum| *sum + unlisted > 0.0);
     }
 
     fn load(&self) -> Load {
-        let waiting = self.waiting.keys().map(|&engine| Waiting {
+        let queues = self.queues.keys().map(|&engine| EngineQueue {
             engine,
-            reading: self.waiting_at(engine).round() as u32,
+            read_ms: self.queue_at(engine).round() as u32,
         });
         let work = self.work.iter();
-        let work = work.map(|(&service, news)| Work::new(service, news));
+        let work = work.map(|(&service, news)| ServiceWork::new(service, news));
         Load {
-            waiting: waiting.filter(|entry| entry.reading > 0).collect(),
+            queues: queues.filter(|entry| entry.read_ms > 0).collect(),
             work: work.filter(|entry| !entry.is_empty()).collect(),
-            least: (self.unnamed * 2.0).round() as u32,
+            unlisted_max: (self.unlisted * 2.0).round() as u32,
             ..Load::default()
         }
     }
@@ -150,7 +150,7 @@
 /// adds up its zone, tells the sum to the collectors of the other zones, and what the fleet has to those
 /// that told it.
 #[derive(Clone, Debug)]
-pub struct Sharing {
+pub struct Gossip {
     me: Identity,
     seeds: Vec<SocketAddr>,
     members: Members,
@@ -175,17 +175,17 @@
     holdings: Holdings,
     lag: Lag,
     /// Whether engines with a queue were left out of the last round's messages.
-    leaves_out: bool,
+    is_truncated: bool,
     rounds: u64,
     /// Differs between instances, so that they don't all draw the same ones.
     draw: u64,
 }
 
-impl Sharing {
+impl Gossip {
     /// Knows only the seeds.
-    pub fn new(me: Identity, seeds: &[SocketAddr]) -> Sharing {
+    pub fn new(me: Identity, seeds: &[SocketAddr]) -> Gossip {
         let seeds = seeds.iter().copied().filter(|seed| *seed != me.address);
-        Sharing {
+        Gossip {
             me,
             seeds: seeds.collect(),
             members: Members::new(me),
@@ -201,14 +201,14 @@
             askers: Vec::new(),
             holdings: Holdings::default(),
             lag: Lag::default(),
-            leaves_out: false,
+            is_truncated: false,
             rounds: 0,
             draw: XxHash3_64::oneshot(me.address.to_string().as_bytes()),
         }
     }
 
     /// How many other instances of the availability zone were heard of lately.
-    pub fn live(&self) -> usize {
+    pub fn live_members(&self) -> usize {
         self.members.live(self.me.zone)
     }
 
@@ -218,7 +218,7 @@
     }
 
     /// Takes in a message.
-    pub fn hear(&mut self, from: SocketAddr, message: Message, now: Millis) {
+    pub fn receive(&mut self, from: SocketAddr, message: Message, now: Millis) {
         if from == self.me.address {
             return;
         }
@@ -227,31 +227,31 @@
             zone: message.zone,
             capacity: message.capacity,
         };
-        self.members.hear(identity, now);
+        self.members.observe(identity, now);
         // Those that are remembered are bounded in number, and what they tell with them: a flood of messages
         // from made-up addresses must not fill the memory.
-        if !self.members.knows(&from) {
+        if !self.members.contains(&from) {
             return;
         }
-        self.lag.hear(message.revision);
-        for named in message.names {
-            self.members.hear_of(named, now);
+        self.lag.observe(message.revision);
+        for named in message.members {
+            self.members.observe_reported(named, now);
         }
         match message.content {
             Content::Hello if self.askers.len() < MOST_ASKERS => self.askers.push(from),
-            Content::Hello | Content::Names => {}
-            Content::Own(load) => {
-                self.holdings.zone_told(&load.kept);
+            Content::Hello | Content::Members => {}
+            Content::Instance(load) => {
+                self.holdings.zone_told(&load.cached);
                 self.reports.entry(from).or_default().take(load, now);
             }
             Content::Zone(load) => {
-                self.holdings.other_zone_told(&load.kept);
+                self.holdings.other_zone_told(&load.cached);
                 let (zone, heard) = self.zones.entry(from).or_default();
                 *zone = message.zone;
                 heard.take(load, now);
             }
             Content::Fleet(load, placer) => {
-                self.holdings.collector_told(&load.kept);
+                self.holdings.collector_told(&load.cached);
                 self.fleet.get_or_insert_default().take(load, now);
                 self.placer = Some(placer);
             }
@@ -269,31 +269,31 @@
         match self.choose_collector(now) {
             Some(collector) if tells => {
                 let parts = own.clone().split().into_iter();
-                contents.extend(parts.map(|part| (collector, Content::Own(part))));
+                contents.extend(parts.map(|part| (collector, Content::Instance(part))));
             }
             _ => {}
         }
         if self.collector.is_none() {
-            self.holdings.own(&own.kept);
+            self.holdings.own(&own.cached);
         }
         self.told.rotate_left(1);
         self.told[1] = own;
         self.collect(due, now, &mut contents);
-        self.leaves_out = contents.iter().any(|(_, content)| content.leaves_out());
+        self.is_truncated = contents.iter().any(|(_, content)| content.is_truncated());
         self.greet(&mut contents);
         if contents.is_empty() {
             return Vec::new();
         }
         // The same names to all, so that whoever is told in every round hears of all in turn. For the
         // instances of the zone it is enough to know each other.
-        let inside = self.members.names(true, now);
-        let all = self.members.names(false, now);
+        let inside = self.members.next_entries(true, now);
+        let all = self.members.next_entries(false, now);
         let messages = contents.into_iter().map(|(to, content)| {
-            let names = match content {
-                Content::Own(_) | Content::Fleet(..) => &inside,
-                Content::Hello | Content::Names | Content::Zone(_) => &all,
+            let members = match content {
+                Content::Instance(_) | Content::Fleet(..) => &inside,
+                Content::Hello | Content::Members | Content::Zone(_) => &all,
             };
-            let message = Message::new(&self.me, names.clone(), content);
+            let message = Message::new(&self.me, members.clone(), content);
             let revision = self.lag.newest();
             (
                 to,
@@ -307,8 +307,8 @@
     }
 
     /// What all others have together.
-    pub fn others(&self, now: Millis) -> Sums {
-        let mut sums = Sums::default();
+    pub fn others_load(&self, now: Millis) -> LoadSum {
+        let mut sums = LoadSum::default();
         match &self.fleet {
             Some(fleet) if self.collector.is_some() => {
                 sums.add_heard(fleet, now);
@@ -337,18 +337,18 @@
     }
 
     /// Whether the last round's messages couldn't name all engines with a queue.
-    pub fn leaves_out(&self) -> bool {
-        self.leaves_out
+    pub fn is_truncated(&self) -> bool {
+        self.is_truncated
     }
 
     /// Whom to tell what every instance has to know soon, another few in each round.
-    pub fn audience(&self) -> Vec<SocketAddr> {
+    pub fn gossip_targets(&self) -> Vec<SocketAddr> {
         self.members.sample(AUDIENCE, self.rounds ^ self.draw)
     }
 
     /// This instance saw a change of the store at `revision`.
-    pub fn saw(&mut self, revision: Revision) {
-        self.lag.hear(revision);
+    pub fn observe_revision(&mut self, revision: Revision) {
+        self.lag.observe(revision);
     }
 
     /// Whether others have read a change that this instance's watch, which waits for those after `at`, doesn't
@@ -358,7 +358,7 @@
     }
 
     /// What engines hold, as was heard since the last call.
-    pub fn kept(&mut self) -> Vec<Kept> {
+    pub fn take_cached_prefixes(&mut self) -> Vec<CachedPrefix> {
         self.holdings.heard()
     }
 
@@ -367,7 +367,7 @@
         if let Some((collector, since)) = self.collector {
             let told = self.fleet.as_ref().map_or(Millis::ZERO, |fleet| fleet.at);
             if now.since(told.max(since)) > PATIENCE {
-                self.members.shun(&collector, now);
+                self.members.suspend(&collector, now);
             }
         }
         let best = self.members.collector(self.me.zone, now);
@@ -386,11 +386,11 @@
         if self.reports.is_empty() && self.collector.is_some() {
             return;
         }
-        let mut sums = Sums::default();
+        let mut sums = LoadSum::default();
         sums.add(&self.told[1], 1.0);
         self.add_zone(&mut sums, now);
         let mut zone = sums.load();
-        zone.kept = self.holdings.for_zones();
+        zone.cached = self.holdings.for_zones();
         let tells = due || !zone.is_empty() || self.busy[0];
         self.busy[0] = !zone.is_empty();
         if tells {
@@ -401,7 +401,7 @@
         }
         self.add_other_zones(&mut sums, now);
         let mut fleet = sums.load();
-        fleet.kept = self.holdings.for_fleet();
+        fleet.cached = self.holdings.for_fleet();
         let tells = due || !fleet.is_empty() || self.busy[1];
         self.busy[1] = !fleet.is_empty();
         if !tells {
@@ -434,32 +434,35 @@
     fn greet(&mut self, contents: &mut Vec<(SocketAddr, Content)>) {
         let next = self.askers.len().min(ROUND_ANSWERS);
         let askers = self.askers.drain(..next);
-        contents.extend(askers.map(|asker| (asker, Content::Names)));
+        contents.extend(askers.map(|asker| (asker, Content::Members)));
         if self.rounds % GREETING_ROUNDS != 1 {
             return;
         }
-        let unheard = self.seeds.iter().filter(|seed| !self.members.knows(seed));
+        let unheard = self
+            .seeds
+            .iter()
+            .filter(|seed| !self.members.contains(seed));
         contents.extend(unheard.map(|seed| (*seed, Content::Hello)));
-        if let Some(next) = self.members.after(self.greeted) {
+        if let Some(next) = self.members.next_after(self.greeted) {
             self.greeted = next;
             contents.push((next, Content::Hello));
         }
     }
 
     fn forget(&mut self, now: Millis) {
-        self.members.forget(now);
+        self.members.expire(now);
         let fresh = |heard: &Heard| now.since(heard.at) < FRESH;
         self.reports.retain(|_, heard| fresh(heard));
         self.zones.retain(|_, (_, heard)| fresh(heard));
     }
 
-    fn add_zone(&self, sums: &mut Sums, now: Millis) {
+    fn add_zone(&self, sums: &mut LoadSum, now: Millis) {
         for heard in self.reports.values() {
             sums.add_heard(heard, now);
         }
     }
 
-    fn add_other_zones(&self, sums: &mut Sums, now: Millis) {
+    fn add_other_zones(&self, sums: &mut LoadSum, now: Millis) {
         for (_, heard) in self.zones.values() {
             sums.add_heard(heard, now);
         }
--- a/crates/gateway/src/sharing/suspicions.rs
+++ b/crates/gateway/src/sharing/suspicions.rs
@@ -7,7 +7,7 @@
 
 use super::message::Content;
 use super::message::Message;
-use super::state::Sharing;
+use super::state::Gossip;
 use crate::placing::Packet;
 
 /// What goes out beside the `messages` of a round: what is new, to some of the instances, and all of it to those that
@@ -15,21 +15,21 @@
 ///
 /// Whoever hears news tells them on, so that they reach nearly all within a second; it may miss one. Each instance asks
 /// another one for names every second, and is told what it missed. So is one that has just started.
-pub fn suspicions(
+pub fn suspicion_packets(
     quarantine: &mut Quarantine,
-    sharing: &Sharing,
+    sharing: &Gossip,
     messages: &[(SocketAddr, Message)],
     now: Millis,
 ) -> Vec<(SocketAddr, Packet)> {
     let mut packets = Vec::new();
     let news = quarantine.news(now);
     if !news.is_empty() {
-        let audience = sharing.audience().into_iter();
-        packets.extend(audience.map(|to| (to, Packet::Suspicions(news.clone()))));
+        let targets = sharing.gossip_targets().into_iter();
+        packets.extend(targets.map(|to| (to, Packet::Suspicions(news.clone()))));
     }
     let askers = messages
         .iter()
-        .filter(|(_, message)| matches!(message.content, Content::Names));
+        .filter(|(_, message)| matches!(message.content, Content::Members));
     for (asker, _) in askers {
         let known = quarantine.known(now);
         if !known.is_empty() {
--- a/crates/gateway/src/source.rs
+++ b/crates/gateway/src/source.rs
@@ -45,22 +45,22 @@
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
     /// The revision from which to watch.
-    pub at: Revision,
+    pub revision: Revision,
     /// The entries.
     pub entries: Vec<Entry>,
     /// The revision of the last change of any of them; number zero without any.
-    pub changed: Revision,
+    pub last_change: Revision,
 }
 
 /// What has changed since a revision.
 #[derive(Clone, Debug, Default)]
 pub struct Changes {
     /// The revision from which to go on.
-    pub at: Revision,
+    pub revision: Revision,
     /// The changes in order.
     pub changes: Vec<Change>,
     /// The revision of the last of them; number zero without any.
-    pub changed: Revision,
+    pub last_change: Revision,
 }
 
 quick_error! {
--- a/crates/gateway/src/expectations.rs
+++ b/crates/gateway/src/wait_predictions.rs
@@ -13,7 +13,7 @@
 
 /// The upper ends of the steps by which expected waits are told, in milliseconds; none expected is a step of its
 /// own, and so is all beyond the last.
-const STEPS: [u64; 4] = [0, 200, 600, 1200];
+const BUCKETS_MS: [u64; 4] = [0, 200, 600, 1200];
 
 /// Who chose the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -28,7 +28,7 @@
 
 /// Requests of one route, by who chose their server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Expectation {
+pub struct WaitPrediction {
     /// The route's name; none for all together.
     pub route: Option<String>,
     /// Who chose.
@@ -37,28 +37,28 @@
     /// the longer, 0 where there is no relation. `None` where it isn't defined.
     pub correlation: Option<f64>,
     /// By steps of the expected wait.
-    pub steps: Vec<Step>,
+    pub buckets: Vec<WaitBucket>,
 }
 
 /// Requests with about the same expected wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Step {
+pub struct WaitBucket {
     /// The longest wait of the step; `None` for the last one.
-    pub most: Option<Millis>,
+    pub upper_bound: Option<Millis>,
     /// How many requests.
     pub requests: usize,
     /// The time to their first byte, at the 50th and 90th percentile.
-    pub first: [Millis; 2],
+    pub first_byte: [Millis; 2],
 }
 
 #[derive(Clone, Copy)]
 struct Sample {
-    expected: Millis,
-    first: Millis,
+    expected_wait: Millis,
+    first_byte: Millis,
 }
 
 /// Sums up the requests with a prompt that were answered, by route and by who chose.
-pub fn expectations<'a>(lines: impl IntoIterator<Item = &'a str>) -> Vec<Expectation> {
+pub fn wait_predictions<'a>(lines: impl IntoIterator<Item = &'a str>) -> Vec<WaitPrediction> {
     let mut groups: BTreeMap<(Option<&str>, Chooser), Vec<Sample>> = BTreeMap::new();
     for line in lines {
         let Some((route, chooser, sample)) = read(line) else {
@@ -73,13 +73,16 @@
         }
     }
     let told = groups.into_iter().map(|((route, chooser), samples)| {
-        let expected: Vec<u64> = samples.iter().map(|sample| sample.expected.0).collect();
-        let first: Vec<u64> = samples.iter().map(|sample| sample.first.0).collect();
-        Expectation {
+        let expected_wait: Vec<u64> = samples
+            .iter()
+            .map(|sample| sample.expected_wait.0)
+            .collect();
+        let first_byte: Vec<u64> = samples.iter().map(|sample| sample.first_byte.0).collect();
+        WaitPrediction {
             route: route.map(str::to_owned),
             chooser,
-            correlation: rank_correlation(&expected, &first),
-            steps: steps(&samples),
+            correlation: rank_correlation(&expected_wait, &first_byte),
+            buckets: buckets(&samples),
         }
     });
     told.collect()
@@ -97,27 +100,31 @@
         Some(_) => Chooser::Placer,
     };
     let sample = Sample {
-        expected: millis(line, "expected-wait")?,
-        first: millis(line, "first")?,
+        expected_wait: millis(line, "expected-wait")?,
+        first_byte: millis(line, "first")?,
     };
     Some((field(line, "route")?, chooser, sample))
 }
 
-fn steps(samples: &[Sample]) -> Vec<Step> {
-    let place = |sample: &Sample| STEPS.iter().position(|most| sample.expected.0 <= *most);
-    let steps = (0..=STEPS.len()).map(|step| {
+fn buckets(samples: &[Sample]) -> Vec<WaitBucket> {
+    let place = |sample: &Sample| {
+        BUCKETS_MS
+            .iter()
+            .position(|upper_bound| sample.expected_wait.0 <= *upper_bound)
+    };
+    let buckets = (0..=BUCKETS_MS.len()).map(|bucket| {
         let inside = samples
             .iter()
-            .filter(|sample| place(sample).unwrap_or(STEPS.len()) == step);
-        let mut first: Vec<Millis> = inside.map(|sample| sample.first).collect();
-        first.sort_unstable();
-        Step {
-            most: STEPS.get(step).copied().map(Millis),
-            requests: first.len(),
-            first: [50, 90].map(|part| percentile(&first, part)),
+            .filter(|sample| place(sample).unwrap_or(BUCKETS_MS.len()) == bucket);
+        let mut first_byte: Vec<Millis> = inside.map(|sample| sample.first_byte).collect();
+        first_byte.sort_unstable();
+        WaitBucket {
+            upper_bound: BUCKETS_MS.get(bucket).copied().map(Millis),
+            requests: first_byte.len(),
+            first_byte: [50, 90].map(|part| percentile(&first_byte, part)),
         }
     });
-    steps.collect()
+    buckets.collect()
 }
 
 /// Spearman's rank correlation, equal values taking the mean of their ranks; `None` where one side is constant.
@@ -139,10 +146,10 @@
     let mut ranks = vec![0.0; values.len()];
     let mut next = 0;
     for equal in order.chunk_by(|&a, &b| values[a] == values[b]) {
-        let first = next + 1;
+        let first_byte = next + 1;
         next += equal.len();
         for &at in equal {
-            ranks[at] = (first + next) as f64 / 2.0;
+            ranks[at] = (first_byte + next) as f64 / 2.0;
         }
     }
     ranks
--- a/crates/gateway/tests/directory.rs
+++ b/crates/gateway/tests/directory.rs
@@ -10,7 +10,7 @@
 fn known(ids: &[&str]) -> Directory {
     let mut directory = Directory::default();
     for id in ids {
-        directory.seen(id, EntryVersion::default());
+        directory.observe(id, EntryVersion::default());
     }
     directory
 }
@@ -18,48 +18,48 @@
 #[test]
 fn an_entry_that_vanishes_while_the_registry_works_is_gone() {
     let mut directory = known(&["a", "b"]);
-    assert!(directory.vanished("a", Millis(10)));
-    assert!(!directory.vanished("a", Millis(11)), "it is told once");
+    assert!(directory.remove("a", Millis(10)));
+    assert!(!directory.remove("a", Millis(11)), "it is told once");
     let ids = HashSet::new();
-    assert_eq!(directory.listed(&ids, Millis(12)), ["b"]);
+    assert_eq!(directory.reconcile(&ids, Millis(12)), ["b"]);
 }
 
 /// The registry is away for 5 s, and all leases run out. Of the two servers one comes back in time.
 #[test]
 fn after_an_outage_only_what_stays_away_is_gone() {
     let mut directory = known(&["a", "b"]);
-    assert!(directory.failed());
-    assert!(!directory.failed(), "an outage is told once");
+    assert!(directory.record_failure());
+    assert!(!directory.record_failure(), "an outage is told once");
     let back = Millis(5000);
-    assert!(directory.succeeded(back));
-    assert!(!directory.vanished("a", back));
-    assert!(!directory.vanished("b", back));
-    assert_eq!(directory.doubted(), 2);
-    directory.seen("a", EntryVersion::default());
+    assert!(directory.record_success(back));
+    assert!(!directory.remove("a", back));
+    assert!(!directory.remove("b", back));
+    assert_eq!(directory.unconfirmed(), 2);
+    directory.observe("a", EntryVersion::default());
     assert!(
         directory
             .expire(Millis(back.0 + RETURN_GRACE.0 - 1))
             .is_empty()
     );
     assert_eq!(directory.expire(back + RETURN_GRACE), ["b"]);
-    assert_eq!(directory.doubted(), 0);
+    assert_eq!(directory.unconfirmed(), 0);
 }
 
 /// The registry goes away again before the grace has ended: nobody could have come back meanwhile.
 #[test]
 fn a_second_outage_holds_the_grace() {
     let mut directory = known(&["a"]);
-    directory.failed();
-    directory.succeeded(Millis(1000));
-    assert!(!directory.vanished("a", Millis(1000)));
-    directory.failed();
+    directory.record_failure();
+    directory.record_success(Millis(1000));
+    assert!(!directory.remove("a", Millis(1000)));
+    directory.record_failure();
     assert!(directory.expire(Millis(60_000)).is_empty());
 }
 
 #[test]
 fn well_after_the_return_an_entry_that_vanishes_is_gone_at_once() {
     let mut directory = known(&["a"]);
-    directory.failed();
-    directory.succeeded(Millis(1000));
-    assert!(directory.vanished("a", Millis(1000) + RETURN_GRACE));
+    directory.record_failure();
+    directory.record_success(Millis(1000));
+    assert!(directory.remove("a", Millis(1000) + RETURN_GRACE));
 }
--- a/crates/gateway/tests/era.rs
+++ b/crates/gateway/tests/era.rs
@@ -15,7 +15,7 @@
 /// A server whose entry 7 was read; then the store goes back.
 fn guard(started: Option<u64>, gone: bool) -> EraGuard {
     let mut guard = EraGuard::default();
-    assert!(guard.believes("a", entry(started, 7)));
+    assert!(guard.accepts("a", entry(started, 7)));
     if gone {
         guard.forget("a");
     }
@@ -37,16 +37,16 @@
     told: EntryVersion,
     believed: bool,
 ) {
-    assert_eq!(guard(started, gone).believes("a", told), believed);
+    assert_eq!(guard(started, gone).accepts("a", told), believed);
 }
 
 /// Guards against doubt that outlives its cause: a server that numbers its entries anew is believed again.
 #[test]
 fn what_was_written_since_ends_the_doubt() {
     let mut guard = guard(None, false);
-    assert!(guard.believes("a", entry(None, 8)));
-    assert!(guard.believes("a", entry(None, 1)));
-    assert!(guard.believes("b", entry(None, 1)), "it is new");
+    assert!(guard.accepts("a", entry(None, 8)));
+    assert!(guard.accepts("a", entry(None, 1)));
+    assert!(guard.accepts("b", entry(None, 1)), "it is new");
 }
 
 /// Guards against a memory of servers that are gone which grows with each release.
@@ -55,25 +55,25 @@
     let mut guard = EraGuard::default();
     for number in 0..10_000 {
         let id = format!("server-{number}");
-        assert!(guard.believes(&id, entry(None, 1)));
+        assert!(guard.accepts(&id, entry(None, 1)));
         guard.forget(&id);
     }
     guard.begin(BACK);
-    assert!(!guard.believes("server-9999", entry(None, 1)));
-    assert!(guard.believes("server-0", entry(None, 1)));
+    assert!(!guard.accepts("server-9999", entry(None, 1)));
+    assert!(guard.accepts("server-0", entry(None, 1)));
 }
 
 /// Guards against taking an evacuation back early, or never.
 #[test]
 fn an_evacuation_that_the_copy_lacks_holds_for_a_while() {
     let mut guard = EraGuard::default();
-    assert!(!guard.keeps_evacuated("z", BACK), "it was taken back");
+    assert!(!guard.retains_evacuation("z", BACK), "it was taken back");
     guard.begin(BACK);
-    assert!(guard.keeps_evacuated("z", BACK));
+    assert!(guard.retains_evacuation("z", BACK));
     let ends = BACK + EVACUATION_GRACE;
     assert!(guard.expire(Millis(ends.0 - 1)).is_empty());
     assert_eq!(guard.expire(ends), ["z"]);
-    assert!(!guard.keeps_evacuated("z", ends));
+    assert!(!guard.retains_evacuation("z", ends));
 }
 
 /// Guards against readmitting a zone whose evacuation was written again.
@@ -81,7 +81,7 @@
 fn an_evacuation_that_is_told_again_isnt_doubted() {
     let mut guard = EraGuard::default();
     guard.begin(BACK);
-    assert!(guard.keeps_evacuated("z", BACK));
-    guard.zone_told("z");
+    assert!(guard.retains_evacuation("z", BACK));
+    guard.confirm_zone("z");
     assert!(guard.expire(BACK + EVACUATION_GRACE).is_empty());
 }
--- a/crates/gateway/tests/expectations.rs
+++ b/crates/gateway/tests/expectations.rs
@@ -2,25 +2,25 @@
 
 use crocushold_base::Millis;
 use crocushold_gateway::Chooser;
-use crocushold_gateway::Expectation;
-use crocushold_gateway::expectations;
+use crocushold_gateway::WaitPrediction;
+use crocushold_gateway::wait_predictions;
 use test_case::test_case;
 
-fn line(route: &str, placer: &str, expected: u64, first: u64) -> String {
+fn line(route: &str, placer: &str, expected_wait: u64, first_byte: u64) -> String {
     format!(
         "time=2026-02-12T10:00:00.000+0000 event=request-ended route={route} placer={placer} \
-         expected-wait={expected}ms outcome=answered prefix=7f first={first}ms"
+         expected-wait={expected_wait}ms outcome=answered prefix=7f first={first_byte}ms"
     )
 }
 
-fn told(lines: &[String]) -> Vec<Expectation> {
-    expectations(lines.iter().map(String::as_str))
+fn told(lines: &[String]) -> Vec<WaitPrediction> {
+    wait_predictions(lines.iter().map(String::as_str))
 }
 
 fn correlation(pairs: &[(u64, u64)]) -> Option<f64> {
     let lines = pairs
         .iter()
-        .map(|&(wait, first)| line("a", "none", wait, first));
+        .map(|&(wait, first_byte)| line("a", "none", wait, first_byte));
     let lines: Vec<String> = lines.collect();
     told(&lines)[0].correlation
 }
@@ -31,11 +31,11 @@
 #[test_case(&[(0, 10), (0, 20), (900, 10), (900, 20)], Some(0.0); "no relation")]
 #[test_case(&[(0, 10), (0, 20)], None; "nothing was expected")]
 #[test_case(&[(5, 10)], None; "one request")]
-fn relations_are_told(pairs: &[(u64, u64)], expected: Option<f64>) {
+fn relations_are_told(pairs: &[(u64, u64)], expected_wait: Option<f64>) {
     let met = correlation(pairs);
-    match (met, expected) {
-        (Some(met), Some(expected)) => assert!((met - expected).abs() < 1e-9, "{met}"),
-        _ => assert_eq!(met, expected),
+    match (met, expected_wait) {
+        (Some(met), Some(expected_wait)) => assert!((met - expected_wait).abs() < 1e-9, "{met}"),
+        _ => assert_eq!(met, expected_wait),
     }
 }
 
@@ -63,8 +63,12 @@
         (Some("b"), Chooser::All),
     ];
     assert_eq!(keys, wanted);
-    let requests: Vec<usize> = told[0].steps.iter().map(|step| step.requests).collect();
+    let requests: Vec<usize> = told[0]
+        .buckets
+        .iter()
+        .map(|bucket| bucket.requests)
+        .collect();
     assert_eq!(requests, [1, 1, 0, 0, 1]);
-    assert_eq!(told[0].steps[4].first, [Millis(2000); 2]);
-    assert_eq!(told[0].steps[4].most, None);
+    assert_eq!(told[0].buckets[4].first_byte, [Millis(2000); 2]);
+    assert_eq!(told[0].buckets[4].upper_bound, None);
 }
--- a/crates/gateway/tests/lag.rs
+++ b/crates/gateway/tests/lag.rs
@@ -15,7 +15,7 @@
 #[test]
 fn a_watch_that_is_behind_is_given_up() {
     let mut lag = Lag::default();
-    lag.hear(at(70));
+    lag.observe(at(70));
     assert!(!lag.is_behind(Some(at(60)), START));
     assert!(!lag.is_behind(Some(at(60)), START + Millis(100)));
     assert!(lag.is_behind(Some(at(60)), START + Millis(300)));
@@ -25,11 +25,11 @@
 #[test]
 fn a_watch_that_catches_up_goes_on() {
     let mut lag = Lag::default();
-    lag.hear(at(70));
+    lag.observe(at(70));
     assert!(!lag.is_behind(Some(at(60)), START));
     assert!(!lag.is_behind(None, START + Millis(200)), "it gathers");
     assert!(!lag.is_behind(Some(at(70)), START + Millis(400)));
-    lag.hear(at(80));
+    lag.observe(at(80));
     assert!(
         !lag.is_behind(Some(at(70)), START + Millis(500)),
         "counted anew"
@@ -40,7 +40,7 @@
 #[test]
 fn a_wrong_word_costs_one_call() {
     let mut lag = Lag::default();
-    lag.hear(at(u64::MAX));
+    lag.observe(at(u64::MAX));
     let rounds = (0..100).map(|round| START + Millis(round * 100));
     let given_up = rounds.filter(|now| lag.is_behind(Some(at(60)), *now));
     assert_eq!(given_up.count(), 1);
@@ -50,11 +50,11 @@
 #[test]
 fn revisions_of_a_former_era_are_behind_those_of_the_next() {
     let mut lag = Lag::default();
-    lag.hear(at(70));
-    lag.hear(Revision { era: 4, number: 12 });
+    lag.observe(at(70));
+    lag.observe(Revision { era: 4, number: 12 });
     assert!(!lag.is_behind(Some(at(80)), START));
     assert!(lag.is_behind(Some(at(80)), START + Millis(300)));
-    lag.hear(at(90));
+    lag.observe(at(90));
     let read = Some(Revision { era: 4, number: 12 });
     let rounds = (0..100).map(|round| START + Millis(1000 + round * 100));
     assert_eq!(rounds.filter(|now| lag.is_behind(read, *now)).count(), 0);
--- a/crates/gateway/tests/latencies.rs
+++ b/crates/gateway/tests/latencies.rs
@@ -46,13 +46,13 @@
     let [batch, calm, late] = &spans[..] else {
         unreachable!()
     };
-    assert_eq!((batch.route.as_str(), batch.at), ("batch", Millis(2000)));
-    assert_eq!((calm.route.as_str(), calm.at), ("live", Millis(0)));
-    assert_eq!((calm.ended, calm.unserved, calm.moved), (2, 0, 1));
-    assert_eq!(calm.first, [50, 50, 50].map(Millis));
+    assert_eq!((batch.route.as_str(), batch.start), ("batch", Millis(2000)));
+    assert_eq!((calm.route.as_str(), calm.start), ("live", Millis(0)));
+    assert_eq!((calm.ended, calm.unserved, calm.transferred), (2, 0, 1));
+    assert_eq!(calm.first_byte, [50, 50, 50].map(Millis));
     assert_eq!((late.ended, late.unserved, late.unanswered), (3, 2, 1));
-    assert_eq!(late.pause, [240, 240, 240].map(Millis));
-    assert_eq!(late.expected, [9, 9, 9].map(Millis));
+    assert_eq!(late.longest_pause, [240, 240, 240].map(Millis));
+    assert_eq!(late.expected_wait, [9, 9, 9].map(Millis));
 }
 
 #[test]
--- a/crates/gateway/tests/model/mod.rs
+++ b/crates/gateway/tests/model/mod.rs
@@ -7,20 +7,20 @@
 use std::net::SocketAddr;
 
 use crocushold_base::Millis;
-use crocushold_gateway::Ask;
 use crocushold_gateway::Choice;
-use crocushold_gateway::Ended;
 use crocushold_gateway::Fleet;
 use crocushold_gateway::FleetSettings;
 use crocushold_gateway::Heartbeat;
+use crocushold_gateway::LoadSum;
 use crocushold_gateway::Need;
-use crocushold_gateway::Note;
-use crocushold_gateway::NoteKind;
+use crocushold_gateway::PlacementRequest;
+use crocushold_gateway::PlacementVerdict;
 use crocushold_gateway::Placer;
 use crocushold_gateway::Presence;
+use crocushold_gateway::RequestEnd;
+use crocushold_gateway::RequestUpdate;
 use crocushold_gateway::ServerRecord;
-use crocushold_gateway::Sums;
-use crocushold_gateway::Verdict;
+use crocushold_gateway::UpdateKind;
 use crocushold_routing::Outcome;
 
 /// Instances and engines where none are named.
@@ -183,12 +183,12 @@
             model: Some("m".to_owned()),
             prefix: Some(prompt),
             priority: load.rank,
-            prompt: load.shared + load.own,
-            own: load.own,
-            output: 50,
-            limit: load.limit,
-            expected: 50,
-            pause: Some(Millis(load.pause)).filter(|_| load.live),
+            prompt_tokens: load.shared + load.own,
+            unique_tokens: load.own,
+            max_output_tokens: 50,
+            wait_limit: load.limit,
+            expected_output_tokens: 50,
+            max_pause: Some(Millis(load.pause)).filter(|_| load.live),
             ..Need::default()
         };
         self.fares[class].asked += 1;
@@ -215,16 +215,16 @@
         let Some(placer) = self.placer.as_mut().filter(|_| instance > 0) else {
             return self.fleets[instance].pick(need, &[], now).ok();
         };
-        let ask = Ask {
+        let ask = PlacementRequest {
             number: self.number as u32,
             zone: String::new(),
-            left: Millis::from_secs(30),
+            remaining: Millis::from_secs(30),
             tried: Vec::new(),
             need: need.clone(),
         };
         let from = peer_of(instance);
         let reply = placer.place(&mut self.fleets[0], from, &ask, now);
-        let Verdict::At(place) = reply.verdict else {
+        let PlacementVerdict::Placed(place) = reply.verdict else {
             return None;
         };
         let adopted = self.fleets[instance].adopt(need, &place, &[], now);
@@ -247,7 +247,7 @@
                 let load = &loads[job.class];
                 self.fleets[job.instance].first_byte(&job.choice, Millis(now));
                 if let Some(placer) = &mut self.placer {
-                    let kind = NoteKind::Began(None);
+                    let kind = UpdateKind::Started(None);
                     tell(placer, &mut self.fleets[0], &job, kind, now);
                 }
                 let first_byte = now - job.sent;
@@ -297,8 +297,8 @@
                 fleet.paused(&job.choice, Millis(answer.longest), Millis(now));
                 fleet.done(&job.choice, Outcome::Complete, 50, Millis(now));
                 if let Some(placer) = &mut self.placer {
-                    let kind = NoteKind::Ended(Ended {
-                        how: Outcome::Complete,
+                    let kind = UpdateKind::Ended(RequestEnd {
+                        outcome: Outcome::Complete,
                         tokens: 50,
                         pause: Some(Millis(answer.longest)),
                     });
@@ -321,17 +321,17 @@
     /// Each instance hears what all others have.
     fn share(&mut self, now: u64) {
         let fleets = self.fleets.iter_mut();
-        let told: Vec<_> = fleets.map(|fleet| fleet.load_told(Millis(now))).collect();
+        let told: Vec<_> = fleets.map(|fleet| fleet.local_load(Millis(now))).collect();
         for (me, fleet) in self.fleets.iter_mut().enumerate() {
-            let mut others = Sums::default();
+            let mut others = LoadSum::default();
             let heard = told.iter().enumerate().filter(|(other, _)| *other != me);
             for (_, load) in heard {
                 others.add(load, 1.0);
             }
-            fleet.take_others(&others);
+            fleet.set_others_load(&others);
             let heard = told.iter().enumerate().filter(|(other, _)| *other != me);
             for (_, load) in heard {
-                fleet.take_kept(&load.kept, Millis(now));
+                fleet.add_cached_prefixes(&load.cached, Millis(now));
             }
         }
     }
@@ -341,7 +341,7 @@
     /// The first instance chooses for all from now on.
     pub(crate) fn place_centrally(&mut self) {
         self.placer = Some(Placer::default());
-        self.fleets[0].set_places(true);
+        self.fleets[0].set_placer(true);
     }
 
     pub(crate) fn run(&mut self, loads: [Load; 2], seconds: u64) -> Vec<Fare> {
@@ -362,9 +362,9 @@
 }
 
 /// What became of a request is told to the first instance.
-fn tell(placer: &mut Placer, fleet: &mut Fleet, job: &Job, kind: NoteKind, now: u64) {
+fn tell(placer: &mut Placer, fleet: &mut Fleet, job: &Job, kind: UpdateKind, now: u64) {
     let number = job.number;
-    let note = Note { number, kind };
+    let note = RequestUpdate { number, kind };
     placer.note(fleet, peer_of(job.instance), note, Millis(now));
 }
 
--- a/crates/gateway/tests/placer.rs
+++ b/crates/gateway/tests/placer.rs
@@ -4,23 +4,23 @@
 use std::net::SocketAddr;
 
 use crocushold_base::Millis;
-use crocushold_gateway::Ask;
-use crocushold_gateway::Asker;
-use crocushold_gateway::Ended;
 use crocushold_gateway::Fleet;
 use crocushold_gateway::FleetSettings;
 use crocushold_gateway::Heartbeat;
 use crocushold_gateway::Need;
-use crocushold_gateway::Note;
-use crocushold_gateway::NoteKind;
 use crocushold_gateway::Packet;
-use crocushold_gateway::Place;
+use crocushold_gateway::Placement;
+use crocushold_gateway::PlacementClient;
+use crocushold_gateway::PlacementId;
+use crocushold_gateway::PlacementReply;
+use crocushold_gateway::PlacementRequest;
+use crocushold_gateway::PlacementVerdict;
 use crocushold_gateway::Placer;
 use crocushold_gateway::Presence;
-use crocushold_gateway::Reply;
+use crocushold_gateway::RequestEnd;
+use crocushold_gateway::RequestUpdate;
 use crocushold_gateway::ServerRecord;
-use crocushold_gateway::Ticket;
-use crocushold_gateway::Verdict;
+use crocushold_gateway::UpdateKind;
 use crocushold_routing::Outcome;
 
 const ENGINES: u8 = 3;
@@ -57,47 +57,47 @@
     Need {
         service: "svc".to_owned(),
         model: Some("m".to_owned()),
-        prompt: 9000,
-        own: 9000,
-        output: 50,
-        expected: 50,
+        prompt_tokens: 9000,
+        unique_tokens: 9000,
+        max_output_tokens: 50,
+        expected_output_tokens: 50,
         ..Need::default()
     }
 }
 
-fn ask(number: u32) -> Ask {
-    Ask {
+fn ask(number: u32) -> PlacementRequest {
+    PlacementRequest {
         number,
         zone: "here".to_owned(),
-        left: LEFT,
+        remaining: LEFT,
         tried: Vec::new(),
         need: need(),
     }
 }
 
-fn place(reply: Reply) -> Place {
+fn place(reply: PlacementReply) -> Placement {
     match reply.verdict {
-        Verdict::At(place) => place,
+        PlacementVerdict::Placed(place) => place,
         other => panic!("no place: {other:?}"),
     }
 }
 
-fn ended(tokens: u32) -> NoteKind {
-    NoteKind::Ended(Ended {
-        how: Outcome::Complete,
+fn ended(tokens: u32) -> UpdateKind {
+    UpdateKind::Ended(RequestEnd {
+        outcome: Outcome::Complete,
         tokens,
         pause: None,
     })
 }
 
-fn note(number: u32, kind: NoteKind) -> Note {
-    Note { number, kind }
+fn note(number: u32, kind: UpdateKind) -> RequestUpdate {
+    RequestUpdate { number, kind }
 }
 
 /// What is told to be waiting at all engines, in milliseconds of reading.
-fn waiting(fleet: &mut Fleet, now: Millis) -> u32 {
-    let load = fleet.load_told(now);
-    load.waiting.iter().map(|entry| entry.reading).sum()
+fn queued_ms(fleet: &mut Fleet, now: Millis) -> u32 {
+    let load = fleet.local_load(now);
+    load.queues.iter().map(|entry| entry.read_ms).sum()
 }
 
 /// Three instances ask within a millisecond. Each by itself would see three idle engines; the placer has
@@ -123,10 +123,10 @@
     let mut fleet = fleet();
     let mut placer = Placer::default();
     let first = placer.place(&mut fleet, asker_at(1), &ask(1), START);
-    let before = waiting(&mut fleet, START);
+    let before = queued_ms(&mut fleet, START);
     let second = placer.place(&mut fleet, asker_at(1), &ask(1), START + Millis(1));
     assert_eq!(first, second);
-    assert_eq!(waiting(&mut fleet, START), before);
+    assert_eq!(queued_ms(&mut fleet, START), before);
     assert_eq!(placer.len(), 1);
 }
 
@@ -148,13 +148,13 @@
     let mut fleet = fleet();
     let mut placer = Placer::default();
     placer.place(&mut fleet, asker_at(1), &ask(1), START);
-    let began = note(1, NoteKind::Began(Some([3, 0])));
+    let began = note(1, UpdateKind::Started(Some([3, 0])));
     let ended = note(1, ended(10));
     for note in [began, began, ended, began, ended] {
         placer.note(&mut fleet, asker_at(1), note, START + Millis(200));
     }
     assert!(placer.is_empty());
-    assert_eq!(waiting(&mut fleet, START + Millis(200)), 0);
+    assert_eq!(queued_ms(&mut fleet, START + Millis(200)), 0);
 }
 
 /// The instance that asked loses its power, and nothing more comes of its request. The engine must not seem
@@ -168,7 +168,7 @@
     assert_eq!(placer.len(), 1, "its end may be on its way");
     placer.expire(&mut fleet, START + LEFT + Millis(1000));
     assert!(placer.is_empty());
-    assert_eq!(waiting(&mut fleet, START + LEFT + Millis(1000)), 0);
+    assert_eq!(queued_ms(&mut fleet, START + LEFT + Millis(1000)), 0);
 }
 
 /// The placer hasn't heard yet that an engine is leaving, and names it. The instance that asked has: a request
@@ -218,18 +218,18 @@
     let mut own = fleet();
     let choice = own.adopt(&need(), &place(reply), &[], START);
     let choice = choice.expect("the engine is there");
-    assert!(waiting(&mut placing, START) > 0);
-    assert_eq!(waiting(&mut own, START), 0);
+    assert!(queued_ms(&mut placing, START) > 0);
+    assert_eq!(queued_ms(&mut own, START), 0);
     own.first_byte(&choice, START + Millis(200));
     own.done(&choice, Outcome::Complete, 10, START + Millis(300));
-    assert_eq!(waiting(&mut own, START + Millis(300)), 0);
+    assert_eq!(queued_ms(&mut own, START + Millis(300)), 0);
 }
 
 /// One datagram is lost; the placer is asked again with the next request. Two in a row say that it is gone:
 /// each question would cost its caller the wait for nothing, so for half a second nobody asks.
 #[test]
 fn a_silent_placer_is_left_alone_for_a_while() {
-    let mut asker = Asker::new(5);
+    let mut asker = PlacementClient::new(5);
     let placer = Some(asker_at(9));
     assert!(asker.open(START).is_none(), "nobody places yet");
     assert!(asker.follow(placer));
@@ -251,7 +251,7 @@
 /// for it is given back; and it tells that the placer lives.
 #[test]
 fn a_late_reply_is_known() {
-    let mut asker = Asker::new(0);
+    let mut asker = PlacementClient::new(0);
     asker.follow(Some(asker_at(9)));
     let ticket = asker.open(START).expect("it is asked");
     asker.missed(ticket, START + Millis(20));
@@ -264,16 +264,16 @@
 /// that come after it, to the same placer only.
 #[test]
 fn notes_are_told_three_times() {
-    let mut asker = Asker::new(0);
-    let ticket = |number| Ticket {
+    let mut asker = PlacementClient::new(0);
+    let ticket = |number| PlacementId {
         placer: asker_at(9),
         number,
     };
-    let other = Ticket {
+    let other = PlacementId {
         placer: asker_at(8),
         number: 1,
     };
-    let began = NoteKind::Began(None);
+    let began = UpdateKind::Started(None);
     assert_eq!(asker.note(ticket(1), began), [note(1, began)]);
     assert_eq!(asker.note(other, began), [note(1, began)]);
     let third = asker.note(ticket(2), began);
@@ -284,15 +284,15 @@
 #[test]
 fn packets_are_read_back() {
     let packets = [
-        Packet::Ask(ask(3)),
-        Packet::Reply(Reply {
+        Packet::Request(ask(3)),
+        Packet::Reply(PlacementReply {
             number: 3,
-            verdict: Verdict::Late {
+            verdict: PlacementVerdict::Late {
                 wait: Millis(900),
-                back: Millis(400),
+                retry_delay: Millis(400),
             },
         }),
-        Packet::Notes(vec![note(3, NoteKind::Began(Some([1, 2])))]),
+        Packet::Updates(vec![note(3, UpdateKind::Started(Some([1, 2])))]),
     ];
     for packet in packets {
         let bytes = packet.encode();
--- a/crates/gateway/tests/placing.rs
+++ b/crates/gateway/tests/placing.rs
@@ -108,11 +108,11 @@
     world.moving = true;
     let spec = EngineSpec {
         service: "svc".to_owned(),
-        transfer: Some(TRANSFER as f64),
+        transfer_rate: Some(TRANSFER as f64),
         room: None,
     };
     for fleet in &mut world.fleets {
-        fleet.take_engines(std::slice::from_ref(&spec));
+        fleet.set_engines(std::slice::from_ref(&spec));
     }
     let moving = play_in(world, [LIVE, rush], 30);
     let (before, after) = (reading[1], moving[1]);
--- a/crates/gateway/tests/quarantine.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -8,12 +8,12 @@
 
 use crocushold_base::Millis;
 use crocushold_gateway::Content;
+use crocushold_gateway::Gossip;
 use crocushold_gateway::Identity;
 use crocushold_gateway::Load;
 use crocushold_gateway::Message;
 use crocushold_gateway::Packet;
-use crocushold_gateway::Sharing;
-use crocushold_gateway::suspicions;
+use crocushold_gateway::suspicion_packets;
 use crocushold_routing::Fingerprint;
 use crocushold_routing::Incarnation;
 use crocushold_routing::Quarantine;
@@ -35,7 +35,7 @@
 const STABLE_WINDOW: Millis = Millis(3000);
 
 struct Instance {
-    sharing: Sharing,
+    sharing: Gossip,
     quarantine: Quarantine,
     sent: usize,
 }
@@ -43,7 +43,7 @@
 impl Instance {
     fn hear(&mut self, from: SocketAddr, packet: Packet, now: Millis) {
         match packet {
-            Packet::News(message) => self.sharing.hear(from, message, now),
+            Packet::Gossip(message) => self.sharing.receive(from, message, now),
             Packet::Suspicions(told) => {
                 for suspicion in &told {
                     self.quarantine.hear(suspicion, now);
@@ -68,10 +68,10 @@
         let identities: Vec<Identity> = (0..count).map(identity).collect();
         let now = Millis(10_000);
         let all = identities.iter().map(|me| {
-            let mut sharing = Sharing::new(*me, &[]);
+            let mut sharing = Gossip::new(*me, &[]);
             for other in &identities {
-                let message = Message::new(other, Vec::new(), Content::Names);
-                sharing.hear(other.address, message, now);
+                let message = Message::new(other, Vec::new(), Content::Members);
+                sharing.receive(other.address, message, now);
             }
             let instance = Instance {
                 sharing,
@@ -108,11 +108,12 @@
         let mut packets = Vec::new();
         for (from, instance) in &mut self.all {
             let messages = instance.sharing.round(Load::default(), now);
-            let told = suspicions(&mut instance.quarantine, &instance.sharing, &messages, now);
+            let told =
+                suspicion_packets(&mut instance.quarantine, &instance.sharing, &messages, now);
             let bytes = told.iter().map(|(_, packet)| packet.encode().len());
             instance.sent += bytes.sum::<usize>();
             let news = messages.into_iter();
-            let news = news.map(|(to, message)| (to, Packet::News(message)));
+            let news = news.map(|(to, message)| (to, Packet::Gossip(message)));
             packets.extend(
                 told.into_iter()
                     .chain(news)
--- a/crates/gateway/tests/routes.rs
+++ b/crates/gateway/tests/routes.rs
@@ -82,8 +82,8 @@
     ];
     assert!(order.is_sorted_by(|a, b| a < b), "{order:?}");
     assert!(order[5] <= 9, "engines know ten ranks: {order:?}");
-    assert!(table.is_last(route("/a/b/x")));
-    assert!(!table.is_last(route("/a/x")));
+    assert!(table.is_least_urgent(route("/a/b/x")));
+    assert!(!table.is_least_urgent(route("/a/x")));
 }
 
 #[test]
--- a/crates/gateway/tests/sharing.rs
+++ b/crates/gateway/tests/sharing.rs
@@ -5,16 +5,16 @@
 use std::net::SocketAddr;
 
 use crocushold_base::Millis;
+use crocushold_gateway::CachedPrefix;
 use crocushold_gateway::Content;
+use crocushold_gateway::EngineQueue;
+use crocushold_gateway::Gossip;
 use crocushold_gateway::Identity;
-use crocushold_gateway::Kept;
 use crocushold_gateway::Load;
+use crocushold_gateway::MemberEntry;
 use crocushold_gateway::Members;
 use crocushold_gateway::Message;
-use crocushold_gateway::Named;
-use crocushold_gateway::Sharing;
-use crocushold_gateway::Waiting;
-use crocushold_gateway::Work;
+use crocushold_gateway::ServiceWork;
 use test_case::test_case;
 
 const ZONES: u32 = 4;
@@ -35,15 +35,15 @@
     }
 }
 
-fn load(engine: u32, reading: u32) -> Load {
+fn load(engine: u32, read_ms: u32) -> Load {
     Load {
-        waiting: vec![Waiting { engine, reading }],
+        queues: vec![EngineQueue { engine, read_ms }],
         ..Load::default()
     }
 }
 
-fn kept(number: u32) -> Kept {
-    Kept {
+fn cached(number: u32) -> CachedPrefix {
+    CachedPrefix {
         prefix: u32::MAX - number,
         engine: u32::MAX - number,
     }
@@ -51,13 +51,13 @@
 
 fn own(from: u8, load: Load) -> (SocketAddr, Message) {
     let from = identity(from);
-    let message = Message::new(&from, Vec::new(), Content::Own(load));
+    let message = Message::new(&from, Vec::new(), Content::Instance(load));
     (from.address, message)
 }
 
 /// Instances whose messages arrive before the next round, but for those that are down.
 struct Net {
-    instances: BTreeMap<SocketAddr, Sharing>,
+    instances: BTreeMap<SocketAddr, Gossip>,
     loads: BTreeMap<SocketAddr, Load>,
     down: Vec<SocketAddr>,
     now: Millis,
@@ -72,7 +72,7 @@
         let seeds = [identity(0).address, identity(1).address];
         let instances = (0..count).map(|number| {
             let identity = identity(number);
-            (identity.address, Sharing::new(identity, &seeds))
+            (identity.address, Gossip::new(identity, &seeds))
         });
         Net {
             instances: instances.collect(),
@@ -102,7 +102,7 @@
                 assert!(message.encode().len() <= 1400);
                 let up = !self.down.contains(&to);
                 if let Some(instance) = self.instances.get_mut(&to).filter(|_| up) {
-                    instance.hear(from, message, self.now);
+                    instance.receive(from, message, self.now);
                 }
             }
         }
@@ -113,8 +113,8 @@
         let up = self.instances.iter();
         let up = up.filter(|(address, _)| !self.down.contains(address));
         let beliefs = up.map(|(address, instance)| {
-            let others = instance.others(self.now);
-            (*address, others.waiting_at(engine))
+            let others = instance.others_load(self.now);
+            (*address, others.queue_at(engine))
         });
         beliefs.collect()
     }
@@ -127,7 +127,7 @@
     let mut net = Net::new(80);
     net.run(60);
     for (number, instance) in (0..80_u8).zip(net.instances.values()) {
-        assert_eq!(instance.live(), 19, "{number}");
+        assert_eq!(instance.live_members(), 19, "{number}");
         let collector = identity(number % ZONES as u8).address;
         let told = Some(collector).filter(|_| number >= ZONES as u8);
         assert_eq!(instance.collector(), told, "{number}");
@@ -206,7 +206,7 @@
     for (address, instance) in &net.instances {
         if !net.down.contains(address) {
             let zone = usize::from(identity_of(address) % ZONES as u8 == 7 % ZONES as u8);
-            assert_eq!(instance.live(), 9 - zone, "{address}");
+            assert_eq!(instance.live_members(), 9 - zone, "{address}");
         }
     }
 }
@@ -236,14 +236,14 @@
         capacity: 50,
         ..identity(8)
     };
-    members.hear(identity(4), Millis(1000));
+    members.observe(identity(4), Millis(1000));
     assert_eq!(
         members.collector(0, Millis(1000)),
         Some(identity(0).address)
     );
-    members.hear(strong, Millis(1000));
+    members.observe(strong, Millis(1000));
     assert_eq!(members.collector(0, Millis(1000)), Some(strong.address));
-    members.shun(&strong.address, Millis(1000));
+    members.suspend(&strong.address, Millis(1000));
     assert_eq!(
         members.collector(0, Millis(1000)),
         Some(identity(0).address)
@@ -253,18 +253,18 @@
 
 #[test]
 fn what_others_have_waiting_adds_up_and_fades() {
-    let mut sharing = Sharing::new(identity(0), &[]);
+    let mut sharing = Gossip::new(identity(0), &[]);
     for (from, message) in [own(4, load(7, 300)), own(8, load(7, 100))] {
-        sharing.hear(from, message, Millis(1000));
+        sharing.receive(from, message, Millis(1000));
     }
-    assert_eq!(sharing.others(Millis(1000)).waiting[&7], 400.0);
-    assert_eq!(sharing.others(Millis(1500)).waiting[&7], 400.0);
-    assert_eq!(sharing.others(Millis(1750)).waiting[&7], 200.0);
-    assert!(sharing.others(Millis(2000)).waiting.is_empty());
+    assert_eq!(sharing.others_load(Millis(1000)).queues[&7], 400.0);
+    assert_eq!(sharing.others_load(Millis(1500)).queues[&7], 400.0);
+    assert_eq!(sharing.others_load(Millis(1750)).queues[&7], 200.0);
+    assert!(sharing.others_load(Millis(2000)).queues.is_empty());
     let (from, message) = own(4, load(8, 50));
-    sharing.hear(from, message, Millis(2000));
+    sharing.receive(from, message, Millis(2000));
     assert_eq!(
-        sharing.others(Millis(2000)).waiting.get(&7),
+        sharing.others_load(Millis(2000)).queues.get(&7),
         None,
         "it has nothing there any more"
     );
@@ -272,23 +272,23 @@
 
 #[test]
 fn a_message_fits_one_packet_and_is_read_back() {
-    let waiting = (0..400).map(|engine| Waiting {
+    let queues = (0..400).map(|engine| EngineQueue {
         engine: u32::MAX - engine,
-        reading: engine * 100,
+        read_ms: engine * 100,
     });
-    let work = (0..10).map(|service| Work {
+    let work = (0..10).map(|service| ServiceWork {
         service: u32::MAX - service,
         lanes: [u32::MAX; 3],
         streams: [u32::MAX; 2],
     });
     let load = Load {
-        waiting: waiting.collect(),
+        queues: queues.collect(),
         work: work.collect(),
-        kept: (0..200).map(kept).collect(),
-        least: u32::MAX,
+        cached: (0..200).map(cached).collect(),
+        unlisted_max: u32::MAX,
         ..Load::default()
     };
-    let names = (0..100).map(|number| Named {
+    let names = (0..100).map(|number| MemberEntry {
         identity: identity(number),
         age: u16::MAX,
     });
@@ -303,7 +303,7 @@
         unreachable!()
     };
     assert_eq!(
-        told.waiting[0].reading, 39_900,
+        told.queues[0].read_ms, 39_900,
         "the longest queues go first"
     );
     assert_eq!(Message::decode(&bytes), Some(message));
@@ -323,7 +323,7 @@
     let mut net = Net::new(80);
     net.run(60);
     for number in 0..80 {
-        let work = Work {
+        let work = ServiceWork {
             service: 3,
             lanes: [10, 20, 30],
             streams: [160, 80],
@@ -336,7 +336,7 @@
     }
     net.run(15);
     for (address, instance) in &net.instances {
-        let news = instance.others(net.now).work[&3];
+        let news = instance.others_load(net.now).work[&3];
         assert!(
             (600.0..=830.0).contains(&news.work[0]),
             "{address} {news:?}"
@@ -349,17 +349,17 @@
 /// Datagrams come from ten thousand made-up addresses. What is kept of them is bounded: 512 instances count.
 #[test]
 fn made_up_senders_are_bounded() {
-    let mut sharing = Sharing::new(identity(0), &[]);
+    let mut sharing = Gossip::new(identity(0), &[]);
     for number in 0..10_000_u32 {
         let [_, a, b, c] = number.to_be_bytes();
         let from = Identity {
             address: ([172, a, b, c], 7340).into(),
             ..identity(4)
         };
-        let message = Message::new(&from, Vec::new(), Content::Own(load(7, 1)));
-        sharing.hear(from.address, message, Millis(1000));
+        let message = Message::new(&from, Vec::new(), Content::Instance(load(7, 1)));
+        sharing.receive(from.address, message, Millis(1000));
     }
-    assert_eq!(sharing.others(Millis(1000)).waiting[&7], 512.0);
+    assert_eq!(sharing.others_load(Millis(1000)).queues[&7], 512.0);
     let messages = sharing.round(Load::default(), Millis(1000));
     assert!(messages.len() <= 600, "{}", messages.len());
 }
@@ -371,11 +371,11 @@
     let mut net = Net::new(80);
     net.run(60);
     for instance in net.instances.values_mut() {
-        instance.kept();
+        instance.take_cached_prefixes();
     }
     let teller = identity(17).address;
     let load = Load {
-        kept: vec![kept(3)],
+        cached: vec![cached(3)],
         ..Load::default()
     };
     net.loads.insert(teller, load);
@@ -383,14 +383,18 @@
     net.loads.remove(&teller);
     net.run(3);
     for (address, instance) in &mut net.instances {
-        let heard = instance.kept();
-        let expected: &[Kept] = if *address == teller { &[] } else { &[kept(3)] };
+        let heard = instance.take_cached_prefixes();
+        let expected: &[CachedPrefix] = if *address == teller {
+            &[]
+        } else {
+            &[cached(3)]
+        };
         // Its own collector's answer may bring it back to the one that told it.
-        assert!(heard == [kept(3)] || heard == expected, "{address}");
+        assert!(heard == [cached(3)] || heard == expected, "{address}");
     }
     net.run(20);
     for (address, instance) in &mut net.instances {
-        assert!(instance.kept().is_empty(), "{address}");
+        assert!(instance.take_cached_prefixes().is_empty(), "{address}");
     }
 }
 
@@ -399,35 +403,35 @@
 #[test]
 fn many_holdings_go_out_over_several_rounds() {
     let me = identity(0);
-    let mut sharing = Sharing::new(me, &[]);
+    let mut sharing = Gossip::new(me, &[]);
     let load = Load {
-        kept: (0..100).map(kept).collect(),
+        cached: (0..100).map(cached).collect(),
         ..Load::default()
     };
     for sender in [4, 8, 12] {
         // A message holds a part of them; three senders tell three times the same.
         let (from, message) = own(sender, load.clone());
-        sharing.hear(from, message, Millis(1000));
+        sharing.receive(from, message, Millis(1000));
     }
     let (from, message) = own(16, load);
     let rest = Load {
-        kept: (32..64).map(kept).collect(),
+        cached: (32..64).map(cached).collect(),
         ..Load::default()
     };
-    sharing.hear(from, message, Millis(1000));
+    sharing.receive(from, message, Millis(1000));
     let (from, message) = own(20, rest);
-    sharing.hear(from, message, Millis(1000));
+    sharing.receive(from, message, Millis(1000));
     let mut told = Vec::new();
     for round in 0..4 {
         for (to, message) in sharing.round(Load::default(), Millis(1000 + round * ROUND)) {
             if let Content::Fleet(load, _) = message.content
                 && to == from
             {
-                told.extend(load.kept);
+                told.extend(load.cached);
             }
         }
     }
-    let expected: Vec<Kept> = (0..64).map(kept).collect();
+    let expected: Vec<CachedPrefix> = (0..64).map(cached).collect();
     assert_eq!(told, expected, "each once");
 }
 
@@ -437,19 +441,19 @@
 fn all_engines_are_named() {
     let mut net = Net::new(80);
     net.run(60);
-    let waiting = (1..=140).map(|engine: u32| Waiting {
+    let queues = (1..=140).map(|engine: u32| EngineQueue {
         engine: engine.wrapping_mul(0x9e37_79b9),
-        reading: 100 + engine,
+        read_ms: 100 + engine,
     });
     let busy = Load {
-        waiting: waiting.collect(),
+        queues: queues.collect(),
         ..Load::default()
     };
     net.loads.insert(identity(5).address, busy.clone());
     net.run(8);
-    for entry in &busy.waiting {
+    for entry in &busy.queues {
         for (address, belief) in net.beliefs(entry.engine) {
-            let told = f64::from(entry.reading);
+            let told = f64::from(entry.read_ms);
             let expected = if address == identity(5).address {
                 0.0
             } else {
@@ -472,12 +476,12 @@
     let mut net = Net::new(8);
     net.run(60);
     let hash = |engine: u32| engine.wrapping_mul(0x9e37_79b9);
-    let waiting = (1..=engines).map(|engine| Waiting {
+    let queues = (1..=engines).map(|engine| EngineQueue {
         engine: hash(engine),
-        reading: 1000 + engine,
+        read_ms: 1000 + engine,
     });
     let busy = Load {
-        waiting: waiting.collect(),
+        queues: queues.collect(),
         ..Load::default()
     };
     let teller = identity(5).address;
@@ -492,7 +496,7 @@
             );
         }
     }
-    assert!(net.instances[&teller].leaves_out());
+    assert!(net.instances[&teller].is_truncated());
 }
 
 /// Eighty instances in four zones agree on one that places for all. It loses its power; within two and a half
@@ -521,7 +525,7 @@
 /// requests, and all that start at once would choose the same engines.
 #[test]
 fn an_instance_that_starts_does_not_place() {
-    let mut sharing = Sharing::new(identity(3), &[identity(0).address]);
+    let mut sharing = Gossip::new(identity(3), &[identity(0).address]);
     sharing.round(load(7, 10), Millis(100));
     assert_eq!(sharing.placer(Millis(100)), None);
 }
--- a/crates/gateway/tests/updates.rs
+++ b/crates/gateway/tests/updates.rs
@@ -29,9 +29,9 @@
     Need {
         service: "svc".to_owned(),
         model: Some("m".to_owned()),
-        prompt: 500,
-        own: 500,
-        output: 50,
+        prompt_tokens: 500,
+        unique_tokens: 500,
+        max_output_tokens: 50,
         ..Need::default()
     }
 }
@@ -44,14 +44,14 @@
         fleet.list(&record(number, Presence::Ready), START);
     }
     assert!(fleet.pick(&need(), &[], START).is_ok());
-    assert_eq!(fleet.updates(), 1);
+    assert_eq!(fleet.router_updates(), 1);
     for number in 0..SERVERS / 2 {
         fleet.list(&record(number, Presence::Leaving), START);
         fleet.unlist(&format!("engine-{}", SERVERS / 2 + number));
     }
     assert!(fleet.pick(&need(), &[], START).is_err(), "none is left");
     assert!(fleet.pick(&need(), &[], START).is_err());
-    assert_eq!(fleet.updates(), 2);
+    assert_eq!(fleet.router_updates(), 2);
 }
 
 /// Guards against sending to a server that has left since the router was told of it.
--- a/src/commands/latencies.rs
+++ b/src/commands/latencies.rs
@@ -9,11 +9,11 @@
 use bpaf::long;
 use crocushold_base::Millis;
 use crocushold_gateway::Chooser;
-use crocushold_gateway::Expectation;
-use crocushold_gateway::Span;
-use crocushold_gateway::Step;
-use crocushold_gateway::expectations;
+use crocushold_gateway::ClassInterval;
+use crocushold_gateway::WaitBucket;
+use crocushold_gateway::WaitPrediction;
 use crocushold_gateway::latencies;
+use crocushold_gateway::wait_predictions;
 
 use super::logs;
 use super::print;
@@ -59,17 +59,17 @@
         print::out(row(&span));
     }
     let lines = logs.iter().flat_map(|log| log.lines());
-    let told = expectations(lines);
-    if !told.is_empty() {
+    let predictions = wait_predictions(lines);
+    if !predictions.is_empty() {
         print::out("\nexpected wait against the first byte, 50/90 ms\n".to_owned());
     }
-    for expectation in told {
-        print::out(expected_row(&expectation));
+    for prediction in predictions {
+        print::out(prediction_row(&prediction));
     }
     ExitCode::SUCCESS
 }
 
-fn row(span: &Span) -> String {
+fn row(span: &ClassInterval) -> String {
     let three = |values: [Millis; 3]| {
         let [half, most, all] = values.map(|value| value.0);
         format!("{half}/{most}/{all}")
@@ -77,34 +77,34 @@
     format!(
         "{:<16} {:>6.1} {:>6} {:>8} {:>10} {:>5} {:>20} {:>20} {:>21}\n",
         span.route,
-        span.at.as_secs_f64(),
+        span.start.as_secs_f64(),
         span.ended,
         span.unserved,
         span.unanswered,
-        span.moved,
-        three(span.first),
-        three(span.pause),
-        three(span.expected),
+        span.transferred,
+        three(span.first_byte),
+        three(span.longest_pause),
+        three(span.expected_wait),
     )
 }
 
-fn expected_row(told: &Expectation) -> String {
-    let chooser = match told.chooser {
+fn prediction_row(prediction: &WaitPrediction) -> String {
+    let chooser = match prediction.chooser {
         Chooser::All => "",
         Chooser::Own => " chosen by themselves",
         Chooser::Placer => " chosen by a placer",
     };
-    let route = told.route.as_deref().unwrap_or("all");
-    let relation = told.correlation.map(|value| format!("{value:.2}"));
+    let route = prediction.route.as_deref().unwrap_or("all");
+    let relation = prediction.correlation.map(|value| format!("{value:.2}"));
     let relation = relation.as_deref().unwrap_or("none");
-    let steps: String = told.steps.iter().map(step_row).collect();
-    format!("{route}{chooser}: rank correlation {relation}\n{steps}")
+    let buckets: String = prediction.buckets.iter().map(bucket_row).collect();
+    format!("{route}{chooser}: rank correlation {relation}\n{buckets}")
 }
 
-fn step_row(step: &Step) -> String {
-    let [half, most] = step.first;
-    let end = step.most.map(|most| format!("to {} ms", most.0));
+fn bucket_row(bucket: &WaitBucket) -> String {
+    let [half, most] = bucket.first_byte;
+    let end = bucket.upper_bound.map(|most| format!("to {} ms", most.0));
     let end = end.as_deref().unwrap_or("beyond");
     let (half, most) = (half.0, most.0);
-    format!("  {end:<12} {:>6} {half:>6}/{most}\n", step.requests)
+    format!("  {end:<12} {:>6} {half:>6}/{most}\n", bucket.requests)
 }
