--- a/crates/gateway/src/fleet/announcements.rs
+++ b/crates/gateway/src/fleet/announcements.rs
@@ -4,8 +4,8 @@
 
 use crocushold_base::Millis;
 
-use crate::sharing::CachedPrefix;
-use crate::sharing::MOST_KEPT;
+use crate::gossip::CachedPrefix;
+use crate::gossip::MOST_KEPT;
 
 /// How long a holding that was told or heard isn't told again. It bounds what is told: each part in use
 /// once in this span for each engine that holds it, whatever the number of requests and instances.
--- a/crates/gateway/src/fleet/choose.rs
+++ b/crates/gateway/src/fleet/choose.rs
@@ -16,8 +16,8 @@
 use super::Server;
 use super::service::ModelLanes;
 use super::service::Service;
-use crate::placing::Placement;
-use crate::sharing::CachedPrefix;
+use crate::gossip::CachedPrefix;
+use crate::placement::Placement;
 
 /// When to come back where no service is known yet.
 const UNKNOWN_RETRY: Millis = Millis::from_secs(1);
--- a/crates/gateway/src/sharing/mod.rs
+++ b/crates/gateway/src/gossip/mod.rs
@@ -14,10 +14,10 @@
 //! goes by its own requests. Messages are datagrams. Nobody is set aside to collect: it is whoever is
 //! told, and when it doesn't answer, another one is told after a second.
 
-mod holdings;
 mod members;
 mod message;
-mod shell;
+mod prefix_relay;
+mod runtime;
 mod state;
 mod suspicions;
 
@@ -32,7 +32,7 @@
 pub use message::Message;
 pub use message::Part;
 pub use message::ServiceWork;
-pub(crate) use shell::share;
+pub(crate) use runtime::share;
 pub use state::Gossip;
 pub use state::LoadSum;
 pub use suspicions::suspicion_packets;
--- a/crates/gateway/src/sharing/state.rs
+++ b/crates/gateway/src/gossip/state.rs
@@ -8,7 +8,6 @@
 use crocushold_routing::LaneNews;
 use twox_hash::XxHash3_64;
 
-use super::holdings::Holdings;
 use super::members::Members;
 use super::message::CachedPrefix;
 use super::message::Content;
@@ -17,6 +16,7 @@
 use super::message::Load;
 use super::message::Message;
 use super::message::ServiceWork;
+use super::prefix_relay::Holdings;
 use crate::era::Revision;
 use crate::lag::Lag;
 
--- a/crates/gateway/src/sharing/suspicions.rs
+++ b/crates/gateway/src/gossip/suspicions.rs
@@ -8,7 +8,7 @@
 use super::message::Content;
 use super::message::Message;
 use super::state::Gossip;
-use crate::placing::Packet;
+use crate::placement::Packet;
 
 /// What goes out beside the `messages` of a round: what is new, to some of the instances, and all of it to those that
 /// asked for names.
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -28,12 +28,12 @@
 use crate::callers;
 use crate::fleet::LaneAllocation;
 use crate::follow;
+use crate::gossip::share;
 use crate::protocol::Protocol;
 use crate::quarantine;
 use crate::routes::CallerLimits;
 use crate::shared::Shared;
 use crate::shared::Stage;
-use crate::sharing::share;
 use crate::source::Source;
 
 /// Connections of balancers, scrapers and operators at a time.
--- a/crates/gateway/src/placing/message.rs
+++ b/crates/gateway/src/placement/message.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use crate::fleet::Need;
-use crate::sharing::Message;
+use crate::gossip::Message;
 
 /// All that instances send each other, as one datagram each.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/gateway/src/placing/mod.rs
+++ b/crates/gateway/src/placement/mod.rs
@@ -12,13 +12,13 @@
 //! sends a request checks the choice against what it knows itself: a server that it knows to be leaving, out
 //! or of another service gets nothing.
 
-mod asker;
+mod client;
 mod message;
 mod placer;
-mod shell;
+mod runtime;
 
-pub use asker::PlacementClient;
-pub use asker::PlacementId;
+pub use client::PlacementClient;
+pub use client::PlacementId;
 pub use message::Packet;
 pub use message::Placement;
 pub use message::PlacementReply;
@@ -28,6 +28,6 @@
 pub use message::RequestUpdate;
 pub use message::UpdateKind;
 pub use placer::Placer;
-pub(crate) use shell::NoAdvice;
-pub(crate) use shell::Placing;
-pub(crate) use shell::Question;
+pub(crate) use runtime::NoAdvice;
+pub(crate) use runtime::Placing;
+pub(crate) use runtime::Question;
--- a/crates/gateway/src/placing/shell.rs
+++ b/crates/gateway/src/placement/runtime.rs
@@ -16,8 +16,8 @@
 use futures::channel::oneshot;
 use log::info;
 
-use super::asker::PlacementClient;
-use super::asker::PlacementId;
+use super::client::PlacementClient;
+use super::client::PlacementId;
 use super::message::Packet;
 use super::message::PlacementReply;
 use super::message::PlacementRequest;
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -26,10 +26,10 @@
 use crate::fleet::FleetSettings;
 use crate::instance::Settings;
 use crate::instance::caller_limits;
-use crate::placing::Placing;
-use crate::placing::RequestEnd;
+use crate::metrics::Report;
+use crate::placement::Placing;
+use crate::placement::RequestEnd;
 use crate::protocol::Protocol;
-use crate::report::Report;
 use crate::routes::RouteTable;
 use crate::store_watch::StoreWatch;
 
