--- a/crates/gateway/tests/quarantine.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -1,7 +1,7 @@
-//! News of requests under which servers end, on their way through a large fleet; and what a storm of crashes does to
-//! requests that did nothing.
+//! Tests of the distribution of suspicions in a large fleet, and of the effect of many crashes on
+//! requests that didn't cause them.
 
-#![allow(clippy::unwrap_used, reason = "a test that panics is one that fails")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,27 +25,27 @@
 
 const CONTENT: Fingerprint = Fingerprint(7);
 
-/// Between two rounds of messages.
+/// Interval of gossip rounds.
 const ROUND: Millis = Millis(100);
 
-/// How long a message is on its way between regions.
+/// Latency of a message between regions.
 const LATENCY: Millis = Millis(40);
 
-/// How long instances may take to agree on what has happened.
+/// Maximum time until all instances agree on an event.
 const STABLE_WINDOW: Millis = Millis(3000);
 
 struct Instance {
-    sharing: Gossip,
+    gossip: Gossip,
     quarantine: Quarantine,
     sent: usize,
 }
 
 impl Instance {
-    fn hear(&mut self, from: SocketAddr, packet: Packet, now: Millis) {
+    fn receive(&mut self, from: SocketAddr, packet: Packet, now: Millis) {
         match packet {
-            Packet::Gossip(message) => self.sharing.receive(from, message, now),
-            Packet::Suspicions(told) => {
-                for suspicion in &told {
+            Packet::Gossip(message) => self.gossip.receive(from, message, now),
+            Packet::Suspicions(suspicions) => {
+                for suspicion in &suspicions {
                     self.quarantine.hear(suspicion, now);
                 }
             }
@@ -57,24 +57,24 @@
 struct Instances {
     all: HashMap<SocketAddr, Instance>,
     rng: SmallRng,
-    /// One in so many packets is lost; none with zero.
+    /// One in this many packets is lost; zero for none.
     loss: u32,
     now: Millis,
 }
 
 impl Instances {
-    /// Instances that know each other.
+    /// Creates instances that know each other.
     fn new(count: u16, loss: u32, seed: u64) -> Instances {
         let identities: Vec<Identity> = (0..count).map(identity).collect();
         let now = Millis(10_000);
         let all = identities.iter().map(|me| {
-            let mut sharing = Gossip::new(*me, &[]);
+            let mut gossip = Gossip::new(*me, &[]);
             for other in &identities {
                 let message = Message::new(other, Vec::new(), Content::Members);
-                sharing.receive(other.address, message, now);
+                gossip.receive(other.address, message, now);
             }
             let instance = Instance {
-                sharing,
+                gossip,
                 quarantine: Quarantine::default(),
                 sent: 0,
             };
@@ -88,7 +88,7 @@
         }
     }
 
-    /// A server ends under a request at an instance.
+    /// Ends a server under a request of an instance.
     fn end(&mut self, at: u16, server: u64, sent: u64) {
         let instance = self.all.get_mut(&identity(at).address).unwrap();
         let run = Run {
@@ -102,20 +102,21 @@
             .server_ended(Incarnation(server), self.now);
     }
 
-    /// One round: what is told arrives.
+    /// Runs one round, at the end of which its messages have arrived.
     fn round(&mut self) {
         let now = self.now;
         let mut packets = Vec::new();
         for (from, instance) in &mut self.all {
-            let messages = instance.sharing.round(Load::default(), now);
-            let told =
-                suspicion_packets(&mut instance.quarantine, &instance.sharing, &messages, now);
-            let bytes = told.iter().map(|(_, packet)| packet.encode().len());
+            let messages = instance.gossip.round(Load::default(), now);
+            let suspicions =
+                suspicion_packets(&mut instance.quarantine, &instance.gossip, &messages, now);
+            let bytes = suspicions.iter().map(|(_, packet)| packet.encode().len());
             instance.sent += bytes.sum::<usize>();
             let news = messages.into_iter();
             let news = news.map(|(to, message)| (to, Packet::Gossip(message)));
             packets.extend(
-                told.into_iter()
+                suspicions
+                    .into_iter()
                     .chain(news)
                     .map(|(to, packet)| (*from, to, packet)),
             );
@@ -124,13 +125,13 @@
         for (from, to, packet) in packets {
             let lost = self.loss > 0 && self.rng.random_range(0..self.loss) == 0;
             if let (false, Some(instance)) = (lost, self.all.get_mut(&to)) {
-                instance.hear(from, packet, self.now);
+                instance.receive(from, packet, self.now);
             }
         }
         self.now = now + ROUND;
     }
 
-    /// Instances that would still send the request.
+    /// Number of instances that would still send the request.
     fn unaware(&self) -> usize {
         let all = self.all.values();
         let unaware = all.filter(|one| one.quarantine.admit(CONTENT, self.now).is_ok());
@@ -147,15 +148,16 @@
     }
 }
 
-/// A request ends a server, and half a second later another one, at another instance. All have to know within the time
-/// in which instances agree, though datagrams get lost: a caller comes back anywhere.
+/// A request ends a server, and half a second later another one at another instance. All instances
+/// must know both within the stable window, despite lost datagrams, since the caller may retry at
+/// any of them.
 #[test_case(7, 0; "few instances")]
 #[test_case(7, 3; "few instances, a third is lost")]
 #[test_case(195, 0; "two hundred")]
 #[test_case(195, 5; "two hundred, a fifth is lost")]
 #[test_case(400, 0; "four hundred")]
 #[test_case(400, 3; "four hundred, a third is lost")]
-fn every_instance_hears_in_time(count: u16, loss: u32) {
+fn suspicions_reach_every_instance_in_time(count: u16, loss: u32) {
     for seed in 0..5 {
         let mut fleet = Instances::new(count, loss, seed);
         fleet.end(0, 1, 9_800);
@@ -169,44 +171,45 @@
             fleet.round();
             let span = fleet.now.since(ended);
             let left = fleet.unaware();
-            assert!(span <= STABLE_WINDOW, "{left} don't know after {span}");
+            assert!(span <= STABLE_WINDOW, "{left} unaware after {span}");
         }
         let most = fleet.all.values().map(|one| one.sent).max();
         println!(
-            "{count} instances, seed {seed}: all know after {}, {} bytes sent at most",
+            "{count} instances, seed {seed}: all aware after {}, at most {} bytes sent",
             fleet.now.since(ended),
             most.unwrap_or_default()
         );
     }
 }
 
-/// Servers of the storm, and requests that each runs at a time.
+/// Number of servers, and concurrent requests at each.
 const SERVERS: usize = 100;
 const RUNS: usize = 24;
 
-/// How long a request runs, in rounds.
+/// Duration of a request, in rounds.
 const RUN_ROUNDS: u32 = 15;
 
-/// One request of a caller that does nothing wrong.
-struct Honest {
+/// A request that doesn't cause crashes.
+struct InnocentRequest {
     content: Fingerprint,
-    tries: u32,
-    /// Where its copies run, and when each was sent.
+    attempts: u32,
+    /// The servers on which its copies run, and when each copy was sent.
     copies: Vec<(usize, Millis)>,
     left: u32,
 }
 
-/// A minute in which a server in a hundred crashes in each half second or so, at times a rack of eight at once. Callers
-/// come back at once and four times; a third of them has two copies of its request out. None of these requests is at
-/// fault. Of all of them one in five hundred and five more may be refused by mistake.
+/// For a minute, one server in a hundred crashes about every half second, and sometimes a rack of
+/// eight crashes at once. Callers retry immediately, up to four times, and a third of them have two
+/// copies of their request running. None of the requests causes a crash. At most one in five
+/// hundred of them, plus five, may be refused by mistake.
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
-fn a_storm_of_crashes_holds_hardly_anybody_back(seed: u64) {
+fn many_crashes_quarantine_hardly_any_innocent_request(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut quarantine = Quarantine::default();
-    let mut lives = vec![0u64; SERVERS];
-    let mut requests: Vec<Honest> = Vec::new();
+    let mut incarnations = vec![0u64; SERVERS];
+    let mut requests: Vec<InnocentRequest> = Vec::new();
     let (mut total, mut held, mut crashes) = (0u32, 0u32, 0u32);
     for round in 0..600 {
         let now = Millis(1000 + round * ROUND.0);
@@ -214,9 +217,9 @@
             total += 1;
             let copies = if rng.random_range(0..3) == 0 { 2 } else { 1 };
             let places = (0..copies).map(|_| (rng.random_range(0..SERVERS), now));
-            requests.push(Honest {
+            requests.push(InnocentRequest {
                 content: Fingerprint(u128::from(total)),
-                tries: 0,
+                attempts: 0,
                 copies: places.collect(),
                 left: rng.random_range(1..2 * RUN_ROUNDS),
             });
@@ -230,7 +233,7 @@
         }
         for server in &crashed {
             crashes += 1;
-            let incarnation = Incarnation((*server as u64) << 32 | lives[*server]);
+            let incarnation = Incarnation((*server as u64) << 32 | incarnations[*server]);
             for request in &requests {
                 let runs = request.copies.iter().filter(|(at, _)| at == server);
                 for (_, sent) in runs {
@@ -243,19 +246,19 @@
                 }
             }
             quarantine.server_ended(incarnation, now);
-            lives[*server] += 1;
+            incarnations[*server] += 1;
         }
         requests.retain_mut(|request| {
             request
                 .copies
                 .retain(|(server, _)| !crashed.contains(server));
             if request.copies.is_empty() {
-                request.tries += 1;
+                request.attempts += 1;
                 if quarantine.admit(request.content, now).is_err() {
                     held += 1;
                     return false;
                 }
-                if request.tries > 4 {
+                if request.attempts > 4 {
                     return false;
                 }
                 request.copies.push((rng.random_range(0..SERVERS), now));
@@ -269,6 +272,6 @@
             request.left > 0
         });
     }
-    println!("seed {seed}: {crashes} crashes, {held} of {total} requests held back");
-    assert!(held <= 5 + total / 500, "{held} of {total} were held back");
+    println!("seed {seed}: {crashes} crashes, {held} of {total} requests refused");
+    assert!(held <= 5 + total / 500, "{held} of {total} were refused");
 }
--- a/crates/gateway/tests/routes.rs
+++ b/crates/gateway/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Look-ups in a configuration.
+//! Tests of lookups in a configuration.
 
 use crocushold_base::Millis;
 use crocushold_gateway::Account;
@@ -58,17 +58,17 @@
 #[test_case("a.example", "/", None)]
 #[test_case("b.example", "/a/x", None)]
 #[test_case("", "/a/x", None)]
-fn the_route_of_a_request(host: &str, path: &str, expected: Option<&str>) {
+fn route_lookup(host: &str, path: &str, expected: Option<&str>) {
     let table = table();
     let found = table.route(host, path).map(|route| route.name.as_str());
     assert_eq!(found, expected);
 }
 
-/// Accounts of different priority share the engines, which preempt the least urgent by rank when their
-/// memory runs out. A live stream must never make room for batch work, whoever sends that; among equals
-/// the account's priority decides.
+/// Accounts of different priority share engines, which preempt the least urgent requests by rank
+/// when their memory is full. A live stream must never be preempted for batch work of any account.
+/// Among equal routes the account's priority decides.
 #[test]
-fn ranks_go_by_route_then_by_account() {
+fn ranks_order_by_route_then_by_account() {
     let table = table();
     let route = |path: &str| table.route("a.example", path).unwrap();
     let rank = |path: &str, key: &str| table.rank(route(path), table.account(key));
@@ -93,8 +93,8 @@
     assert_eq!(route.service(7), None);
 }
 
-/// A chat may pause for 120 ms between two events, a summary for 500 ms. The chat is the live one. Where all
-/// may pause for about as long, none is.
+/// Chats permit pauses of 120 ms between events, summaries 500 ms, so chats are the live route. If
+/// all routes permit similar pauses, none is live.
 #[test_case(&[120, 200, 500], &[true, false, false])]
 #[test_case(&[120, 130, 500], &[true, true, false]; "nearly as short")]
 #[test_case(&[300, 500], &[false, false]; "not far enough apart")]
--- a/crates/gateway/tests/sharing.rs
+++ b/crates/gateway/tests/sharing.rs
@@ -1,4 +1,4 @@
-//! What the instances tell each other, and what they make of it.
+//! Tests of gossip between instances.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -31,7 +31,7 @@
 fn identity_of(address: &SocketAddr) -> u8 {
     match address {
         SocketAddr::V4(address) => address.ip().octets()[3],
-        SocketAddr::V6(_) => unreachable!("all addresses are of the fourth version"),
+        SocketAddr::V6(_) => unreachable!("all addresses are IPv4"),
     }
 }
 
@@ -55,31 +55,31 @@
     (from.address, message)
 }
 
-/// Instances whose messages arrive before the next round, but for those that are down.
-struct Net {
+/// A network that delivers messages before the next round, except to and from failed instances.
+struct Network {
     instances: BTreeMap<SocketAddr, Gossip>,
     loads: BTreeMap<SocketAddr, Load>,
     down: Vec<SocketAddr>,
     now: Millis,
-    /// The most messages that an instance sent in a round.
-    most: usize,
-    /// Messages of all instances.
+    /// Maximum number of messages that an instance sent in a round.
+    max_sent: usize,
+    /// Number of messages sent by all instances.
     sent: usize,
 }
 
-impl Net {
-    fn new(count: u8) -> Net {
+impl Network {
+    fn new(count: u8) -> Network {
         let seeds = [identity(0).address, identity(1).address];
         let instances = (0..count).map(|number| {
             let identity = identity(number);
             (identity.address, Gossip::new(identity, &seeds))
         });
-        Net {
+        Network {
             instances: instances.collect(),
             loads: BTreeMap::new(),
             down: Vec::new(),
             now: Millis(10_000),
-            most: 0,
+            max_sent: 0,
             sent: 0,
         }
     }
@@ -94,7 +94,7 @@
                 }
                 let own = self.loads.get(from).cloned().unwrap_or_default();
                 let messages = instance.round(own, self.now);
-                self.most = self.most.max(messages.len());
+                self.max_sent = self.max_sent.max(messages.len());
                 self.sent += messages.len();
                 sent.extend(messages.into_iter().map(|message| (*from, message)));
             }
@@ -108,129 +108,140 @@
         }
     }
 
-    /// What each instance that is up believes that the others have waiting at an engine.
-    fn beliefs(&self, engine: u32) -> Vec<(SocketAddr, f64)> {
+    /// For each running instance, its estimate of the other instances' queue at an engine.
+    fn estimates(&self, engine: u32) -> Vec<(SocketAddr, f64)> {
         let up = self.instances.iter();
         let up = up.filter(|(address, _)| !self.down.contains(address));
-        let beliefs = up.map(|(address, instance)| {
+        let estimates = up.map(|(address, instance)| {
             let others = instance.others_load(self.now);
             (*address, others.queue_at(engine))
         });
-        beliefs.collect()
+        estimates.collect()
     }
 }
 
-/// Eighty instances start with two seeds between them. Within six seconds each has heard of all others of
-/// its zone, and they agree on who collects for it.
+/// Eighty instances start with two common seeds. Within six seconds each must know all others of
+/// its zone, and all must agree on the collector.
 #[test]
-fn a_fleet_finds_itself_by_its_seeds() {
-    let mut net = Net::new(80);
-    net.run(60);
-    for (number, instance) in (0..80_u8).zip(net.instances.values()) {
+fn instances_discover_each_other_through_seeds() {
+    let mut network = Network::new(80);
+    network.run(60);
+    for (number, instance) in (0..80_u8).zip(network.instances.values()) {
         assert_eq!(instance.live_members(), 19, "{number}");
         let collector = identity(number % ZONES as u8).address;
-        let told = Some(collector).filter(|_| number >= ZONES as u8);
-        assert_eq!(instance.collector(), told, "{number}");
+        let reported = Some(collector).filter(|_| number >= ZONES as u8);
+        assert_eq!(instance.collector(), reported, "{number}");
     }
 }
 
-/// A rush fills an engine from eighty instances. Each one's part is a ninth of a prompt; whoever goes by
-/// it sees an idle engine. Within half a second all of them see nearly the whole queue, their own part
-/// left out. Told directly in turn, they heard of each other every 2.6 s.
+/// Eighty instances fill an engine in a burst, each with a ninth of a prompt, so that an instance
+/// that only knows its own part sees an idle engine. Within half a second all must know nearly the
+/// whole queue, without their own part. When instances sent messages to each other in turn, they
+/// heard from each other every 2.6 s.
 #[test]
-fn all_know_of_a_queue_within_half_a_second() {
-    let mut net = Net::new(80);
-    net.run(60);
+fn a_queue_is_known_to_all_within_half_a_second() {
+    let mut network = Network::new(80);
+    network.run(60);
     for number in 0..80 {
-        net.loads.insert(identity(number).address, load(7, 10));
+        network.loads.insert(identity(number).address, load(7, 10));
     }
-    net.run(5);
-    for (address, belief) in net.beliefs(7) {
+    network.run(5);
+    for (address, estimate) in network.estimates(7) {
         assert!(
-            (600.0..=800.0).contains(&belief),
-            "{address} believes {belief}"
+            (600.0..=800.0).contains(&estimate),
+            "{address} estimates {estimate}"
         );
     }
-    net.loads.clear();
-    net.run(5);
-    for (address, belief) in net.beliefs(7) {
-        assert!(belief < 40.0, "{address} still believes {belief}");
+    network.loads.clear();
+    network.run(5);
+    for (address, estimate) in network.estimates(7) {
+        assert!(estimate < 40.0, "{address} still estimates {estimate}");
     }
 }
 
-/// What an instance has itself isn't told back to it: it would count its own requests twice.
+/// An instance must not receive its own load back, since it would count its own requests twice.
 #[test]
-fn an_instance_hears_nothing_of_itself() {
-    let mut net = Net::new(8);
-    net.run(60);
+fn an_instance_does_not_receive_its_own_load() {
+    let mut network = Network::new(8);
+    network.run(60);
     let busy = identity(5).address;
-    net.loads.insert(busy, load(7, 500));
-    net.run(8);
-    for (address, belief) in net.beliefs(7) {
+    network.loads.insert(busy, load(7, 500));
+    network.run(8);
+    for (address, estimate) in network.estimates(7) {
         if address == busy {
-            assert!(belief < 100.0, "{address} believes {belief}");
+            assert!(estimate < 100.0, "{address} estimates {estimate}");
         } else {
-            assert!(belief > 350.0, "{address} believes {belief}");
+            assert!(estimate > 350.0, "{address} estimates {estimate}");
         }
     }
 }
 
-/// The collectors of two zones lose their power. Their instances hear nothing more of the fleet; within
-/// two seconds they have turned to others, and all know what waits again.
+/// The collectors of two zones lose power, and their instances receive no more loads of the fleet.
+/// Within two seconds they must have chosen other collectors, and all must know the queue again.
 #[test]
-fn a_lost_collector_is_replaced() {
-    let mut net = Net::new(40);
-    net.run(60);
+fn a_failed_collector_is_replaced() {
+    let mut network = Network::new(40);
+    network.run(60);
     for number in 0..40 {
-        net.loads.insert(identity(number).address, load(7, 10));
+        network.loads.insert(identity(number).address, load(7, 10));
     }
-    // The least addresses of the zones 0 and 1.
-    net.down = vec![identity(0).address, identity(1).address];
-    net.run(20);
-    for (address, belief) in net.beliefs(7) {
+    // The lowest addresses of zones 0 and 1.
+    network.down = vec![identity(0).address, identity(1).address];
+    network.run(20);
+    for (address, estimate) in network.estimates(7) {
         assert!(
-            (250.0..=380.0).contains(&belief),
-            "{address} believes {belief}"
+            (250.0..=380.0).contains(&estimate),
+            "{address} estimates {estimate}"
         );
     }
 }
 
-/// An instance that lost its power is named by those that heard of it last. It must not be kept alive by
-/// its name going round.
+/// An instance that has lost power is still reported by those that heard from it last. Such reports
+/// must not keep it in the membership.
 #[test]
-fn one_that_is_gone_is_forgotten() {
-    let mut net = Net::new(40);
-    net.run(60);
-    net.down = vec![identity(7).address];
-    net.run(120);
-    for (address, instance) in &net.instances {
-        if !net.down.contains(address) {
+fn a_failed_instance_is_removed() {
+    let mut network = Network::new(40);
+    network.run(60);
+    network.down = vec![identity(7).address];
+    network.run(120);
+    for (address, instance) in &network.instances {
+        if !network.down.contains(address) {
             let zone = usize::from(identity_of(address) % ZONES as u8 == 7 % ZONES as u8);
             assert_eq!(instance.live_members(), 9 - zone, "{address}");
         }
     }
 }
 
-/// However many instances there are, one that doesn't collect sends some messages a second, and one that
-/// does a bounded number: one for each instance of its zone, one for each other zone, and eight answers to those that ask for names.
+/// Independent of the number of instances, one that isn't a collector sends a few messages per
+/// second, and a collector a bounded number: one for each instance of its zone, one for each other
+/// zone, and eight replies to hellos.
 #[test]
 fn the_messages_are_bounded() {
-    let mut net = Net::new(80);
-    net.run(60);
+    let mut network = Network::new(80);
+    network.run(60);
     for number in 0..80 {
-        net.loads.insert(identity(number).address, load(7, 10));
+        network.loads.insert(identity(number).address, load(7, 10));
     }
-    net.run(10);
-    net.most = 0;
-    net.sent = 0;
-    net.run(20);
-    assert!(net.most <= 20 + 3 + 8 + 1, "{} in a round", net.most);
-    // Each of 80 tells one in each round, is told once, and greets another once in ten.
-    assert!(net.sent <= 20 * (2 * 80 + 12 + 2 * 8), "{}", net.sent);
+    network.run(10);
+    network.max_sent = 0;
+    network.sent = 0;
+    network.run(20);
+    assert!(
+        network.max_sent <= 20 + 3 + 8 + 1,
+        "{} in a round",
+        network.max_sent
+    );
+    // Each of 80 instances sends one message and receives one in each round, and sends a hello in
+    // every tenth.
+    assert!(
+        network.sent <= 20 * (2 * 80 + 12 + 2 * 8),
+        "{}",
+        network.sent
+    );
 }
 
 #[test]
-fn the_one_with_the_most_to_spare_collects() {
+fn the_instance_with_the_highest_capacity_is_collector() {
     let mut members = Members::new(identity(0));
     let strong = Identity {
         capacity: 50,
@@ -252,26 +263,26 @@
 }
 
 #[test]
-fn what_others_have_waiting_adds_up_and_fades() {
-    let mut sharing = Gossip::new(identity(0), &[]);
+fn queues_of_others_add_up_and_decay() {
+    let mut gossip = Gossip::new(identity(0), &[]);
     for (from, message) in [own(4, load(7, 300)), own(8, load(7, 100))] {
-        sharing.receive(from, message, Millis(1000));
+        gossip.receive(from, message, Millis(1000));
     }
-    assert_eq!(sharing.others_load(Millis(1000)).queues[&7], 400.0);
-    assert_eq!(sharing.others_load(Millis(1500)).queues[&7], 400.0);
-    assert_eq!(sharing.others_load(Millis(1750)).queues[&7], 200.0);
-    assert!(sharing.others_load(Millis(2000)).queues.is_empty());
+    assert_eq!(gossip.others_load(Millis(1000)).queues[&7], 400.0);
+    assert_eq!(gossip.others_load(Millis(1500)).queues[&7], 400.0);
+    assert_eq!(gossip.others_load(Millis(1750)).queues[&7], 200.0);
+    assert!(gossip.others_load(Millis(2000)).queues.is_empty());
     let (from, message) = own(4, load(8, 50));
-    sharing.receive(from, message, Millis(2000));
+    gossip.receive(from, message, Millis(2000));
     assert_eq!(
-        sharing.others_load(Millis(2000)).queues.get(&7),
+        gossip.others_load(Millis(2000)).queues.get(&7),
         None,
-        "it has nothing there any more"
+        "its queue there is gone"
     );
 }
 
 #[test]
-fn a_message_fits_one_packet_and_is_read_back() {
+fn a_message_fits_one_packet_and_survives_encoding() {
     let queues = (0..400).map(|engine| EngineQueue {
         engine: u32::MAX - engine,
         read_ms: engine * 100,
@@ -299,29 +310,29 @@
     );
     let bytes = message.encode();
     assert!(bytes.len() <= 1400, "{}", bytes.len());
-    let Content::Fleet(told, _) = &message.content else {
+    let Content::Fleet(reported, _) = &message.content else {
         unreachable!()
     };
     assert_eq!(
-        told.queues[0].read_ms, 39_900,
-        "the longest queues go first"
+        reported.queues[0].read_ms, 39_900,
+        "the longest queues come first"
     );
     assert_eq!(Message::decode(&bytes), Some(message));
 }
 
 #[test]
-fn what_is_no_message_is_ignored() {
+fn invalid_messages_are_ignored() {
     for bytes in [&b""[..], b"{", b"null", &[0xff; 64], &[0, 0, 200, 1, 1]] {
         assert_eq!(Message::decode(bytes), None);
     }
 }
 
-/// The engines are divided by the work of the whole fleet. It changes slowly and goes along with what waits;
-/// an instance that has nothing waiting tells it twice a second.
+/// Engines are allocated to lanes by the work of the whole fleet. The work changes slowly and is
+/// sent along with the queues. An instance without queues sends it twice a second.
 #[test]
-fn all_know_of_the_work_of_late() {
-    let mut net = Net::new(80);
-    net.run(60);
+fn recent_work_is_known_to_all() {
+    let mut network = Network::new(80);
+    network.run(60);
     for number in 0..80 {
         let work = ServiceWork {
             service: 3,
@@ -332,11 +343,11 @@
             work: vec![work],
             ..Load::default()
         };
-        net.loads.insert(identity(number).address, load);
+        network.loads.insert(identity(number).address, load);
     }
-    net.run(15);
-    for (address, instance) in &net.instances {
-        let news = instance.others_load(net.now).work[&3];
+    network.run(15);
+    for (address, instance) in &network.instances {
+        let news = instance.others_load(network.now).work[&3];
         assert!(
             (600.0..=830.0).contains(&news.work[0]),
             "{address} {news:?}"
@@ -346,10 +357,11 @@
     }
 }
 
-/// Datagrams come from ten thousand made-up addresses. What is kept of them is bounded: 512 instances count.
+/// Datagrams arrive from ten thousand forged addresses. The state kept for them must be bounded to
+/// 512 instances.
 #[test]
-fn made_up_senders_are_bounded() {
-    let mut sharing = Gossip::new(identity(0), &[]);
+fn state_of_forged_senders_is_bounded() {
+    let mut gossip = Gossip::new(identity(0), &[]);
     for number in 0..10_000_u32 {
         let [_, a, b, c] = number.to_be_bytes();
         let from = Identity {
@@ -357,90 +369,92 @@
             ..identity(4)
         };
         let message = Message::new(&from, Vec::new(), Content::Instance(load(7, 1)));
-        sharing.receive(from.address, message, Millis(1000));
+        gossip.receive(from.address, message, Millis(1000));
     }
-    assert_eq!(sharing.others_load(Millis(1000)).queues[&7], 512.0);
-    let messages = sharing.round(Load::default(), Millis(1000));
+    assert_eq!(gossip.others_load(Millis(1000)).queues[&7], 512.0);
+    let messages = gossip.round(Load::default(), Millis(1000));
     assert!(messages.len() <= 600, "{}", messages.len());
 }
 
-/// An instance sends a prompt to an engine. All others must know within three steps that it is held there, or they
-/// have it read again elsewhere; and it is passed on once, not in each round for ever.
+/// An instance sends a prompt to an engine. All others must learn within three steps that the
+/// engine caches it, or they would have it read again elsewhere. The announcement must be passed on
+/// once, not in every round.
 #[test]
-fn all_hear_once_what_an_engine_holds() {
-    let mut net = Net::new(80);
-    net.run(60);
-    for instance in net.instances.values_mut() {
+fn cached_prefixes_are_announced_to_all_once() {
+    let mut network = Network::new(80);
+    network.run(60);
+    for instance in network.instances.values_mut() {
         instance.take_cached_prefixes();
     }
-    let teller = identity(17).address;
+    let sender = identity(17).address;
     let load = Load {
         cached: vec![cached(3)],
         ..Load::default()
     };
-    net.loads.insert(teller, load);
-    net.run(1);
-    net.loads.remove(&teller);
-    net.run(3);
-    for (address, instance) in &mut net.instances {
+    network.loads.insert(sender, load);
+    network.run(1);
+    network.loads.remove(&sender);
+    network.run(3);
+    for (address, instance) in &mut network.instances {
         let heard = instance.take_cached_prefixes();
-        let expected: &[CachedPrefix] = if *address == teller {
+        let expected: &[CachedPrefix] = if *address == sender {
             &[]
         } else {
             &[cached(3)]
         };
-        // Its own collector's answer may bring it back to the one that told it.
+        // The announcement may return to its sender through its collector.
         assert!(heard == [cached(3)] || heard == expected, "{address}");
     }
-    net.run(20);
-    for (address, instance) in &mut net.instances {
+    network.run(20);
+    for (address, instance) in &mut network.instances {
         assert!(instance.take_cached_prefixes().is_empty(), "{address}");
     }
 }
 
-/// A fleet that starts tells of more than a message holds. All of it goes out over several rounds, as far as
-/// the bound on what waits.
+/// A starting fleet announces more than fits into a message. All announcements are sent over
+/// several rounds, up to the bound on the queue.
 #[test]
-fn many_holdings_go_out_over_several_rounds() {
+fn many_announcements_are_sent_over_several_rounds() {
     let me = identity(0);
-    let mut sharing = Gossip::new(me, &[]);
+    let mut gossip = Gossip::new(me, &[]);
     let load = Load {
         cached: (0..100).map(cached).collect(),
         ..Load::default()
     };
     for sender in [4, 8, 12] {
-        // A message holds a part of them; three senders tell three times the same.
+        // A message holds a part of them. Three senders announce the same ones.
         let (from, message) = own(sender, load.clone());
-        sharing.receive(from, message, Millis(1000));
+        gossip.receive(from, message, Millis(1000));
     }
     let (from, message) = own(16, load);
     let rest = Load {
         cached: (32..64).map(cached).collect(),
         ..Load::default()
     };
-    sharing.receive(from, message, Millis(1000));
+    gossip.receive(from, message, Millis(1000));
     let (from, message) = own(20, rest);
-    sharing.receive(from, message, Millis(1000));
-    let mut told = Vec::new();
+    gossip.receive(from, message, Millis(1000));
+    let mut reported = Vec::new();
     for round in 0..4 {
-        for (to, message) in sharing.round(Load::default(), Millis(1000 + round * ROUND)) {
+        for (to, message) in gossip.round(Load::default(), Millis(1000 + round * ROUND)) {
             if let Content::Fleet(load, _) = message.content
                 && to == from
             {
-                told.extend(load.cached);
+                reported.extend(load.cached);
             }
         }
     }
     let expected: Vec<CachedPrefix> = (0..64).map(cached).collect();
-    assert_eq!(told, expected, "each once");
+    assert_eq!(reported, expected, "each once");
 }
 
-/// A hundred and forty engines have something waiting. Named in part, those left out looked idle to the whole
-/// fleet, which sent all there. All instances know all queues, in messages of one packet each.
+/// With 140 engines that have a queue, those that weren't listed looked idle to the whole fleet,
+/// which sent all requests there. All instances must know all queues, in messages of one packet
+/// each.
 #[test]
-fn all_engines_are_named() {
-    let mut net = Net::new(80);
-    net.run(60);
+fn all_engines_with_a_queue_are_listed() {
+    let mut network = Network::new(80);
+    network.run(60);
     let queues = (1..=140).map(|engine: u32| EngineQueue {
         engine: engine.wrapping_mul(0x9e37_79b9),
         read_ms: 100 + engine,
@@ -449,32 +463,32 @@
         queues: queues.collect(),
         ..Load::default()
     };
-    net.loads.insert(identity(5).address, busy.clone());
-    net.run(8);
+    network.loads.insert(identity(5).address, busy.clone());
+    network.run(8);
     for entry in &busy.queues {
-        for (address, belief) in net.beliefs(entry.engine) {
-            let told = f64::from(entry.read_ms);
+        for (address, estimate) in network.estimates(entry.engine) {
+            let reported = f64::from(entry.read_ms);
             let expected = if address == identity(5).address {
                 0.0
             } else {
-                told
+                reported
             };
             assert!(
-                (belief - expected).abs() < 1.0,
-                "{address}: {belief} of {told}"
+                (estimate - expected).abs() < 1.0,
+                "{address}: {estimate} of {reported}"
             );
         }
     }
 }
 
-/// As many engines as the largest fleet is to have, all with a queue. Not all fit into what an instance may tell:
-/// the longest are named, and of the others it is known that they may have as much as the shortest of those. None
-/// is taken to be idle.
+/// All engines of the largest planned fleet have a queue. Not all fit into the messages of an
+/// instance: the longest queues are listed, and the others are known to be at most as long as the
+/// shortest of those. No engine may be assumed to be idle.
 #[test_case(400; "400 engines")]
 #[test_case(5900; "5,900 engines")]
-fn an_engine_that_is_not_named_is_not_idle(engines: u32) {
-    let mut net = Net::new(8);
-    net.run(60);
+fn an_engine_that_is_not_listed_is_not_idle(engines: u32) {
+    let mut network = Network::new(8);
+    network.run(60);
     let hash = |engine: u32| engine.wrapping_mul(0x9e37_79b9);
     let queues = (1..=engines).map(|engine| EngineQueue {
         engine: hash(engine),
@@ -484,48 +498,58 @@
         queues: queues.collect(),
         ..Load::default()
     };
-    let teller = identity(5).address;
-    net.loads.insert(teller, busy);
-    net.run(8);
+    let sender = identity(5).address;
+    network.loads.insert(sender, busy);
+    network.run(8);
     for engine in [1, engines / 2, engines] {
-        for (address, belief) in net.beliefs(hash(engine)) {
-            let told = address != teller;
+        for (address, estimate) in network.estimates(hash(engine)) {
+            let reported = address != sender;
             assert!(
-                !told || belief >= 500.0,
-                "{address} believes {belief} of {engine}"
+                !reported || estimate >= 500.0,
+                "{address} estimates {estimate} of {engine}"
             );
         }
     }
-    assert!(net.instances[&teller].is_truncated());
+    assert!(network.instances[&sender].is_truncated());
 }
 
-/// Eighty instances in four zones agree on one that places for all. It loses its power; within two and a half
-/// seconds they agree on another one, and meanwhile nobody names one that knows nothing.
+/// Eighty instances in four zones agree on the placer, which then loses power. Within two and a
+/// half seconds they must agree on another one, without choosing an instance that has no loads in
+/// the meantime.
 #[test]
-fn all_agree_on_who_places() {
-    let mut net = Net::new(80);
-    net.run(60);
+fn all_agree_on_the_placer() {
+    let mut network = Network::new(80);
+    network.run(60);
     for number in 0..80 {
-        net.loads.insert(identity(number).address, load(7, 10));
+        network.loads.insert(identity(number).address, load(7, 10));
     }
-    net.run(10);
-    let placers = |net: &Net| {
-        let up = net.instances.iter();
-        let up = up.filter(|(address, _)| !net.down.contains(address));
-        let placers: BTreeSet<_> = up.map(|(_, instance)| instance.placer(net.now)).collect();
+    network.run(10);
+    let placers = |network: &Network| {
+        let up = network.instances.iter();
+        let up = up.filter(|(address, _)| !network.down.contains(address));
+        let placers: BTreeSet<_> = up
+            .map(|(_, instance)| instance.placer(network.now))
+            .collect();
         placers
     };
-    assert_eq!(placers(&net), BTreeSet::from([Some(identity(0).address)]));
-    net.down = vec![identity(0).address];
-    net.run(25);
-    assert_eq!(placers(&net), BTreeSet::from([Some(identity(1).address)]));
+    assert_eq!(
+        placers(&network),
+        BTreeSet::from([Some(identity(0).address)])
+    );
+    network.down = vec![identity(0).address];
+    network.run(25);
+    assert_eq!(
+        placers(&network),
+        BTreeSet::from([Some(identity(1).address)])
+    );
 }
 
-/// An instance that has just started has heard of nobody. It doesn't place, as it knows no more than its own
-/// requests, and all that start at once would choose the same engines.
+/// An instance that has just started knows no other instance. It must not become the placer, since
+/// it only knows its own requests, and all instances that start at once would choose the same
+/// engines.
 #[test]
-fn an_instance_that_starts_does_not_place() {
-    let mut sharing = Gossip::new(identity(3), &[identity(0).address]);
-    sharing.round(load(7, 10), Millis(100));
-    assert_eq!(sharing.placer(Millis(100)), None);
+fn an_instance_that_has_just_started_is_not_the_placer() {
+    let mut gossip = Gossip::new(identity(3), &[identity(0).address]);
+    gossip.round(load(7, 10), Millis(100));
+    assert_eq!(gossip.placer(Millis(100)), None);
 }
--- a/crates/gateway/tests/trace.rs
+++ b/crates/gateway/tests/trace.rs
@@ -1,4 +1,4 @@
-//! A request is explained out of a log.
+//! Tests of the explanation of a request from a log.
 
 use crocushold_gateway::trace;
 
@@ -14,37 +14,38 @@
     "time=7 level=info module=m event=store-regained revision=9",
 ];
 
-/// A booking got 502. Its lines say which server it was sent to and how far it came; those around them
-/// what the instance believed then. Lines of other requests and servers would only be in the way.
+/// A booking was answered with 502. Its own lines show the server and the stage that it reached,
+/// and the lines around them show the state of the instance. Lines of other requests and servers
+/// aren't included.
 #[test]
-fn a_request_is_explained_by_its_own_lines_and_what_was_believed() {
+fn a_request_is_explained_by_its_own_lines_and_state_events() {
     let lines = trace(&LOG, "r1");
     let expected = [LOG[0], LOG[1], LOG[2], LOG[4], LOG[5], LOG[7]];
     assert_eq!(lines, expected);
 }
 
 #[test]
-fn a_request_that_the_log_does_not_know() {
+fn an_unknown_request_has_no_lines() {
     assert!(trace(&LOG, "r3").is_empty());
     assert!(trace(&[], "r1").is_empty());
     assert!(
         trace(&LOG, "r").is_empty(),
-        "a part of an identity isn't one"
+        "a prefix of an ID doesn't match"
     );
 }
 
-/// A caller chose an identity that looks like a pair. It is quoted in the log and forges nothing.
+/// A caller chose an ID that looks like a field. It is quoted in the log and must not match.
 #[test]
-fn a_forged_identity_finds_nothing() {
+fn a_forged_id_does_not_match() {
     let log = ["event=request-ended request=\"x request=r1\" outcome=no-route"];
     assert!(trace(&log, "r1").is_empty());
     assert!(trace(&log, "r1\"").is_empty());
 }
 
-/// A caller's request was refused though nothing in its own lines tells why: servers had ended under earlier tries, whose
-/// names for the request were others. What was held against its content is told as well.
+/// A request was refused because servers had ended under earlier attempts with other IDs, which its
+/// own lines don't show. The quarantine events of its content must be included.
 #[test]
-fn a_refusal_is_explained_by_what_was_held_against_the_content() {
+fn a_refusal_is_explained_by_quarantine_events() {
     let log = [
         "event=content-quarantined content=c1 incarnations=a,b span=600000ms",
         "event=content-quarantined content=c2 incarnations=a,b span=600000ms",
--- a/crates/gateway/tests/updates.rs
+++ b/crates/gateway/tests/updates.rs
@@ -1,4 +1,4 @@
-//! Many entries of the registry at once.
+//! Tests of many simultaneous registry entries.
 
 use crocushold_base::Millis;
 use crocushold_gateway::Fleet;
@@ -36,9 +36,9 @@
     }
 }
 
-/// Guards against streams that stand still while entries that came together are taken in one by one.
+/// Guards against streams that stall while simultaneous entries are applied one by one.
 #[test]
-fn entries_that_come_together_cost_one_pass_over_the_servers() {
+fn simultaneous_entries_cost_one_pass_over_the_servers() {
     let mut fleet = Fleet::new(FleetSettings::default());
     for number in 0..SERVERS {
         fleet.list(&record(number, Presence::Ready), START);
@@ -49,14 +49,17 @@
         fleet.list(&record(number, Presence::Leaving), START);
         fleet.unlist(&format!("engine-{}", SERVERS / 2 + number));
     }
-    assert!(fleet.pick(&need(), &[], START).is_err(), "none is left");
+    assert!(
+        fleet.pick(&need(), &[], START).is_err(),
+        "no server is left"
+    );
     assert!(fleet.pick(&need(), &[], START).is_err());
     assert_eq!(fleet.router_updates(), 2);
 }
 
-/// Guards against sending to a server that has left since the router was told of it.
+/// Guards against choosing a server that was removed after the last update of the router.
 #[test]
-fn the_next_request_sees_all_entries() {
+fn the_next_request_uses_all_entries() {
     let mut fleet = Fleet::new(FleetSettings::default());
     fleet.list(&record(0, Presence::Ready), START);
     fleet.list(&record(1, Presence::Ready), START);
