--- a/crates/gateway/src/era.rs
+++ b/crates/gateway/src/era.rs
@@ -1,8 +1,8 @@
 //! Guards against outdated data after the store was restored from an older copy.
 //!
 //! The store may become unavailable for a moment and return with a state that is some seconds old.
-//! Its entries then say that a server takes work which is draining or gone, and lack the evacuation
-//! of a zone. An instance that trusts them sends requests where none may go.
+//! Its entries then show servers as ready that are draining or gone, and an evacuation of a zone
+//! may be missing. An instance that trusts them sends requests where none may go.
 //!
 //! Writers repeat everything that was written since the copy. Servers number their entries, so an
 //! entry is accepted only if it isn't older than the newest one known of its server, and a server
--- a/crates/gateway/src/fleet/service.rs
+++ b/crates/gateway/src/fleet/service.rs
@@ -54,7 +54,7 @@
 /// milliseconds. Each chunk of a prompt that is read beside it delays its own tokens.
 const LIGHT_SPILL_COST_MS: f64 = 150.0;
 
-/// How much earlier a long prompt must be able to start on an engine with live requests, in
+/// How much earlier a long prompt must be read if it goes to an engine with live requests, in
 /// milliseconds. There it delays all of them.
 const HEAVY_SPILL_COST_MS: f64 = 2000.0;
 
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -84,7 +84,7 @@
     pub capacity: u16,
     /// Memory of the machine, in bytes.
     pub memory: u64,
-    /// How long an instance may remain out of touch after a connection failure.
+    /// Time within which an instance must be in touch again after a failure of its connections.
     pub stable_window: Millis,
     /// Maximum time until a configuration change is in force.
     pub apply_bound: Millis,
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -73,8 +73,8 @@
     let now = shared.clock.now();
     let mut quarantine = shared.quarantine();
     let suspects = quarantine.server_ended(server, now);
-    // If nothing of this instance ran on the server, the instances that had requests there report
-    // it.
+    // Ends of servers without requests of this instance are logged by the instances that had
+    // requests there.
     if suspects > 0 {
         shared.metrics.count_server_end(evidence.label());
         let event = Event::new("server-ended")
