--- a/crates/gateway/src/gossip/suspicions.rs
+++ b/crates/gateway/src/gossip/suspicions.rs
@@ -18,14 +18,14 @@
 /// receives what it missed. This includes instances that have just started.
 pub fn suspicion_packets(
     quarantine: &mut Quarantine,
-    sharing: &Gossip,
+    gossip: &Gossip,
     messages: &[(SocketAddr, Message)],
     now: Millis,
 ) -> Vec<(SocketAddr, Packet)> {
     let mut packets = Vec::new();
     let updates = quarantine.news(now);
     if !updates.is_empty() {
-        let targets = sharing.gossip_targets().into_iter();
+        let targets = gossip.gossip_targets().into_iter();
         packets.extend(targets.map(|to| (to, Packet::Suspicions(updates.clone()))));
     }
     let requesters = messages
