--- /dev/null
+++ b/crates/gateway/src/gossip/runtime.rs
@@ -0,0 +1,164 @@
+//! The socket and the tasks of gossip.
+
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::MutexGuard;
+use std::sync::PoisonError;
+
+use async_std::net::UdpSocket;
+use async_std::task;
+use crocushold_base::Event;
+use crocushold_base::Millis;
+use log::info;
+use twox_hash::XxHash3_64;
+
+use super::message::CachedPrefix;
+use super::message::Identity;
+use super::message::MAX_MESSAGE_BYTES;
+use super::state::Gossip;
+use super::state::LoadSum;
+use super::suspicions::suspicion_packets;
+use crate::placement::Packet;
+use crate::quarantine;
+use crate::shared::Shared;
+
+/// Interval of gossip rounds. A change reaches the whole fleet within three rounds, in which an
+/// engine reads two long prompts.
+const ROUND: Millis = Millis(100);
+
+/// Starts sending and receiving gossip.
+///
+/// # Errors
+///
+/// Fails if the address can't be bound.
+pub(crate) async fn start_gossip(
+    shared: &Arc<Shared>,
+    address: SocketAddr,
+    seeds: &[SocketAddr],
+) -> io::Result<()> {
+    let socket = std::net::UdpSocket::bind(address)?;
+    socket.set_nonblocking(true)?;
+    shared.placer.set_socket(socket.try_clone()?);
+    let socket = Arc::new(UdpSocket::from(socket));
+    let me = Identity {
+        address: socket.local_addr()?,
+        zone: XxHash3_64::oneshot(shared.settings.zone.as_bytes()) as u32,
+        capacity: shared.settings.capacity,
+    };
+    let state = Arc::new(Mutex::new(Gossip::new(me, seeds)));
+    task::spawn(receive_loop(shared.clone(), socket.clone(), state.clone()));
+    task::spawn(send_loop(shared.clone(), socket, me.address, state));
+    Ok(())
+}
+
+async fn receive_loop(shared: Arc<Shared>, socket: Arc<UdpSocket>, state: Arc<Mutex<Gossip>>) {
+    let mut bytes = [0; MAX_MESSAGE_BYTES];
+    loop {
+        // An error concerns an earlier datagram to an unreachable peer; the next message may still
+        // be received.
+        let Ok((count, from)) = socket.recv_from(&mut bytes).await else {
+            task::sleep(ROUND.into()).await;
+            continue;
+        };
+        let now = shared.clock.now();
+        match Packet::decode(&bytes[..count]) {
+            Some(Packet::Gossip(message)) => lock(&state).receive(from, message, now),
+            Some(Packet::Request(ask)) => shared.placer.place(&mut shared.fleet(), from, &ask, now),
+            Some(Packet::Reply(reply)) => shared.placer.handle_reply(from, reply),
+            Some(Packet::Suspicions(suspicions)) => quarantine::receive(&shared, &suspicions),
+            Some(Packet::Updates(updates)) => {
+                let mut fleet = shared.fleet();
+                shared.placer.apply_updates(&mut fleet, from, updates, now);
+            }
+            None => {}
+        }
+    }
+}
+
+async fn send_loop(
+    shared: Arc<Shared>,
+    socket: Arc<UdpSocket>,
+    me: SocketAddr,
+    state: Arc<Mutex<Gossip>>,
+) {
+    let mut live = 0;
+    let mut was_truncated = false;
+    loop {
+        task::sleep(ROUND.into()).await;
+        let round = Round::run(&shared, &state);
+        let is_placer = round.placer == Some(me);
+        {
+            let mut fleet = shared.fleet();
+            fleet.set_others_load(&round.others);
+            fleet.add_cached_prefixes(&round.cached, round.now);
+            fleet.set_placer(is_placer);
+        }
+        shared
+            .placer
+            .set_placer(round.placer.filter(|_| !is_placer));
+        if round.is_truncated {
+            shared.metrics.count_truncated_round();
+        }
+        if round.is_truncated != was_truncated {
+            was_truncated = round.is_truncated;
+            info!(
+                "{}",
+                Event::new("queues-left-out").with("now", was_truncated)
+            );
+        }
+        if round.live != live {
+            live = round.live;
+            info!("{}", Event::new("peers-changed").with("live", live));
+        }
+        for (target, packet) in round.packets {
+            // A lost or refused message is superseded by that of the next round.
+            let _ = socket.send_to(&packet.encode(), target).await;
+        }
+    }
+}
+
+/// Result of a round.
+struct Round {
+    now: Millis,
+    packets: Vec<(SocketAddr, Packet)>,
+    /// Load of the other instances.
+    others: LoadSum,
+    cached: Vec<CachedPrefix>,
+    /// Number of other live instances in the zone.
+    live: usize,
+    /// The placer.
+    placer: Option<SocketAddr>,
+    /// Whether some engines with a queue couldn't be listed.
+    is_truncated: bool,
+}
+
+impl Round {
+    fn run(shared: &Shared, state: &Mutex<Gossip>) -> Round {
+        let now = shared.clock.now();
+        let own = shared.fleet().local_load(now);
+        let mut state = lock(state);
+        state.observe_revision(shared.store.last_change());
+        if state.is_behind(shared.store.watched_revision(), now) {
+            shared.store.cancel();
+        }
+        let messages = state.round(own, now);
+        let mut packets = suspicion_packets(&mut shared.quarantine(), &state, &messages, now);
+        let gossip = messages.into_iter();
+        packets.extend(gossip.map(|(to, message)| (to, Packet::Gossip(message))));
+        Round {
+            now,
+            packets,
+            others: state.others_load(now),
+            cached: state.take_cached_prefixes(),
+            live: state.live_members(),
+            placer: state.placer(now),
+            is_truncated: state.is_truncated(),
+        }
+    }
+}
+
+fn lock(state: &Mutex<Gossip>) -> MutexGuard<'_, Gossip> {
+    state.lock().unwrap_or_else(PoisonError::into_inner)
+}
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,42 +1,43 @@
-//! Requests on published routes, sent to backend servers that a registry lists.
+//! A gateway that routes requests to the backend servers listed in a registry.
 //!
-//! The entry instances of `crocushold-entry` take their configuration from teams' text and agree among
-//! themselves. A gateway instead follows one store that can only be read: it publishes the routes, the
-//! client accounts and the backend servers, and the gateways don't depend on each other.
+//! The entry instances of `crocushold-entry` read their configuration from the teams' texts and
+//! agree on it among themselves. A gateway instead follows a single read-only store that publishes
+//! the routes, the client accounts and the backend servers. Gateways don't depend on each other.
 //!
-//! * [`Gateway`] runs one instance: its listeners, the reads of the store, its planned stop.
-//! * A [`Source`] reads the store; a [`Protocol`] reads and writes the headers of one deployment.
-//! * [`RouteTable`] is a configuration, indexed for look-ups.
-//! * [`Directory`] and [`Fleet`] are pure state machines: which servers are listed, and which of them
-//!   a request goes to.
+//! * [`Gateway`] runs an instance: its listeners, the reads of the store, and its graceful
+//!   shutdown.
+//! * A [`Source`] reads the store, and a [`Protocol`] reads and writes the headers of a deployment.
+//! * [`RouteTable`] is a configuration, indexed for lookups.
+//! * [`Directory`] and [`Fleet`] are pure state machines: the set of listed servers, and the choice
+//!   of a server for each request.
 
+mod answer_observer;
 mod callers;
 mod check;
 mod directory;
 mod era;
 mod exchange;
-mod expectations;
 mod fleet;
 mod follow;
+mod gossip;
 mod instance;
 mod intake;
 mod lag;
 mod latencies;
 mod log_fields;
-mod placing;
+mod metrics;
+mod placement;
 mod protocol;
 mod quarantine;
 mod record;
 mod refusal;
-mod report;
 mod routes;
-mod settle;
 mod shared;
-mod sharing;
 mod source;
 mod store_watch;
 mod trace;
 mod verdict;
+mod wait_predictions;
 
 pub use check::findings;
 pub use directory::Directory;
@@ -45,33 +46,42 @@
 pub use era::EntryVersion;
 pub use era::EraGuard;
 pub use era::Revision;
-pub use expectations::Chooser;
-pub use expectations::Expectation;
-pub use expectations::Step;
-pub use expectations::expectations;
-pub use fleet::Borders;
 pub use fleet::Choice;
 pub use fleet::Fleet;
 pub use fleet::FleetSettings;
-pub use fleet::Listed;
+pub use fleet::LaneAllocation;
+pub use fleet::ListOutcome;
 pub use fleet::Need;
+pub use gossip::CachedPrefix;
+pub use gossip::Content;
+pub use gossip::EngineQueue;
+pub use gossip::Gossip;
+pub use gossip::Identity;
+pub use gossip::Load;
+pub use gossip::LoadSum;
+pub use gossip::MemberEntry;
+pub use gossip::Members;
+pub use gossip::Message;
+pub use gossip::Part;
+pub use gossip::ServiceWork;
+pub use gossip::suspicion_packets;
 pub use instance::Gateway;
 pub use instance::Settings;
 pub use instance::StartError;
 pub use lag::Lag;
-pub use latencies::Span;
+pub use latencies::ClassInterval;
 pub use latencies::latencies;
-pub use placing::Ask;
-pub use placing::Asker;
-pub use placing::Ended;
-pub use placing::Note;
-pub use placing::NoteKind;
-pub use placing::Packet;
-pub use placing::Place;
-pub use placing::Placer;
-pub use placing::Reply;
-pub use placing::Ticket;
-pub use placing::Verdict;
+pub use placement::Packet;
+pub use placement::Placement;
+pub use placement::PlacementClient;
+pub use placement::PlacementId;
+pub use placement::PlacementReply;
+pub use placement::PlacementRequest;
+pub use placement::PlacementVerdict;
+pub use placement::Placer;
+pub use placement::RequestEnd;
+pub use placement::RequestUpdate;
+pub use placement::UpdateKind;
 pub use protocol::AnswerMeta;
 pub use protocol::Executed;
 pub use protocol::Forward;
@@ -92,19 +102,6 @@
 pub use routes::Share;
 pub use routes::SlowStart;
 pub use routes::TableSpec;
-pub use sharing::Content;
-pub use sharing::Identity;
-pub use sharing::Kept;
-pub use sharing::Load;
-pub use sharing::Members;
-pub use sharing::Message;
-pub use sharing::Named;
-pub use sharing::Part;
-pub use sharing::Sharing;
-pub use sharing::Sums;
-pub use sharing::Waiting;
-pub use sharing::Work;
-pub use sharing::suspicions;
 pub use source::Change;
 pub use source::Changes;
 pub use source::Entry;
@@ -112,3 +109,7 @@
 pub use source::Source;
 pub use source::SourceError;
 pub use trace::trace;
+pub use wait_predictions::Chooser;
+pub use wait_predictions::WaitBucket;
+pub use wait_predictions::WaitPrediction;
+pub use wait_predictions::wait_predictions;
--- /dev/null
+++ b/crates/gateway/src/placement/message.rs
@@ -0,0 +1,128 @@
+//! Messages between an instance and the placer.
+
+use crocushold_base::Millis;
+use crocushold_routing::LoadReport;
+use crocushold_routing::Outcome;
+use crocushold_routing::Suspicion;
+use serde::Deserialize;
+use serde::Serialize;
+
+use crate::fleet::Need;
+use crate::gossip::Message;
+
+/// Any message between instances. Each is sent as one datagram.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Packet {
+    /// Load and members known to the sender.
+    Gossip(Message),
+    /// A placement request.
+    Request(PlacementRequest),
+    /// The reply to a placement request.
+    Reply(PlacementReply),
+    /// Updates of requests that the receiver placed, in ascending order of their time.
+    Updates(Vec<RequestUpdate>),
+    /// Requests under which servers ended.
+    Suspicions(Vec<Suspicion>),
+}
+
+impl Packet {
+    /// Encodes the packet.
+    pub fn encode(&self) -> Vec<u8> {
+        postcard::to_allocvec(self).expect("numbers, names and addresses always serialise")
+    }
+
+    /// Decodes a packet; `None` if the bytes aren't a valid packet.
+    pub fn decode(bytes: &[u8]) -> Option<Packet> {
+        postcard::from_bytes(bytes).ok()
+    }
+}
+
+/// A request for the placement of a caller's request.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct PlacementRequest {
+    /// The sender's number of the request, referred to by the reply and the updates.
+    pub number: u32,
+    /// The sender's availability zone.
+    pub zone: String,
+    /// Time left until the deadline of the caller's request.
+    pub remaining: Millis,
+    /// Engines that were already tried, by hashes of their names.
+    pub tried: Vec<u32>,
+    /// The requirements of the caller's request.
+    pub need: Need,
+}
+
+/// The engine chosen for a request of another instance.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Placement {
+    /// Hash of the engine's name.
+    pub engine: u32,
+    /// Hash of the name of the engine from which to fetch the shared prefix.
+    pub source: Option<u32>,
+    /// Expected wait of the request at the engine.
+    pub wait: Millis,
+    /// Number of prompt tokens that the engine is expected to read.
+    pub read: u32,
+}
+
+/// The placer's decision.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum PlacementVerdict {
+    /// Send the request to this engine.
+    Placed(Placement),
+    /// At every engine the wait would exceed the request's limit.
+    Late {
+        /// The shortest expected wait.
+        wait: Millis,
+        /// When to retry.
+        retry_delay: Millis,
+    },
+    /// The placer knows no server for the request.
+    Unable,
+}
+
+/// The reply to a [`PlacementRequest`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct PlacementReply {
+    /// Number of the placement request.
+    pub number: u32,
+    /// The decision.
+    pub verdict: PlacementVerdict,
+}
+
+/// An update of a placed request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct RequestUpdate {
+    /// Number of the placement request.
+    pub number: u32,
+    /// The event.
+    pub kind: UpdateKind,
+}
+
+/// An event of a placed request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum UpdateKind {
+    /// The answer has begun. Contains the numbers of running and waiting requests at the engine, if
+    /// it reported them.
+    Started(Option<[u32; 2]>),
+    /// The request has ended.
+    Ended(RequestEnd),
+}
+
+/// The end of a placed request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct RequestEnd {
+    /// The outcome.
+    pub result: Outcome,
+    /// Number of tokens of the answer.
+    pub tokens: u32,
+    /// The longest pause of its stream, if known.
+    pub pause: Option<Millis>,
+}
+
+impl UpdateKind {
+    /// The answer has begun, with the engine's load report.
+    pub fn started(load: Option<LoadReport>) -> UpdateKind {
+        UpdateKind::Started(load.map(|load| [load.running, load.waiting]))
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/placement/mod.rs
@@ -0,0 +1,35 @@
+//! Central placement: one instance, the placer, chooses the engines for the requests of all.
+//!
+//! In a large fleet each instance sees only about a hundredth of a burst. The queue of an engine
+//! turns over in 200 ms, and gossiped queue lengths are as old, so that all instances would send to
+//! the engines that were idle a moment ago. Instances that ask the placer share its knowledge: each
+//! request as it is placed, each answer as it begins, which engine caches which prompt prefix, and
+//! which engine fails.
+//!
+//! Only the placement request and its reply are sent, in two datagrams; a caller's request never
+//! passes through another instance. There is no dedicated placer: it is the collector that the
+//! others agree on, see [`crate::gossip`]. Nothing depends on it either. An instance that gets no
+//! reply within [`ASK_TIMEOUT`](runtime::ASK_TIMEOUT), or that knows no placer, chooses by itself.
+//! Two placers that don't know of each other make worse choices, but not wrong ones. The instance
+//! that sends a request checks the choice against its own knowledge: a server that it knows to be
+//! draining, ejected or of another service gets nothing.
+
+mod client;
+mod message;
+mod placer;
+mod runtime;
+
+pub use client::PlacementClient;
+pub use client::PlacementId;
+pub use message::Packet;
+pub use message::Placement;
+pub use message::PlacementReply;
+pub use message::PlacementRequest;
+pub use message::PlacementVerdict;
+pub use message::RequestEnd;
+pub use message::RequestUpdate;
+pub use message::UpdateKind;
+pub use placer::Placer;
+pub(crate) use runtime::PlacementError;
+pub(crate) use runtime::PlacementQuery;
+pub(crate) use runtime::PlacementService;
--- /dev/null
+++ b/crates/gateway/src/placement/runtime.rs
@@ -0,0 +1,233 @@
+//! The sockets and timeouts of placement.
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::net::UdpSocket;
+use std::sync::Mutex;
+use std::sync::MutexGuard;
+use std::sync::OnceLock;
+use std::sync::PoisonError;
+
+use async_std::future::timeout;
+use crocushold_base::Event;
+use crocushold_base::Millis;
+use crocushold_routing::LoadReport;
+use crocushold_routing::Outcome;
+use futures::channel::oneshot;
+use log::info;
+
+use super::client::PlacementClient;
+use super::client::PlacementId;
+use super::message::Packet;
+use super::message::PlacementReply;
+use super::message::PlacementRequest;
+use super::message::PlacementVerdict;
+use super::message::RequestEnd;
+use super::message::RequestUpdate;
+use super::message::UpdateKind;
+use super::placer::Placer;
+use crate::fleet::Fleet;
+use crate::fleet::Need;
+
+/// How long to wait for the placer's reply before choosing a server locally. This is several round
+/// trips between availability zones, and a tenth of the shortest target for a first token.
+pub(super) const ASK_TIMEOUT: Millis = Millis(20);
+
+/// The placement requests of this instance, and the requests that it placed for others.
+#[derive(Default)]
+pub(crate) struct PlacementService {
+    /// The gossip socket; unset if there is no gossip.
+    socket: OnceLock<UdpSocket>,
+    client: Mutex<PlacementClient>,
+    placer: Mutex<Placer>,
+    pending: Mutex<HashMap<u32, oneshot::Sender<PlacementVerdict>>>,
+}
+
+/// Cancels a pending placement request if the caller's request is dropped.
+struct PendingRequest<'a> {
+    service: &'a PlacementService,
+    placement_id: PlacementId,
+}
+
+impl Drop for PendingRequest<'_> {
+    fn drop(&mut self) {
+        lock(&self.service.pending).remove(&self.placement_id.number);
+        lock(&self.service.client).cancel(self.placement_id);
+    }
+}
+
+impl PlacementService {
+    /// Numbers of placement requests begin at `first`.
+    pub(crate) fn new(first: u32) -> PlacementService {
+        PlacementService {
+            client: Mutex::new(PlacementClient::new(first)),
+            ..PlacementService::default()
+        }
+    }
+
+    /// Sets the gossip socket.
+    pub(crate) fn set_socket(&self, socket: UdpSocket) {
+        // The socket is set once, before any request is read.
+        let _ = self.socket.set(socket);
+    }
+
+    /// Sets the placer. `None` if this instance chooses by itself.
+    pub(crate) fn set_placer(&self, placer: Option<SocketAddr>) {
+        if lock(&self.client).set_placer(placer) {
+            let placer = placer.map(|placer| placer.to_string());
+            let placer = placer.as_deref().unwrap_or("none");
+            info!("{}", Event::new("placer-changed").with("placer", placer));
+        }
+    }
+
+    /// Requests a placement.
+    ///
+    /// # Errors
+    ///
+    /// Returns why there is no reply. The instance then chooses by itself.
+    pub(crate) async fn ask(
+        &self,
+        query: PlacementQuery<'_>,
+    ) -> Result<(PlacementId, PlacementVerdict), PlacementError> {
+        let now = query.now;
+        let started = lock(&self.client).start(now);
+        let placement_id = started.ok_or(PlacementError::NoPlacer)?;
+        let open = PendingRequest {
+            service: self,
+            placement_id,
+        };
+        let (sender, receiver) = oneshot::channel();
+        lock(&self.pending).insert(placement_id.number, sender);
+        let request = PlacementRequest {
+            number: placement_id.number,
+            zone: query.zone.to_owned(),
+            remaining: query.remaining,
+            tried: query.tried,
+            need: query.need.clone(),
+        };
+        self.send(placement_id.placer, &Packet::Request(request));
+        let verdict = timeout(ASK_TIMEOUT.into(), receiver).await;
+        if let Ok(Ok(verdict)) = verdict {
+            return Ok((placement_id, verdict));
+        }
+        let backs_off = lock(&self.client).time_out(placement_id, now + ASK_TIMEOUT);
+        if backs_off {
+            let event = Event::new("placer-silent").with("placer", placement_id.placer);
+            info!("{event}");
+        }
+        drop(open);
+        Err(PlacementError::Timeout)
+    }
+
+    /// Reports that the answer to a placed request has begun.
+    pub(crate) fn request_started(
+        &self,
+        placement_id: Option<PlacementId>,
+        load: Option<LoadReport>,
+    ) {
+        self.send_update(placement_id, UpdateKind::started(load));
+    }
+
+    /// Reports that a placed request has ended.
+    pub(crate) fn request_ended(&self, placement_id: Option<PlacementId>, ended: RequestEnd) {
+        self.send_update(placement_id, UpdateKind::Ended(ended));
+    }
+
+    /// Releases a placement that isn't used.
+    pub(crate) fn release(&self, placement_id: PlacementId) {
+        let ended = RequestEnd {
+            result: Outcome::Cancelled,
+            tokens: 0,
+            pause: None,
+        };
+        self.request_ended(Some(placement_id), ended);
+    }
+
+    /// Handles a placement request of another instance.
+    pub(crate) fn place(
+        &self,
+        fleet: &mut Fleet,
+        from: SocketAddr,
+        request: &PlacementRequest,
+        now: Millis,
+    ) {
+        let reply = lock(&self.placer).place(fleet, from, request, now);
+        self.send(from, &Packet::Reply(reply));
+    }
+
+    /// Applies another instance's updates of its requests.
+    pub(crate) fn apply_updates(
+        &self,
+        fleet: &mut Fleet,
+        from: SocketAddr,
+        updates: Vec<RequestUpdate>,
+        now: Millis,
+    ) {
+        let mut placer = lock(&self.placer);
+        for update in updates {
+            placer.apply_update(fleet, from, update, now);
+        }
+    }
+
+    /// Handles a reply of the placer.
+    pub(crate) fn handle_reply(&self, from: SocketAddr, reply: PlacementReply) {
+        let placement_id = PlacementId {
+            placer: from,
+            number: reply.number,
+        };
+        let open = lock(&self.client).complete(placement_id);
+        let sender = lock(&self.pending).remove(&reply.number);
+        let delivered = sender.filter(|_| open);
+        let delivered = delivered.is_some_and(|sender| sender.send(reply.verdict).is_ok());
+        // The request was sent elsewhere in the meantime, so release the slot that was taken for
+        // it.
+        if !delivered && matches!(reply.verdict, PlacementVerdict::Placed(_)) {
+            self.release(placement_id);
+        }
+    }
+
+    /// Runs expired timers.
+    pub(crate) fn expire(&self, fleet: &mut Fleet, now: Millis) {
+        lock(&self.placer).expire(fleet, now);
+    }
+
+    fn send_update(&self, placement_id: Option<PlacementId>, kind: UpdateKind) {
+        if let Some(placement_id) = placement_id {
+            let updates = lock(&self.client).record_update(placement_id, kind);
+            self.send(placement_id.placer, &Packet::Updates(updates));
+        }
+    }
+
+    fn send(&self, to: SocketAddr, packet: &Packet) {
+        if let Some(socket) = self.socket.get() {
+            // The datagram may be lost, refused or dropped for lack of buffer space; the receiver
+            // continues without it.
+            let _ = socket.send_to(&packet.encode(), to);
+        }
+    }
+}
+
+/// Why the placer didn't reply.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum PlacementError {
+    /// There is no placer, or it isn't asked because it was unresponsive.
+    NoPlacer,
+    /// The reply didn't arrive in time.
+    Timeout,
+}
+
+/// A query for the placer.
+pub(crate) struct PlacementQuery<'a> {
+    pub(crate) need: &'a Need,
+    /// This instance's availability zone.
+    pub(crate) zone: &'a str,
+    /// Time left until the deadline of the request.
+    pub(crate) remaining: Millis,
+    /// Engines that were already tried, by hashes of their names.
+    pub(crate) tried: Vec<u32>,
+    pub(crate) now: Millis,
+}
+
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
