--- a/crates/entry/src/world.rs
+++ b/crates/entry/src/active_config.rs
@@ -42,27 +42,27 @@
 
 /// Multiple of a class's target after which an answer is of no use to its caller, who is then
 /// refused instead of kept waiting.
-const PATIENCE_FACTOR: u64 = 4;
+const MAX_WAIT_FACTOR: u64 = 4;
 
 /// Part of a target for the whole answer by which a request should have been started.
 ///
 /// The scheduler orders by the latest start that meets the target, and knows the time from start to
 /// first token but not the work of a whole answer. Without time for the work, overload would make it
 /// start every request just too late: the fleet works at full speed and no answer meets its target.
-const WORK_PART: u64 = 2;
+const START_TARGET_DIVISOR: u64 = 2;
 
 /// The lowest tier that waits until it is served: batch work has nobody who gives up.
-const PATIENT_TIER: u8 = 4;
+const UNBOUNDED_WAIT_TIER: u8 = 4;
 
 /// Servers of a subset that should hold each model. With eight in the mean, three instances of
 /// 10,000 have none where only some of the servers hold the model.
-const HOLDERS_WANTED: usize = 8;
+const REPLICAS_PER_SUBSET: usize = 8;
 
 /// What is in force at one moment. Requests hold the world they started under until they end.
 ///
 /// The default is the world before a configuration was read: it resolves nothing.
 #[derive(Default)]
-pub(crate) struct World {
+pub(crate) struct ActiveConfig {
     /// The revision of the text; zero before the first.
     pub(crate) revision: u64,
     pub(crate) catalog: Catalog,
@@ -70,10 +70,10 @@
     pub(crate) classes: HashMap<ClassKey, ClassMetrics>,
 }
 
-impl World {
+impl ActiveConfig {
     /// Hands a reading of the instance list to the routers. Servers are matched by address: the
     /// list names services in the platform's own way.
-    pub(crate) fn take_list(&self, list: &InstanceList) {
+    pub(crate) fn on_instance_list(&self, list: &InstanceList) {
         let entries = list.instances.iter();
         let by_address: HashMap<SocketAddr, Presence> = entries
             .filter(|entry| entry.role == InstanceRole::Server)
@@ -166,27 +166,32 @@
     }
 
     /// The world after `text`; pools of services that stay are carried over with their queues.
-    pub(crate) fn next(&self, before: &World, text: &Text, revision: u64) -> World {
-        let mut catalog = before.catalog.clone();
+    pub(crate) fn build(
+        &self,
+        previous: &ActiveConfig,
+        text: &Text,
+        revision: u64,
+    ) -> ActiveConfig {
+        let mut catalog = previous.catalog.clone();
         catalog.apply(text);
         let mut pools = HashMap::new();
         for (key, service) in &catalog.services {
-            let pool = before.pools.get(&key).cloned();
+            let pool = previous.pools.get(&key).cloned();
             let pool = pool.unwrap_or_else(|| self.start_pool(&service.name));
             self.configure(&pool, &catalog, service);
             pools.insert(key, pool);
         }
         let classes = self.class_metrics(&catalog);
         self.metrics.set_revision(revision);
-        let world = World {
+        let config = ActiveConfig {
             revision,
             catalog,
             pools,
             classes,
         };
         let fleet = self.fleet().clone();
-        world.set_fleet(&fleet);
-        world
+        config.set_fleet(&fleet);
+        config
     }
 
     fn start_pool(&self, service: &str) -> Arc<Pool> {
@@ -251,17 +256,17 @@
     let target = class.targets.earliest().unwrap_or(Millis::MAX);
     let start = match class.targets.first_token {
         Some(first) => first,
-        None => Millis(target.0 / WORK_PART),
+        None => Millis(target.0 / START_TARGET_DIVISOR),
     };
-    let patient = class.priority.tier() >= PATIENT_TIER;
+    let unbounded_wait = class.priority.tier() >= UNBOUNDED_WAIT_TIER;
     ClassSpec {
         key,
         tier: class.priority.index() as u8,
         target: start,
-        max_wait: if patient {
+        max_wait: if unbounded_wait {
             Millis::MAX
         } else {
-            Millis(target.0.saturating_mul(PATIENCE_FACTOR))
+            Millis(target.0.saturating_mul(MAX_WAIT_FACTOR))
         },
         floor: class.floor.as_fraction(),
         max_queued: class.queue,
@@ -290,10 +295,10 @@
     let replicas = models.map(|&model| catalog.models[model].replicas.max(1) as usize);
     let fewest = replicas.min().unwrap_or(usize::MAX);
     ServerGroup {
-        wanted: (HOLDERS_WANTED * specs.len())
+        subset_size: (REPLICAS_PER_SUBSET * specs.len())
             .div_ceil(fewest)
-            .max(HOLDERS_WANTED),
-        mixed: fewest < specs.len(),
+            .max(REPLICAS_PER_SUBSET),
+        heterogeneous: fewest < specs.len(),
         specs,
     }
 }
--- a/crates/entry/src/apply.rs
+++ b/crates/entry/src/apply.rs
@@ -27,18 +27,18 @@
 use crate::shared::Shared;
 
 /// Between two tries to apply a configuration.
-const RETRY: Millis = Millis::from_secs(1);
+const RETRY_DELAY: Millis = Millis::from_secs(1);
 
 /// Follows the notices of the peers' node as long as it runs.
 pub(crate) async fn follow(shared: Arc<Shared>, peers: PeerHandle, notices: Receiver<Notice>) {
     let mut applier = Applier::default();
     // A notice may have been given before the subscription.
     let mut applied = applier.try_apply(&shared, &peers).await;
-    shared.take_view(&peers.view());
-    while let Some(notice) = next(&notices, applied).await {
+    shared.on_view(&peers.view());
+    while let Some(notice) = next_notice(&notices, applied).await {
         match notice {
             Notice::Config => applied = applier.try_apply(&shared, &peers).await,
-            Notice::View => shared.take_view(&peers.view()),
+            Notice::View => shared.on_view(&peers.view()),
             Notice::Finding(finding) => {
                 let event = Event::new("peer-finding").with("finding", format!("{finding:?}"));
                 warn!("{event}");
@@ -48,11 +48,11 @@
 }
 
 /// The next notice; that of a configuration again, after a pause, where it couldn't be applied.
-async fn next(notices: &Receiver<Notice>, applied: bool) -> Option<Notice> {
+async fn next_notice(notices: &Receiver<Notice>, applied: bool) -> Option<Notice> {
     if applied {
         return notices.recv().await.ok();
     }
-    let notice = timeout(RETRY.into(), notices.recv()).await;
+    let notice = timeout(RETRY_DELAY.into(), notices.recv()).await;
     notice.map_or(Some(Notice::Config), Result::ok)
 }
 
@@ -73,7 +73,7 @@
     /// never take a change again. Nothing is in force before the last step, so it may be tried anew,
     /// with all parts parsed again since their state may be half changed.
     async fn try_apply(&mut self, shared: &Shared, peers: &PeerHandle) -> bool {
-        let attempt = AssertUnwindSafe(self.apply_held(shared, peers));
+        let attempt = AssertUnwindSafe(self.apply_current(shared, peers));
         if attempt.catch_unwind().await.is_ok() {
             return true;
         }
@@ -82,7 +82,7 @@
         false
     }
 
-    async fn apply_held(&mut self, shared: &Shared, peers: &PeerHandle) {
+    async fn apply_current(&mut self, shared: &Shared, peers: &PeerHandle) {
         let snapshot = peers.config();
         reach(Point::Applying).await;
         self.apply(shared, snapshot);
@@ -92,16 +92,16 @@
         let Some(snapshot) = snapshot else {
             return;
         };
-        self.take_parts(&snapshot);
+        self.update_parts(&snapshot);
         let parts = self.part_infos();
         self.log_findings();
-        if shared.put_in_force(&self.text, snapshot.revision, parts) {
+        if shared.activate(&self.text, snapshot.revision, parts) {
             let event = Event::new("config-in-force").with("revision", snapshot.revision);
             info!("{event}");
         }
     }
 
-    fn take_parts(&mut self, snapshot: &Snapshot) {
+    fn update_parts(&mut self, snapshot: &Snapshot) {
         let mut present = BTreeSet::new();
         for part in snapshot.parts() {
             let team = &part.head.team;
@@ -112,13 +112,13 @@
                 self.hashes.insert(team.clone(), part.head.hash);
             }
         }
-        let gone: Vec<Arc<str>> = self
+        let removed: Vec<Arc<str>> = self
             .hashes
             .keys()
             .filter(|team| !present.contains(*team))
             .cloned()
             .collect();
-        for team in gone {
+        for team in removed {
             self.text.remove_part(&team);
             self.hashes.remove(&team);
             self.revisions.remove(&team);
@@ -147,7 +147,7 @@
             PartInfo {
                 team: part.team().to_owned(),
                 published,
-                in_force: match part.in_force() {
+                active: match part.in_force() {
                     InForce::Current => published,
                     InForce::Previous | InForce::Nothing => 0,
                 },
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -15,21 +15,21 @@
 use log::debug;
 use serde::Serialize;
 
+use crate::active_config::ActiveConfig;
 use crate::connections::Connection;
+use crate::decode::RequestDecoder;
+use crate::decode::api_key;
 use crate::exchange::Exchange;
 use crate::exchange::Failure;
-use crate::intake::Intake;
-use crate::intake::key_of;
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
 use crate::shared::Shared;
-use crate::world::World;
 
 /// The status of an answer that nobody reads: the caller closed the connection.
 const CALLER_GONE: StatusCode = StatusCode::RequestTimeout;
 
 /// When to come back while the account holds as many connections as it may.
-const CONNECTIONS_RETRY: Millis = Millis::from_secs(1);
+const CONNECTIONS_RETRY_AFTER: Millis = Millis::from_secs(1);
 
 /// Answers one request of a caller.
 pub(crate) async fn answer(
@@ -69,32 +69,35 @@
     id: &str,
 ) -> Result<Response, Failure> {
     let arrived = shared.clock.now();
-    let world = shared.world();
-    if world.revision == 0 {
+    let config = shared.config();
+    if config.revision == 0 {
         let refusal = Refusal::not_run(Reason::NotServing, "no configuration is in force yet");
         return Err(Failure::Refused(refusal.retry_after(Millis::from_secs(1))));
     }
     // Before the body is read: a stranger must not make the instance buffer megabytes.
-    let account = authenticate(&world, connection, &request).map_err(Failure::Refused)?;
+    let account = authenticate(&config, connection, &request).map_err(Failure::Refused)?;
     if request.method() == Method::Get && request.url().path() == "/v1/models" {
-        return Ok(list_models(&world, account));
+        return Ok(list_models(&config, account));
     }
-    let intake = Intake {
-        world: &world,
+    let decoder = RequestDecoder {
+        config: &config,
         account,
         memory: &shared.memory,
         limits: &shared.settings.limits,
         arrived,
     };
-    let job = intake.read(&mut request).await.map_err(Failure::Refused)?;
+    let job = decoder
+        .decode(&mut request)
+        .await
+        .map_err(Failure::Refused)?;
     // The job has what is needed of it; a second copy would be held for as long as the request waits.
     drop(request);
     let exchange = Exchange {
         client: &shared.client,
         coordinator: &shared.coordinator,
         clock: shared.clock,
-        pool: world.pools[&job.resolved.service].clone(),
-        metrics: world.classes[&job.resolved.class].clone(),
+        pool: config.pools[&job.resolved.service].clone(),
+        metrics: config.classes[&job.resolved.class].clone(),
         id,
         arrived,
         job,
@@ -127,26 +130,26 @@
 
 /// The account whose key the request bears, for which its connection counts from now on.
 fn authenticate(
-    world: &World,
+    config: &ActiveConfig,
     connection: &Connection,
     request: &Request,
 ) -> Result<AccountKey, Refusal> {
-    let credential = Credential::of(key_of(request)?);
+    let credential = Credential::of(api_key(request)?);
     let unknown = || Refusal::from_config(config::Refusal::UnknownKey);
-    let account = world.catalog.account_of(&credential).ok_or_else(unknown)?;
+    let account = config.catalog.account_of(&credential).ok_or_else(unknown)?;
     if !connection.count_for(account) {
         let text = "the account holds as many connections as it may";
         let refusal = Refusal::not_run(Reason::ConnectionsLimited, text);
-        return Err(refusal.retry_after(CONNECTIONS_RETRY));
+        return Err(refusal.retry_after(CONNECTIONS_RETRY_AFTER));
     }
     Ok(account)
 }
 
 /// The models that the caller's account may use.
-fn list_models(world: &World, account: AccountKey) -> Response {
+fn list_models(config: &ActiveConfig, account: AccountKey) -> Response {
     let list = ModelList {
         object: "list",
-        data: world
+        data: config
             .models_of(account)
             .into_iter()
             .map(ModelEntry::new)
--- a/crates/entry/src/connections.rs
+++ b/crates/entry/src/connections.rs
@@ -15,27 +15,27 @@
 ///
 /// It has at most as many entries as there are connections, whatever the number of accounts.
 #[derive(Debug)]
-struct Table {
-    bound: u32,
-    held: HashMap<AccountKey, u32>,
+struct ConnectionCounts {
+    limit: u32,
+    counts_by_account: HashMap<AccountKey, u32>,
 }
 
-impl Table {
-    fn new(bound: u32) -> Table {
-        Table {
-            bound,
-            held: HashMap::new(),
+impl ConnectionCounts {
+    fn new(limit: u32) -> ConnectionCounts {
+        ConnectionCounts {
+            limit,
+            counts_by_account: HashMap::new(),
         }
     }
 
     /// Counts a connection for `to` that counted for `from`; changes nothing when `to` holds as many
     /// as it may.
-    fn shift(&mut self, from: Option<AccountKey>, to: AccountKey) -> bool {
-        let held = self.held.get(&to).copied().unwrap_or(0);
-        if held >= self.bound {
+    fn reassign(&mut self, from: Option<AccountKey>, to: AccountKey) -> bool {
+        let held = self.counts_by_account.get(&to).copied().unwrap_or(0);
+        if held >= self.limit {
             return false;
         }
-        self.held.insert(to, held + 1);
+        self.counts_by_account.insert(to, held + 1);
         if let Some(from) = from {
             self.release(from);
         }
@@ -43,10 +43,10 @@
     }
 
     fn release(&mut self, account: AccountKey) {
-        if let Some(held) = self.held.get_mut(&account) {
+        if let Some(held) = self.counts_by_account.get_mut(&account) {
             *held -= 1;
             if *held == 0 {
-                self.held.remove(&account);
+                self.counts_by_account.remove(&account);
             }
         }
     }
@@ -55,14 +55,14 @@
 /// The connections of all accounts at this instance; clones share them.
 #[derive(Clone, Debug)]
 pub(crate) struct Connections {
-    table: Arc<Mutex<Table>>,
+    counts: Arc<Mutex<ConnectionCounts>>,
 }
 
 impl Connections {
     /// At most `bound` connections an account.
-    pub(crate) fn new(bound: u32) -> Connections {
+    pub(crate) fn new(limit: u32) -> Connections {
         Connections {
-            table: Arc::new(Mutex::new(Table::new(bound))),
+            counts: Arc::new(Mutex::new(ConnectionCounts::new(limit))),
         }
     }
 
@@ -74,8 +74,8 @@
         }
     }
 
-    fn table(&self) -> MutexGuard<'_, Table> {
-        self.table.lock().unwrap_or_else(PoisonError::into_inner)
+    fn counts(&self) -> MutexGuard<'_, ConnectionCounts> {
+        self.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -99,7 +99,7 @@
         if *current == Some(account) {
             return true;
         }
-        let counted = self.all.table().shift(*current, account);
+        let counted = self.all.counts().reassign(*current, account);
         if counted {
             *current = Some(account);
         }
@@ -111,7 +111,7 @@
     fn drop(&mut self) {
         let account = self.account.get_mut();
         if let Some(account) = *account.unwrap_or_else(PoisonError::into_inner) {
-            self.all.table().release(account);
+            self.all.counts().release(account);
         }
     }
 }
--- a/crates/entry/src/connections/tests.rs
+++ b/crates/entry/src/connections/tests.rs
@@ -16,7 +16,7 @@
     assert!(!third.count_for(a), "above the bound");
     assert!(second.count_for(b) && third.count_for(a), "one moved away");
     assert!(!second.count_for(a), "and can't come back");
-    assert_eq!(all.table().held.values().sum::<u32>(), 3);
+    assert_eq!(all.counts().counts_by_account.values().sum::<u32>(), 3);
     drop((first, second, third));
-    assert!(all.table().held.is_empty());
+    assert!(all.counts().counts_by_account.is_empty());
 }
--- a/crates/entry/src/coordination/lending.rs
+++ b/crates/entry/src/coordination/lending.rs
@@ -14,7 +14,7 @@
 const TICK: Millis = Millis(50);
 
 /// How long a wish for a loan may take. A later answer would find the next wish on its way already.
-const DEADLINE: Millis = Millis(200);
+const LOAN_TIMEOUT: Millis = Millis(200);
 
 impl Coordinator {
     /// Asks for loans as long as the process runs. A request never waits for one: it is judged by
@@ -23,13 +23,13 @@
         loop {
             let (borrows, asked_at) = self.limits.on_tick();
             for borrow in borrows {
-                self.ask_loan(borrow, asked_at);
+                self.request_loan(borrow, asked_at);
             }
             task::sleep(TICK.into()).await;
         }
     }
 
-    fn ask_loan(self: &Arc<Self>, borrow: Borrow, asked_at: Millis) {
+    fn request_loan(self: &Arc<Self>, borrow: Borrow, asked_at: Millis) {
         let account = borrow.request.account;
         if borrow.to == self.me {
             let reply = self.limits.on_borrow(self.me, &borrow.request);
@@ -39,7 +39,10 @@
         let coordinator = self.clone();
         task::spawn(async move {
             let call = Request::Borrow(borrow.request);
-            let answer = coordinator.transport.call(borrow.to, call, DEADLINE).await;
+            let answer = coordinator
+                .transport
+                .call(borrow.to, call, LOAN_TIMEOUT)
+                .await;
             if let Some(Response::Lent(reply)) = answer {
                 coordinator.limits.on_lent(account, reply, asked_at);
             }
--- a/crates/entry/src/coordination/limits/account.rs
+++ b/crates/entry/src/coordination/limits/account.rs
@@ -59,14 +59,14 @@
 
 /// A request over one of its account's limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct LimitHit {
+pub(crate) struct LimitExceeded {
     pub(crate) kind: LimitKind,
     pub(crate) retry_after: Millis,
 }
 
 /// What is known of a request's tokens before it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Ask {
+pub(crate) struct TokenEstimate {
     pub(crate) prompt: u32,
     /// Most tokens of the answer.
     pub(crate) output: u32,
@@ -121,7 +121,7 @@
     /// Tokens that were used and are still to be taken from the rate.
     pub(super) debt: f64,
     /// The mean length of its answers.
-    output: f64,
+    mean_output: f64,
     /// Refused since the last event in the log, by limit.
     pub(super) refused: [u32; 3],
     pub(super) logged_at: Millis,
@@ -137,7 +137,7 @@
             requests: Credit::default(),
             tokens: Credit::default(),
             debt: 0.0,
-            output: 0.0,
+            mean_output: 0.0,
             refused: [0; 3],
             logged_at: Millis::ZERO,
         }
@@ -148,11 +148,11 @@
     }
 
     /// What a request is expected to cost.
-    pub(super) fn expect(&self, ask: &Ask) -> f64 {
-        f64::from(ask.prompt) + self.output.min(f64::from(ask.output))
+    pub(super) fn estimated_cost(&self, estimate: &TokenEstimate) -> f64 {
+        f64::from(estimate.prompt) + self.mean_output.min(f64::from(estimate.output))
     }
 
-    pub(super) fn learn(&mut self, output: u32) {
-        self.output += (f64::from(output) - self.output) * OUTPUT_GAIN;
+    pub(super) fn observe_output(&mut self, output: u32) {
+        self.mean_output += (f64::from(output) - self.mean_output) * OUTPUT_GAIN;
     }
 }
--- a/crates/entry/src/coordination/limits/gate.rs
+++ b/crates/entry/src/coordination/limits/limiter.rs
@@ -16,20 +16,20 @@
 use slotmap::SecondaryMap;
 
 use super::account::Account;
-use super::account::Ask;
 use super::account::Charge;
-use super::account::LimitHit;
+use super::account::LimitExceeded;
 use super::account::LimitKind;
+use super::account::TokenEstimate;
 
 /// Most pieces of a token debt that are paid in one call, so that its time is bounded.
-const MAX_PIECES: usize = 64;
+const MAX_INSTALLMENTS: usize = 64;
 
 /// How often refusals of one account are logged at the most.
-const LOG_PERIOD: Millis = Millis::from_secs(10);
+const REFUSAL_LOG_PERIOD: Millis = Millis::from_secs(10);
 
 /// Admits requests within what this instance holds of each account's limits.
 #[derive(Debug)]
-pub(crate) struct Gate {
+pub(crate) struct Limiter {
     settings: LimitSettings,
     limits: Limits,
     accounts: SecondaryMap<AccountKey, Account>,
@@ -39,14 +39,14 @@
 
 /// Refusals of an account since the last report.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Refusals {
+pub(crate) struct RefusalCounts {
     pub(crate) account: String,
     pub(crate) counts: [u32; 3],
 }
 
 /// How an account stands at this instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Standing {
+pub(crate) struct AccountStatus {
     pub(crate) account: String,
     pub(crate) running: u32,
     pub(crate) concurrency: u32,
@@ -54,9 +54,9 @@
     pub(crate) tokens: u32,
 }
 
-impl Gate {
-    pub(crate) fn new(settings: LimitSettings, me: Member, now: Millis) -> Gate {
-        Gate {
+impl Limiter {
+    pub(crate) fn new(settings: LimitSettings, me: Member, now: Millis) -> Limiter {
+        Limiter {
             settings,
             limits: Limits::new(settings, me, now),
             accounts: SecondaryMap::new(),
@@ -104,49 +104,54 @@
     pub(crate) fn admit(
         &mut self,
         key: AccountKey,
-        ask: &Ask,
+        estimate: &TokenEstimate,
         now: Millis,
-    ) -> Result<Charge, LimitHit> {
-        let result = self.try_admit(key, ask, now);
-        if let Err(hit) = &result
+    ) -> Result<Charge, LimitExceeded> {
+        let result = self.try_admit(key, estimate, now);
+        if let Err(exceeded) = &result
             && let Some(account) = self.accounts.get_mut(key)
         {
-            let count = &mut account.refused[hit.kind as usize];
+            let count = &mut account.refused[exceeded.kind as usize];
             *count = count.saturating_add(1);
         }
         result
     }
 
-    fn try_admit(&mut self, key: AccountKey, ask: &Ask, now: Millis) -> Result<Charge, LimitHit> {
+    fn try_admit(
+        &mut self,
+        key: AccountKey,
+        estimate: &TokenEstimate,
+        now: Millis,
+    ) -> Result<Charge, LimitExceeded> {
         let Some(account) = self.accounts.get_mut(key) else {
             // Its removal is about to be in force; there is nothing to charge it to.
-            return Err(self.hit(LimitKind::Concurrency, Millis::ZERO));
+            return Err(self.exceeded(LimitKind::Concurrency, Millis::ZERO));
         };
         if account.debt > 0.0 {
             let rate = f64::from(account.limits.tokens).max(1.0);
             let wait = Millis((account.debt / rate * 1_000.0) as u64);
-            return Err(self.hit(LimitKind::Tokens, wait));
+            return Err(self.exceeded(LimitKind::Tokens, wait));
         }
         let slot = self.take_slot(key, now)?;
         if !self.take_request(key, now) {
             self.free_slot(key, slot);
-            return Err(self.hit(LimitKind::Requests, Millis::ZERO));
+            return Err(self.exceeded(LimitKind::Requests, Millis::ZERO));
         }
-        let Some(tokens) = self.take_tokens(key, ask, now) else {
+        let Some(tokens) = self.take_tokens(key, estimate, now) else {
             self.free_slot(key, slot);
-            self.give_back_request(key, now);
-            return Err(self.hit(LimitKind::Tokens, Millis::ZERO));
+            self.refund_request(key, now);
+            return Err(self.exceeded(LimitKind::Tokens, Millis::ZERO));
         };
         Ok(Charge {
-            prompt: ask.prompt,
+            prompt: estimate.prompt,
             tokens,
             slot,
         })
     }
 
-    fn hit(&self, kind: LimitKind, wait: Millis) -> LimitHit {
+    fn exceeded(&self, kind: LimitKind, wait: Millis) -> LimitExceeded {
         let retry_after = wait.max(self.settings.period);
-        LimitHit { kind, retry_after }
+        LimitExceeded { kind, retry_after }
     }
 
     /// Takes a slot; false when the request runs without one.
@@ -154,12 +159,12 @@
     /// An account with fewer slots than two an instance has no share of its own here, and its first
     /// request would be refused wherever it arrives. So one runs without a slot, while the refusal
     /// that the ledger saw asks for a loan.
-    fn take_slot(&mut self, key: AccountKey, now: Millis) -> Result<bool, LimitHit> {
+    fn take_slot(&mut self, key: AccountKey, now: Millis) -> Result<bool, LimitExceeded> {
         let account = &mut self.accounts[key];
         let id = account.id(LimitKind::Concurrency);
         let admitted = self.limits.admit(id, 0.0, now) == Admission::Admitted;
         if !admitted && account.running > 0 {
-            return Err(self.hit(LimitKind::Concurrency, Millis::ZERO));
+            return Err(self.exceeded(LimitKind::Concurrency, Millis::ZERO));
         }
         account.running += 1;
         Ok(admitted)
@@ -184,19 +189,24 @@
         self.take_units(id, 1.0, now)
     }
 
-    fn give_back_request(&mut self, key: AccountKey, now: Millis) {
+    fn refund_request(&mut self, key: AccountKey, now: Millis) {
         let until = now + self.settings.term;
         self.accounts[key].requests.add(1.0, until, now);
     }
 
     /// Takes what the request is expected to cost. It starts on the first piece, as one that costs
     /// more than the instance may ever save up could not run otherwise; the rest becomes a debt.
-    fn take_tokens(&mut self, key: AccountKey, ask: &Ask, now: Millis) -> Option<f64> {
-        let piece = self.piece(key);
+    fn take_tokens(
+        &mut self,
+        key: AccountKey,
+        estimate: &TokenEstimate,
+        now: Millis,
+    ) -> Option<f64> {
+        let installment = self.installment(key);
         let account = &mut self.accounts[key];
-        let cost = account.expect(ask);
+        let cost = account.estimated_cost(estimate);
         let need = cost - account.tokens.take(cost, now);
-        let first = need.min(piece);
+        let first = need.min(installment);
         let id = account.id(LimitKind::Tokens);
         if first > 0.0 && !self.take_units(id, first, now) {
             let until = now + self.settings.term;
@@ -211,17 +221,17 @@
 
     /// Units that are paid at a time: what this instance may save up by itself, so that a debt is
     /// paid also where no loan can be had.
-    fn piece(&self, key: AccountKey) -> f64 {
+    fn installment(&self, key: AccountKey) -> f64 {
         let rate = f64::from(self.accounts[key].limits.tokens);
         let share = rate * self.settings.base / self.reference as f64;
         (share * self.settings.burst).max(1.0)
     }
 
     fn pay_debt(&mut self, key: AccountKey, now: Millis) {
-        let piece = self.piece(key);
+        let installment = self.installment(key);
         let id = self.accounts[key].id(LimitKind::Tokens);
-        for _ in 0..MAX_PIECES {
-            let step = self.accounts[key].debt.min(piece);
+        for _ in 0..MAX_INSTALLMENTS {
+            let step = self.accounts[key].debt.min(installment);
             if step <= 0.0 || !self.take_units(id, step, now) {
                 return;
             }
@@ -243,31 +253,31 @@
         key: AccountKey,
         charge: &Charge,
         output: u32,
-        whole: bool,
+        complete: bool,
         now: Millis,
     ) {
         self.free_slot(key, charge.slot);
         let Some(account) = self.accounts.get_mut(key) else {
             return;
         };
-        if whole {
-            account.learn(output);
+        if complete {
+            account.observe_output(output);
         }
         let used = f64::from(charge.prompt) + f64::from(output);
-        self.correct(key, used - charge.tokens, now);
+        self.adjust_tokens(key, used - charge.tokens, now);
     }
 
     /// An admitted request did not run and gets back all that it took.
     pub(crate) fn refund(&mut self, key: AccountKey, charge: &Charge, now: Millis) {
         self.free_slot(key, charge.slot);
         if self.accounts.contains_key(key) {
-            self.give_back_request(key, now);
-            self.correct(key, -charge.tokens, now);
+            self.refund_request(key, now);
+            self.adjust_tokens(key, -charge.tokens, now);
         }
     }
 
     /// Takes tokens that were used beyond the charge, or gives back those that were not.
-    fn correct(&mut self, key: AccountKey, tokens: f64, now: Millis) {
+    fn adjust_tokens(&mut self, key: AccountKey, tokens: f64, now: Millis) {
         let until = now + self.settings.term;
         let account = &mut self.accounts[key];
         if tokens > 0.0 {
@@ -311,14 +321,15 @@
     }
 
     /// The refusals that are due for a line in the log.
-    pub(crate) fn take_refusals(&mut self, now: Millis) -> Vec<Refusals> {
+    pub(crate) fn take_refusals(&mut self, now: Millis) -> Vec<RefusalCounts> {
         let due = |account: &&mut Account| {
             let quiet = account.logged_at == Millis::ZERO;
-            account.refused != [0; 3] && (quiet || now.since(account.logged_at) >= LOG_PERIOD)
+            account.refused != [0; 3]
+                && (quiet || now.since(account.logged_at) >= REFUSAL_LOG_PERIOD)
         };
         let report = |account: &mut Account| {
             account.logged_at = now;
-            Refusals {
+            RefusalCounts {
                 account: account.name.clone(),
                 counts: std::mem::take(&mut account.refused),
             }
@@ -327,18 +338,18 @@
     }
 
     /// How the accounts with requests in progress or a debt stand.
-    pub(crate) fn standings(&self) -> Vec<Standing> {
+    pub(crate) fn account_statuses(&self) -> Vec<AccountStatus> {
         let active = self
             .accounts
             .values()
             .filter(|a| a.running > 0 || a.debt > 0.0);
-        let standings = active.map(|account| Standing {
+        let account_statuses = active.map(|account| AccountStatus {
             account: account.name.clone(),
             running: account.running,
             concurrency: account.limits.concurrency,
             debt: account.debt as u64,
             tokens: account.limits.tokens,
         });
-        standings.collect()
+        account_statuses.collect()
     }
 }
--- a/crates/entry/src/coordination/limits/mod.rs
+++ b/crates/entry/src/coordination/limits/mod.rs
@@ -4,14 +4,14 @@
 //! to its three limits and settles tokens, [`AccountLimits`] drives it and carries its loans.
 
 mod account;
-mod gate;
+mod limiter;
 mod permit;
-mod shell;
+mod shared;
 #[cfg(test)]
 mod tests;
 
-pub(crate) use account::Ask;
-pub(crate) use account::LimitHit;
+pub(crate) use account::LimitExceeded;
 pub(crate) use account::LimitKind;
+pub(crate) use account::TokenEstimate;
 pub(crate) use permit::Permit;
-pub(crate) use shell::AccountLimits;
+pub(crate) use shared::AccountLimits;
--- a/crates/entry/src/coordination/limits/permit.rs
+++ b/crates/entry/src/coordination/limits/permit.rs
@@ -5,7 +5,7 @@
 use crocushold_base::AccountKey;
 
 use super::account::Charge;
-use super::shell::AccountLimits;
+use super::shared::AccountLimits;
 
 /// What an admitted request holds. It ends exactly once: by [`Permit::settle`], by
 /// [`Permit::refund`], or by its drop as a request that ran without an answer.
@@ -17,9 +17,9 @@
 
 impl Permit {
     /// The request ended after `output` tokens.
-    pub(crate) fn settle(mut self, output: u32, whole: bool) {
+    pub(crate) fn settle(mut self, output: u32, complete: bool) {
         if let Some(charge) = self.charge.take() {
-            self.limits.settle(self.key, &charge, output, whole);
+            self.limits.settle(self.key, &charge, output, complete);
         }
     }
 
--- a/crates/entry/src/coordination/limits/tests.rs
+++ b/crates/entry/src/coordination/limits/tests.rs
@@ -8,26 +8,26 @@
 use crocushold_ownership::Member;
 use test_case::test_case;
 
-use super::account::Ask;
 use super::account::Charge;
-use super::account::LimitHit;
+use super::account::LimitExceeded;
 use super::account::LimitKind;
-use super::gate::Gate;
+use super::account::TokenEstimate;
+use super::limiter::Limiter;
 
-const SHORT: Ask = Ask {
+const SHORT: TokenEstimate = TokenEstimate {
     prompt: 10,
     output: 0,
 };
 
-struct Lone {
-    gate: Gate,
+struct Fixture {
+    limiter: Limiter,
     key: AccountKey,
     now: Millis,
 }
 
-impl Lone {
+impl Fixture {
     /// A gate that is alone and has an account with these limits.
-    fn new(limits: config::Limits) -> Lone {
+    fn new(limits: config::Limits) -> Fixture {
         let mut catalog = Catalog::default();
         let account = config::Account {
             name: "team/chat".to_owned(),
@@ -37,10 +37,10 @@
         };
         let key = catalog.accounts.insert(account);
         let me = Member::new("entry-0", 1);
-        let mut gate = Gate::new(LimitSettings::default(), me, Millis::ZERO);
-        gate.configure(&catalog, Millis::ZERO);
-        Lone {
-            gate,
+        let mut limiter = Limiter::new(LimitSettings::default(), me, Millis::ZERO);
+        limiter.configure(&catalog, Millis::ZERO);
+        Fixture {
+            limiter,
             key,
             now: Millis::ZERO,
         }
@@ -50,20 +50,21 @@
     fn pass(&mut self, span: u64) {
         for _ in 0..span / 50 {
             self.now += Millis(50);
-            for borrow in self.gate.on_tick(self.now) {
+            for borrow in self.limiter.on_tick(self.now) {
                 let id = borrow.request.account;
-                let reply = self.gate.on_borrow(borrow.to, &borrow.request, self.now);
-                self.gate.on_lent(id, reply, self.now);
+                let reply = self.limiter.on_borrow(borrow.to, &borrow.request, self.now);
+                self.limiter.on_lent(id, reply, self.now);
             }
         }
     }
 
-    fn admit(&mut self, ask: &Ask) -> Result<Charge, LimitHit> {
-        self.gate.admit(self.key, ask, self.now)
+    fn admit(&mut self, estimate: &TokenEstimate) -> Result<Charge, LimitExceeded> {
+        self.limiter.admit(self.key, estimate, self.now)
     }
 
     fn settle(&mut self, charge: &Charge, output: u32) {
-        self.gate.settle(self.key, charge, output, true, self.now);
+        self.limiter
+            .settle(self.key, charge, output, true, self.now);
     }
 }
 
@@ -93,15 +94,19 @@
         (limits(1_000, 10_000, 2), LimitKind::Concurrency),
     ];
     for (limits, kind) in cases {
-        let mut lone = Lone::new(limits);
-        lone.pass(2_000);
-        let hits: Vec<_> = (0..8).filter_map(|_| lone.admit(&SHORT).err()).collect();
-        assert!(hits.len() >= 6, "{kind:?}: {hits:?}");
+        let mut fixture = Fixture::new(limits);
+        fixture.pass(2_000);
+        let exceeded: Vec<_> = (0..8).filter_map(|_| fixture.admit(&SHORT).err()).collect();
+        assert!(exceeded.len() >= 6, "{kind:?}: {exceeded:?}");
         assert!(
-            hits.iter().all(|hit| hit.kind == kind),
-            "{kind:?}: {hits:?}"
+            exceeded.iter().all(|exceeded| exceeded.kind == kind),
+            "{kind:?}: {exceeded:?}"
+        );
+        assert!(
+            exceeded
+                .iter()
+                .all(|exceeded| exceeded.retry_after > Millis::ZERO)
         );
-        assert!(hits.iter().all(|hit| hit.retry_after > Millis::ZERO));
     }
 }
 
@@ -110,25 +115,25 @@
 #[test_case(limits(4, 20, 4), LimitKind::Tokens; "over the token rate")]
 #[test_case(limits(2, 10_000, 4), LimitKind::Requests; "over the request rate")]
 fn a_refusal_uses_up_no_other_limit(limits: config::Limits, kind: LimitKind) {
-    let mut lone = Lone::new(limits);
-    lone.pass(2_000);
-    lone.admit(&SHORT).unwrap();
+    let mut fixture = Fixture::new(limits);
+    fixture.pass(2_000);
+    fixture.admit(&SHORT).unwrap();
     for _ in 0..50 {
-        assert_eq!(lone.admit(&SHORT).unwrap_err().kind, kind);
+        assert_eq!(fixture.admit(&SHORT).unwrap_err().kind, kind);
     }
-    assert_eq!(lone.gate.standings()[0].running, 1);
+    assert_eq!(fixture.limiter.account_statuses()[0].running, 1);
 }
 
 /// Answers turn out far longer than anything before them. What was used beyond the charge is owed,
 /// and until it is paid the account gets nothing: over a minute it has its rate and no more.
 #[test]
 fn tokens_are_settled_on_the_real_count() {
-    let mut lone = Lone::new(limits(1_000, 1_000, 100));
+    let mut fixture = Fixture::new(limits(1_000, 1_000, 100));
     let mut used = 0;
     for _ in 0..1_200 {
-        lone.pass(50);
-        if let Ok(charge) = lone.admit(&SHORT) {
-            lone.settle(&charge, 1_990);
+        fixture.pass(50);
+        if let Ok(charge) = fixture.admit(&SHORT) {
+            fixture.settle(&charge, 1_990);
             used += 2_000;
         }
     }
@@ -140,11 +145,11 @@
 /// its account nothing.
 #[test]
 fn a_request_that_did_not_run_costs_nothing() {
-    let mut lone = Lone::new(limits(2, 20, 2));
-    lone.pass(2_000);
+    let mut fixture = Fixture::new(limits(2, 20, 2));
+    fixture.pass(2_000);
     for _ in 0..50 {
-        let charge = lone.admit(&SHORT).unwrap();
-        lone.gate.refund(lone.key, &charge, lone.now);
+        let charge = fixture.admit(&SHORT).unwrap();
+        fixture.limiter.refund(fixture.key, &charge, fixture.now);
     }
 }
 
@@ -152,22 +157,25 @@
 /// not be refused for that, wherever it arrives; a second one needs a loan.
 #[test]
 fn a_small_account_runs_one_request_without_a_slot() {
-    let mut lone = Lone::new(limits(1_000, 10_000, 1));
-    lone.pass(2_000);
-    let first = lone.admit(&SHORT).unwrap();
+    let mut fixture = Fixture::new(limits(1_000, 10_000, 1));
+    fixture.pass(2_000);
+    let first = fixture.admit(&SHORT).unwrap();
     assert!(!first.slot);
-    assert_eq!(lone.admit(&SHORT).unwrap_err().kind, LimitKind::Concurrency);
-    lone.settle(&first, 0);
-    assert!(lone.admit(&SHORT).is_ok());
+    assert_eq!(
+        fixture.admit(&SHORT).unwrap_err().kind,
+        LimitKind::Concurrency
+    );
+    fixture.settle(&first, 0);
+    assert!(fixture.admit(&SHORT).is_ok());
 }
 
 #[test]
 fn an_account_that_is_gone_is_refused_and_leaves_no_state() {
-    let mut lone = Lone::new(limits(1_000, 10_000, 10));
-    lone.pass(1_000);
-    let charge = lone.admit(&SHORT).unwrap();
-    lone.gate.configure(&Catalog::default(), lone.now);
-    assert!(lone.admit(&SHORT).is_err());
-    lone.settle(&charge, 0);
-    assert!(lone.gate.standings().is_empty());
+    let mut fixture = Fixture::new(limits(1_000, 10_000, 10));
+    fixture.pass(1_000);
+    let charge = fixture.admit(&SHORT).unwrap();
+    fixture.limiter.configure(&Catalog::default(), fixture.now);
+    assert!(fixture.admit(&SHORT).is_err());
+    fixture.settle(&charge, 0);
+    assert!(fixture.limiter.account_statuses().is_empty());
 }
--- a/crates/entry/src/coordination/members.rs
+++ b/crates/entry/src/coordination/members.rs
@@ -17,12 +17,12 @@
 #[derive(Debug)]
 pub(crate) struct Members {
     me: Member,
-    known: BTreeMap<InstanceId, Known>,
+    known: BTreeMap<InstanceId, KnownMember>,
     listed: Option<BTreeSet<InstanceId>>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownMember {
     start: u64,
     status: Status,
 }
@@ -37,9 +37,9 @@
     }
 
     /// Takes what the peers' node knows.
-    pub(crate) fn seen(&mut self, view: &crocushold_peers::View) -> View {
+    pub(crate) fn on_view(&mut self, view: &crocushold_peers::View) -> View {
         for life in view.lives.iter() {
-            let known = Known {
+            let known = KnownMember {
                 start: life.start,
                 status: life.status,
             };
@@ -50,26 +50,29 @@
     }
 
     /// Takes the names that the platform lists.
-    pub(crate) fn listed<'a>(&mut self, names: impl Iterator<Item = &'a str>) -> View {
+    pub(crate) fn on_instance_list<'a>(&mut self, names: impl Iterator<Item = &'a str>) -> View {
         self.listed = Some(names.map(InstanceId::from_name).collect());
         self.reference()
     }
 
     /// The live view, and the members that account limits are split among.
-    pub(crate) fn split(&self) -> (View, View) {
-        (self.those(Status::is_live), self.sharing())
+    pub(crate) fn limit_views(&self) -> (View, View) {
+        (self.with_status(Status::is_live), self.limit_members())
     }
 
     /// The members that answer, and those that may be acting. A suspect isn't counted on: an
     /// instance that was cut off must lose its majority long before it declares the others dead.
     pub(crate) fn quorum(&self) -> (View, View) {
-        (self.those(|status| status == Status::Alive), self.sharing())
+        (
+            self.with_status(|status| status == Status::Alive),
+            self.limit_members(),
+        )
     }
 
-    fn those(&self, wanted: impl Fn(Status) -> bool) -> View {
+    fn with_status(&self, wanted: impl Fn(Status) -> bool) -> View {
         let known = self.known.iter();
-        let those = known.filter(|(_, known)| wanted(known.status));
-        let members = those.map(|(&id, known)| member(id, known));
+        let matching = known.filter(|(_, known)| wanted(known.status));
+        let members = matching.map(|(&id, known)| member(id, known));
         View::new(members.chain([self.me]))
     }
 
@@ -77,7 +80,7 @@
     ///
     /// Unlike the reference it counts an instance that is listed and was not yet heard of. A
     /// newcomer that counted only those it has met would take the share of all others.
-    fn sharing(&self) -> View {
+    fn limit_members(&self) -> View {
         let listed = self.listed.iter().flatten();
         let unheard = listed.filter(|id| !self.known.contains_key(id));
         let unheard = unheard.map(|&id| Member { id, incarnation: 0 });
@@ -101,7 +104,7 @@
         View::new(members.chain([self.me]))
     }
 
-    fn is_present(&self, id: &InstanceId, known: &Known) -> bool {
+    fn is_present(&self, id: &InstanceId, known: &KnownMember) -> bool {
         match known.status {
             Status::Alive | Status::Suspect => true,
             Status::Left => false,
@@ -113,7 +116,7 @@
     }
 }
 
-fn member(id: InstanceId, known: &Known) -> Member {
+fn member(id: InstanceId, known: &KnownMember) -> Member {
     Member {
         id,
         incarnation: known.start,
--- a/crates/entry/src/coordination/mod.rs
+++ b/crates/entry/src/coordination/mod.rs
@@ -7,7 +7,7 @@
 mod lending;
 mod limits;
 mod members;
-mod ordering;
+mod order_loop;
 mod orders;
 mod suspects;
 mod transport;
@@ -51,35 +51,35 @@
 use crate::coordination::members::Members;
 use crate::coordination::orders::EngineOrders;
 use crate::coordination::transport::Transport;
+use crate::decode::IdempotencyKey;
 use crate::failpoint::Point;
 use crate::failpoint::reach;
-use crate::intake::Once;
 
-pub(crate) use limits::Ask;
-pub(crate) use limits::LimitHit;
+pub(crate) use limits::LimitExceeded;
 pub(crate) use limits::LimitKind;
 pub(crate) use limits::Permit;
+pub(crate) use limits::TokenEstimate;
 pub(crate) use orders::ModelDemand;
 pub(crate) use suspects::Suspects;
 
 /// How long a claim waits for votes. A group answers in a round trip; a member that is frozen must
 /// not hold the request up for longer than a caller would notice.
-const VOTE_DEADLINE: Millis = Millis(500);
+const VOTE_TIMEOUT: Millis = Millis(500);
 
 /// How long one message of a settlement or transfer may take.
-const MESSAGE_DEADLINE: Millis = Millis(1000);
+const MESSAGE_TIMEOUT: Millis = Millis(1000);
 
 /// Between two tries to deliver a settlement.
-const SETTLE_PAUSE: Millis = Millis(500);
+const SETTLE_RETRY_DELAY: Millis = Millis(500);
 
 /// Tries to deliver a settlement; what is still undelivered counts as unknown at the voter.
-const SETTLE_TRIES: usize = 20;
+const SETTLE_ATTEMPTS: usize = 20;
 
 /// Between two ticks of the claims.
 const TICK: Millis = Millis(500);
 
 /// How long a planned stop waits for its records to be taken over.
-const HANDOVER_LIMIT: Millis = Millis::from_secs(5);
+const HANDOVER_TIMEOUT: Millis = Millis::from_secs(5);
 
 /// One instance's part in the coordination.
 pub(crate) struct Coordinator {
@@ -92,7 +92,7 @@
     orders: Arc<EngineOrders>,
     suspects: Arc<Suspects>,
     transport: Transport,
-    next: AtomicU64,
+    next_claim: AtomicU64,
 }
 
 impl Coordinator {
@@ -113,7 +113,7 @@
             orders: EngineOrders::new(clock, me, client),
             suspects: Suspects::new(clock, me),
             transport: Transport::new(me),
-            next: AtomicU64::new(0),
+            next_claim: AtomicU64::new(0),
         })
     }
 
@@ -146,27 +146,27 @@
     }
 
     /// The membership changed, or was confirmed.
-    pub(crate) fn take_view(self: &Arc<Self>, view: &crocushold_peers::View) {
-        self.transport.learn(view);
+    pub(crate) fn on_view(self: &Arc<Self>, view: &crocushold_peers::View) {
+        self.transport.update_names(view);
         // After a pause the own view may be old, and a vote given under it could be a second one.
         if view.settled {
-            self.adopt(|members| members.seen(view));
+            self.update_claims(|members| members.on_view(view));
         } else {
-            self.members().seen(view);
+            self.members().on_view(view);
         }
-        self.share_limits();
+        self.update_limit_shares();
     }
 
     /// The platform's list names these entry instances.
-    pub(crate) fn take_list<'a>(self: &Arc<Self>, names: impl Iterator<Item = &'a str>) {
-        self.adopt(|members| members.listed(names));
-        self.share_limits();
+    pub(crate) fn on_instance_list<'a>(self: &Arc<Self>, names: impl Iterator<Item = &'a str>) {
+        self.update_claims(|members| members.on_instance_list(names));
+        self.update_limit_shares();
     }
 
     /// Splits the account limits anew. Not only in a settled view: a share that is too small for a
     /// moment does less harm than one from before a pause.
-    fn share_limits(&self) {
-        let (live, sharing) = self.members().split();
+    fn update_limit_shares(&self) {
+        let (live, sharing) = self.members().limit_views();
         self.limits.on_view(live, &sharing);
     }
 
@@ -175,7 +175,7 @@
     /// The claims are locked before the members are read. A list and a view arrive in different tasks:
     /// each could read its members and then wait for the claims, and the older members would be
     /// adopted last, as if a newcomer had gone or a leaver had come back.
-    fn adopt(self: &Arc<Self>, read: impl FnOnce(&mut Members) -> View) {
+    fn update_claims(self: &Arc<Self>, read: impl FnOnce(&mut Members) -> View) {
         let transfers = {
             let mut claims = self.claims();
             let view = read(&mut self.members());
@@ -198,8 +198,8 @@
         if self.members().without_me().members().is_empty() {
             return;
         }
-        self.adopt(|members| members.without_me());
-        let done = timeout(HANDOVER_LIMIT.into(), async {
+        self.update_claims(|members| members.without_me());
+        let done = timeout(HANDOVER_TIMEOUT.into(), async {
             while !self.claims().is_handed_over() {
                 task::sleep(Millis(50).into()).await;
             }
@@ -214,15 +214,18 @@
     /// # Errors
     ///
     /// What to tell the caller instead.
-    pub(crate) async fn claim(self: &Arc<Self>, once: Once) -> Result<Grant, Refusal> {
+    pub(crate) async fn claim(
+        self: &Arc<Self>,
+        idempotency_key: IdempotencyKey,
+    ) -> Result<Grant, Refusal> {
         let request = ClaimRequest {
-            key: once.key,
+            key: idempotency_key.key,
             claim: ClaimId {
                 claimant: self.me,
-                seq: self.next.fetch_add(1, Ordering::Relaxed) + 1,
+                seq: self.next_claim.fetch_add(1, Ordering::Relaxed) + 1,
             },
-            digest: once.digest,
-            account: once.account,
+            digest: idempotency_key.digest,
+            account: idempotency_key.account,
             group: GroupId::default(),
         };
         let view = self.claims().view().clone();
@@ -263,7 +266,7 @@
             return Some(self.claims().on_claim(&request, self.clock.now()));
         }
         let call = Request::Claim(request);
-        match self.transport.call(voter, call, VOTE_DEADLINE).await? {
+        match self.transport.call(voter, call, VOTE_TIMEOUT).await? {
             Response::Vote(vote) => Some(vote),
             _ => None,
         }
@@ -276,29 +279,29 @@
     }
 
     async fn deliver(&self, mut settlement: Settlement) {
-        for _ in 0..SETTLE_TRIES {
+        for _ in 0..SETTLE_ATTEMPTS {
             for member in settlement.pending().to_vec() {
-                if self.tell(member, &settlement).await {
+                if self.send_settlement(member, &settlement).await {
                     settlement.on_acknowledged(member);
                 }
             }
             if settlement.pending().is_empty() {
                 return;
             }
-            task::sleep(SETTLE_PAUSE.into()).await;
+            task::sleep(SETTLE_RETRY_DELAY.into()).await;
             let view = self.claims().view().clone();
             settlement.on_view(&view);
         }
     }
 
-    async fn tell(&self, member: Member, settlement: &Settlement) -> bool {
+    async fn send_settlement(&self, member: Member, settlement: &Settlement) -> bool {
         let request = *settlement.request();
         if member == self.me {
             self.claims().on_settle(&request, self.clock.now());
             return true;
         }
         let call = Request::Settle(request);
-        let answer = self.transport.call(member, call, MESSAGE_DEADLINE).await;
+        let answer = self.transport.call(member, call, MESSAGE_TIMEOUT).await;
         answer == Some(Response::Done)
     }
 
@@ -313,7 +316,7 @@
         let call = Request::Transfer(transfer.request.clone());
         let answer = self
             .transport
-            .call(transfer.to, call, MESSAGE_DEADLINE)
+            .call(transfer.to, call, MESSAGE_TIMEOUT)
             .await;
         if answer == Some(Response::Done) {
             self.claims().on_transferred(transfer);
@@ -340,7 +343,7 @@
                 Response::Done
             }
             Request::Suspect(suspicions) => {
-                self.suspects.hear(&suspicions);
+                self.suspects.on_suspicions(&suspicions);
                 Response::Done
             }
         }
--- a/crates/entry/src/coordination/orders/engine.rs
+++ b/crates/entry/src/coordination/orders/engine.rs
@@ -12,14 +12,14 @@
 
 use super::placement::Candidate;
 use super::role::WHOLE;
-use super::role::wanted_role;
+use super::role::configured_role;
 
 /// After how long without a report an engine's models are placed on others. Loading elsewhere costs
 /// minutes, so a restart is waited for.
-const SILENCE: Millis = Millis::from_secs(60);
+const REPORT_TIMEOUT: Millis = Millis::from_secs(60);
 
 /// How old a report may be for another engine to give a model up on the strength of it.
-const RECENT: Millis = Millis::from_secs(5);
+const MAX_REPORT_AGE: Millis = Millis::from_secs(5);
 
 /// The number under which instances speak of a model, from the name that engines list.
 pub(super) fn model_id(name: &str) -> ModelId {
@@ -33,7 +33,7 @@
 
 /// What an engine said of itself.
 #[derive(Clone, Debug)]
-pub(super) struct Heard {
+pub(super) struct LastReport {
     /// Models that the text names.
     pub(super) models: Vec<ModelId>,
     pub(super) role: RoleId,
@@ -50,8 +50,8 @@
     pub(super) fencing: Fencing,
     /// The role that the text wants; none where it names none.
     pub(super) role: Option<RoleId>,
-    pub(super) known_at: Millis,
-    pub(super) heard: Option<Heard>,
+    pub(super) known_since: Millis,
+    pub(super) last_report: Option<LastReport>,
     /// What it was last told to be placed on it, and under which revision.
     pub(super) placed: Option<(u64, Vec<ModelId>)>,
 }
@@ -63,9 +63,9 @@
             name: server.name.clone(),
             address: server.address,
             fencing: fencing(server),
-            role: server.role.map(wanted_role),
-            known_at: now,
-            heard: None,
+            role: server.role.map(configured_role),
+            known_since: now,
+            last_report: None,
             placed: None,
         }
     }
@@ -73,27 +73,29 @@
     /// Takes over what the text says anew.
     pub(super) fn update(&mut self, server: &Server) {
         self.fencing = fencing(server);
-        self.role = server.role.map(wanted_role);
+        self.role = server.role.map(configured_role);
     }
 
     pub(super) fn candidate(&self, now: Millis) -> Candidate {
-        let heard = self.heard.as_ref();
-        let last = heard.map_or(self.known_at, |heard| heard.at);
+        let last_report = self.last_report.as_ref();
+        let last = last_report.map_or(self.known_since, |last_report| last_report.at);
         Candidate {
             engine: self.id,
-            up: now.since(last) < SILENCE,
-            whole: self.role.is_none_or(|role| role == WHOLE),
-            held: heard.map(|heard| heard.models.clone()).unwrap_or_default(),
+            responsive: now.since(last) < REPORT_TIMEOUT,
+            whole_requests: self.role.is_none_or(|role| role == WHOLE),
+            held: last_report
+                .map(|last_report| last_report.models.clone())
+                .unwrap_or_default(),
         }
     }
 
     pub(super) fn holds(&self, model: ModelId) -> bool {
-        let heard = self.heard.as_ref();
-        heard.is_some_and(|heard| heard.models.contains(&model))
+        let last_report = self.last_report.as_ref();
+        last_report.is_some_and(|last_report| last_report.models.contains(&model))
     }
 
     /// The models that are placed here and that it doesn't hold yet.
-    pub(super) fn awaited(&self) -> impl Iterator<Item = ModelId> {
+    pub(super) fn missing_models(&self) -> impl Iterator<Item = ModelId> {
         let placed = self.placed.iter().flat_map(|(_, models)| models);
         placed.copied().filter(|model| !self.holds(*model))
     }
@@ -106,25 +108,25 @@
 
     /// Whether it runs whole requests and is to go on with it. Where the text names no role, that is
     /// left to the engine.
-    pub(super) fn serves(&self) -> bool {
+    pub(super) fn serves_whole_requests(&self) -> bool {
         self.role
-            .is_none_or(|wanted| wanted == WHOLE && self.plays(WHOLE))
+            .is_none_or(|desired| desired == WHOLE && self.has_role(WHOLE))
     }
 
-    pub(super) fn plays(&self, role: RoleId) -> bool {
-        let heard = self.heard.as_ref();
-        heard.is_some_and(|heard| heard.role == role)
+    pub(super) fn has_role(&self, role: RoleId) -> bool {
+        let last_report = self.last_report.as_ref();
+        last_report.is_some_and(|last_report| last_report.role == role)
     }
 
     /// Whether it held the model a moment ago.
-    pub(super) fn surely_holds(&self, model: ModelId, now: Millis) -> bool {
-        self.is_heard(now) && self.holds(model)
+    pub(super) fn confirmed_to_hold(&self, model: ModelId, now: Millis) -> bool {
+        self.reported_recently(now) && self.holds(model)
     }
 
     /// Whether it was heard of a moment ago.
-    pub(super) fn is_heard(&self, now: Millis) -> bool {
-        let heard = self.heard.as_ref();
-        heard.is_some_and(|heard| now.since(heard.at) <= RECENT)
+    pub(super) fn reported_recently(&self, now: Millis) -> bool {
+        let last_report = self.last_report.as_ref();
+        last_report.is_some_and(|last_report| now.since(last_report.at) <= MAX_REPORT_AGE)
     }
 }
 
--- a/crates/entry/src/coordination/orders/loads.rs
+++ b/crates/entry/src/coordination/orders/loads.rs
@@ -13,16 +13,16 @@
 use crocushold_ownership::WeightSettings;
 
 use super::engine::Engine;
-use super::message::Ranked;
+use super::message::ModelRank;
 
 /// How long a load may take before it is ordered again.
-const LOAD_LIMIT: Millis = Millis::from_secs(600);
+const LOAD_TIMEOUT: Millis = Millis::from_secs(600);
 
 /// The loads of one service from its weight store.
 ///
 /// Wants and permits are calls inside the process: the owner of the store owns the engines too.
 #[derive(Debug)]
-pub(super) struct Loads {
+pub(super) struct ModelLoads {
     me: Member,
     settings: WeightSettings,
     planner: LoadPlanner,
@@ -33,23 +33,23 @@
     /// Permits that may still be used, with their end.
     permits: BTreeMap<(EngineId, ModelId), Millis>,
     /// Loads that engines have begun, with the time of the order.
-    begun: BTreeMap<(EngineId, ModelId), Millis>,
+    in_progress: BTreeMap<(EngineId, ModelId), Millis>,
 }
 
-impl Loads {
-    pub(super) fn new(rate: u32, me: Member, store: u64) -> Loads {
+impl ModelLoads {
+    pub(super) fn new(rate: u32, me: Member, service_hash: u64) -> ModelLoads {
         let settings = WeightSettings {
             rate: f64::from(rate),
             ..WeightSettings::default()
         };
-        Loads {
+        ModelLoads {
             me,
             settings,
-            planner: LoadPlanner::new(settings, me, store),
+            planner: LoadPlanner::new(settings, me, service_hash),
             ranks: BTreeMap::new(),
             due: BTreeSet::new(),
             permits: BTreeMap::new(),
-            begun: BTreeMap::new(),
+            in_progress: BTreeMap::new(),
         }
     }
 
@@ -58,8 +58,10 @@
         self.settings.rate as u32
     }
 
-    pub(super) fn on_ranks(&mut self, ranks: &[Ranked]) {
-        let ranks = ranks.iter().map(|ranked| (ranked.model, ranked.rank));
+    pub(super) fn on_ranks(&mut self, ranks: &[ModelRank]) {
+        let ranks = ranks
+            .iter()
+            .map(|model_rank| (model_rank.model, model_rank.rank));
         self.ranks = ranks.collect();
     }
 
@@ -70,36 +72,38 @@
     /// This process stood still: its permits may be another's by now.
     pub(super) fn on_pause(&mut self, now: Millis) {
         self.planner.on_pause(now);
-        self.forget();
+        self.clear();
     }
 
     /// Another instance orders the loads.
-    pub(super) fn forget(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.due.clear();
         self.permits.clear();
-        self.begun.clear();
+        self.in_progress.clear();
     }
 
     /// An engine obeyed the order to load a model that it lacks.
-    pub(super) fn on_begun(&mut self, engine: EngineId, model: ModelId, now: Millis) {
-        self.begun.insert((engine, model), now);
+    pub(super) fn on_started(&mut self, engine: EngineId, model: ModelId, now: Millis) {
+        self.in_progress.insert((engine, model), now);
     }
 
     /// Forgets the loads that ended. An engine that crashed in the middle of one doesn't know of it any
     /// more, and its reports were missing for a while.
-    fn forget_ended(&mut self, engines: &BTreeMap<EngineId, Engine>, now: Millis) {
-        self.begun.retain(|(engine, model), at| {
-            let engine = engines.get(engine).filter(|engine| engine.is_heard(now));
+    fn remove_ended(&mut self, engines: &BTreeMap<EngineId, Engine>, now: Millis) {
+        self.in_progress.retain(|(engine, model), at| {
+            let engine = engines
+                .get(engine)
+                .filter(|engine| engine.reported_recently(now));
             let loading = engine.is_some_and(|engine| !engine.holds(*model));
-            loading && now.since(*at) < LOAD_LIMIT
+            loading && now.since(*at) < LOAD_TIMEOUT
         });
     }
 
     /// Asks the planner for the loads that are due, and takes its permits.
     pub(super) fn on_tick(&mut self, engines: &BTreeMap<EngineId, Engine>, now: Millis) {
         self.permits.retain(|_, until| now < *until);
-        self.forget_ended(engines, now);
-        for want in self.wants(engines) {
+        self.remove_ended(engines, now);
+        for want in self.load_wants(engines) {
             self.planner.on_want(self.me, want, now);
         }
         for permit in self.planner.on_tick(now) {
@@ -114,12 +118,12 @@
     /// it would be given a second one that nobody uses, and half of the rate would be lost. So is one that
     /// was begun: a report shows the model only minutes later, and until then the loads of a high class
     /// would be ordered over and over in place of those of the lower ones.
-    fn wants(&self, engines: &BTreeMap<EngineId, Engine>) -> Vec<LoadWant> {
+    fn load_wants(&self, engines: &BTreeMap<EngineId, Engine>) -> Vec<LoadWant> {
         let due = self.due.iter().filter_map(|id| engines.get(id));
-        let loads = due.flat_map(|engine| engine.awaited().map(|model| (engine.id, model)));
+        let loads = due.flat_map(|engine| engine.missing_models().map(|model| (engine.id, model)));
         let is_under_way =
-            |load: &_| self.permits.contains_key(load) || self.begun.contains_key(load);
-        let wants = loads
+            |load: &_| self.permits.contains_key(load) || self.in_progress.contains_key(load);
+        let load_wants = loads
             .filter(|load| !is_under_way(load))
             .map(|(engine, model)| LoadWant {
                 engine,
@@ -127,15 +131,15 @@
                 rank: self.ranks.get(&model).copied().unwrap_or(u8::MAX),
                 replicas: engines.values().filter(|e| e.holds(model)).count() as u32,
             });
-        wants.collect()
+        load_wants.collect()
     }
 
     /// A load is due at the engine: uses a permit, or notes that one is wanted. Which of the missing
     /// models is loaded is the planner's choice, for it knows whose callers wait.
-    pub(super) fn take(&mut self, engine: &Engine) -> Option<ModelId> {
+    pub(super) fn take_permit(&mut self, engine: &Engine) -> Option<ModelId> {
         self.due.insert(engine.id);
-        let mut awaited = engine.awaited();
-        let model = awaited.find(|model| self.permits.contains_key(&(engine.id, *model)))?;
+        let mut missing_models = engine.missing_models();
+        let model = missing_models.find(|model| self.permits.contains_key(&(engine.id, *model)))?;
         self.permits.remove(&(engine.id, model));
         self.due.remove(&engine.id);
         Some(model)
--- a/crates/entry/src/coordination/orders/message.rs
+++ b/crates/entry/src/coordination/orders/message.rs
@@ -8,7 +8,7 @@
 
 /// An order to carry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Errand {
+pub(super) struct OutboundOrder {
     pub(super) order: Order,
     /// The engine's name, for the log.
     pub(super) server: String,
@@ -25,7 +25,7 @@
 
 /// For whom a model is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Ranked {
+pub(super) struct ModelRank {
     pub(super) model: ModelId,
     /// The highest tier of its requests of late, 0 being the live one.
     pub(super) rank: u8,
@@ -33,7 +33,7 @@
 
 /// What is to be done after a tick.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(super) struct Duties {
-    pub(super) errands: Vec<Errand>,
+pub(super) struct TickActions {
+    pub(super) orders: Vec<OutboundOrder>,
     pub(super) outdated: Vec<Outdated>,
 }
--- a/crates/entry/src/coordination/orders/mod.rs
+++ b/crates/entry/src/coordination/orders/mod.rs
@@ -4,16 +4,16 @@
 //! `crocushold-ownership` decides what may be ordered when, [`Desk`] joins the two, and
 //! [`EngineOrders`] carries the orders.
 
-mod desk;
 mod engine;
 mod loads;
 mod message;
 mod placement;
+mod planner;
 mod role;
 mod send;
-mod shell;
+mod shared;
 #[cfg(test)]
 mod tests;
 
-pub(crate) use shell::EngineOrders;
-pub(crate) use shell::ModelDemand;
+pub(crate) use shared::EngineOrders;
+pub(crate) use shared::ModelDemand;
--- a/crates/entry/src/coordination/orders/placement.rs
+++ b/crates/entry/src/coordination/orders/placement.rs
@@ -8,7 +8,7 @@
 
 /// A model of a service, as the text wants it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Wanted {
+pub(super) struct DesiredModel {
     pub(super) model: ModelId,
     /// On how many engines.
     pub(super) replicas: usize,
@@ -19,9 +19,9 @@
 pub(super) struct Candidate {
     pub(super) engine: EngineId,
     /// Whether it was heard of lately.
-    pub(super) up: bool,
+    pub(super) responsive: bool,
     /// Whether it is to run whole requests.
-    pub(super) whole: bool,
+    pub(super) whole_requests: bool,
     /// The models that it holds.
     pub(super) held: Vec<ModelId>,
 }
@@ -38,7 +38,7 @@
 /// of the highest rendezvous weight.
 ///
 /// Instances that see the same reports choose the same engines.
-pub(super) fn place(wanted: &[Wanted], candidates: &[Candidate]) -> Vec<Placement> {
+pub(super) fn place(desired: &[DesiredModel], candidates: &[Candidate]) -> Vec<Placement> {
     let mut placements: Vec<Placement> = candidates
         .iter()
         .map(|candidate| Placement {
@@ -46,9 +46,9 @@
             models: Vec::new(),
         })
         .collect();
-    for wanted in wanted {
-        for at in choose(wanted, candidates) {
-            placements[at].models.push(wanted.model);
+    for desired in desired {
+        for at in choose(desired, candidates) {
+            placements[at].models.push(desired.model);
         }
     }
     for placement in &mut placements {
@@ -58,15 +58,20 @@
     placements
 }
 
-fn choose(wanted: &Wanted, candidates: &[Candidate]) -> Vec<usize> {
+fn choose(desired: &DesiredModel, candidates: &[Candidate]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..candidates.len()).collect();
     order.sort_by_key(|&at| {
         let candidate = &candidates[at];
-        let held = candidate.held.contains(&wanted.model);
-        let weight = weight(wanted.model, candidate.engine);
-        (!candidate.up, !candidate.whole, !held, Reverse(weight))
+        let held = candidate.held.contains(&desired.model);
+        let weight = weight(desired.model, candidate.engine);
+        (
+            !candidate.responsive,
+            !candidate.whole_requests,
+            !held,
+            Reverse(weight),
+        )
     });
-    order.truncate(wanted.replicas);
+    order.truncate(desired.replicas);
     order
 }
 
--- a/crates/entry/src/coordination/orders/desk.rs
+++ b/crates/entry/src/coordination/orders/planner.rs
@@ -28,16 +28,16 @@
 use twox_hash::XxHash3_64;
 
 use super::engine::Engine;
-use super::engine::Heard;
+use super::engine::LastReport;
 use super::engine::engine_id;
 use super::engine::model_id;
-use super::loads::Loads;
-use super::message::Duties;
-use super::message::Errand;
+use super::loads::ModelLoads;
+use super::message::ModelRank;
+use super::message::OutboundOrder;
 use super::message::Outdated;
-use super::message::Ranked;
+use super::message::TickActions;
 use super::placement::Candidate;
-use super::placement::Wanted;
+use super::placement::DesiredModel;
 use super::placement::place;
 use super::role::WHOLE;
 use super::role::ordered_role;
@@ -49,41 +49,41 @@
 /// thus the only one that orders loads from the service's weight store, and can space them and put
 /// them in order without a message.
 #[derive(Debug)]
-pub(super) struct Desk {
+pub(super) struct OrderPlanner {
     me: Member,
     /// The hash that decides the owner.
-    store: u64,
+    service_hash: u64,
     owned: bool,
     orders: Orders,
-    loads: Loads,
+    loads: ModelLoads,
     guard: PauseGuard,
     revision: u64,
     engines: BTreeMap<EngineId, Engine>,
     keys: HashMap<ServerKey, EngineId>,
-    wanted: Vec<Wanted>,
+    desired: Vec<DesiredModel>,
     names: BTreeMap<ModelId, String>,
     /// Engines that were reported as ahead of this instance, with their numbers.
-    ahead: BTreeMap<EngineId, u64>,
+    engines_ahead: BTreeMap<EngineId, u64>,
 }
 
-impl Desk {
+impl OrderPlanner {
     /// The desk of a service that may order `loads` loads a minute.
-    pub(super) fn new(service: &str, loads: u32, me: Member, now: Millis) -> Desk {
+    pub(super) fn new(service: &str, loads: u32, me: Member, now: Millis) -> OrderPlanner {
         let settings = OrderSettings::default();
-        let store = XxHash3_64::oneshot(service.as_bytes());
-        Desk {
+        let service_hash = XxHash3_64::oneshot(service.as_bytes());
+        OrderPlanner {
             me,
-            store,
+            service_hash,
             owned: false,
             orders: Orders::new(settings, me, now),
-            loads: Loads::new(loads, me, store),
+            loads: ModelLoads::new(loads, me, service_hash),
             guard: PauseGuard::new(settings.lease, now),
             revision: 0,
             engines: BTreeMap::new(),
             keys: HashMap::new(),
-            wanted: Vec::new(),
+            desired: Vec::new(),
             names: BTreeMap::new(),
-            ahead: BTreeMap::new(),
+            engines_ahead: BTreeMap::new(),
         }
     }
 
@@ -103,19 +103,19 @@
         self.revision = revision;
         let models = service.models.iter().map(|&model| &catalog.models[model]);
         let models: Vec<&Model> = models.collect();
-        let wanted = models.iter().map(|model| Wanted {
+        let desired = models.iter().map(|model| DesiredModel {
             model: model_id(&model.id),
             replicas: model.replicas as usize,
         });
-        self.wanted = wanted.collect();
+        self.desired = desired.collect();
         let names = models
             .iter()
             .map(|model| (model_id(&model.id), model.id.clone()));
         self.names = names.collect();
-        self.take_servers(catalog, service, now);
+        self.update_servers(catalog, service, now);
     }
 
-    fn take_servers(&mut self, catalog: &Catalog, service: &Service, now: Millis) {
+    fn update_servers(&mut self, catalog: &Catalog, service: &Service, now: Millis) {
         let mut kept = BTreeSet::new();
         self.keys.clear();
         for &key in &service.servers {
@@ -127,22 +127,22 @@
             engine.update(server);
             self.keys.insert(key, id);
         }
-        let gone = self.engines.extract_if(.., |id, _| !kept.contains(id));
-        let gone: Vec<EngineId> = gone.map(|(id, _)| id).collect();
-        for id in gone {
+        let removed = self.engines.extract_if(.., |id, _| !kept.contains(id));
+        let removed: Vec<EngineId> = removed.map(|(id, _)| id).collect();
+        for id in removed {
             self.orders.on_engine_gone(id);
         }
     }
 
     /// The best rank of the requests for each model of late, lower being sooner.
-    pub(super) fn on_ranks(&mut self, ranks: &[Ranked]) {
+    pub(super) fn on_ranks(&mut self, ranks: &[ModelRank]) {
         self.loads.on_ranks(ranks);
     }
 
     /// The live view, confirmed as of now, and every member not known to have ended.
     pub(super) fn on_view(&mut self, live: &View, reference: &View, now: Millis) {
         self.loads.on_view(live, reference, now);
-        let Some(owner) = live.owner(self.store) else {
+        let Some(owner) = live.owner(self.service_hash) else {
             return;
         };
         self.owned = owner == self.me;
@@ -174,7 +174,7 @@
         let ids = report.models.iter().map(|name| model_id(name));
         let models: Vec<ModelId> = ids.filter(|id| names.contains_key(id)).collect();
         let role = reported_role(report.role);
-        engine.heard = Some(Heard {
+        engine.last_report = Some(LastReport {
             models: models.clone(),
             role,
             at: asked_at,
@@ -190,40 +190,40 @@
     }
 
     /// Time has passed; call it about once a second.
-    pub(super) fn on_tick(&mut self, now: Millis) -> Duties {
+    pub(super) fn on_tick(&mut self, now: Millis) -> TickActions {
         if self.guard.observe(now) {
             self.loads.on_pause(now);
             self.guard.rejoined();
         }
-        self.place_all(now);
+        self.update_placements(now);
         self.plan_loads(now);
-        let mut duties = Duties::default();
+        let mut actions = TickActions::default();
         for action in self.orders.on_tick(now) {
             match action {
-                OrderAction::Send(order) => duties.errands.extend(self.errand(order, now)),
+                OrderAction::Send(order) => actions.orders.extend(self.outbound_order(order, now)),
                 // Every engine is read once a second anyhow.
                 OrderAction::ReadBack(_) => {}
                 OrderAction::Outdated { engine, fence } => {
-                    duties.outdated.extend(self.note_outdated(engine, fence));
+                    actions.outdated.extend(self.record_outdated(engine, fence));
                 }
             }
         }
-        duties
+        actions
     }
 
     /// Asks the planner for the loads that are due, and takes its permits.
     fn plan_loads(&mut self, now: Millis) {
         if !self.owned {
-            self.loads.forget();
+            self.loads.clear();
         }
         self.loads.on_tick(&self.engines, now);
     }
 
     /// Brings the targets up to date with the text, the reports, and which engines answer.
-    fn place_all(&mut self, now: Millis) {
+    fn update_placements(&mut self, now: Millis) {
         let engines = self.engines.values();
         let candidates: Vec<Candidate> = engines.map(|e| e.candidate(now)).collect();
-        for placement in place(&self.wanted, &candidates) {
+        for placement in place(&self.desired, &candidates) {
             self.set_target(placement.engine, placement.models, now);
         }
     }
@@ -257,12 +257,12 @@
     }
 
     /// Makes an order ready to be carried, unless it has to wait.
-    fn errand(&mut self, order: Order, now: Millis) -> Option<Errand> {
+    fn outbound_order(&mut self, order: Order, now: Millis) -> Option<OutboundOrder> {
         let engine = self.engines.get(&order.engine)?;
         let (server, address) = (engine.name.clone(), engine.address);
         let kind = match order.kind {
             OrderKind::Load(model) if !engine.holds(model) => {
-                let model = self.loads.take(engine);
+                let model = self.loads.take_permit(engine);
                 model.map(OrderKind::Load)
             }
             OrderKind::Load(_) => Some(order.kind),
@@ -281,7 +281,7 @@
             self.orders.on_answer(&order, OrderAnswer::Failed, now);
             return None;
         };
-        Some(Errand {
+        Some(OutboundOrder {
             order,
             server,
             address,
@@ -312,20 +312,25 @@
     /// it and runs whole requests. Otherwise its callers would be left without a server.
     fn may_unload(&self, id: EngineId, model: ModelId, now: Millis) -> bool {
         let mut others = self.engines.values().filter(|other| other.id != id);
-        others.any(|other| other.serves() && other.surely_holds(model, now))
+        others.any(|other| other.serves_whole_requests() && other.confirmed_to_hold(model, now))
     }
 
     /// Whether an engine may take a role. One that stops running whole requests leaves the callers of
     /// its models without a server, unless another engine certainly serves each of them.
     fn may_change_role(&self, id: EngineId, role: RoleId, now: Millis) -> bool {
-        let heard = self
+        let last_report = self
             .engines
             .get(&id)
-            .and_then(|engine| engine.heard.as_ref());
-        let mut models = heard.iter().flat_map(|heard| &heard.models);
+            .and_then(|engine| engine.last_report.as_ref());
+        let mut models = last_report
+            .iter()
+            .flat_map(|last_report| &last_report.models);
         let others = || self.engines.values().filter(|other| other.id != id);
-        let whole = || others().filter(|other| other.serves() && other.plays(WHOLE));
-        role == WHOLE || models.all(|model| whole().any(|other| other.surely_holds(*model, now)))
+        let whole_requests =
+            || others().filter(|other| other.serves_whole_requests() && other.has_role(WHOLE));
+        role == WHOLE
+            || models
+                .all(|model| whole_requests().any(|other| other.confirmed_to_hold(*model, now)))
     }
 
     /// Whether requests for a model should go to this server although it holds it.
@@ -334,19 +339,22 @@
     /// went on sending requests there would have them answered that the model is unknown. All
     /// instances place alike, and the unload waits for longer than their reports can differ. The same
     /// goes for an engine that the text gives a role without whole requests.
-    pub(super) fn is_spare(&self, server: ServerKey, model: ModelId, now: Millis) -> bool {
+    pub(super) fn is_surplus(&self, server: ServerKey, model: ModelId, now: Millis) -> bool {
         let id = self.keys.get(&server);
         let Some(engine) = id.and_then(|id| self.engines.get(id)) else {
             return false;
         };
         let mut others = self.engines.values().filter(|other| other.id != engine.id);
-        let leaves = !engine.is_placed(model) || !engine.serves();
-        let serves = |other: &Engine| other.is_placed(model) && other.serves();
-        leaves && others.any(|other| serves(other) && other.surely_holds(model, now))
+        let leaves = !engine.is_placed(model) || !engine.serves_whole_requests();
+        let serves_whole_requests =
+            |other: &Engine| other.is_placed(model) && other.serves_whole_requests();
+        leaves
+            && others
+                .any(|other| serves_whole_requests(other) && other.confirmed_to_hold(model, now))
     }
 
-    fn note_outdated(&mut self, engine: EngineId, fence: u64) -> Option<Outdated> {
-        if self.ahead.insert(engine, fence) == Some(fence) {
+    fn record_outdated(&mut self, engine: EngineId, fence: u64) -> Option<Outdated> {
+        if self.engines_ahead.insert(engine, fence) == Some(fence) {
             return None;
         }
         let server = self.engines.get(&engine)?.name.clone();
@@ -368,7 +376,7 @@
         if let (OrderKind::Load(model), OrderAnswer::Obeyed) = (order.kind, answer)
             && engine.is_some_and(|engine| !engine.holds(model))
         {
-            self.loads.on_begun(order.engine, model, now);
+            self.loads.on_started(order.engine, model, now);
         }
         self.orders.on_answer(order, answer, now);
     }
--- a/crates/entry/src/coordination/orders/role.rs
+++ b/crates/entry/src/coordination/orders/role.rs
@@ -14,7 +14,7 @@
 const OTHER: RoleId = RoleId(u8::MAX);
 
 /// The number of a role that the text names.
-pub(super) fn wanted_role(role: Role) -> RoleId {
+pub(super) fn configured_role(role: Role) -> RoleId {
     match role {
         Role::Both => WHOLE,
         Role::Prefill => PREFILL,
--- a/crates/entry/src/coordination/orders/send.rs
+++ b/crates/entry/src/coordination/orders/send.rs
@@ -14,19 +14,19 @@
 use http_types::StatusCode;
 use http_types::Url;
 
-use super::message::Errand;
+use super::message::OutboundOrder;
 
 /// Most bytes read of an answer.
-const ANSWER_LIMIT: u64 = 4096;
+const MAX_ANSWER_BYTES: u64 = 4096;
 
 /// Sends an order and waits for its answer, for `limit` at the most.
-pub(super) async fn send(client: &Client, errand: &Errand, limit: Millis) -> OrderAnswer {
-    let sent = timeout(limit.into(), exchange(client, errand, limit));
+pub(super) async fn send(client: &Client, outbound: &OutboundOrder, limit: Millis) -> OrderAnswer {
+    let sent = timeout(limit.into(), exchange(client, outbound, limit));
     sent.await.unwrap_or(OrderAnswer::Failed)
 }
 
-async fn exchange(client: &Client, errand: &Errand, limit: Millis) -> OrderAnswer {
-    let Some(request) = request(errand) else {
+async fn exchange(client: &Client, outbound: &OutboundOrder, limit: Millis) -> OrderAnswer {
+    let Some(request) = request(outbound) else {
         return OrderAnswer::Failed;
     };
     let limits = SendLimits {
@@ -34,17 +34,17 @@
         ..SendLimits::default()
     };
     // On a connection of its own: a repeat after a reused one was closed could come too late.
-    let sent = client.send(errand.address, request, &limits, Reuse::Fresh);
+    let sent = client.send(outbound.address, request, &limits, Reuse::Fresh);
     match sent.await {
         Ok(answer) => read(answer).await,
         Err(_) => OrderAnswer::Failed,
     }
 }
 
-fn request(errand: &Errand) -> Option<Request> {
-    let url = Url::parse(&format!("http://{}/orders", errand.address)).ok()?;
+fn request(outbound: &OutboundOrder) -> Option<Request> {
+    let url = Url::parse(&format!("http://{}/orders", outbound.address)).ok()?;
     let mut request = Request::new(Method::Post, url);
-    request.set_body(serde_json::to_string(&errand.body).ok()?);
+    request.set_body(serde_json::to_string(&outbound.body).ok()?);
     request.insert_header("content-type", "application/json");
     Some(request)
 }
@@ -58,7 +58,7 @@
         return OrderAnswer::Failed;
     }
     let mut text = String::new();
-    let mut body = answer.body.take(ANSWER_LIMIT);
+    let mut body = answer.body.take(MAX_ANSWER_BYTES);
     if body.read_to_string(&mut text).await.is_err() {
         return OrderAnswer::Failed;
     }
--- a/crates/entry/src/coordination/orders/shell.rs
+++ b/crates/entry/src/coordination/orders/shared.rs
@@ -27,12 +27,12 @@
 use log::info;
 use log::warn;
 
-use super::desk::Desk;
 use super::engine::model_id;
-use super::message::Duties;
-use super::message::Errand;
+use super::message::ModelRank;
+use super::message::OutboundOrder;
 use super::message::Outdated;
-use super::message::Ranked;
+use super::message::TickActions;
+use super::planner::OrderPlanner;
 use super::send::send;
 use crate::failpoint::Point;
 use crate::failpoint::reach;
@@ -52,7 +52,7 @@
     client: Client,
     me: Member,
     call_limit: Millis,
-    desks: Mutex<BTreeMap<ServiceKey, Desk>>,
+    planners: Mutex<BTreeMap<ServiceKey, OrderPlanner>>,
 }
 
 impl EngineOrders {
@@ -62,36 +62,36 @@
             client,
             me,
             call_limit: OrderSettings::default().call_limit,
-            desks: Mutex::new(BTreeMap::new()),
+            planners: Mutex::new(BTreeMap::new()),
         })
     }
 
-    fn desks(&self) -> MutexGuard<'_, BTreeMap<ServiceKey, Desk>> {
-        self.desks.lock().unwrap_or_else(PoisonError::into_inner)
+    fn planners(&self) -> MutexGuard<'_, BTreeMap<ServiceKey, OrderPlanner>> {
+        self.planners.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Puts a text in force. Services that may order no loads are left alone: what is unloaded there
     /// could not be loaded again.
     pub(crate) fn configure(&self, catalog: &Catalog, revision: u64) {
         let now = self.clock.now();
-        let mut desks = self.desks();
+        let mut planners = self.planners();
         let ordered = |service: &Service| service.kind == Kind::Model && service.weight_loads > 0;
-        desks.retain(|key, _| catalog.services.get(*key).is_some_and(ordered));
+        planners.retain(|key, _| catalog.services.get(*key).is_some_and(ordered));
         for (key, service) in catalog.services.iter().filter(|(_, s)| ordered(s)) {
             let loads = service.weight_loads;
-            let fresh = || Desk::new(&service.name, loads, self.me, now);
-            let desk = desks.entry(key).or_insert_with(fresh);
-            if desk.loads() != loads {
-                *desk = fresh();
+            let fresh = || OrderPlanner::new(&service.name, loads, self.me, now);
+            let planner = planners.entry(key).or_insert_with(fresh);
+            if planner.loads() != loads {
+                *planner = fresh();
             }
-            desk.configure(catalog, service, revision, now);
+            planner.configure(catalog, service, revision, now);
         }
     }
 
     /// The services whose engines this instance sends orders to, and has to hear of.
     pub(crate) fn owned(&self) -> Vec<ServiceKey> {
-        let desks = self.desks();
-        let owned = desks.iter().filter(|(_, desk)| desk.owned().0);
+        let planners = self.planners();
+        let owned = planners.iter().filter(|(_, planner)| planner.owned().0);
         owned.map(|(&service, _)| service).collect()
     }
 
@@ -104,83 +104,85 @@
         asked_at: Millis,
     ) {
         let now = self.clock.now();
-        if let Some(desk) = self.desks().get_mut(&service) {
-            desk.on_report(server, report, asked_at, now);
+        if let Some(planner) = self.planners().get_mut(&service) {
+            planner.on_report(server, report, asked_at, now);
         }
     }
 
     /// Whether a model that a server holds is about to be unloaded there, so that its requests
     /// should go to another one.
-    pub(crate) fn is_spare(&self, service: ServiceKey, server: ServerKey, model: &str) -> bool {
+    pub(crate) fn is_surplus(&self, service: ServiceKey, server: ServerKey, model: &str) -> bool {
         let now = self.clock.now();
-        let desks = self.desks();
-        let desk = desks.get(&service);
-        desk.is_some_and(|desk| desk.is_spare(server, model_id(model), now))
+        let planners = self.planners();
+        let planner = planners.get(&service);
+        planner.is_some_and(|planner| planner.is_surplus(server, model_id(model), now))
     }
 
     /// The members that certainly live, confirmed as of now, and those not known to have ended.
     pub(crate) fn on_view(&self, live: &View, reference: &View) {
         let now = self.clock.now();
-        for desk in self.desks().values_mut() {
-            desk.on_view(live, reference, now);
+        for planner in self.planners().values_mut() {
+            planner.on_view(live, reference, now);
         }
     }
 
     /// The highest tier that asked for each model of a service of late, 0 being the live one.
     pub(crate) fn on_demand(&self, service: ServiceKey, demand: &[ModelDemand]) {
-        let ranks = demand.iter().map(|demand| Ranked {
+        let ranks = demand.iter().map(|demand| ModelRank {
             model: model_id(&demand.model),
             rank: demand.tier,
         });
-        let ranks: Vec<Ranked> = ranks.collect();
-        if let Some(desk) = self.desks().get_mut(&service) {
-            desk.on_ranks(&ranks);
+        let ranks: Vec<ModelRank> = ranks.collect();
+        if let Some(planner) = self.planners().get_mut(&service) {
+            planner.on_ranks(&ranks);
         }
     }
 
     /// Time has passed; sends what is due, each order in a task of its own.
     pub(crate) fn on_tick(self: &Arc<Self>) {
         let now = self.clock.now();
-        let duties: Vec<(ServiceKey, Duties)> = {
-            let mut desks = self.desks();
-            let desks = desks.iter_mut();
-            desks.map(|(key, desk)| (*key, desk.on_tick(now))).collect()
+        let actions: Vec<(ServiceKey, TickActions)> = {
+            let mut planners = self.planners();
+            let planners = planners.iter_mut();
+            planners
+                .map(|(key, planner)| (*key, planner.on_tick(now)))
+                .collect()
         };
-        for (service, duties) in duties {
-            duties.outdated.iter().for_each(log_outdated);
-            for errand in duties.errands {
+        for (service, actions) in actions {
+            actions.outdated.iter().for_each(log_outdated);
+            for outbound in actions.orders {
                 let orders = self.clone();
-                task::spawn(async move { orders.carry(service, &errand).await });
+                task::spawn(async move { orders.deliver(service, &outbound).await });
             }
         }
     }
 
-    async fn carry(&self, service: ServiceKey, errand: &Errand) {
+    async fn deliver(&self, service: ServiceKey, outbound: &OutboundOrder) {
         reach(Point::Ordering).await;
         // The process may have been stopped since the order was decided, for as long as another
         // instance took to become the owner. An engine that ignores fencing numbers would obey it.
-        if !self.may_send(service, errand) {
-            self.answered(service, errand, OrderAnswer::Failed);
-            info!("{}", event("order-dropped", errand));
+        if !self.may_send(service, outbound) {
+            self.record_answer(service, outbound, OrderAnswer::Failed);
+            info!("{}", event("order-dropped", outbound));
             return;
         }
-        let answer = send(&self.client, errand, self.call_limit).await;
-        self.answered(service, errand, answer);
-        let event = event("order-sent", errand);
+        let answer = send(&self.client, outbound, self.call_limit).await;
+        self.record_answer(service, outbound, answer);
+        let event = event("order-sent", outbound);
         info!("{}", event.with("answer", answer_name(answer)));
     }
 
-    fn may_send(&self, service: ServiceKey, errand: &Errand) -> bool {
+    fn may_send(&self, service: ServiceKey, outbound: &OutboundOrder) -> bool {
         let now = self.clock.now();
-        let mut desks = self.desks();
-        let desk = desks.get_mut(&service);
-        desk.is_some_and(|desk| desk.may_send(&errand.order, now))
+        let mut planners = self.planners();
+        let planner = planners.get_mut(&service);
+        planner.is_some_and(|planner| planner.may_send(&outbound.order, now))
     }
 
-    fn answered(&self, service: ServiceKey, errand: &Errand, answer: OrderAnswer) {
+    fn record_answer(&self, service: ServiceKey, outbound: &OutboundOrder, answer: OrderAnswer) {
         let now = self.clock.now();
-        if let Some(desk) = self.desks().get_mut(&service) {
-            desk.on_answer(&errand.order, answer, now);
+        if let Some(planner) = self.planners().get_mut(&service) {
+            planner.on_answer(&outbound.order, answer, now);
         }
     }
 
@@ -190,8 +192,8 @@
             limit: "orders/engines-owned".to_owned(),
             ..LimitStatus::default()
         };
-        for desk in self.desks().values() {
-            let (owned, engines) = desk.owned();
+        for planner in self.planners().values() {
+            let (owned, engines) = planner.owned();
             status.bound += engines;
             status.used += if owned { engines } else { 0 };
         }
@@ -199,14 +201,14 @@
     }
 }
 
-fn event(name: &'static str, errand: &Errand) -> Event {
-    let event = Event::new(name).with("server", &errand.server);
-    let event = match &errand.body.kind {
+fn event(name: &'static str, outbound: &OutboundOrder) -> Event {
+    let event = Event::new(name).with("server", &outbound.server);
+    let event = match &outbound.body.kind {
         OrderKind::Load { model } => event.with("kind", "load").with("model", model),
         OrderKind::Unload { model } => event.with("kind", "unload").with("model", model),
         OrderKind::Role { role } => event.with("kind", "role").with("role", role_name(*role)),
     };
-    event.with("fence", errand.order.fence)
+    event.with("fence", outbound.order.fence)
 }
 
 fn role_name(role: EngineRole) -> &'static str {
--- a/crates/entry/src/coordination/orders/tests.rs
+++ b/crates/entry/src/coordination/orders/tests.rs
@@ -14,34 +14,34 @@
 use crocushold_platform::wire::OrderKind;
 use test_case::test_case;
 
-use super::desk::Desk;
 use super::engine::model_id;
-use super::message::Errand;
-use super::message::Ranked;
+use super::message::ModelRank;
+use super::message::OutboundOrder;
 use super::placement::Candidate;
-use super::placement::Wanted;
+use super::placement::DesiredModel;
 use super::placement::place;
+use super::planner::OrderPlanner;
 
 const MODEL: ModelId = ModelId(7);
 
 /// Loads a minute.
 const LOADS: u32 = 6;
 
-fn candidate(number: u64, up: bool, held: &[ModelId]) -> Candidate {
+fn candidate(number: u64, responsive: bool, held: &[ModelId]) -> Candidate {
     Candidate {
         engine: EngineId(number),
-        up,
-        whole: true,
+        responsive,
+        whole_requests: true,
         held: held.to_vec(),
     }
 }
 
 fn holders(replicas: usize, candidates: &[Candidate]) -> Vec<u64> {
-    let wanted = [Wanted {
+    let desired = [DesiredModel {
         model: MODEL,
         replicas,
     }];
-    let placements = place(&wanted, candidates);
+    let placements = place(&desired, candidates);
     let holders = placements.iter().filter(|p| p.models.contains(&MODEL));
     holders.map(|p| p.engine.0).collect()
 }
@@ -84,14 +84,14 @@
 fn a_silent_engine_is_replaced() {
     let before = holders(2, &fleet(&[]));
     let mut fleet = fleet(&before);
-    fleet[before[0] as usize].up = false;
+    fleet[before[0] as usize].responsive = false;
     let after = holders(2, &fleet);
     assert!(!after.contains(&before[0]) && after.contains(&before[1]));
 }
 
 /// A lone instance, the text of one service with two engines, and what those say of themselves.
-struct Lone {
-    desk: Desk,
+struct Fixture {
+    planner: OrderPlanner,
     keys: Vec<ServerKey>,
     reports: Vec<LoadReport>,
     /// The engine whose reports don't come.
@@ -101,19 +101,19 @@
     now: u64,
 }
 
-impl Lone {
-    fn new(servers: u32, reports: Vec<LoadReport>) -> Lone {
-        Lone::with_loads(servers, reports, LOADS)
+impl Fixture {
+    fn new(servers: u32, reports: Vec<LoadReport>) -> Fixture {
+        Fixture::with_loads(servers, reports, LOADS)
     }
 
-    fn with_loads(servers: u32, reports: Vec<LoadReport>, loads: u32) -> Lone {
+    fn with_loads(servers: u32, reports: Vec<LoadReport>, loads: u32) -> Fixture {
         let catalog = catalog(servers, reports.len(), true);
         let me = Member::new("entry-0", 1);
         let service = &catalog.services[catalog.service("team/fleet").unwrap()];
-        let mut desk = Desk::new(&service.name, loads, me, Millis::ZERO);
-        desk.configure(&catalog, service, 4, Millis::ZERO);
-        Lone {
-            desk,
+        let mut planner = OrderPlanner::new(&service.name, loads, me, Millis::ZERO);
+        planner.configure(&catalog, service, 4, Millis::ZERO);
+        Fixture {
+            planner,
             keys: service.servers.clone(),
             reports,
             silent: None,
@@ -127,7 +127,7 @@
     fn checks(&mut self, checks: bool) {
         let catalog = catalog(1, self.keys.len(), checks);
         let service = &catalog.services[catalog.service("team/fleet").unwrap()];
-        self.desk.configure(&catalog, service, 5, Millis::ZERO);
+        self.planner.configure(&catalog, service, 5, Millis::ZERO);
         self.keys = service.servers.clone();
     }
 
@@ -137,26 +137,27 @@
         let first = "[server fleet/runner-0]\n";
         let catalog = parse(&text.replace(first, &format!("{first}role = {role}\n")));
         let service = &catalog.services[catalog.service("team/fleet").unwrap()];
-        self.desk.configure(&catalog, service, 5, Millis(self.now));
+        self.planner
+            .configure(&catalog, service, 5, Millis(self.now));
         self.keys = service.servers.clone();
     }
 
     /// Runs some seconds, answering each order; returns the orders.
-    fn run(&mut self, seconds: u64, answer: OrderAnswer) -> Vec<Errand> {
+    fn run(&mut self, seconds: u64, answer: OrderAnswer) -> Vec<OutboundOrder> {
         let mut sent = Vec::new();
         for _ in 0..seconds {
             self.now += 1_000;
             let now = Millis(self.now);
-            self.desk.on_view(&self.view, &self.reference, now);
+            self.planner.on_view(&self.view, &self.reference, now);
             for (at, report) in self.reports.iter().enumerate() {
                 if self.silent != Some(at) {
-                    self.desk.on_report(self.keys[at], report, now, now);
+                    self.planner.on_report(self.keys[at], report, now, now);
                 }
             }
-            for errand in self.desk.on_tick(now).errands {
-                assert!(self.desk.may_send(&errand.order, now));
-                self.desk.on_answer(&errand.order, answer, now);
-                sent.push(errand);
+            for outbound in self.planner.on_tick(now).orders {
+                assert!(self.planner.may_send(&outbound.order, now));
+                self.planner.on_answer(&outbound.order, answer, now);
+                sent.push(outbound);
             }
         }
         sent
@@ -203,26 +204,26 @@
     }
 }
 
-fn is_unload(errand: &Errand) -> bool {
-    matches!(errand.body.kind, OrderKind::Unload { .. })
+fn is_unload(outbound: &OutboundOrder) -> bool {
+    matches!(outbound.body.kind, OrderKind::Unload { .. })
 }
 
 /// Both engines hold the model and the text wants it on one. Both are busy; the one that gives it
 /// up may, since the other serves its callers.
 #[test]
 fn a_spare_replica_is_unloaded_once_the_target_has_stood() {
-    let mut lone = Lone::new(1, vec![report(&["m"], 3), report(&["m"], 3)]);
-    assert_eq!(lone.run(29, OrderAnswer::Obeyed), []);
-    let sent = lone.run(4, OrderAnswer::Obeyed);
+    let mut fixture = Fixture::new(1, vec![report(&["m"], 3), report(&["m"], 3)]);
+    assert_eq!(fixture.run(29, OrderAnswer::Obeyed), []);
+    let sent = fixture.run(4, OrderAnswer::Obeyed);
     assert!(sent.iter().any(is_unload), "{sent:?}");
-    assert!(sent.iter().all(|errand| errand.order.fence == 4));
+    assert!(sent.iter().all(|outbound| outbound.order.fence == 4));
 }
 
 /// Which engine gives the model up when both hold it and one is to.
-fn spare() -> usize {
-    let mut lone = Lone::new(1, vec![report(&["m"], 3), report(&["m"], 3)]);
-    let sent = lone.run(34, OrderAnswer::Obeyed);
-    let unload = sent.iter().find(|errand| is_unload(errand)).unwrap();
+fn surplus() -> usize {
+    let mut fixture = Fixture::new(1, vec![report(&["m"], 3), report(&["m"], 3)]);
+    let sent = fixture.run(34, OrderAnswer::Obeyed);
+    let unload = sent.iter().find(|outbound| is_unload(outbound)).unwrap();
     usize::from(unload.server.ends_with('1'))
 }
 
@@ -230,10 +231,10 @@
 /// other is to give it up. Unloaded now, perhaps nobody could serve the model's callers.
 #[test]
 fn a_replica_stays_while_the_other_is_silent() {
-    let mut lone = Lone::new(1, vec![report(&["m"], 3), report(&["m"], 3)]);
-    lone.run(20, OrderAnswer::Obeyed);
-    lone.silent = Some(1 - spare());
-    let sent = lone.run(35, OrderAnswer::Obeyed);
+    let mut fixture = Fixture::new(1, vec![report(&["m"], 3), report(&["m"], 3)]);
+    fixture.run(20, OrderAnswer::Obeyed);
+    fixture.silent = Some(1 - surplus());
+    let sent = fixture.run(35, OrderAnswer::Obeyed);
     assert!(!sent.iter().any(is_unload), "{sent:?}");
 }
 
@@ -241,23 +242,25 @@
 /// would be answered that the model is unknown.
 #[test]
 fn requests_keep_away_from_a_spare_replica() {
-    let mut lone = Lone::new(1, vec![report(&["m"], 3), report(&["m"], 3)]);
-    lone.run(3, OrderAnswer::Obeyed);
-    let spares = lone.keys.iter().map(|key| {
-        let now = Millis(lone.now);
-        lone.desk.is_spare(*key, model_id("m"), now)
+    let mut fixture = Fixture::new(1, vec![report(&["m"], 3), report(&["m"], 3)]);
+    fixture.run(3, OrderAnswer::Obeyed);
+    let surplus_flags = fixture.keys.iter().map(|key| {
+        let now = Millis(fixture.now);
+        fixture.planner.is_surplus(*key, model_id("m"), now)
     });
     let mut expected = [false, false];
-    expected[spare()] = true;
-    assert_eq!(spares.collect::<Vec<_>>(), expected);
+    expected[surplus()] = true;
+    assert_eq!(surplus_flags.collect::<Vec<_>>(), expected);
 }
 
 /// The loads among the orders.
-fn loads(sent: &[Errand]) -> Vec<&str> {
-    let loads = sent.iter().filter_map(|errand| match &errand.body.kind {
-        OrderKind::Load { model } => Some(model.as_str()),
-        _ => None,
-    });
+fn loads(sent: &[OutboundOrder]) -> Vec<&str> {
+    let loads = sent
+        .iter()
+        .filter_map(|outbound| match &outbound.body.kind {
+            OrderKind::Load { model } => Some(model.as_str()),
+            _ => None,
+        });
     loads.collect()
 }
 
@@ -265,9 +268,9 @@
 /// most of them; a new owner also waits until the former one's loads count no more.
 #[test]
 fn loads_stay_within_the_rate_of_the_weight_store() {
-    let mut lone = Lone::new(10, vec![report(&[], 0); 10]);
-    assert_eq!(lone.run(24, OrderAnswer::Failed), []);
-    let sent = lone.run(120, OrderAnswer::Failed);
+    let mut fixture = Fixture::new(10, vec![report(&[], 0); 10]);
+    assert_eq!(fixture.run(24, OrderAnswer::Failed), []);
+    let sent = fixture.run(120, OrderAnswer::Failed);
     let count = loads(&sent).len();
     assert!(
         (10..=12).contains(&count),
@@ -280,13 +283,13 @@
 /// the rate would be lost, and the callers of the last engines would wait for twice as long.
 #[test]
 fn the_rate_of_the_weight_store_is_used() {
-    let mut lone = Lone::with_loads(8, vec![report(&[], 0); 8], 20);
+    let mut fixture = Fixture::with_loads(8, vec![report(&[], 0); 8], 20);
     let mut count = 0;
     // The owner's wait, a load every three seconds, and what the last order waits for.
-    while lone.now < 25_000 + 8 * 3_000 + 3_000 {
-        for errand in lone.run(1, OrderAnswer::Obeyed) {
-            let engine: usize = errand.server.rsplit('-').next().unwrap().parse().unwrap();
-            lone.reports[engine] = report(&["m"], 0);
+    while fixture.now < 25_000 + 8 * 3_000 + 3_000 {
+        for outbound in fixture.run(1, OrderAnswer::Obeyed) {
+            let engine: usize = outbound.server.rsplit('-').next().unwrap().parse().unwrap();
+            fixture.reports[engine] = report(&["m"], 0);
             count += 1;
         }
     }
@@ -298,14 +301,14 @@
 #[test]
 fn the_model_of_the_highest_tier_is_loaded_first() {
     for (first, second) in [("m", "n"), ("n", "m")] {
-        let mut lone = Lone::new(2, vec![report(&[], 0); 2]);
+        let mut fixture = Fixture::new(2, vec![report(&[], 0); 2]);
         let ranks = [(first, 0), (second, 4)];
-        let ranks = ranks.map(|(model, rank)| Ranked {
+        let ranks = ranks.map(|(model, rank)| ModelRank {
             model: model_id(model),
             rank,
         });
-        lone.desk.on_ranks(&ranks);
-        let sent = lone.run(60, OrderAnswer::Failed);
+        fixture.planner.on_ranks(&ranks);
+        let sent = fixture.run(60, OrderAnswer::Failed);
         assert_eq!(loads(&sent)[..2], [first, first], "{sent:?}");
     }
 }
@@ -315,67 +318,67 @@
 /// permits, and the sheets' model would be begun only once the chat's is there.
 #[test]
 fn loads_in_progress_take_no_permits() {
-    let mut lone = Lone::new(2, vec![report(&[], 0); 2]);
+    let mut fixture = Fixture::new(2, vec![report(&[], 0); 2]);
     let ranks = [("m", 0), ("n", 4)];
-    let ranks = ranks.map(|(model, rank)| Ranked {
+    let ranks = ranks.map(|(model, rank)| ModelRank {
         model: model_id(model),
         rank,
     });
-    lone.desk.on_ranks(&ranks);
-    let sent = lone.run(120, OrderAnswer::Obeyed);
+    fixture.planner.on_ranks(&ranks);
+    let sent = fixture.run(120, OrderAnswer::Obeyed);
     assert_eq!(loads(&sent), ["m", "m", "n", "n"]);
 }
 
 /// An engine crashes while it loads: no report comes for some seconds, and it has forgotten the load.
 #[test]
 fn a_load_is_ordered_again_after_a_crash() {
-    let mut lone = Lone::new(1, vec![report(&[], 0)]);
-    let first = lone.run(60, OrderAnswer::Obeyed);
+    let mut fixture = Fixture::new(1, vec![report(&[], 0)]);
+    let first = fixture.run(60, OrderAnswer::Obeyed);
     assert_eq!(loads(&first), ["m"]);
-    lone.silent = Some(0);
-    lone.run(8, OrderAnswer::Obeyed);
-    lone.silent = None;
-    assert_eq!(loads(&lone.run(30, OrderAnswer::Obeyed)), ["m"]);
+    fixture.silent = Some(0);
+    fixture.run(8, OrderAnswer::Obeyed);
+    fixture.silent = None;
+    assert_eq!(loads(&fixture.run(30, OrderAnswer::Obeyed)), ["m"]);
 }
 
 /// Without a majority of the fleet, or while another instance owns the service, nothing is ordered.
 #[test_case(&["entry-0"], &["entry-0", "b", "c"]; "in a minority")]
 #[test_case(&[], &["entry-0"]; "with no view")]
 fn nothing_is_ordered_by_one_that_may_not(live: &[&str], reference: &[&str]) {
-    let mut lone = Lone::new(1, vec![report(&["m"], 0), report(&["m"], 0)]);
+    let mut fixture = Fixture::new(1, vec![report(&["m"], 0), report(&["m"], 0)]);
     let view = |names: &[&str]| View::new(names.iter().map(|name| Member::new(name, 1)));
-    lone.view = view(live);
-    lone.reference = view(reference);
-    lone.checks(false);
-    assert_eq!(lone.run(90, OrderAnswer::Obeyed), []);
+    fixture.view = view(live);
+    fixture.reference = view(reference);
+    fixture.checks(false);
+    assert_eq!(fixture.run(90, OrderAnswer::Obeyed), []);
 }
 
 #[test]
 fn models_that_the_text_never_named_are_left_alone() {
     let held = || report(&["m", "n", "x"], 0);
-    let mut lone = Lone::new(2, vec![held(), held()]);
-    assert_eq!(lone.run(60, OrderAnswer::Obeyed), []);
+    let mut fixture = Fixture::new(2, vec![held(), held()]);
+    assert_eq!(fixture.run(60, OrderAnswer::Obeyed), []);
 }
 
 /// A load is decided, and before it leaves a text without its model is in force. The targets follow a
 /// text at the next tick; until then an engine that ignores fencing numbers would load for nobody.
 #[test]
 fn an_order_of_a_replaced_text_may_not_be_sent() {
-    let mut lone = Lone::new(2, vec![report(&[], 0); 2]);
+    let mut fixture = Fixture::new(2, vec![report(&[], 0); 2]);
     let mut sent = Vec::new();
     while sent.is_empty() {
-        sent = lone.run(1, OrderAnswer::Failed);
+        sent = fixture.run(1, OrderAnswer::Failed);
     }
-    let (order, now) = (&sent[0].order, Millis(lone.now));
-    assert!(lone.desk.may_send(order, now));
-    lone.checks(true);
-    assert!(!lone.desk.may_send(order, now));
+    let (order, now) = (&sent[0].order, Millis(fixture.now));
+    assert!(fixture.planner.may_send(order, now));
+    fixture.checks(true);
+    assert!(!fixture.planner.may_send(order, now));
 }
 
 /// The roles among the orders, with their engines.
-fn roles(sent: &[Errand]) -> Vec<(&str, EngineRole)> {
-    let roles = sent.iter().filter_map(|errand| match errand.body.kind {
-        OrderKind::Role { role } => Some((errand.server.as_str(), role)),
+fn roles(sent: &[OutboundOrder]) -> Vec<(&str, EngineRole)> {
+    let roles = sent.iter().filter_map(|outbound| match outbound.body.kind {
+        OrderKind::Role { role } => Some((outbound.server.as_str(), role)),
         _ => None,
     });
     roles.collect()
@@ -385,20 +388,20 @@
 /// at once, and the role is ordered once the text has stood.
 #[test]
 fn a_role_is_ordered_after_requests_keep_away() {
-    let mut lone = Lone::new(2, vec![report(&["m", "n"], 3); 2]);
-    lone.run(3, OrderAnswer::Obeyed);
-    lone.publish_role(2, "prefill");
-    assert_eq!(roles(&lone.run(29, OrderAnswer::Obeyed)), []);
-    let spares: Vec<bool> = lone
+    let mut fixture = Fixture::new(2, vec![report(&["m", "n"], 3); 2]);
+    fixture.run(3, OrderAnswer::Obeyed);
+    fixture.publish_role(2, "prefill");
+    assert_eq!(roles(&fixture.run(29, OrderAnswer::Obeyed)), []);
+    let surplus_flags: Vec<bool> = fixture
         .keys
         .iter()
         .map(|key| {
-            let now = Millis(lone.now);
-            lone.desk.is_spare(*key, model_id("m"), now)
+            let now = Millis(fixture.now);
+            fixture.planner.is_surplus(*key, model_id("m"), now)
         })
         .collect();
-    assert_eq!(spares, [true, false]);
-    let sent = lone.run(6, OrderAnswer::Obeyed);
+    assert_eq!(surplus_flags, [true, false]);
+    let sent = fixture.run(6, OrderAnswer::Obeyed);
     assert_eq!(
         roles(&sent)[0],
         ("team/fleet/runner-0", EngineRole::Prefill)
@@ -412,10 +415,10 @@
 #[test_case(report(&["m", "n"], 0), Some(1); "is silent")]
 #[test_case(LoadReport { role: EngineRole::Decode, ..report(&["m", "n"], 0) }, None; "only decodes")]
 fn a_role_waits_until_another_engine_serves(other: LoadReport, silent: Option<usize>) {
-    let mut lone = Lone::new(2, vec![report(&["m", "n"], 3), other]);
-    lone.publish_role(2, "prefill");
-    lone.silent = silent;
-    let sent = lone.run(55, OrderAnswer::Failed);
+    let mut fixture = Fixture::new(2, vec![report(&["m", "n"], 3), other]);
+    fixture.publish_role(2, "prefill");
+    fixture.silent = silent;
+    let sent = fixture.run(55, OrderAnswer::Failed);
     let first = ("team/fleet/runner-0", EngineRole::Prefill);
     assert!(!roles(&sent).contains(&first), "{sent:?}");
 }
@@ -424,17 +427,17 @@
 /// is loaded on the other one first, which then serves its callers; the first gives it up last.
 #[test]
 fn a_model_moves_before_its_engine_changes_role() {
-    let mut lone = Lone::new(1, vec![report(&["m"], 3), report(&[], 0)]);
-    lone.publish_role(1, "decode");
-    let sent = lone.run(60, OrderAnswer::Obeyed);
+    let mut fixture = Fixture::new(1, vec![report(&["m"], 3), report(&[], 0)]);
+    fixture.publish_role(1, "decode");
+    let sent = fixture.run(60, OrderAnswer::Obeyed);
     assert_eq!(loads(&sent)[..1], ["m"]);
     assert_eq!(roles(&sent), []);
-    lone.reports[1] = report(&["m"], 0);
-    let sent = lone.run(10, OrderAnswer::Obeyed);
+    fixture.reports[1] = report(&["m"], 0);
+    let sent = fixture.run(10, OrderAnswer::Obeyed);
     assert_eq!(roles(&sent)[0], ("team/fleet/runner-0", EngineRole::Decode));
     assert!(!sent.iter().any(is_unload), "{sent:?}");
-    lone.reports[0].role = EngineRole::Decode;
-    assert!(lone.run(10, OrderAnswer::Obeyed).iter().any(is_unload));
+    fixture.reports[0].role = EngineRole::Decode;
+    assert!(fixture.run(10, OrderAnswer::Obeyed).iter().any(is_unload));
 }
 
 /// Engines play other roles than usual, and the text names none.
@@ -444,6 +447,6 @@
         role: EngineRole::Decode,
         ..report(&["m", "n"], 0)
     };
-    let mut lone = Lone::new(2, vec![decodes.clone(), decodes]);
-    assert_eq!(roles(&lone.run(60, OrderAnswer::Obeyed)), []);
+    let mut fixture = Fixture::new(2, vec![decodes.clone(), decodes]);
+    assert_eq!(roles(&fixture.run(60, OrderAnswer::Obeyed)), []);
 }
--- a/crates/entry/src/coordination/suspects.rs
+++ b/crates/entry/src/coordination/suspects.rs
@@ -29,16 +29,16 @@
 use crate::refusal::Refusal;
 
 /// Between two rounds of telling others what is new.
-const ROUND: Millis = Millis(100);
+const GOSSIP_PERIOD: Millis = Millis(100);
 
 /// Rounds between two in which others are told all that is open: one may have just started, or missed it.
-const REMINDING_ROUNDS: usize = 10;
+const FULL_GOSSIP_ROUNDS: usize = 10;
 
 /// Members that are told in a round.
-const AUDIENCE: usize = 3;
+const GOSSIP_FANOUT: usize = 3;
 
 /// How long a message may take. What it tells is told again by others.
-const DEADLINE: Millis = Millis(500);
+const GOSSIP_TIMEOUT: Millis = Millis(500);
 
 /// What one instance knows of requests under which servers ended.
 #[derive(Debug)]
@@ -53,7 +53,7 @@
 struct State {
     quarantine: Quarantine,
     /// How often the process at an address was found to have ended. An address is all that names a server here.
-    ends: HashMap<SocketAddr, u64>,
+    terminations: HashMap<SocketAddr, u64>,
 }
 
 impl Suspects {
@@ -85,7 +85,7 @@
 
     /// The server at `address` cut a run that was sent to it at `sent`. A reset looks the same as the end of the
     /// process, so the server is looked for.
-    pub(crate) fn run_cut(
+    pub(crate) fn on_cut(
         self: &Arc<Self>,
         content: Fingerprint,
         address: SocketAddr,
@@ -99,15 +99,15 @@
             server,
             sent,
         };
-        let unwatched = state.quarantine.cut(run, now);
-        self.note_quarantined(state);
-        if unwatched {
-            task::spawn(self.clone().look(address, server));
+        let needs_check = state.quarantine.cut(run, now);
+        self.log_quarantined(state);
+        if needs_check {
+            task::spawn(self.clone().check_process(address, server));
         }
     }
 
     /// A request was served whole.
-    pub(crate) fn served(&self, content: Fingerprint) {
+    pub(crate) fn on_served(&self, content: Fingerprint) {
         let now = self.clock.now();
         if self.state().quarantine.served(content, now) {
             let content = self.names.name(content);
@@ -116,40 +116,44 @@
     }
 
     /// Another instance tells of suspects.
-    pub(super) fn hear(&self, suspicions: &[Suspicion]) {
+    pub(super) fn on_suspicions(&self, suspicions: &[Suspicion]) {
         let now = self.clock.now();
         let mut state = self.state();
         for suspicion in suspicions {
             state.quarantine.hear(suspicion, now);
         }
-        self.note_quarantined(state);
+        self.log_quarantined(state);
     }
 
-    async fn look(self: Arc<Self>, address: SocketAddr, server: Incarnation) {
+    async fn check_process(self: Arc<Self>, address: SocketAddr, server: Incarnation) {
         if !refuses_connections(address).await {
             self.state().quarantine.undecided(server);
             return;
         }
         let now = self.clock.now();
         let mut state = self.state();
-        *state.ends.entry(address).or_default() += 1;
+        *state.terminations.entry(address).or_default() += 1;
         let suspects = state.quarantine.server_ended(server, now);
         let event = Event::new("server-ended")
             .with("server", address)
             .with("suspects", suspects);
         warn!("{event}");
-        self.note_quarantined(state);
+        self.log_quarantined(state);
     }
 
     /// The life of the process at an address, as this instance counts them. Another instance counts differently; the
     /// runs that it saw cut by the same end overlapped with these, and count once.
     fn incarnation(&self, state: &State, address: SocketAddr) -> Incarnation {
-        let ends = state.ends.get(&address).copied().unwrap_or_default();
-        let text = format!("{address} {ends} {}", self.me.incarnation);
+        let terminations = state
+            .terminations
+            .get(&address)
+            .copied()
+            .unwrap_or_default();
+        let text = format!("{address} {terminations} {}", self.me.incarnation);
         Incarnation(XxHash3_64::oneshot_with_seed(self.me.id.0, text.as_bytes()))
     }
 
-    fn note_quarantined(&self, mut state: MutexGuard<'_, State>) {
+    fn log_quarantined(&self, mut state: MutexGuard<'_, State>) {
         let placed = state.quarantine.take_placed();
         drop(state);
         for quarantined in placed {
@@ -162,11 +166,11 @@
     }
 
     /// What to tell others in a round.
-    fn tell(&self, reminds: bool) -> Vec<Suspicion> {
+    fn suspicions_to_send(&self, all: bool) -> Vec<Suspicion> {
         let now = self.clock.now();
         let quarantine = &mut self.state().quarantine;
         quarantine.expire(now);
-        if reminds {
+        if all {
             quarantine.known(now)
         } else {
             quarantine.news(now)
@@ -178,28 +182,30 @@
     /// Tells other instances of requests under which servers ended, as long as the process runs.
     pub(crate) async fn run_suspects(self: Arc<Self>) {
         for round in 0usize.. {
-            task::sleep(ROUND.into()).await;
-            let suspicions = self.suspects.tell(round % REMINDING_ROUNDS == 0);
+            task::sleep(GOSSIP_PERIOD.into()).await;
+            let suspicions = self
+                .suspects
+                .suspicions_to_send(round % FULL_GOSSIP_ROUNDS == 0);
             if !suspicions.is_empty() {
-                self.tell_suspects(round, &suspicions);
+                self.gossip(round, &suspicions);
             }
         }
     }
 
-    fn tell_suspects(self: &Arc<Self>, round: usize, suspicions: &[Suspicion]) {
+    fn gossip(self: &Arc<Self>, round: usize, suspicions: &[Suspicion]) {
         let (live, _) = self.members().quorum();
         let others = live.members().iter().copied();
         let others: Vec<Member> = others.filter(|member| *member != self.me).collect();
-        for number in 0..AUDIENCE.min(others.len()) {
+        for number in 0..GOSSIP_FANOUT.min(others.len()) {
             // Another few in each round, and not the same ones as those that others draw.
             let draw = XxHash3_64::oneshot_with_seed(
                 self.me.id.0,
-                &(round * AUDIENCE + number).to_le_bytes(),
+                &(round * GOSSIP_FANOUT + number).to_le_bytes(),
             );
             let to = others[draw as usize % others.len()];
             let call = Request::Suspect(suspicions.to_vec());
             let coordinator = self.clone();
-            task::spawn(async move { coordinator.transport.call(to, call, DEADLINE).await });
+            task::spawn(async move { coordinator.transport.call(to, call, GOSSIP_TIMEOUT).await });
         }
     }
 }
--- a/crates/entry/src/intake.rs
+++ b/crates/entry/src/decode.rs
@@ -28,14 +28,14 @@
 use http_types::headers::Headers;
 use twox_hash::XxHash3_64;
 
+use crate::active_config::ActiveConfig;
 use crate::memory::footprint;
 use crate::payload::Payload;
 use crate::payload::PayloadError;
 use crate::payload::set_priority;
-use crate::pool::Need;
+use crate::pool::Requirements;
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
-use crate::world::World;
 
 /// The caller's credential.
 const AUTHORIZATION: &str = "authorization";
@@ -50,49 +50,49 @@
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// The longest idempotency key, in bytes.
-const MAX_KEY: usize = 255;
+const MAX_IDEMPOTENCY_KEY: usize = 255;
 
 /// How long a server may take to begin an answer that isn't streamed, where its class has no target
 /// for the whole of it.
-const ANSWER_TIMEOUT: Millis = Millis::from_secs(600);
+const DEFAULT_RESPONSE_TIMEOUT: Millis = Millis::from_secs(600);
 
 /// The same as a multiple of that target: the head of such an answer comes with the end of the work.
-const ANSWER_FACTOR: u64 = 4;
+const RESPONSE_TIMEOUT_FACTOR: u64 = 4;
 
 /// The least such bound. A late confirmation is worth more than not to know whether it was made.
-const ANSWER_FLOOR: Millis = Millis::from_secs(10);
+const MIN_RESPONSE_TIMEOUT: Millis = Millis::from_secs(10);
 
 /// When to come back while requests fill the memory.
-const FULL_RETRY: Millis = Millis::from_secs(1);
+const MEMORY_RETRY_AFTER: Millis = Millis::from_secs(1);
 
 /// Headers that are the router's own business and don't reach a backend server.
-const PRIVATE: [&str; 3] = [AUTHORIZATION, CLASS, TIMEOUT];
+const STRIPPED_HEADERS: [&str; 3] = [AUTHORIZATION, CLASS, TIMEOUT];
 
 /// Tokens that a plain call counts as.
-const PLAIN_TOKENS: u32 = 1;
+const PLAIN_CALL_TOKENS: u32 = 1;
 
 /// A request that is ready to be queued and, later, to be sent more than once.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub(crate) resolved: Resolved,
     pub(crate) arrival: Arrival,
-    pub(crate) need: Need,
+    pub(crate) requirements: Requirements,
     /// Whether the answer is a stream of server-sent events.
     pub(crate) stream: bool,
     /// The idempotency key, for a request that must not run twice.
-    pub(crate) once: Option<Once>,
+    pub(crate) idempotency_key: Option<IdempotencyKey>,
     /// What is asked, for whom: a request that comes again has the same.
     pub(crate) content: Fingerprint,
     /// How long a server may take to begin an answer that isn't a stream.
-    pub(crate) answer_timeout: Millis,
-    outgoing: Outgoing,
+    pub(crate) response_timeout: Millis,
+    outgoing: OutgoingRequest,
     /// Held until the request has ended, for its drop alone.
     _reservation: Option<Arc<Reservation>>,
 }
 
 /// Names a request that must not run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Once {
+pub(crate) struct IdempotencyKey {
     pub(crate) key: ClaimKey,
     pub(crate) digest: RequestDigest,
     pub(crate) account: AccountId,
@@ -100,14 +100,14 @@
 
 /// What goes to the backend server.
 #[derive(Clone, Debug)]
-struct Outgoing {
+struct OutgoingRequest {
     method: Method,
     target: String,
     headers: Headers,
     body: Vec<u8>,
 }
 
-impl Outgoing {
+impl OutgoingRequest {
     /// A hash of what is asked for, which tells a repeat from another request under the same key.
     fn digest(&self) -> RequestDigest {
         let mut hasher = XxHash3_64::new();
@@ -148,7 +148,7 @@
 }
 
 /// Reads the key of a request.
-pub(crate) fn key_of(request: &Request) -> Result<&str, Refusal> {
+pub(crate) fn api_key(request: &Request) -> Result<&str, Refusal> {
     let header = request.header(AUTHORIZATION).map(|values| values.as_str());
     let key = header.and_then(|text| text.strip_prefix("Bearer "));
     key.ok_or_else(|| {
@@ -158,8 +158,8 @@
 }
 
 /// What a request is decoded and classified with.
-pub(crate) struct Intake<'a> {
-    pub(crate) world: &'a World,
+pub(crate) struct RequestDecoder<'a> {
+    pub(crate) config: &'a ActiveConfig,
     /// Whose key the request bears.
     pub(crate) account: AccountKey,
     pub(crate) memory: &'a Memory,
@@ -167,13 +167,13 @@
     pub(crate) arrived: Millis,
 }
 
-impl Intake<'_> {
+impl RequestDecoder<'_> {
     /// Decodes and classifies a request.
     ///
     /// # Errors
     ///
     /// The refusal of a request that is malformed or not allowed.
-    pub(crate) async fn read(&self, request: &mut Request) -> Result<Job, Refusal> {
+    pub(crate) async fn decode(&self, request: &mut Request) -> Result<Job, Refusal> {
         let reservation = self.reserve(request)?;
         let limits = ServerLimits {
             body_bytes: self.limits.body,
@@ -181,16 +181,16 @@
             ..ServerLimits::default()
         };
         let body = read_body(request, &limits).await;
-        let body = body.map_err(|error| refuse_body(&error))?;
+        let body = body.map_err(|error| body_refusal(&error))?;
         let job = if is_model_call(request.method(), request.url().path()) {
             self.model_job(request, &body)
         } else {
             self.plain_job(request, body)
         };
         let job = job?;
-        let account = &self.world.catalog.accounts[job.resolved.account].name;
+        let account = &self.config.catalog.accounts[job.resolved.account].name;
         Ok(Job {
-            once: self.once(request, &job)?,
+            idempotency_key: self.idempotency_key(request, &job)?,
             content: job.outgoing.content(account),
             _reservation: Some(Arc::new(reservation)),
             ..job
@@ -198,10 +198,11 @@
     }
 
     fn model_job(&self, request: &Request, body: &[u8]) -> Result<Job, Refusal> {
-        let payload = Payload::decode(body).map_err(|error| malformed(&error))?;
+        let payload = Payload::decode(body).map_err(|error| payload_refusal(&error))?;
         let resolved = self.resolve(request, Target::Model(&payload.model))?;
-        let class = &self.world.catalog.classes[resolved.class];
-        let body = set_priority(body, class.priority.tier()).map_err(|error| malformed(&error))?;
+        let class = &self.config.catalog.classes[resolved.class];
+        let body =
+            set_priority(body, class.priority.tier()).map_err(|error| payload_refusal(&error))?;
         let max_tokens = payload.max_tokens.unwrap_or(u32::MAX);
         Ok(Job {
             resolved,
@@ -214,11 +215,11 @@
                 bytes: u32::try_from(body.len()).unwrap_or(u32::MAX),
                 deadline: deadline(request, self.arrived),
             },
-            need: need(&resolved, class, payload.prefix, payload.prompt_tokens),
+            requirements: requirements(&resolved, class, payload.prefix, payload.prompt_tokens),
             stream: payload.stream,
-            answer_timeout: answer_timeout(class),
+            response_timeout: response_timeout(class),
             outgoing: outgoing(request, body),
-            once: None,
+            idempotency_key: None,
             content: Fingerprint::of(&[]),
             _reservation: None,
         })
@@ -231,22 +232,22 @@
             path: request.url().path(),
         };
         let resolved = self.resolve(request, target)?;
-        let class = &self.world.catalog.classes[resolved.class];
+        let class = &self.config.catalog.classes[resolved.class];
         Ok(Job {
             resolved,
             arrival: Arrival {
                 class: resolved.class,
                 account: resolved.account,
-                max_tokens: PLAIN_TOKENS,
+                max_tokens: PLAIN_CALL_TOKENS,
                 bytes: u32::try_from(body.len()).unwrap_or(u32::MAX),
                 deadline: deadline(request, self.arrived),
                 ..Arrival::default()
             },
-            need: need(&resolved, class, None, 0),
+            requirements: requirements(&resolved, class, None, 0),
             stream: false,
-            answer_timeout: answer_timeout(class),
+            response_timeout: response_timeout(class),
             outgoing: outgoing(request, body),
-            once: None,
+            idempotency_key: None,
             content: Fingerprint::of(&[]),
             _reservation: None,
         })
@@ -254,13 +255,17 @@
 
     fn resolve(&self, request: &Request, target: Target<'_>) -> Result<Resolved, Refusal> {
         let wanted = request.header(CLASS).map(|values| values.as_str());
-        let resolved = resolve_account(&self.world.catalog, self.account, target, wanted);
+        let resolved = resolve_account(&self.config.catalog, self.account, target, wanted);
         resolved.map_err(Refusal::from_config)
     }
 
     /// The idempotency key of a request that must not run twice. A repeat of an idempotent one does
     /// no harm, so that its key needs no claim.
-    fn once(&self, request: &Request, job: &Job) -> Result<Option<Once>, Refusal> {
+    fn idempotency_key(
+        &self,
+        request: &Request,
+        job: &Job,
+    ) -> Result<Option<IdempotencyKey>, Refusal> {
         let Some(header) = request.header(IDEMPOTENCY_KEY) else {
             return Ok(None);
         };
@@ -268,12 +273,12 @@
             return Ok(None);
         }
         let key = header.as_str();
-        if key.is_empty() || key.len() > MAX_KEY {
-            let text = format!("an idempotency key has 1 to {MAX_KEY} bytes");
+        if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY {
+            let text = format!("an idempotency key has 1 to {MAX_IDEMPOTENCY_KEY} bytes");
             return Err(Refusal::not_run(Reason::BadRequest, text));
         }
-        let account = &self.world.catalog.accounts[job.resolved.account].name;
-        Ok(Some(Once {
+        let account = &self.config.catalog.accounts[job.resolved.account].name;
+        Ok(Some(IdempotencyKey {
             key: ClaimKey::new(account, key),
             digest: job.outgoing.digest(),
             account: AccountId::from_name(account),
@@ -286,12 +291,12 @@
         let bytes = footprint(request, announced.min(self.limits.body));
         self.memory.reserve(bytes).ok_or_else(|| {
             let text = "the instance has no memory left for the request";
-            Refusal::not_run(Reason::Overloaded, text).retry_after(FULL_RETRY)
+            Refusal::not_run(Reason::Overloaded, text).retry_after(MEMORY_RETRY_AFTER)
         })
     }
 }
 
-fn refuse_body(error: &BodyError) -> Refusal {
+fn body_refusal(error: &BodyError) -> Refusal {
     let reason = match error.status() {
         StatusCode::PayloadTooLarge => Reason::BodyTooLarge,
         _ => Reason::BadRequest,
@@ -299,12 +304,17 @@
     Refusal::not_run(reason, error.to_string())
 }
 
-fn malformed(error: &PayloadError) -> Refusal {
+fn payload_refusal(error: &PayloadError) -> Refusal {
     Refusal::not_run(Reason::BadRequest, error.to_string())
 }
 
-fn need(resolved: &Resolved, class: &Class, prefix: Option<u64>, tokens: u32) -> Need {
-    Need {
+fn requirements(
+    resolved: &Resolved,
+    class: &Class,
+    prefix: Option<u64>,
+    tokens: u32,
+) -> Requirements {
+    Requirements {
         model: resolved.model,
         prefix,
         tier: class.priority.index() as u8,
@@ -313,9 +323,14 @@
     }
 }
 
-fn answer_timeout(class: &Class) -> Millis {
-    let bound = |target: Millis| Millis(target.0.saturating_mul(ANSWER_FACTOR)).max(ANSWER_FLOOR);
-    class.targets.whole_answer.map_or(ANSWER_TIMEOUT, bound)
+fn response_timeout(class: &Class) -> Millis {
+    let bound = |target: Millis| {
+        Millis(target.0.saturating_mul(RESPONSE_TIMEOUT_FACTOR)).max(MIN_RESPONSE_TIMEOUT)
+    };
+    class
+        .targets
+        .whole_answer
+        .map_or(DEFAULT_RESPONSE_TIMEOUT, bound)
 }
 
 fn deadline(request: &Request, now: Millis) -> Millis {
@@ -324,16 +339,16 @@
     span.map_or(Millis::MAX, |span| now + span)
 }
 
-fn outgoing(request: &Request, body: Vec<u8>) -> Outgoing {
+fn outgoing(request: &Request, body: Vec<u8>) -> OutgoingRequest {
     let mut headers = Request::new(Method::Get, request.url().clone());
     relay_headers(request.as_ref(), headers.as_mut());
-    for name in PRIVATE {
+    for name in STRIPPED_HEADERS {
         headers.remove_header(name);
     }
     let url = request.url();
     let query = url.query().map(|query| format!("?{query}"));
     let headers: &Headers = headers.as_ref();
-    Outgoing {
+    OutgoingRequest {
         method: request.method(),
         target: format!("{}{}", url.path(), query.unwrap_or_default()),
         headers: headers.clone(),
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -1,6 +1,6 @@
 //! One request, from admission to the head of its answer.
 
-mod fate;
+mod classify;
 mod guard;
 
 use std::net::SocketAddr;
@@ -37,35 +37,35 @@
 use http_types::Response;
 use log::info;
 
-use self::fate::give_up;
-use self::fate::outcome_of_error;
-use self::fate::outcome_of_status;
-use self::fate::stage_of;
+use self::classify::give_up;
+use self::classify::outcome_of_error;
+use self::classify::outcome_of_status;
+use self::classify::stage_of;
 use self::guard::AttemptGuard;
-use self::guard::Claimed;
+use self::guard::ClaimGuard;
 use self::guard::QueueGuard;
-use self::guard::Slot;
-use crate::coordination::Ask;
+use self::guard::TicketGuard;
 use crate::coordination::Coordinator;
 use crate::coordination::Permit;
+use crate::coordination::TokenEstimate;
+use crate::decode::Job;
 use crate::failpoint::Point;
 use crate::failpoint::reach;
-use crate::intake::Job;
-use crate::pool::NoRepeat;
+use crate::pool::Dispatch;
+use crate::pool::NoRetry;
 use crate::pool::Pool;
-use crate::pool::Start;
-use crate::pool::Turn;
-use crate::pool::Waiting;
+use crate::pool::QueueResult;
+use crate::pool::QueuedRequest;
 use crate::refusal::Ran;
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
-use crate::sent_run::SentRun;
-use crate::settle::Settle;
-use crate::settle::Slots;
-use crate::settle::Watched;
+use crate::response_observer::RequestContext;
+use crate::response_observer::RequestSlots;
+use crate::response_observer::ResponseObserver;
+use crate::sent_attempt::SentAttempt;
 
 /// The least time for an attempt whose request is at its bound already.
-const LEAST_TIMEOUT: Millis = Millis(1);
+const MIN_TIMEOUT: Millis = Millis(1);
 
 /// How a request ended before an answer could be relayed.
 #[derive(Debug)]
@@ -89,7 +89,7 @@
 }
 
 /// What a request holds until its answer has ended.
-struct Held {
+struct HeldResources {
     ticket: Ticket<Sent>,
     permit: Permit,
     running: Occupancy,
@@ -119,8 +119,8 @@
         let suspects = self.coordinator.suspects();
         suspects.admit(self.job.content).map_err(Failure::Refused)?;
         let permit = self.admit()?;
-        let start = match self.wait_turn(hangup).await {
-            Ok(start) => start,
+        let dispatch = match self.wait_for_dispatch(hangup).await {
+            Ok(dispatch) => dispatch,
             Err(failure) => {
                 permit.refund();
                 return Err(failure);
@@ -128,62 +128,70 @@
         };
         self.metrics
             .observe_wait(self.clock.now().since(self.arrived));
-        self.send(start, permit, hangup).await
+        self.send(dispatch, permit, hangup).await
     }
 
     /// Checks the account's limits, which hold over all services.
     fn admit(&self) -> Result<Permit, Failure> {
         let arrival = &self.job.arrival;
-        let ask = Ask {
+        let estimate = TokenEstimate {
             prompt: arrival.prompt_tokens,
             output: arrival.max_tokens,
         };
-        let permit = self.coordinator.limits().admit(arrival.account, &ask);
-        permit.map_err(|hit| Failure::Refused(Refusal::from_limit(hit)))
+        let permit = self.coordinator.limits().admit(arrival.account, &estimate);
+        permit.map_err(|exceeded| Failure::Refused(Refusal::from_limit(exceeded)))
     }
 
     /// Waits in the queue.
-    async fn wait_turn(&self, hangup: &Hangup) -> Result<Start, Failure> {
-        let waiting = self
+    async fn wait_for_dispatch(&self, hangup: &Hangup) -> Result<Dispatch, Failure> {
+        let queued = self
             .pool
-            .submit(&self.job.arrival, self.job.need)
+            .submit(&self.job.arrival, self.job.requirements)
             .map_err(Failure::Refused)?;
-        self.wait_in_queue(waiting, hangup).await
+        self.wait_in_queue(queued, hangup).await
     }
 
-    async fn wait_in_queue(&self, waiting: Waiting, hangup: &Hangup) -> Result<Start, Failure> {
+    async fn wait_in_queue(
+        &self,
+        queued: QueuedRequest,
+        hangup: &Hangup,
+    ) -> Result<Dispatch, Failure> {
         let _queued = self.metrics.queued();
         // The guard also runs when this future is dropped, which is how a cut connection ends it.
         let mut guard = QueueGuard {
             pool: &self.pool,
-            waiting: Some(waiting),
+            queued: Some(queued),
         };
         let gone = std::pin::pin!(hangup.wait());
-        let turn = match select(guard.turn(), gone).await {
-            Either::Left((turn, _)) => turn,
+        let queue_result = match select(guard.queue_result(), gone).await {
+            Either::Left((queue_result, _)) => queue_result,
             Either::Right(_) => return Err(Failure::CallerGone),
         };
-        let Ok(turn) = turn else {
+        let Ok(queue_result) = queue_result else {
             let refusal = Refusal::not_run(Reason::NotServing, "the service was removed");
             return Err(Failure::Refused(refusal));
         };
         guard.disarm();
-        match turn {
-            Turn::Start(start) => Ok(start),
-            Turn::Refused(refusal) => Err(Failure::Refused(refusal)),
+        match queue_result {
+            QueueResult::Dispatched(dispatch) => Ok(dispatch),
+            QueueResult::Refused(refusal) => Err(Failure::Refused(refusal)),
         }
     }
 
     /// Claims the idempotency key, if there is one. It is claimed last, when a server is at hand, so
     /// that a request that waits or is refused in the queue leaves no record.
-    async fn claim(&self) -> Result<Option<Claimed<'_>>, Failure> {
-        let Some(once) = self.job.once else {
+    async fn claim(&self) -> Result<Option<ClaimGuard<'_>>, Failure> {
+        let Some(idempotency_key) = self.job.idempotency_key else {
             return Ok(None);
         };
         let refused = |refusal| Failure::Refused(Refusal::from_claim(refusal));
-        let grant = self.coordinator.claim(once).await.map_err(refused)?;
+        let grant = self
+            .coordinator
+            .claim(idempotency_key)
+            .await
+            .map_err(refused)?;
         match grant.start(self.clock.now()) {
-            Ok(started) => Ok(Some(Claimed {
+            Ok(started) => Ok(Some(ClaimGuard {
                 coordinator: self.coordinator,
                 started: Some(started),
             })),
@@ -199,88 +207,93 @@
     /// Sends the request, repeatedly where that is allowed.
     async fn send(
         &self,
-        start: Start,
+        dispatch: Dispatch,
         permit: Permit,
         hangup: &Hangup,
     ) -> Result<Response, Failure> {
-        let mut slot = Slot {
+        let mut ticket_guard = TicketGuard {
             pool: &self.pool,
-            ticket: Some(start.ticket.sent()),
+            ticket: Some(dispatch.ticket.sent()),
         };
         let mut running = self.metrics.running();
         let mut attempts = Attempts::new(&self.job);
-        let mut pick = start.pick;
-        let mut address = start.address;
-        let mut claimed = self.claim_for(&pick).await?;
+        let mut pick = dispatch.pick;
+        let mut address = dispatch.address;
+        let mut claim_guard = self.claim_for(&pick).await?;
         loop {
             attempts.facts.attempts += 1;
             attempts.tried.push(pick.server);
-            let run = self.sent_run(&pick, address);
-            let (stage, outcome, late) = match self.attempt(&pick, address, hangup).await {
-                Attempted::Gone => return Err(Failure::CallerGone),
-                Attempted::Overdue => (Stage::NotConnected, Outcome::Cancelled, true),
-                Attempted::Held(refusal) if attempts.facts.written => {
+            let sent = self.sent_attempt(&pick, address);
+            let (stage, outcome, timed_out) = match self.attempt(&pick, address, hangup).await {
+                AttemptResult::CallerGone => return Err(Failure::CallerGone),
+                AttemptResult::DeadlinePassed => (Stage::NotConnected, Outcome::Cancelled, true),
+                AttemptResult::Quarantined(refusal) if attempts.facts.written => {
                     return Err(Failure::Refused(refusal.may_have_run()));
                 }
-                Attempted::Held(refusal) => {
-                    if let Some(claimed) = claimed.take() {
-                        claimed.not_run();
+                AttemptResult::Quarantined(refusal) => {
+                    if let Some(claim_guard) = claim_guard.take() {
+                        claim_guard.not_run();
                     }
                     return Err(Failure::Refused(refusal));
                 }
-                Attempted::Answered(answer) if !self.should_retry(&answer) => {
-                    if let Some(claimed) = claimed.take() {
-                        claimed.completed(answer.status);
+                AttemptResult::Responded(answer) if !self.should_retry(&answer) => {
+                    if let Some(claim_guard) = claim_guard.take() {
+                        claim_guard.completed(answer.status);
                     }
-                    let ticket = slot.take();
-                    let held = Held {
+                    let ticket = ticket_guard.take();
+                    let resources = HeldResources {
                         ticket,
                         permit,
                         running,
                     };
-                    return Ok(self.relay(*answer, held, &pick, run));
+                    return Ok(self.relay(*answer, resources, &pick, sent));
                 }
-                Attempted::Answered(answer) => {
+                AttemptResult::Responded(answer) => {
                     (Stage::Answered, outcome_of_status(answer.status), false)
                 }
-                Attempted::Failed(error) => {
+                AttemptResult::Failed(error) => {
                     if error.is_break() {
-                        run.cut();
+                        sent.on_cut();
                     }
-                    let late = matches!(error.kind, SendErrorKind::HeadTimeout);
-                    (stage_of(&error), self.outcome(&error), late)
+                    let timed_out = matches!(error.kind, SendErrorKind::HeadTimeout);
+                    (stage_of(&error), self.outcome(&error), timed_out)
                 }
             };
             self.end_attempt(&pick, stage, outcome);
-            let next = self
-                .pool
-                .retry(&attempts.facts, stage, &self.job.need, &attempts.tried);
+            let next = self.pool.retry(
+                &attempts.facts,
+                stage,
+                &self.job.requirements,
+                &attempts.tried,
+            );
             attempts.facts.written |= !stage.proves_not_run();
             (pick, address) = match next {
                 Ok(next) => next,
                 // A claim is good for a few seconds only, so its request can't wait for a turn.
-                Err(NoRepeat::Busy(_)) if claimed.is_none() => {
+                Err(NoRetry::Busy(_)) if claim_guard.is_none() => {
                     drop(running);
-                    let start = self.wait_again(slot.take(), &attempts, hangup).await?;
-                    slot.ticket = Some(start.ticket.sent());
+                    let dispatch = self
+                        .requeue_and_wait(ticket_guard.take(), &attempts, hangup)
+                        .await?;
+                    ticket_guard.ticket = Some(dispatch.ticket.sent());
                     running = self.metrics.running();
-                    (start.pick, start.address)
+                    (dispatch.pick, dispatch.address)
                 }
                 Err(none) => {
                     if !attempts.facts.written
-                        && let Some(claimed) = claimed.take()
+                        && let Some(claim_guard) = claim_guard.take()
                     {
-                        claimed.not_run();
+                        claim_guard.not_run();
                     }
-                    return Err(give_up(none.decision(), late));
+                    return Err(give_up(none.decision(), timed_out));
                 }
             };
             self.metrics.retried();
         }
     }
 
-    fn sent_run(&self, pick: &Pick, address: SocketAddr) -> SentRun {
-        SentRun {
+    fn sent_attempt(&self, pick: &Pick, address: SocketAddr) -> SentAttempt {
+        SentAttempt {
             suspects: self.coordinator.suspects().clone(),
             pool: self.pool.clone(),
             server: pick.server,
@@ -291,21 +304,21 @@
     }
 
     /// Waits in the queue for a second turn, after the rule for repeats allowed one.
-    async fn wait_again(
+    async fn requeue_and_wait(
         &self,
         ticket: Ticket<Sent>,
         attempts: &Attempts,
         hangup: &Hangup,
-    ) -> Result<Start, Failure> {
+    ) -> Result<Dispatch, Failure> {
         let ticket = if attempts.facts.written {
             ticket.retry(RetryPermit)
         } else {
             ticket.not_run(NotRun::NothingWritten)
         };
         let tried = attempts.tried.clone();
-        let waiting = self.pool.requeue(ticket, self.job.need, tried);
-        let start = self.wait_in_queue(waiting, hangup).await;
-        start.map_err(|failure| match failure {
+        let queued = self.pool.requeue(ticket, self.job.requirements, tried);
+        let dispatch = self.wait_in_queue(queued, hangup).await;
+        dispatch.map_err(|failure| match failure {
             // The queue knows nothing of the attempts before, and says that nothing ran.
             Failure::Refused(refusal) if attempts.facts.written => {
                 Failure::Refused(refusal.may_have_run())
@@ -315,23 +328,23 @@
     }
 
     /// Like [`Exchange::claim`]; gives the server's slot back when the claim fails.
-    async fn claim_for(&self, pick: &Pick) -> Result<Option<Claimed<'_>>, Failure> {
+    async fn claim_for(&self, pick: &Pick) -> Result<Option<ClaimGuard<'_>>, Failure> {
         let mut guard = AttemptGuard {
             pool: &self.pool,
             pick: Some(*pick),
         };
         reach(Point::Dispatched).await;
-        let claimed = self.claim().await?;
+        let claim_guard = self.claim().await?;
         guard.pick = None;
-        Ok(claimed)
+        Ok(claim_guard)
     }
 
-    async fn attempt(&self, pick: &Pick, address: SocketAddr, hangup: &Hangup) -> Attempted {
+    async fn attempt(&self, pick: &Pick, address: SocketAddr, hangup: &Hangup) -> AttemptResult {
         let limits = SendLimits {
             head_timeout: self.head_timeout(pick),
             ..SendLimits::default()
         };
-        let reuse = if self.job.need.idempotent {
+        let reuse = if self.job.requirements.idempotent {
             Reuse::Allowed
         } else {
             Reuse::Fresh
@@ -347,11 +360,11 @@
         // any more, and what runs now runs behind the back of a caller that has given up on it.
         if self.clock.now() >= self.job.arrival.deadline {
             guard.pick = None;
-            return Attempted::Overdue;
+            return AttemptResult::DeadlinePassed;
         }
         // While the request waited, servers may have ended under others that ask the same.
         if let Err(refusal) = self.coordinator.suspects().admit(self.job.content) {
-            return Attempted::Held(refusal);
+            return AttemptResult::Quarantined(refusal);
         }
         let sent = std::pin::pin!(self.client.send(address, request, &limits, reuse));
         let gone = std::pin::pin!(hangup.wait());
@@ -360,13 +373,13 @@
             Either::Left((Ok(answer), _)) => {
                 reach(Point::Answered).await;
                 guard.pick = None;
-                Attempted::Answered(Box::new(answer))
+                AttemptResult::Responded(Box::new(answer))
             }
             Either::Left((Err(error), _)) => {
                 guard.pick = None;
-                Attempted::Failed(error)
+                AttemptResult::Failed(error)
             }
-            Either::Right(_) => Attempted::Gone,
+            Either::Right(_) => AttemptResult::CallerGone,
         }
     }
 
@@ -378,17 +391,17 @@
         let bound = if self.job.stream {
             pick.patience
         } else {
-            self.job.answer_timeout
+            self.job.response_timeout
         };
         let left = self.job.arrival.deadline.since(self.clock.now());
-        bound.min(left.max(LEAST_TIMEOUT))
+        bound.min(left.max(MIN_TIMEOUT))
     }
 
     /// What a failed attempt says of its server. One that was ended by the caller's own bound says
     /// nothing: a caller with a short bound must not get servers ejected.
     fn outcome(&self, error: &SendError) -> Outcome {
-        let overdue = self.clock.now() >= self.job.arrival.deadline;
-        if overdue && matches!(error.kind, SendErrorKind::HeadTimeout) {
+        let deadline_passed = self.clock.now() >= self.job.arrival.deadline;
+        if deadline_passed && matches!(error.kind, SendErrorKind::HeadTimeout) {
             return Outcome::Cancelled;
         }
         outcome_of_error(error)
@@ -396,7 +409,7 @@
 
     /// Whether an answer is the server's failure rather than the request's, and a repeat is harmless.
     fn should_retry(&self, answer: &Answer) -> bool {
-        self.job.need.idempotent && answer.status.is_server_error()
+        self.job.requirements.idempotent && answer.status.is_server_error()
     }
 
     fn end_attempt(&self, pick: &Pick, stage: Stage, outcome: Outcome) {
@@ -413,22 +426,28 @@
         );
     }
 
-    fn relay(&self, answer: Answer, held: Held, pick: &Pick, run: SentRun) -> Response {
+    fn relay(
+        &self,
+        answer: Answer,
+        resources: HeldResources,
+        pick: &Pick,
+        sent: SentAttempt,
+    ) -> Response {
         let mut response = Response::new(answer.status);
         relay_headers(&answer.headers, response.as_mut());
-        let settle = Settle::new(Watched {
+        let observer = ResponseObserver::new(RequestContext {
             clock: self.clock,
             metrics: self.metrics.clone(),
-            slots: Slots::new(self.pool.clone(), held.ticket, pick.attempt),
-            permit: held.permit,
+            slots: RequestSlots::new(self.pool.clone(), resources.ticket, pick.attempt),
+            permit: resources.permit,
             arrived: self.arrived,
             stream: self.job.stream,
             failed: answer.status.is_server_error(),
-            run,
-            _running: held.running,
+            sent,
+            _running: resources.running,
         });
         let content_type = response.content_type();
-        response.set_body(answer.body.into_body(settle));
+        response.set_body(answer.body.into_body(observer));
         // Setting a body sets its own type.
         if let Some(content_type) = content_type {
             response.set_content_type(content_type);
@@ -452,21 +471,21 @@
     }
 }
 
-enum Attempted {
-    Answered(Box<Answer>),
+enum AttemptResult {
+    Responded(Box<Answer>),
     Failed(SendError),
-    Gone,
+    CallerGone,
     /// The caller's bound passed before a connection was opened.
-    Overdue,
+    DeadlinePassed,
     /// It isn't sent, as servers ended under what it asks.
-    Held(Refusal),
+    Quarantined(Refusal),
 }
 
 impl Attempts {
     fn new(job: &Job) -> Attempts {
         Attempts {
             facts: RequestFacts {
-                idempotent: job.need.idempotent,
+                idempotent: job.requirements.idempotent,
                 relayed: false,
                 written: false,
                 attempts: 0,
--- a/crates/entry/src/exchange/fate.rs
+++ b/crates/entry/src/exchange/classify.rs
@@ -12,12 +12,12 @@
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
 
-pub(super) fn give_up(decision: Decision, late: bool) -> Failure {
+pub(super) fn give_up(decision: Decision, timed_out: bool) -> Failure {
     let (ran, retry_after) = match decision {
         Decision::GiveUp { ran, retry_after } => (Ran::from(ran), retry_after),
         Decision::Retry => (Ran::Unknown, None),
     };
-    let message = match (ran, late) {
+    let message = match (ran, timed_out) {
         (Ran::No, true) => "the request's bound passed before it was sent; it did not run",
         (Ran::No, false) => "no backend server could be reached; the request did not run",
         (Ran::Unknown, true) => {
--- a/crates/entry/src/exchange/guard.rs
+++ b/crates/entry/src/exchange/guard.rs
@@ -13,41 +13,43 @@
 
 use crate::coordination::Coordinator;
 use crate::pool::Pool;
-use crate::pool::Turn;
-use crate::pool::Waiting;
+use crate::pool::QueueResult;
+use crate::pool::QueuedRequest;
 
 /// Takes a request out of the queue when its caller leaves.
 pub(super) struct QueueGuard<'a> {
     pub(super) pool: &'a Pool,
-    pub(super) waiting: Option<Waiting>,
+    pub(super) queued: Option<QueuedRequest>,
 }
 
 impl QueueGuard<'_> {
-    pub(super) fn turn(&mut self) -> &mut oneshot::Receiver<Turn> {
-        let waiting = self.waiting.as_mut();
-        &mut waiting.expect("the guard is disarmed after the turn").turn
+    pub(super) fn queue_result(&mut self) -> &mut oneshot::Receiver<QueueResult> {
+        let queued = self.queued.as_mut();
+        &mut queued
+            .expect("the guard is disarmed after the turn")
+            .queue_result
     }
 
     pub(super) fn disarm(mut self) {
-        self.waiting = None;
+        self.queued = None;
     }
 }
 
 impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        if let Some(waiting) = self.waiting.take() {
-            self.pool.withdraw(waiting);
+        if let Some(queued) = self.queued.take() {
+            self.pool.withdraw(queued);
         }
     }
 }
 
 /// Gives the scheduler's slot back when a request ends without an answer.
-pub(super) struct Slot<'a> {
+pub(super) struct TicketGuard<'a> {
     pub(super) pool: &'a Pool,
     pub(super) ticket: Option<Ticket<Sent>>,
 }
 
-impl Slot<'_> {
+impl TicketGuard<'_> {
     pub(super) fn take(&mut self) -> Ticket<Sent> {
         self.ticket
             .take()
@@ -55,7 +57,7 @@
     }
 }
 
-impl Drop for Slot<'_> {
+impl Drop for TicketGuard<'_> {
     fn drop(&mut self) {
         if let Some(ticket) = &self.ticket {
             self.pool.cancel(ticket.key());
@@ -65,12 +67,12 @@
 
 /// A claim whose request may be sent. Dropped without an outcome, the request counts as one that may
 /// have run: its caller hung up, or the answer never came.
-pub(super) struct Claimed<'a> {
+pub(super) struct ClaimGuard<'a> {
     pub(super) coordinator: &'a Arc<Coordinator>,
     pub(super) started: Option<Started>,
 }
 
-impl Claimed<'_> {
+impl ClaimGuard<'_> {
     pub(super) fn completed(self, status: StatusCode) {
         let status = status.into();
         self.settle(ownership::Outcome::Completed { status });
@@ -87,7 +89,7 @@
     }
 }
 
-impl Drop for Claimed<'_> {
+impl Drop for ClaimGuard<'_> {
     fn drop(&mut self) {
         if let Some(started) = self.started.take() {
             let settlement = started.settle(ownership::Outcome::Unknown);
--- a/crates/entry/src/failpoint.rs
+++ b/crates/entry/src/failpoint.rs
@@ -24,11 +24,11 @@
 }
 
 #[cfg(feature = "failpoints")]
-pub(crate) use on::command;
+pub(crate) use enabled::command;
 #[cfg(feature = "failpoints")]
-pub(crate) use on::pass;
+pub(crate) use enabled::pass;
 #[cfg(feature = "failpoints")]
-pub(crate) use on::reach;
+pub(crate) use enabled::reach;
 
 /// Goes past a point, or waits there as long as a test holds it.
 #[cfg(not(feature = "failpoints"))]
@@ -39,7 +39,7 @@
 pub(crate) fn pass(_: Point) {}
 
 #[cfg(feature = "failpoints")]
-mod on {
+mod enabled {
     use std::sync::atomic::AtomicUsize;
     use std::sync::atomic::Ordering;
     use std::time::Duration;
@@ -69,16 +69,16 @@
     ];
 
     /// One task that waits at a point.
-    struct Held(&'static AtomicUsize);
+    struct WaitingTask(&'static AtomicUsize);
 
-    impl Held {
-        fn new(count: &'static AtomicUsize) -> Held {
+    impl WaitingTask {
+        fn new(count: &'static AtomicUsize) -> WaitingTask {
             count.fetch_add(1, Ordering::SeqCst);
-            Held(count)
+            WaitingTask(count)
         }
     }
 
-    impl Drop for Held {
+    impl Drop for WaitingTask {
         fn drop(&mut self) {
             self.0.fetch_sub(1, Ordering::SeqCst);
         }
@@ -100,7 +100,7 @@
         if !holds(name) {
             return;
         }
-        let _held = Held::new(count);
+        let _waiting = WaitingTask::new(count);
         while holds(name) {
             task::sleep(PAUSE).await;
         }
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -28,15 +28,15 @@
 
 use crate::apply;
 use crate::callers;
-use crate::loads;
 use crate::operator;
-use crate::publish;
-use crate::publish::Addresses;
+use crate::platform_reads;
+use crate::platform_reads::Addresses;
+use crate::polling;
 use crate::refusal::refuse_unread;
 use crate::shared::Shared;
 
 /// Connections of balancers, scrapers and operators at a time.
-const OPERATOR_CONNECTIONS: usize = 256;
+const MAX_OPERATOR_CONNECTIONS: usize = 256;
 
 quick_error! {
     /// Why an instance could not start.
@@ -77,7 +77,7 @@
         let handle = callers.handle();
         let serving = spawn_callers(callers, &shared);
         spawn_operators(operators, &shared);
-        task::spawn(loads::poll(shared.clone()));
+        task::spawn(polling::poll(shared.clone()));
         let event = Event::new("started")
             .with("listen", listen)
             .with("operator", operator)
@@ -132,7 +132,7 @@
         // mark of this instance and count it as lost; two such losses make newcomers refuse fresh keys
         // for a window. A newcomer that serves is known to nearly all, so some that are asked name it.
         self.peers.refresh().await;
-        self.shared.take_view(&self.peers.view());
+        self.shared.on_view(&self.peers.view());
         self.shared.coordinator.hand_over().await;
         self.peers.leave().await;
         self.peers.stop().await;
@@ -154,7 +154,7 @@
 
 fn operator_limits() -> ListenerLimits {
     ListenerLimits {
-        max_connections: OPERATOR_CONNECTIONS,
+        max_connections: MAX_OPERATOR_CONNECTIONS,
         ..ListenerLimits::default()
     }
 }
@@ -203,13 +203,13 @@
     task::spawn(shared.coordinator.clone().run_suspects());
     task::spawn(apply::follow(shared.clone(), handle.clone(), notices));
     if let Some(addresses) = Addresses::new(&settings.platform) {
-        task::spawn(publish::make_reads(
+        task::spawn(platform_reads::run_reads(
             shared.clone(),
             handle.clone(),
             addresses.clone(),
             node.platform,
         ));
-        task::spawn(publish::poll_instances(
+        task::spawn(platform_reads::poll_instances(
             shared.clone(),
             handle.clone(),
             addresses,
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -10,25 +10,25 @@
 //! * A request is decoded and classified (`intake`), waits in its pool, is sent (`exchange`), and its
 //!   answer is watched on its way to the caller (`settle`).
 
+mod active_config;
 mod apply;
 mod callers;
 mod connections;
 mod coordination;
+mod decode;
 mod exchange;
 mod failpoint;
 mod instance;
-mod intake;
-mod loads;
 mod memory;
 mod operator;
 mod payload;
+mod platform_reads;
+mod polling;
 mod pool;
-mod publish;
 mod refusal;
-mod sent_run;
-mod settle;
+mod response_observer;
+mod sent_attempt;
 mod shared;
-mod world;
 
 pub use instance::Instance;
 pub use instance::InstanceHandle;
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -24,8 +24,8 @@
 use http_types::Response;
 use http_types::StatusCode;
 
+use crate::active_config::ActiveConfig;
 use crate::shared::Shared;
-use crate::world::World;
 
 /// How long the peers' thread may take to tell what it knows; a page without it is of use, too.
 const STANDING_TIMEOUT: Millis = Millis::from_secs(1);
@@ -106,31 +106,31 @@
 }
 
 fn status(shared: &Shared, standing: Standing) -> Status {
-    let world = shared.world();
+    let config = shared.config();
     Status {
         instance: shared.settings.id.clone(),
         zone: shared.settings.zone.clone(),
         version: env!("CARGO_PKG_VERSION").to_owned(),
         state: shared.state(),
         uptime_ms: shared.clock.now().0,
-        config: config_status(shared, &world, &standing),
+        config: config_status(shared, &config, &standing),
         peers: standing.peers.into_iter().map(peer_status).collect(),
-        classes: class_statuses(shared, &world),
-        servers: server_statuses(&world),
+        classes: class_statuses(shared, &config),
+        servers: server_statuses(&config),
         limits: limit_statuses(shared),
     }
 }
 
-fn config_status(shared: &Shared, world: &World, standing: &Standing) -> ConfigStatus {
+fn config_status(shared: &Shared, config: &ActiveConfig, standing: &Standing) -> ConfigStatus {
     let parts = shared.parts().into_iter().map(|part| PartStatus {
         team: part.team,
-        revision: part.in_force,
+        revision: part.active,
         published: part.published,
         findings: part.findings,
     });
     ConfigStatus {
-        revision: world.revision,
-        newest_revision: standing.newest.max(world.revision),
+        revision: config.revision,
+        newest_revision: standing.newest.max(config.revision),
         confirmed_ms: standing.confirmed.map(|age| age.0),
         parts: parts.collect(),
     }
@@ -156,12 +156,12 @@
     all
 }
 
-fn class_statuses(shared: &Shared, world: &World) -> Vec<ClassStatus> {
+fn class_statuses(shared: &Shared, config: &ActiveConfig) -> Vec<ClassStatus> {
     let now = shared.clock.now();
-    let classes = world.catalog.classes.iter();
+    let classes = config.catalog.classes.iter();
     let mut all: Vec<ClassStatus> = classes
         .filter_map(|(key, class)| {
-            let metrics = world.classes.get(&key)?;
+            let metrics = config.classes.get(&key)?;
             let windows = Window::ALL.into_iter().map(|window| WindowStatus {
                 window,
                 counts: metrics.window(now, window),
@@ -180,18 +180,18 @@
     all
 }
 
-fn server_statuses(world: &World) -> Vec<ServerStatus> {
+fn server_statuses(config: &ActiveConfig) -> Vec<ServerStatus> {
     let mut all = Vec::new();
-    for (service, pool) in &world.pools {
+    for (service, pool) in &config.pools {
         let state = pool.lock();
-        let Some(service) = world.catalog.services.get(*service) else {
+        let Some(service) = config.catalog.services.get(*service) else {
             continue;
         };
         for &key in &service.servers {
             let Some(standing) = state.router.why(key) else {
                 continue;
             };
-            let server = &world.catalog.servers[key];
+            let server = &config.catalog.servers[key];
             all.push(ServerStatus {
                 server: server.name.clone(),
                 service: service.name.clone(),
--- a/crates/entry/src/publish.rs
+++ b/crates/entry/src/platform_reads.rs
@@ -69,7 +69,7 @@
 
 /// Makes the reads that the peers' node asks for, each in a task of its own: a watch waits for
 /// seconds, and the parts must not wait behind it.
-pub(crate) async fn make_reads(
+pub(crate) async fn run_reads(
     shared: Arc<Shared>,
     peers: PeerHandle,
     addresses: Arc<Addresses>,
@@ -81,7 +81,7 @@
         let addresses = addresses.clone();
         task::spawn(async move {
             let shell = shell(&shared, addresses.current());
-            let read = make_read(&shell, request).await;
+            let read = run_read(&shell, request).await;
             if is_failure(&read) {
                 addresses.advance();
             }
@@ -105,7 +105,7 @@
     }
 }
 
-async fn make_read(shell: &Shell<HttpFetch>, request: PlatformRequest) -> PlatformRead {
+async fn run_read(shell: &Shell<HttpFetch>, request: PlatformRequest) -> PlatformRead {
     match request {
         PlatformRequest::ReadIndex => read_index(shell, Call::Index).await,
         PlatformRequest::WatchIndex { after, wait } => {
@@ -176,7 +176,7 @@
         ..PollerSettings::default()
     };
     let shell = Shell {
-        fetch: Rotating {
+        fetch: FailoverFetch {
             fetch: HttpFetch::new(shared.client.clone()),
             addresses,
         },
@@ -188,13 +188,13 @@
     let mut latest = InstanceList::default();
     let publish = |_: &InstancePoller, update: Update| match update {
         Update::Instances(list) => {
-            take_list(&shared, &peers, &list);
+            on_instance_list(&shared, &peers, &list);
             latest = list;
         }
         // Given to the routers again: a configuration that came into force since may have brought
         // servers that the list calls leaving, and the routers count the age of the list from here.
-        Update::Unchanged => shared.world().take_list(&latest),
-        Update::Unavailable => shared.world().list_unavailable(),
+        Update::Unchanged => shared.config().on_instance_list(&latest),
+        Update::Unavailable => shared.config().list_unavailable(),
         Update::Report(report) => {
             info!("{}", Event::new("instance-list").with("report", &report));
         }
@@ -203,12 +203,12 @@
 }
 
 /// Reads from whichever of the platform's addresses answered last.
-struct Rotating {
+struct FailoverFetch {
     fetch: HttpFetch,
     addresses: Arc<Addresses>,
 }
 
-impl Fetch for Rotating {
+impl Fetch for FailoverFetch {
     async fn get(&self, get: Get) -> Result<Reply, FetchError> {
         let address = self.addresses.current();
         let reply = self.fetch.get(Get { address, ..get }).await;
@@ -219,11 +219,11 @@
     }
 }
 
-fn take_list(shared: &Shared, peers: &PeerHandle, list: &InstanceList) {
+fn on_instance_list(shared: &Shared, peers: &PeerHandle, list: &InstanceList) {
     let entries = list.instances.iter();
     peers.instance_list(entries.filter_map(listed_peer).collect());
-    shared.coordinator.take_list(entry_names(list));
-    shared.world().take_list(list);
+    shared.coordinator.on_instance_list(entry_names(list));
+    shared.config().on_instance_list(list);
 }
 
 fn entry_names(list: &InstanceList) -> impl Iterator<Item = &str> {
--- a/crates/entry/src/loads.rs
+++ b/crates/entry/src/polling.rs
@@ -3,7 +3,7 @@
 //! Both are hints: a server that doesn't answer keeps what is known of it, and its own traffic says
 //! whether it still works. Few servers are polled every second, many rarely: see [`plan`].
 
-mod plan;
+mod schedule;
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,12 +23,12 @@
 use futures::StreamExt;
 use futures::stream;
 
+use crate::active_config::ActiveConfig;
 use crate::coordination::ModelDemand;
-pub(crate) use crate::loads::plan::Cause;
-use crate::loads::plan::MOST_WATCHED;
-use crate::loads::plan::Plan;
+use crate::polling::schedule::MAX_SELECTION_POLLED;
+pub(crate) use crate::polling::schedule::PollReason;
+use crate::polling::schedule::PollSchedule;
 use crate::shared::Shared;
-use crate::world::World;
 
 #[cfg(test)]
 mod tests;
@@ -37,13 +37,13 @@
 const PERIOD: Millis = Millis::from_secs(1);
 
 /// The longest wait for one answer.
-const TIMEOUT: Millis = Millis(800);
+const POLL_TIMEOUT: Millis = Millis(800);
 
 /// Most bytes of an answer.
-const LIMIT: usize = 256 * 1024;
+const MAX_RESPONSE_BYTES: usize = 256 * 1024;
 
 /// Polls that are made at a time.
-const PARALLEL: usize = 32;
+const MAX_CONCURRENT_POLLS: usize = 32;
 
 /// Most cache events taken from one answer; the rest is a gap, which the router copes with.
 const MAX_EVENTS: usize = 1024;
@@ -52,7 +52,7 @@
 
 /// What is remembered of one server between polls.
 #[derive(Clone, Copy, Debug, Default)]
-struct Memory {
+struct PollState {
     /// The least difference seen between this clock and the server's: that of the freshest report.
     offset: Option<i64>,
     /// The number of the last cache event.
@@ -61,19 +61,19 @@
 
 /// One server to poll.
 #[derive(Clone, Debug)]
-struct Target {
+struct PollTarget {
     key: ServerKey,
     address: String,
-    cause: Cause,
+    reason: PollReason,
     is_engine: bool,
-    memory: Memory,
+    poll_state: PollState,
 }
 
 /// What a poll brought.
-struct Polled {
+struct PollResult {
     key: ServerKey,
-    cause: Cause,
-    memory: Memory,
+    reason: PollReason,
+    poll_state: PollState,
     report: Option<(LoadReport, Millis)>,
     /// When the report was asked for.
     asked_at: Millis,
@@ -83,29 +83,35 @@
 /// Polls the servers in reach, once a second at most, as long as the process runs.
 pub(crate) async fn poll(shared: Arc<Shared>) {
     let fetch = HttpFetch::new(shared.client.clone());
-    let mut memories: HashMap<ServerKey, Memory> = HashMap::new();
-    let mut plan = Plan::default();
+    let mut poll_states: HashMap<ServerKey, PollState> = HashMap::new();
+    let mut schedule = PollSchedule::default();
     loop {
-        let world = shared.world();
-        let known = causes(&shared, &world);
-        memories.retain(|key, _| known.contains_key(key));
-        let targets = targets(&world, &known, &mut plan, &memories, shared.clock.now());
+        let config = shared.config();
+        let known = poll_reasons(&shared, &config);
+        poll_states.retain(|key, _| known.contains_key(key));
+        let targets = targets(
+            &config,
+            &known,
+            &mut schedule,
+            &poll_states,
+            shared.clock.now(),
+        );
         let mut polls = stream::iter(targets)
             .map(|target| poll_one(&fetch, shared.clock, target))
-            .buffer_unordered(PARALLEL);
+            .buffer_unordered(MAX_CONCURRENT_POLLS);
         while let Some(polled) = polls.next().await {
-            memories.insert(polled.key, polled.memory);
-            tell_orders(&shared, &world, &polled);
-            take(&shared, &world, polled);
+            poll_states.insert(polled.key, polled.poll_state);
+            report_to_orders(&shared, &config, &polled);
+            apply_result(&shared, &config, polled);
         }
-        tell_demand(&shared, &world);
+        report_demand(&shared, &config);
         task::sleep(PERIOD.into()).await;
     }
 }
 
 /// Hands a reading of an engine to the orders.
-fn tell_orders(shared: &Shared, world: &World, polled: &Polled) {
-    let server = world.catalog.servers.get(polled.key);
+fn report_to_orders(shared: &Shared, config: &ActiveConfig, polled: &PollResult) {
+    let server = config.catalog.servers.get(polled.key);
     if let (Some(server), Some((report, _))) = (server, &polled.report) {
         let orders = shared.coordinator.orders();
         orders.on_report(server.service, polled.key, report, polled.asked_at);
@@ -113,12 +119,12 @@
 }
 
 /// Tells the orders which models are asked for, since the most urgent is loaded first.
-fn tell_demand(shared: &Shared, world: &World) {
+fn report_demand(shared: &Shared, config: &ActiveConfig) {
     let now = shared.clock.now();
-    for (service, pool) in &world.pools {
+    for (service, pool) in &config.pools {
         let recent: Vec<_> = pool.lock().demand.recent(now).collect();
         let demand = recent.into_iter().filter_map(|(model, tier)| {
-            let model = world.catalog.models.get(model)?.id.clone();
+            let model = config.catalog.models.get(model)?.id.clone();
             Some(ModelDemand { model, tier })
         });
         let demand: Vec<ModelDemand> = demand.collect();
@@ -128,57 +134,67 @@
 
 /// The servers to poll, and why: those that this instance may send to, and all engines of the
 /// services for which it sends the orders.
-fn causes(shared: &Shared, world: &World) -> HashMap<ServerKey, Cause> {
+fn poll_reasons(shared: &Shared, config: &ActiveConfig) -> HashMap<ServerKey, PollReason> {
     let mut reached = Vec::new();
-    for pool in world.pools.values() {
+    for pool in config.pools.values() {
         let state = pool.lock();
-        reached.extend(state.in_reach().map(|key| (key, state.poll_cause(key))));
+        reached.extend(state.in_reach().map(|key| (key, state.poll_reason(key))));
     }
-    let watch = reached.len() <= MOST_WATCHED;
-    let reached = reached
-        .into_iter()
-        .map(|(key, cause)| (key, if watch { Cause::Watched } else { cause }));
-    let mut causes: HashMap<ServerKey, Cause> = reached.collect();
+    let poll_for_selection = reached.len() <= MAX_SELECTION_POLLED;
+    let reached = reached.into_iter().map(|(key, reason)| {
+        (
+            key,
+            if poll_for_selection {
+                PollReason::Selection
+            } else {
+                reason
+            },
+        )
+    });
+    let mut poll_reasons: HashMap<ServerKey, PollReason> = reached.collect();
     for service in shared.coordinator.orders().owned() {
-        let Some(service) = world.catalog.services.get(service) else {
+        let Some(service) = config.catalog.services.get(service) else {
             continue;
         };
         for &key in &service.servers {
-            let cause = causes.entry(key).or_insert(Cause::Ordered);
-            *cause = Cause::Ordered.min(*cause);
+            let reason = poll_reasons.entry(key).or_insert(PollReason::Orders);
+            *reason = PollReason::Orders.min(*reason);
         }
     }
-    causes
+    poll_reasons
 }
 
 /// The servers that are due.
 fn targets(
-    world: &World,
-    causes: &HashMap<ServerKey, Cause>,
-    plan: &mut Plan,
-    memories: &HashMap<ServerKey, Memory>,
+    config: &ActiveConfig,
+    poll_reasons: &HashMap<ServerKey, PollReason>,
+    schedule: &mut PollSchedule,
+    poll_states: &HashMap<ServerKey, PollState>,
     now: Millis,
-) -> Vec<Target> {
-    let known: Vec<(ServerKey, Cause)> = causes.iter().map(|(&key, &cause)| (key, cause)).collect();
-    let due = plan.round(&known, now).into_iter();
+) -> Vec<PollTarget> {
+    let known: Vec<(ServerKey, PollReason)> = poll_reasons
+        .iter()
+        .map(|(&key, &reason)| (key, reason))
+        .collect();
+    let due = schedule.round(&known, now).into_iter();
     let targets = due.filter_map(|key| {
-        let server = world.catalog.servers.get(key)?;
-        Some(Target {
+        let server = config.catalog.servers.get(key)?;
+        Some(PollTarget {
             key,
             address: server.address.to_string(),
-            cause: causes[&key],
-            is_engine: world.catalog.services[server.service].kind == Kind::Model,
-            memory: memories.get(&key).copied().unwrap_or_default(),
+            reason: poll_reasons[&key],
+            is_engine: config.catalog.services[server.service].kind == Kind::Model,
+            poll_state: poll_states.get(&key).copied().unwrap_or_default(),
         })
     });
     targets.collect()
 }
 
-async fn poll_one(fetch: &HttpFetch, clock: Clock, target: Target) -> Polled {
-    let mut polled = Polled {
+async fn poll_one(fetch: &HttpFetch, clock: Clock, target: PollTarget) -> PollResult {
+    let mut polled = PollResult {
         key: target.key,
-        cause: target.cause,
-        memory: target.memory,
+        reason: target.reason,
+        poll_state: target.poll_state,
         report: None,
         asked_at: clock.now(),
         events: None,
@@ -187,10 +203,10 @@
     let Some(report) = text.and_then(|text| LoadReport::parse(&text).ok()) else {
         return polled;
     };
-    let age = age(&mut polled.memory, report.at_ms, clock.now());
+    let age = age(&mut polled.poll_state, report.at_ms, clock.now());
     polled.report = Some((report, age));
-    if target.is_engine && target.cause == Cause::Watched {
-        let path = format!("/cache-events?after={}", target.memory.last);
+    if target.is_engine && target.reason == PollReason::Selection {
+        let path = format!("/cache-events?after={}", target.poll_state.last);
         let text = get(fetch, &target.address, path).await;
         polled.events = text.and_then(|text| CacheEvents::parse(&text).ok());
     }
@@ -201,8 +217,8 @@
     let get = Get {
         address: address.to_owned(),
         path,
-        timeout: TIMEOUT,
-        limit: LIMIT,
+        timeout: POLL_TIMEOUT,
+        limit: MAX_RESPONSE_BYTES,
     };
     let reply = fetch.get(get).await.ok()?;
     (reply.status == OK).then_some(reply.body)
@@ -210,27 +226,27 @@
 
 /// How much older a report is than the freshest one seen. The clocks of server and instance aren't
 /// compared: only the differences between reports count.
-fn age(memory: &mut Memory, taken: u64, now: Millis) -> Millis {
+fn age(poll_state: &mut PollState, taken: u64, now: Millis) -> Millis {
     let difference = now.0 as i64 - taken as i64;
-    let least = memory
+    let least = poll_state
         .offset
         .map_or(difference, |offset| offset.min(difference));
-    memory.offset = Some(least);
+    poll_state.offset = Some(least);
     Millis((difference - least).unsigned_abs())
 }
 
-fn take(shared: &Shared, world: &World, mut polled: Polled) {
-    let Some(server) = world.catalog.servers.get(polled.key) else {
+fn apply_result(shared: &Shared, config: &ActiveConfig, mut polled: PollResult) {
+    let Some(server) = config.catalog.servers.get(polled.key) else {
         return;
     };
-    let Some(pool) = world.pools.get(&server.service) else {
+    let Some(pool) = config.pools.get(&server.service) else {
         return;
     };
     let loaded = polled.report.as_ref().map(|(report, _)| {
         let models = report.models.iter();
         let orders = shared.coordinator.orders();
-        let kept = models.filter(|id| !orders.is_spare(server.service, polled.key, id));
-        let known = kept.filter_map(|id| world.catalog.model_of(server.service, id));
+        let kept = models.filter(|id| !orders.is_surplus(server.service, polled.key, id));
+        let known = kept.filter_map(|id| config.catalog.model_of(server.service, id));
         known.collect::<Vec<_>>()
     });
     pool.update(|state, now| {
@@ -242,7 +258,7 @@
             };
             // A rare report is no help to the choice: in the model one each 5 s made the 99th
             // percentile two times worse than none, as prefixes piled up on homes taken for idle.
-            if polled.cause == Cause::Watched {
+            if polled.reason == PollReason::Selection {
                 state.router.load_report(polled.key, report, now);
             } else {
                 state.router.occupancy(polled.key, report);
--- a/crates/entry/src/loads/plan.rs
+++ b/crates/entry/src/polling/schedule.rs
@@ -10,61 +10,65 @@
 /// Above, polls would take more than all the rest of control: 1,073 bytes a second for each server
 /// (docs/CAPACITY.md). Reports that are rarer than every few seconds are worse than none for the
 /// choice of a server, so the choice then goes by the instance's own requests alone.
-pub(super) const MOST_WATCHED: usize = 64;
+pub(super) const MAX_SELECTION_POLLED: usize = 64;
 
 /// Engines that this instance sends orders to: an order needs a report of the last 5 s.
-const ORDERED: Millis = Millis::from_secs(2);
+const ORDERS_PERIOD: Millis = Millis::from_secs(2);
 
 /// Borrowed servers, which get nothing while their report says that they are full.
-const BORROWED: Millis = Millis::from_secs(5);
+const BORROWED_PERIOD: Millis = Millis::from_secs(5);
 
 /// Servers that hold different models: a request for one that was unloaded meanwhile fails.
-const MIXED: Millis = Millis::from_secs(10);
+const HETEROGENEOUS_PERIOD: Millis = Millis::from_secs(10);
 
 /// All others.
-const RARE: Millis = Millis::from_secs(120);
+const BACKGROUND_PERIOD: Millis = Millis::from_secs(120);
 
 /// Why a server is polled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) enum Cause {
+pub(crate) enum PollReason {
     /// In reach, for the choice of a server.
-    Watched,
+    Selection,
     /// This instance sends it orders.
-    Ordered,
+    Orders,
     /// In reach for the moment, beyond the own subset.
     Borrowed,
     /// In reach, in a service whose models are on some servers only.
-    Mixed,
+    Heterogeneous,
     /// In reach.
-    Rare,
+    Background,
 }
 
-impl Cause {
+impl PollReason {
     /// Between two polls; zero for every round.
     fn period(self) -> Millis {
         match self {
-            Cause::Watched => Millis::ZERO,
-            Cause::Ordered => ORDERED,
-            Cause::Borrowed => BORROWED,
-            Cause::Mixed => MIXED,
-            Cause::Rare => RARE,
+            PollReason::Selection => Millis::ZERO,
+            PollReason::Orders => ORDERS_PERIOD,
+            PollReason::Borrowed => BORROWED_PERIOD,
+            PollReason::Heterogeneous => HETEROGENEOUS_PERIOD,
+            PollReason::Background => BACKGROUND_PERIOD,
         }
     }
 }
 
 /// Remembers when each server is due.
 #[derive(Debug, Default)]
-pub(super) struct Plan {
+pub(super) struct PollSchedule {
     due: HashMap<ServerKey, Millis>,
 }
 
-impl Plan {
+impl PollSchedule {
     /// Which of the servers are polled now. One that is new is polled at once.
-    pub(super) fn round(&mut self, servers: &[(ServerKey, Cause)], now: Millis) -> Vec<ServerKey> {
+    pub(super) fn round(
+        &mut self,
+        servers: &[(ServerKey, PollReason)],
+        now: Millis,
+    ) -> Vec<ServerKey> {
         let before = std::mem::take(&mut self.due);
         let mut polled = Vec::new();
-        for (number, &(key, cause)) in servers.iter().enumerate() {
-            let period = cause.period();
+        for (number, &(key, reason)) in servers.iter().enumerate() {
+            let period = reason.period();
             let due = before.get(&key).copied();
             // A cause with a shorter period than the one that set the time comes into its right.
             let due = due.map(|due| due.min(now + period));
--- a/crates/entry/src/pool.rs
+++ b/crates/entry/src/pool.rs
@@ -2,8 +2,8 @@
 
 mod demand;
 mod dispatch;
+mod queue;
 mod reach;
-mod turn;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -41,21 +41,21 @@
 use crocushold_routing::Stage;
 use futures::channel::oneshot;
 
-use crate::pool::demand::Demand as ModelDemand;
+use crate::pool::demand::RecentDemand;
+pub(crate) use crate::pool::queue::Dispatch;
+pub(crate) use crate::pool::queue::NoRetry;
+use crate::pool::queue::QueueEntry;
+pub(crate) use crate::pool::queue::QueueResult;
+pub(crate) use crate::pool::queue::QueuedRequest;
+pub(crate) use crate::pool::queue::Requirements;
 pub(crate) use crate::pool::reach::ServerGroup;
-pub(crate) use crate::pool::turn::Need;
-pub(crate) use crate::pool::turn::NoRepeat;
-pub(crate) use crate::pool::turn::Start;
-pub(crate) use crate::pool::turn::Turn;
-use crate::pool::turn::Waiter;
-pub(crate) use crate::pool::turn::Waiting;
 use crate::refusal::Refusal;
 
 #[cfg(test)]
 mod tests;
 
 /// The longest sleep of a pool's timer task; the router wants to be called about once a second.
-const TICK: Millis = Millis(500);
+const MAX_TIMER_SLEEP: Millis = Millis(500);
 
 /// The window in which arrivals of the live tier are counted to size the headroom: what is left of a
 /// target of a few hundred milliseconds for waiting. Over seconds, released slots absorb any burst;
@@ -63,7 +63,7 @@
 const HEADROOM_WINDOW: Millis = Millis(250);
 
 /// The greatest share of slots that the headroom keeps free.
-const MOST_HEADROOM: f64 = 0.05;
+const MAX_HEADROOM: f64 = 0.05;
 
 /// Consecutive slow samples that eject a straggler.
 const SLOW_SAMPLES: u32 = 3;
@@ -72,7 +72,7 @@
 ///
 /// Started work is never preempted. Without a free slot, a batch of long answers that holds them all
 /// makes every live request wait past its patience, which sheds it for a lower tier.
-const LEAST_HEADROOM: f64 = 0.01;
+const MIN_HEADROOM: f64 = 0.01;
 
 /// The mutable state of a pool. One lock holds scheduler and router together, since a dispatch
 /// takes a slot of both.
@@ -87,14 +87,14 @@
     /// Which of them this instance uses.
     pub(crate) reach: Reach,
     /// The model that last lacked a server.
-    lacking: Option<ModelKey>,
+    missing_model: Option<ModelKey>,
     /// Whether some model is to be held by some of the servers only.
-    mixed: bool,
+    heterogeneous: bool,
     /// The models that servers reported to hold.
     loaded: HashMap<ServerKey, Vec<ModelKey>>,
     retry: RetryPolicy,
-    waiting: HashMap<RequestKey, Waiter>,
-    pub(crate) demand: ModelDemand,
+    queued: HashMap<RequestKey, QueueEntry>,
+    pub(crate) demand: RecentDemand,
 }
 
 /// Settings of a pool.
@@ -128,9 +128,9 @@
             seed: settings.seed,
             queue_bytes: settings.queue_bytes,
             headroom: HeadroomSettings {
-                max_share: MOST_HEADROOM,
+                max_share: MAX_HEADROOM,
                 window: HEADROOM_WINDOW,
-                min_share: LEAST_HEADROOM,
+                min_share: MIN_HEADROOM,
                 ..HeadroomSettings::default()
             },
             ..admission::Settings::default()
@@ -141,13 +141,13 @@
             addresses: HashMap::new(),
             service: settings.service.clone(),
             servers: Vec::new(),
-            mixed: false,
+            heterogeneous: false,
             reach: Reach::new(settings.senders),
-            lacking: None,
+            missing_model: None,
             loaded: HashMap::new(),
             retry: RetryPolicy::new(RetrySettings::default(), clock.now()),
-            waiting: HashMap::new(),
-            demand: ModelDemand::default(),
+            queued: HashMap::new(),
+            demand: RecentDemand::default(),
         };
         Arc::new(Pool {
             clock,
@@ -168,16 +168,20 @@
         let now = self.clock.now();
         let mut state = self.lock();
         let result = change(&mut state, now);
-        state.pump(now);
+        state.run_scheduler(now);
         result
     }
 
     /// Admits a request to the queue, or refuses it.
-    pub(crate) fn submit(&self, arrival: &Arrival, need: Need) -> Result<Waiting, Refusal> {
-        let waiting = self.update(|state, now| state.submit(arrival, need, now))?;
+    pub(crate) fn submit(
+        &self,
+        arrival: &Arrival,
+        requirements: Requirements,
+    ) -> Result<QueuedRequest, Refusal> {
+        let queued = self.update(|state, now| state.submit(arrival, requirements, now))?;
         // A full channel holds a wake-up already.
         let _ = self.wake.try_send(());
-        Ok(waiting)
+        Ok(queued)
     }
 
     /// Takes back a request whose caller left before it took its turn.
@@ -185,13 +189,13 @@
     /// The turn can have been sent already: the caller hangs up between the dispatch and the moment
     /// at which its task runs. The server that was picked holds a slot for it then, which nobody
     /// else would give back. Turns are sent under the lock, so none comes after this look.
-    pub(crate) fn withdraw(&self, mut waiting: Waiting) {
+    pub(crate) fn withdraw(&self, mut queued: QueuedRequest) {
         self.update(|state, now| {
-            if let Ok(Some(Turn::Start(start))) = waiting.turn.try_recv() {
-                let attempt = start.pick.attempt;
+            if let Ok(Some(QueueResult::Dispatched(dispatch))) = queued.queue_result.try_recv() {
+                let attempt = dispatch.pick.attempt;
                 state.router.done(attempt, Outcome::Cancelled, 0, now);
             }
-            state.cancel(waiting.key, now);
+            state.cancel(queued.key, now);
         });
     }
 
@@ -200,10 +204,10 @@
         &self,
         facts: &RequestFacts,
         stage: Stage,
-        need: &Need,
+        requirements: &Requirements,
         tried: &[ServerKey],
-    ) -> Result<(Pick, SocketAddr), NoRepeat> {
-        self.update(|state, now| state.repick(facts, stage, need, tried, now))
+    ) -> Result<(Pick, SocketAddr), NoRetry> {
+        self.update(|state, now| state.pick_for_retry(facts, stage, requirements, tried, now))
     }
 
     /// Puts a request whose attempt failed back into the queue, at its place by arrival.
@@ -213,22 +217,22 @@
     pub(crate) fn requeue(
         &self,
         ticket: Ticket<Dispatched>,
-        need: Need,
+        requirements: Requirements,
         tried: Vec<ServerKey>,
-    ) -> Waiting {
-        let (sender, turn) = oneshot::channel();
+    ) -> QueuedRequest {
+        let (sender, queue_result) = oneshot::channel();
         let key = ticket.key();
-        let waiter = Waiter {
-            turn: sender,
-            need,
+        let entry = QueueEntry {
+            queue_result: sender,
+            requirements,
             tried,
         };
         self.update(|state, now| {
-            state.waiting.insert(key, waiter);
+            state.queued.insert(key, entry);
             state.scheduler.requeue(ticket, now);
         });
         let _ = self.wake.try_send(());
-        Waiting { key, turn }
+        QueuedRequest { key, queue_result }
     }
 
     /// Ends an attempt at a server.
@@ -247,7 +251,7 @@
             let wait = self.update(|state, now| {
                 state.router.tick(now);
                 let at = state.scheduler.wake_at().unwrap_or(Millis::MAX);
-                at.since(now).max(Millis(1)).min(TICK)
+                at.since(now).max(Millis(1)).min(MAX_TIMER_SLEEP)
             });
             let _ = timeout(wait.into(), self.woken.recv()).await;
         }
--- a/crates/entry/src/pool/turn.rs
+++ b/crates/entry/src/pool/queue.rs
@@ -17,16 +17,16 @@
 
 /// What a waiting request is told.
 #[derive(Debug)]
-pub(crate) enum Turn {
+pub(crate) enum QueueResult {
     /// It may be sent to the server that was picked.
-    Start(Start),
+    Dispatched(Dispatch),
     /// It won't run.
     Refused(Refusal),
 }
 
 /// The right to send a request, and where to.
 #[derive(Debug)]
-pub(crate) struct Start {
+pub(crate) struct Dispatch {
     pub(crate) ticket: Ticket<Dispatched>,
     pub(crate) pick: Pick,
     pub(crate) address: SocketAddr,
@@ -34,7 +34,7 @@
 
 /// What a request needs of a server.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Need {
+pub(crate) struct Requirements {
     pub(crate) model: Option<ModelKey>,
     pub(crate) prefix: Option<u64>,
     pub(crate) tier: u8,
@@ -42,7 +42,7 @@
     pub(crate) tokens: u32,
 }
 
-impl Need {
+impl Requirements {
     pub(super) fn demand<'a>(&self, exclude: &'a [ServerKey]) -> Demand<'a> {
         Demand {
             model: self.model,
@@ -57,41 +57,41 @@
 }
 
 /// A dispatched request for which no server could be had.
-pub(super) struct Aside {
+pub(super) struct Deferred {
     pub(super) ticket: Ticket<Dispatched>,
     pub(super) reason: Reason,
     pub(super) model: Option<ModelKey>,
 }
 
 /// The queue's end of a waiting request.
-pub(super) struct Waiter {
-    pub(super) turn: oneshot::Sender<Turn>,
-    pub(super) need: Need,
+pub(super) struct QueueEntry {
+    pub(super) queue_result: oneshot::Sender<QueueResult>,
+    pub(super) requirements: Requirements,
     /// Servers at which it failed already.
     pub(super) tried: Vec<ServerKey>,
 }
 
 /// Why a request isn't sent again at once.
 #[derive(Debug)]
-pub(crate) enum NoRepeat {
+pub(crate) enum NoRetry {
     /// It may be sent to a server that wasn't tried and has no free slot now.
     Busy(Decision),
     /// Its caller gets a final answer.
     Final(Decision),
 }
 
-impl NoRepeat {
+impl NoRetry {
     /// What to tell a caller that won't wait.
     pub(crate) fn decision(self) -> Decision {
         match self {
-            NoRepeat::Busy(decision) | NoRepeat::Final(decision) => decision,
+            NoRetry::Busy(decision) | NoRetry::Final(decision) => decision,
         }
     }
 }
 
 /// A request that was admitted and waits for its turn.
 #[derive(Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedRequest {
     pub(crate) key: RequestKey,
-    pub(crate) turn: oneshot::Receiver<Turn>,
+    pub(crate) queue_result: oneshot::Receiver<QueueResult>,
 }
