--- a/crates/entry/src/pool/reach.rs
+++ b/crates/entry/src/pool/reach.rs
@@ -16,16 +16,16 @@
 use crocushold_routing::ServerSpec;
 use log::info;
 
-use super::Need;
+use super::Requirements;
 use super::State;
-use crate::loads::Cause;
+use crate::polling::PollReason;
 
 /// Attempts of a request that failed within the reach before the next is made beyond the subset.
 ///
 /// The failure: all servers of the subset died a moment ago, and nobody knows yet. Each request has
 /// three attempts; with all of them in the subset the first callers are told that no server could be
 /// reached, while most of the service is up.
-const FAILED_WITHIN: usize = 2;
+const SUBSET_ATTEMPTS: usize = 2;
 
 /// The servers of a service as configured.
 #[derive(Clone, Debug, Default)]
@@ -33,17 +33,17 @@
     /// Each with every model of the service.
     pub(crate) specs: Vec<ServerSpec>,
     /// About how many of them an instance is to use.
-    pub(crate) wanted: usize,
+    pub(crate) subset_size: usize,
     /// Whether some model is to be held by some of them only.
-    pub(crate) mixed: bool,
+    pub(crate) heterogeneous: bool,
 }
 
 impl State {
     /// Takes over the configured servers.
     pub(crate) fn set_servers(&mut self, group: ServerGroup, now: Millis) {
-        self.reach.set_servers(&group.specs, group.wanted);
+        self.reach.set_servers(&group.specs, group.subset_size);
         self.servers = group.specs;
-        self.mixed = group.mixed;
+        self.heterogeneous = group.heterogeneous;
         self.configure_router(now);
     }
 
@@ -71,14 +71,14 @@
     }
 
     /// Why a server in reach is polled where there are many.
-    pub(crate) fn poll_cause(&self, server: ServerKey) -> Cause {
+    pub(crate) fn poll_reason(&self, server: ServerKey) -> PollReason {
         let standing = self.router.why(server);
         if standing.is_some_and(|standing| standing.borrowed) {
-            Cause::Borrowed
-        } else if self.mixed {
-            Cause::Mixed
+            PollReason::Borrowed
+        } else if self.heterogeneous {
+            PollReason::Heterogeneous
         } else {
-            Cause::Rare
+            PollReason::Background
         }
     }
 
@@ -91,13 +91,13 @@
         let mut specs: Vec<ServerSpec> = reached.map(|&(at, _)| self.servers[at].clone()).collect();
         // What a server held when it was last in reach says nothing of what it holds now.
         let mut loaded = HashMap::new();
-        let small = self.reach.is_whole() && !self.reach.is_widened();
-        let blind = !self.mixed || small || self.loaded.is_empty();
+        let covers_all_servers = self.reach.is_whole() && !self.reach.is_widened();
+        let assume_all_models = !self.heterogeneous || covers_all_servers || self.loaded.is_empty();
         for spec in &mut specs {
             if let Some(models) = self.loaded.remove(&spec.key) {
                 spec.models.clone_from(&models);
                 loaded.insert(spec.key, models);
-            } else if !blind {
+            } else if !assume_all_models {
                 // It came into reach a moment ago and may lack the model: its callers would be told
                 // that the model doesn't exist. It reports within a second, while others serve.
                 spec.models.clear();
@@ -114,40 +114,40 @@
     /// The failure: all servers of the subset are down, ejected or full while hundreds of others are
     /// idle, and the callers of this instance wait or are refused. Each step reaches twice as many
     /// servers, so that all are in reach after a few.
-    pub(super) fn follow_lack(
+    pub(super) fn adapt_reach(
         &mut self,
-        lack: Option<(Reason, Option<ModelKey>)>,
+        shortage: Option<(Reason, Option<ModelKey>)>,
         now: Millis,
     ) -> bool {
-        let lack = lack.or_else(|| self.blocked());
-        let Some((reason, model)) = lack else {
-            let serves = self.reach.is_widened() && self.own_serve();
+        let shortage = shortage.or_else(|| self.queue_shortage());
+        let Some((reason, model)) = shortage else {
+            let serves = self.reach.is_widened() && self.own_servers_available();
             if self.reach.on_ease(serves, now) {
                 self.log_reach("reach-narrowed");
                 self.configure_router(now);
             }
             return false;
         };
-        let lack = match reason {
+        let shortage = match reason {
             Reason::NoModel | Reason::Out => Lack::Down,
             Reason::Busy | Reason::Late { .. } | Reason::Cold | Reason::Region | Reason::Tried => {
                 Lack::Full
             }
             Reason::Stale => return false,
         };
-        self.widen(lack, model, now)
+        self.widen(shortage, model, now)
     }
 
     /// Why requests wait although nothing was dispatched: the scheduler asks for no server when
     /// none has a free slot.
-    fn blocked(&self) -> Option<(Reason, Option<ModelKey>)> {
-        let waiting = !self.waiting.is_empty();
-        let reason = self.router.shortage(None).filter(|_| waiting);
+    fn queue_shortage(&self) -> Option<(Reason, Option<ModelKey>)> {
+        let queued = !self.queued.is_empty();
+        let reason = self.router.shortage(None).filter(|_| queued);
         reason.map(|reason| (reason, None))
     }
 
     /// Whether an own server could take a request that lacked one.
-    fn own_serve(&self) -> bool {
+    fn own_servers_available(&self) -> bool {
         self.own_servers().any(|key| {
             let holds = |model| {
                 self.loaded
@@ -158,13 +158,13 @@
                 let standing = self.router.why(key);
                 standing.is_some_and(|standing| standing.in_flight < standing.limit)
             };
-            self.lacking.is_none_or(holds) && free(key)
+            self.missing_model.is_none_or(holds) && free(key)
         })
     }
 
-    fn widen(&mut self, lack: Lack, model: Option<ModelKey>, now: Millis) -> bool {
-        self.lacking = model;
-        let widened = self.reach.on_lack(lack, now);
+    fn widen(&mut self, shortage: Lack, model: Option<ModelKey>, now: Millis) -> bool {
+        self.missing_model = model;
+        let widened = self.reach.on_lack(shortage, now);
         if widened {
             self.log_reach("reach-widened");
             self.configure_router(now);
@@ -185,26 +185,26 @@
 
     /// Picks for a further attempt. Not every request that failed may wait in the queue again, so the
     /// reach is widened at once where no other server in it can be had.
-    pub(super) fn pick_again(
+    pub(super) fn pick_untried_server(
         &mut self,
-        need: &Need,
+        requirements: &Requirements,
         tried: &[ServerKey],
         now: Millis,
     ) -> Result<(Pick, SocketAddr), NoServer> {
-        if tried.len() >= FAILED_WITHIN && !self.reach.is_whole() {
-            self.widen(Lack::Retry, need.model, now);
+        if tried.len() >= SUBSET_ATTEMPTS && !self.reach.is_whole() {
+            self.widen(Lack::Retry, requirements.model, now);
             let own = self.own_servers();
             let exclude: Vec<ServerKey> = own.chain(tried.iter().copied()).collect();
-            if let Ok(picked) = self.pick(need, &exclude, now) {
+            if let Ok(picked) = self.pick(requirements, &exclude, now) {
                 return Ok(picked);
             }
         }
-        let picked = self.pick(need, tried, now);
+        let picked = self.pick(requirements, tried, now);
         let Err(none) = &picked else {
             return picked;
         };
-        if none.reason != Reason::Stale && self.widen(Lack::Retry, need.model, now) {
-            return self.pick(need, tried, now);
+        if none.reason != Reason::Stale && self.widen(Lack::Retry, requirements.model, now) {
+            return self.pick(requirements, tried, now);
         }
         picked
     }
--- a/crates/entry/src/pool/tests.rs
+++ b/crates/entry/src/pool/tests.rs
@@ -19,15 +19,15 @@
 use crocushold_routing::Stage;
 use slotmap::SlotMap;
 
-use super::Need;
+use super::Dispatch;
 use super::Pool;
 use super::PoolSettings;
+use super::QueueResult;
+use super::QueuedRequest;
+use super::Requirements;
 use super::ServerGroup;
-use super::Start;
-use super::Turn;
-use super::Waiting;
 
-const NEED: Need = Need {
+const REQUIREMENTS: Requirements = Requirements {
     model: None,
     prefix: None,
     tier: 0,
@@ -36,14 +36,14 @@
 };
 
 /// A pool of one server with one slot, and an arrival that it admits.
-struct Bed {
+struct SingleServer {
     pool: Arc<Pool>,
     server: ServerKey,
     arrival: Arrival,
 }
 
-impl Bed {
-    fn new() -> Bed {
+impl SingleServer {
+    fn new() -> SingleServer {
         let mut classes: SlotMap<ClassKey, ()> = SlotMap::with_key();
         let mut accounts: SlotMap<AccountKey, ()> = SlotMap::with_key();
         let mut servers: SlotMap<ServerKey, ()> = SlotMap::with_key();
@@ -71,8 +71,8 @@
             };
             let group = ServerGroup {
                 specs: vec![spec],
-                wanted: 8,
-                mixed: false,
+                subset_size: 8,
+                heterogeneous: false,
             };
             state.set_servers(group, now);
         });
@@ -82,7 +82,7 @@
             max_tokens: 1,
             ..Arrival::default()
         };
-        Bed {
+        SingleServer {
             pool,
             server,
             arrival,
@@ -99,40 +99,48 @@
 // didn't, each such moment would shrink the service until the instance is replaced.
 #[test]
 fn a_turn_that_nobody_takes_gives_both_slots_back() {
-    let bed = Bed::new();
-    let waiting = bed.pool.submit(&bed.arrival, NEED).unwrap();
-    assert_eq!(bed.in_flight(), 1, "the turn was sent");
-    bed.pool.withdraw(waiting);
-    assert_eq!(bed.in_flight(), 0);
-    assert!(bed.pool.lock().waiting.is_empty());
+    let single = SingleServer::new();
+    let queued = single.pool.submit(&single.arrival, REQUIREMENTS).unwrap();
+    assert_eq!(single.in_flight(), 1, "the turn was sent");
+    single.pool.withdraw(queued);
+    assert_eq!(single.in_flight(), 0);
+    assert!(single.pool.lock().queued.is_empty());
 }
 
 // A request's attempt fails and it waits for a second turn. Its caller hangs up there, or gets the turn
 // when the slot comes free: either way it holds one place and one slot, and gives back what it holds.
 #[test]
 fn a_second_turn_is_given_and_taken_back_like_the_first() {
-    let bed = Bed::new();
-    let mut first = bed.pool.submit(&bed.arrival, NEED).unwrap();
-    let second = bed.pool.submit(&bed.arrival, NEED).unwrap();
-    let Ok(Some(Turn::Start(start))) = first.turn.try_recv() else {
+    let single = SingleServer::new();
+    let mut first = single.pool.submit(&single.arrival, REQUIREMENTS).unwrap();
+    let second = single.pool.submit(&single.arrival, REQUIREMENTS).unwrap();
+    let Ok(Some(QueueResult::Dispatched(dispatch))) = first.queue_result.try_recv() else {
         panic!("the first has its turn");
     };
     // The second takes the slot that the failed attempt gave back.
-    let attempt = start.pick.attempt;
-    bed.pool.end_attempt(attempt, Outcome::Cancelled, 0);
-    let ticket = start.ticket.sent().not_run(NotRun::NothingWritten);
-    let mut again = bed.pool.requeue(ticket, NEED, vec![bed.server]);
-    assert!(matches!(again.turn.try_recv(), Ok(None)), "it waits");
-    bed.pool.withdraw(second);
-    assert!(matches!(again.turn.try_recv(), Ok(Some(Turn::Start(_)))));
-    assert_eq!(bed.in_flight(), 1);
-    let third = bed.pool.submit(&bed.arrival, NEED).unwrap();
-    bed.pool.withdraw(third);
-    assert_eq!(bed.pool.lock().waiting.len(), 0);
+    let attempt = dispatch.pick.attempt;
+    single.pool.end_attempt(attempt, Outcome::Cancelled, 0);
+    let ticket = dispatch.ticket.sent().not_run(NotRun::NothingWritten);
+    let mut again = single
+        .pool
+        .requeue(ticket, REQUIREMENTS, vec![single.server]);
+    assert!(
+        matches!(again.queue_result.try_recv(), Ok(None)),
+        "it waits"
+    );
+    single.pool.withdraw(second);
+    assert!(matches!(
+        again.queue_result.try_recv(),
+        Ok(Some(QueueResult::Dispatched(_)))
+    ));
+    assert_eq!(single.in_flight(), 1);
+    let third = single.pool.submit(&single.arrival, REQUIREMENTS).unwrap();
+    single.pool.withdraw(third);
+    assert_eq!(single.pool.lock().queued.len(), 0);
 }
 
 /// Sixty servers of eight slots, with two senders each, before twelve instances.
-struct Shared {
+struct SubsetFixture {
     pool: Arc<Pool>,
     keys: Vec<ServerKey>,
     class: ClassKey,
@@ -142,8 +150,8 @@
     now: Millis,
 }
 
-impl Shared {
-    fn new() -> Shared {
+impl SubsetFixture {
+    fn new() -> SubsetFixture {
         let mut models: SlotMap<ModelKey, ()> = SlotMap::with_key();
         let mut classes: SlotMap<ClassKey, ()> = SlotMap::with_key();
         let mut accounts: SlotMap<AccountKey, ()> = SlotMap::with_key();
@@ -152,7 +160,7 @@
             senders: 2,
             ..PoolSettings::default()
         };
-        let shared = Shared {
+        let fixture = SubsetFixture {
             pool: Pool::new(Clock::start(), &settings),
             keys: (0..60).map(|_| servers.insert(())).collect(),
             class: classes.insert(()),
@@ -161,48 +169,48 @@
             now: Millis(1_000),
         };
         let class = ClassSpec {
-            key: shared.class,
+            key: fixture.class,
             max_wait: Millis::MAX,
             ..ClassSpec::default()
         };
         let account = AccountSpec {
-            key: shared.account,
+            key: fixture.account,
             ..AccountSpec::default()
         };
-        let specs = shared.keys.iter().zip(0..).map(|(&key, at)| ServerSpec {
+        let specs = fixture.keys.iter().zip(0..).map(|(&key, at)| ServerSpec {
             key,
             id: 1 + at * 1_000_003,
             zone: String::new(),
             region: None,
             concurrency: 8,
-            models: vec![shared.model],
+            models: vec![fixture.model],
         });
         let group = ServerGroup {
             specs: specs.collect(),
-            wanted: 8,
-            mixed: true,
+            subset_size: 8,
+            heterogeneous: true,
         };
-        let now = shared.now;
-        let mut state = shared.pool.lock();
+        let now = fixture.now;
+        let mut state = fixture.pool.lock();
         state.scheduler.configure(&[class], &[account], now);
-        for &key in &shared.keys {
+        for &key in &fixture.keys {
             state.addresses.insert(key, ([127, 0, 0, 1], 1).into());
         }
         state.set_servers(group, now);
         state.set_fleet(&fleet(1..13), now);
         drop(state);
-        shared
+        fixture
     }
 
     fn own(&self) -> Vec<ServerKey> {
         self.pool.lock().in_reach().collect()
     }
 
-    fn submit(&self) -> Waiting {
-        self.submit_for(NEED)
+    fn submit(&self) -> QueuedRequest {
+        self.submit_for(REQUIREMENTS)
     }
 
-    fn submit_for(&self, need: Need) -> Waiting {
+    fn submit_for(&self, requirements: Requirements) -> QueuedRequest {
         let arrival = Arrival {
             class: self.class,
             account: self.account,
@@ -210,29 +218,31 @@
             ..Arrival::default()
         };
         let mut state = self.pool.lock();
-        let waiting = state.submit(&arrival, need, self.now).unwrap();
-        state.pump(self.now);
-        waiting
+        let queued = state.submit(&arrival, requirements, self.now).unwrap();
+        state.run_scheduler(self.now);
+        queued
     }
 
     /// Lets the scheduler run at a later time.
     fn wait(&mut self, ms: u64) {
         self.now += Millis(ms);
-        self.pool.lock().pump(self.now);
+        self.pool.lock().run_scheduler(self.now);
     }
 
-    fn end(&self, start: &Start, outcome: Outcome) {
+    fn end(&self, dispatch: &Dispatch, outcome: Outcome) {
         let mut state = self.pool.lock();
-        state.router.done(start.pick.attempt, outcome, 0, self.now);
-        state.scheduler.cancel(start.ticket.key(), 0, self.now);
-        state.pump(self.now);
+        state
+            .router
+            .done(dispatch.pick.attempt, outcome, 0, self.now);
+        state.scheduler.cancel(dispatch.ticket.key(), 0, self.now);
+        state.run_scheduler(self.now);
     }
 
     fn refuse_all(&self, servers: &[ServerKey]) {
         for _ in servers {
-            let start = turn(&mut self.submit()).unwrap();
-            assert!(servers.contains(&start.pick.server));
-            self.end(&start, Outcome::Refused);
+            let dispatch = dispatched(&mut self.submit()).unwrap();
+            assert!(servers.contains(&dispatch.pick.server));
+            self.end(&dispatch, Outcome::Refused);
         }
     }
 }
@@ -245,10 +255,10 @@
     }
 }
 
-fn turn(waiting: &mut Waiting) -> Option<Start> {
-    match waiting.turn.try_recv().unwrap()? {
-        Turn::Start(start) => Some(start),
-        Turn::Refused(refusal) => panic!("{refusal:?}"),
+fn dispatched(queued: &mut QueuedRequest) -> Option<Dispatch> {
+    match queued.queue_result.try_recv().unwrap()? {
+        QueueResult::Dispatched(dispatch) => Some(dispatch),
+        QueueResult::Refused(refusal) => panic!("{refusal:?}"),
     }
 }
 
@@ -256,31 +266,31 @@
 // is served by one of those at once, instead of waiting for a server that is gone.
 #[test]
 fn a_dead_subset_refuses_nobody() {
-    let mut shared = Shared::new();
-    let own = shared.own();
+    let mut fixture = SubsetFixture::new();
+    let own = fixture.own();
     assert!((6..=16).contains(&own.len()), "{}", own.len());
-    shared.refuse_all(&own);
-    let start = turn(&mut shared.submit()).expect("served at once");
-    assert!(!own.contains(&start.pick.server));
-    shared.end(&start, Outcome::Complete);
-    assert!(shared.own().len() > own.len());
+    fixture.refuse_all(&own);
+    let dispatch = dispatched(&mut fixture.submit()).expect("served at once");
+    assert!(!own.contains(&dispatch.pick.server));
+    fixture.end(&dispatch, Outcome::Complete);
+    assert!(fixture.own().len() > own.len());
     // The own servers are tried again, answer, and are enough after a while.
     for _ in 0..40 {
-        shared.wait(500);
-        let start = turn(&mut shared.submit()).unwrap();
-        shared.end(&start, Outcome::Complete);
+        fixture.wait(500);
+        let dispatch = dispatched(&mut fixture.submit()).unwrap();
+        fixture.end(&dispatch, Outcome::Complete);
     }
-    assert_eq!(shared.own(), own);
+    assert_eq!(fixture.own(), own);
 }
 
 // A request failed on a server, and all servers of the subset are out. It doesn't wait in the queue
 // again, so what is free elsewhere has to be found now, or the caller is refused beside it.
 #[test]
 fn a_failed_attempt_goes_beyond_the_subset() {
-    let shared = Shared::new();
-    let own = shared.own();
-    shared.refuse_all(&own);
-    assert_eq!(shared.own(), own, "nobody lacked a server so far");
+    let fixture = SubsetFixture::new();
+    let own = fixture.own();
+    fixture.refuse_all(&own);
+    assert_eq!(fixture.own(), own, "nobody lacked a server so far");
     let facts = RequestFacts {
         idempotent: true,
         relayed: false,
@@ -288,11 +298,13 @@
         attempts: 1,
         deadline: Millis::MAX,
     };
-    let picked =
-        shared
-            .pool
-            .lock()
-            .repick(&facts, Stage::NotConnected, &NEED, &own[..1], shared.now);
+    let picked = fixture.pool.lock().pick_for_retry(
+        &facts,
+        Stage::NotConnected,
+        &REQUIREMENTS,
+        &own[..1],
+        fixture.now,
+    );
     let (pick, _) = picked.unwrap();
     assert!(!own.contains(&pick.server));
 }
@@ -301,8 +313,8 @@
 // third and last must not be spent on it.
 #[test]
 fn the_last_attempt_is_made_beyond_the_subset() {
-    let shared = Shared::new();
-    let own = shared.own();
+    let fixture = SubsetFixture::new();
+    let own = fixture.own();
     let facts = RequestFacts {
         idempotent: false,
         relayed: false,
@@ -310,9 +322,15 @@
         attempts: 2,
         deadline: Millis::MAX,
     };
-    let mut state = shared.pool.lock();
+    let mut state = fixture.pool.lock();
     let tried = &own[..2];
-    let picked = state.repick(&facts, Stage::NotConnected, &NEED, tried, shared.now);
+    let picked = state.pick_for_retry(
+        &facts,
+        Stage::NotConnected,
+        &REQUIREMENTS,
+        tried,
+        fixture.now,
+    );
     let (pick, _) = picked.unwrap();
     assert!(!own.contains(&pick.server));
 }
@@ -322,43 +340,43 @@
 // or an overload of the whole fleet would put more on every server than it can run.
 #[test]
 fn a_full_subset_borrows_from_servers_that_are_not_full() {
-    let mut shared = Shared::new();
-    let own = shared.own();
-    let slots = shared.pool.lock().router.free(shared.now);
-    let starts: Vec<_> = (0..slots)
-        .map(|_| turn(&mut shared.submit()).unwrap())
+    let mut fixture = SubsetFixture::new();
+    let own = fixture.own();
+    let slots = fixture.pool.lock().router.free(fixture.now);
+    let dispatches: Vec<_> = (0..slots)
+        .map(|_| dispatched(&mut fixture.submit()).unwrap())
         .collect();
-    let mut late = shared.submit();
-    assert!(turn(&mut late).is_none());
-    shared.wait(900);
-    assert!(turn(&mut late).is_none());
-    shared.wait(200);
-    let start = turn(&mut late).expect("borrowed");
-    assert!(!own.contains(&start.pick.server));
+    let mut late = fixture.submit();
+    assert!(dispatched(&mut late).is_none());
+    fixture.wait(900);
+    assert!(dispatched(&mut late).is_none());
+    fixture.wait(200);
+    let dispatch = dispatched(&mut late).expect("borrowed");
+    assert!(!own.contains(&dispatch.pick.server));
     let full = LoadReport {
         running: 8,
         ..LoadReport::default()
     };
-    let beyond: Vec<_> = shared
+    let beyond: Vec<_> = fixture
         .own()
         .into_iter()
         .filter(|key| !own.contains(key))
         .collect();
     for &key in &beyond {
-        let now = shared.now;
-        shared.pool.lock().router.load_report(key, full, now);
+        let now = fixture.now;
+        fixture.pool.lock().router.load_report(key, full, now);
     }
-    let mut next = shared.submit();
-    shared.wait(5_000);
-    assert!(turn(&mut next).is_none(), "all others are full");
+    let mut next = fixture.submit();
+    fixture.wait(5_000);
+    assert!(dispatched(&mut next).is_none(), "all others are full");
     for &key in &beyond {
-        let now = shared.now;
+        let now = fixture.now;
         let idle = LoadReport::default();
-        shared.pool.lock().router.load_report(key, idle, now);
+        fixture.pool.lock().router.load_report(key, idle, now);
     }
-    shared.wait(100);
-    assert!(turn(&mut next).is_some());
-    drop(starts);
+    fixture.wait(100);
+    assert!(dispatched(&mut next).is_some());
+    drop(dispatches);
 }
 
 // A model is to be held by a few servers, none of which is in the subset. The request for it reaches
@@ -366,82 +384,82 @@
 // hasn't said that it holds the model: the caller would be told that there is none.
 #[test]
 fn a_model_outside_the_subset_is_found() {
-    let mut shared = Shared::new();
-    let own = shared.own();
-    let report = |shared: &Shared, key, models: &[ModelKey]| {
-        let mut state = shared.pool.lock();
-        state.set_loaded(key, models.to_vec(), shared.now);
+    let mut fixture = SubsetFixture::new();
+    let own = fixture.own();
+    let report = |fixture: &SubsetFixture, key, models: &[ModelKey]| {
+        let mut state = fixture.pool.lock();
+        state.set_loaded(key, models.to_vec(), fixture.now);
     };
     for &key in &own {
-        report(&shared, key, &[]);
+        report(&fixture, key, &[]);
     }
-    let need = Need {
-        model: Some(shared.model),
-        ..NEED
+    let requirements = Requirements {
+        model: Some(fixture.model),
+        ..REQUIREMENTS
     };
-    let mut waiting = shared.submit_for(need);
-    let reached = shared.own();
+    let mut queued = fixture.submit_for(requirements);
+    let reached = fixture.own();
     assert!(reached.len() > own.len(), "looked for at once");
-    assert!(turn(&mut waiting).is_none(), "not sent blindly");
+    assert!(dispatched(&mut queued).is_none(), "not sent blindly");
     let holder = *reached.iter().find(|key| !own.contains(key)).unwrap();
-    report(&shared, holder, &[shared.model]);
-    shared.wait(100);
-    let start = turn(&mut waiting).expect("served");
-    assert_eq!(start.pick.server, holder);
-    shared.end(&start, Outcome::Complete);
+    report(&fixture, holder, &[fixture.model]);
+    fixture.wait(100);
+    let dispatch = dispatched(&mut queued).expect("served");
+    assert_eq!(dispatch.pick.server, holder);
+    fixture.end(&dispatch, Outcome::Complete);
     // Narrowing would only lose it again.
     for _ in 0..60 {
-        shared.wait(500);
+        fixture.wait(500);
     }
-    assert!(shared.own().contains(&holder));
+    assert!(fixture.own().contains(&holder));
 }
 
 // No server of the whole service holds a model. Its callers are told so once all have been asked,
 // and don't wait for ever.
 #[test]
 fn a_model_that_nobody_holds_is_refused() {
-    let mut shared = Shared::new();
-    for key in shared.own() {
-        shared.pool.lock().set_loaded(key, Vec::new(), shared.now);
+    let mut fixture = SubsetFixture::new();
+    for key in fixture.own() {
+        fixture.pool.lock().set_loaded(key, Vec::new(), fixture.now);
     }
-    let need = Need {
-        model: Some(shared.model),
-        ..NEED
+    let requirements = Requirements {
+        model: Some(fixture.model),
+        ..REQUIREMENTS
     };
-    let mut waiting = shared.submit_for(need);
+    let mut queued = fixture.submit_for(requirements);
     for _ in 0..6 {
-        for key in shared.own() {
-            shared.pool.lock().set_loaded(key, Vec::new(), shared.now);
+        for key in fixture.own() {
+            fixture.pool.lock().set_loaded(key, Vec::new(), fixture.now);
         }
-        shared.wait(2_000);
+        fixture.wait(2_000);
     }
-    assert_eq!(shared.own().len(), shared.keys.len());
-    let told = waiting.turn.try_recv().unwrap();
-    assert!(matches!(told, Some(Turn::Refused(_))), "{told:?}");
+    assert_eq!(fixture.own().len(), fixture.keys.len());
+    let told = queued.queue_result.try_recv().unwrap();
+    assert!(matches!(told, Some(QueueResult::Refused(_))), "{told:?}");
 }
 
 // An instance joins, and some servers of this one become others'. The answers that they give this
 // instance's callers go on to their end, their slots come back, and no new request goes there.
 #[test]
 fn a_server_that_leaves_the_subset_finishes() {
-    let shared = Shared::new();
-    let starts: Vec<_> = (0..20)
-        .map(|_| turn(&mut shared.submit()).unwrap())
+    let fixture = SubsetFixture::new();
+    let dispatches: Vec<_> = (0..20)
+        .map(|_| dispatched(&mut fixture.submit()).unwrap())
         .collect();
-    let before = shared.own();
-    shared.pool.lock().set_fleet(&fleet(1..18), shared.now);
-    let after = shared.own();
+    let before = fixture.own();
+    fixture.pool.lock().set_fleet(&fleet(1..18), fixture.now);
+    let after = fixture.own();
     let left: Vec<_> = before.iter().filter(|key| !after.contains(key)).collect();
     assert!(!left.is_empty());
-    let on_left = starts.iter().filter(|s| left.contains(&&s.pick.server));
+    let on_left = dispatches.iter().filter(|s| left.contains(&&s.pick.server));
     assert!(on_left.count() > 0);
-    for start in starts {
-        let server = start.pick.server;
-        let standing = shared.pool.lock().router.why(server);
+    for dispatch in dispatches {
+        let server = dispatch.pick.server;
+        let standing = fixture.pool.lock().router.why(server);
         assert!(standing.is_some_and(|standing| standing.in_flight > 0));
-        shared.end(&start, Outcome::Complete);
+        fixture.end(&dispatch, Outcome::Complete);
     }
-    let state = shared.pool.lock();
+    let state = fixture.pool.lock();
     assert!(left.iter().all(|key| state.router.why(**key).is_none()));
     for key in after {
         assert_eq!(state.router.why(key).unwrap().in_flight, 0);
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -10,7 +10,7 @@
 use http_types::StatusCode;
 use serde::Serialize;
 
-use crate::coordination::LimitHit;
+use crate::coordination::LimitExceeded;
 use crate::coordination::LimitKind;
 
 /// Why a request is not served. The name is part of the interface towards callers.
@@ -237,8 +237,8 @@
     }
 
     /// The refusal of a request over one of its account's limits.
-    pub(crate) fn from_limit(hit: LimitHit) -> Refusal {
-        let (reason, message) = match hit.kind {
+    pub(crate) fn from_limit(exceeded: LimitExceeded) -> Refusal {
+        let (reason, message) = match exceeded.kind {
             LimitKind::Requests => (Reason::RateLimited, "too many requests"),
             LimitKind::Tokens => (Reason::RateLimited, "too many tokens"),
             LimitKind::Concurrency => (
@@ -246,7 +246,7 @@
                 "too many requests are in progress",
             ),
         };
-        Refusal::not_run(reason, message).retry_after(hit.retry_after)
+        Refusal::not_run(reason, message).retry_after(exceeded.retry_after)
     }
 
     /// The refusal of a request that was not admitted, or waited in vain.
--- a/crates/entry/src/settle.rs
+++ b/crates/entry/src/response_observer.rs
@@ -23,11 +23,11 @@
 use crate::failpoint::Point;
 use crate::failpoint::pass;
 use crate::pool::Pool;
-use crate::sent_run::SentRun;
+use crate::sent_attempt::SentAttempt;
 
 /// Tokens between two reports of progress: often enough to see a straggler, seldom enough that the
 /// pool's lock isn't taken for each token.
-const REPORT_EVERY: u64 = 16;
+const PROGRESS_TOKENS: u64 = 16;
 
 /// Bytes kept of the end of an answer that isn't streamed; its usage stands there.
 const TAIL_BYTES: usize = 2048;
@@ -36,15 +36,15 @@
 ///
 /// A panic on the way to the settlement would leak them: the server would count one request more for
 /// ever, and take one less. The drop gives them back wherever that happens.
-pub(crate) struct Slots {
+pub(crate) struct RequestSlots {
     pool: Arc<Pool>,
     ticket: Option<Ticket<Sent>>,
     attempt: AttemptKey,
 }
 
-impl Slots {
-    pub(crate) fn new(pool: Arc<Pool>, ticket: Ticket<Sent>, attempt: AttemptKey) -> Slots {
-        Slots {
+impl RequestSlots {
+    pub(crate) fn new(pool: Arc<Pool>, ticket: Ticket<Sent>, attempt: AttemptKey) -> RequestSlots {
+        RequestSlots {
             pool,
             ticket: Some(ticket),
             attempt,
@@ -74,7 +74,7 @@
     }
 }
 
-impl Drop for Slots {
+impl Drop for RequestSlots {
     fn drop(&mut self) {
         if let Some(ticket) = self.ticket.take() {
             self.pool.end_attempt(self.attempt, Outcome::Cancelled, 0);
@@ -84,10 +84,10 @@
 }
 
 /// What is needed to settle a request.
-pub(crate) struct Watched {
+pub(crate) struct RequestContext {
     pub(crate) clock: Clock,
     pub(crate) metrics: ClassMetrics,
-    pub(crate) slots: Slots,
+    pub(crate) slots: RequestSlots,
     pub(crate) permit: Permit,
     pub(crate) arrived: Millis,
     /// Whether the answer is a stream of server-sent events.
@@ -95,24 +95,24 @@
     /// Whether the answer's status is the server's own failure.
     pub(crate) failed: bool,
     /// What is told of its server.
-    pub(crate) run: SentRun,
+    pub(crate) sent: SentAttempt,
     /// Counts the request as in flight; held for its drop alone.
     pub(crate) _running: Occupancy,
 }
 
 /// Settles one request exactly once: at the end of its answer, whatever the end.
-pub(crate) struct Settle {
-    watched: Option<Watched>,
+pub(crate) struct ResponseObserver {
+    context: Option<RequestContext>,
     counter: EventCounter,
     tail: Vec<u8>,
     first: Option<Millis>,
     reported: u64,
 }
 
-impl Settle {
-    pub(crate) fn new(watched: Watched) -> Settle {
-        Settle {
-            watched: Some(watched),
+impl ResponseObserver {
+    pub(crate) fn new(context: RequestContext) -> ResponseObserver {
+        ResponseObserver {
+            context: Some(context),
             counter: EventCounter::new(),
             tail: Vec::new(),
             first: None,
@@ -120,25 +120,25 @@
         }
     }
 
-    fn note_first(&mut self) {
-        let Some(watched) = &self.watched else {
+    fn record_first_token(&mut self) {
+        let Some(context) = &self.context else {
             return;
         };
-        let now = watched.clock.now();
+        let now = context.clock.now();
         self.first = Some(now);
-        watched
+        context
             .metrics
-            .observe_first_token(now.since(watched.arrived));
-        self.report(1);
+            .observe_first_token(now.since(context.arrived));
+        self.report_progress(1);
     }
 
-    fn report(&mut self, tokens: u64) {
-        let Some(watched) = &self.watched else {
+    fn report_progress(&mut self, tokens: u64) {
+        let Some(context) = &self.context else {
             return;
         };
         self.reported = tokens;
         let count = u32::try_from(tokens).unwrap_or(u32::MAX);
-        watched.slots.progress(count);
+        context.slots.progress(count);
     }
 
     fn keep_tail(&mut self, bytes: &[u8]) {
@@ -159,79 +159,79 @@
     }
 
     fn settle(&mut self, end: End) {
-        let Some(watched) = self.watched.take() else {
+        let Some(context) = self.context.take() else {
             return;
         };
-        let tokens = self.tokens(watched.stream);
-        let truncated = watched.stream && !watched.failed && !self.counter.is_done();
+        let tokens = self.tokens(context.stream);
+        let truncated = context.stream && !context.failed && !self.counter.is_done();
         let cut = match end {
             End::Cut { cause, .. } => Some(cause),
             End::Complete { .. } | End::Dropped { .. } => None,
         };
         let (outcome, end) = match end {
-            End::Complete { .. } if watched.failed => (Outcome::Failed, RequestEnd::Completed),
+            End::Complete { .. } if context.failed => (Outcome::Failed, RequestEnd::Completed),
             End::Complete { .. } if truncated => (Outcome::Cut, RequestEnd::Cut),
             End::Complete { .. } => (Outcome::Complete, RequestEnd::Completed),
             End::Cut { .. } => (Outcome::Cut, RequestEnd::Cut),
             End::Dropped { .. } => (Outcome::Cancelled, RequestEnd::Cancelled),
         };
         match cut {
-            Some(cause) if cause.is_break() => watched.run.cut(),
-            None if end == RequestEnd::Completed && !watched.failed => watched.run.served(),
+            Some(cause) if cause.is_break() => context.sent.on_cut(),
+            None if end == RequestEnd::Completed && !context.failed => context.sent.on_served(),
             _ => {}
         }
-        let record = self.record(&watched, end, tokens);
-        finish(watched, outcome, &record);
+        let record = self.record(&context, end, tokens);
+        finish(context, outcome, &record);
     }
 
-    fn record(&self, watched: &Watched, end: RequestEnd, tokens: u64) -> RequestRecord {
-        let now = watched.clock.now();
-        let first = self.first.filter(|_| watched.stream);
+    fn record(&self, context: &RequestContext, end: RequestEnd, tokens: u64) -> RequestRecord {
+        let now = context.clock.now();
+        let first = self.first.filter(|_| context.stream);
         let token_gap = first
             .filter(|_| tokens > 1)
             .map(|first| Millis(now.since(first).0 / (tokens - 1)));
         RequestRecord {
             end,
-            first_token: first.map(|first| first.since(watched.arrived)),
+            first_token: first.map(|first| first.since(context.arrived)),
             token_gap,
-            whole: now.since(watched.arrived),
+            whole: now.since(context.arrived),
             tokens,
         }
     }
 }
 
-fn finish(watched: Watched, outcome: Outcome, record: &RequestRecord) {
+fn finish(context: RequestContext, outcome: Outcome, record: &RequestRecord) {
     let count = u32::try_from(record.tokens).unwrap_or(u32::MAX);
     let completion = Completion {
         output: count,
         complete: record.end == RequestEnd::Completed,
     };
-    let now = watched.clock.now();
+    let now = context.clock.now();
     let cause = match record.end {
         RequestEnd::Cut => Some(WasteCause::Cut),
         RequestEnd::Cancelled => Some(WasteCause::CallerGone),
         _ => None,
     };
     if let Some(cause) = cause {
-        watched.metrics.wasted(cause, record.tokens, record.whole);
+        context.metrics.wasted(cause, record.tokens, record.whole);
     }
-    watched.metrics.finish(record, now);
-    watched.permit.settle(count, completion.complete);
-    watched.slots.end(outcome, completion);
+    context.metrics.finish(record, now);
+    context.permit.settle(count, completion.complete);
+    context.slots.end(outcome, completion);
 }
 
-impl Observer for Settle {
+impl Observer for ResponseObserver {
     fn chunk(&mut self, bytes: &[u8]) {
-        if self.watched.as_ref().is_some_and(|watched| !watched.stream) {
+        if self.context.as_ref().is_some_and(|context| !context.stream) {
             self.keep_tail(bytes);
             return;
         }
         self.counter.push(bytes);
         let events = self.counter.events();
         if self.first.is_none() && events > 0 {
-            self.note_first();
-        } else if events >= self.reported + REPORT_EVERY {
-            self.report(events);
+            self.record_first_token();
+        } else if events >= self.reported + PROGRESS_TOKENS {
+            self.report_progress(events);
         }
     }
 
--- a/crates/entry/src/sent_run.rs
+++ b/crates/entry/src/sent_attempt.rs
@@ -12,7 +12,7 @@
 use crate::pool::Pool;
 
 /// One send of a request to a backend server.
-pub(crate) struct SentRun {
+pub(crate) struct SentAttempt {
     pub(crate) suspects: Arc<Suspects>,
     pub(crate) pool: Arc<Pool>,
     pub(crate) server: ServerKey,
@@ -22,18 +22,18 @@
     pub(crate) sent: Millis,
 }
 
-impl SentRun {
+impl SentAttempt {
     /// The server broke the connection off.
-    pub(crate) fn cut(&self) {
+    pub(crate) fn on_cut(&self) {
         // A planned end cuts what is left at the end of its grace.
         if !self.is_leaving() {
-            self.suspects.run_cut(self.content, self.address, self.sent);
+            self.suspects.on_cut(self.content, self.address, self.sent);
         }
     }
 
     /// The answer came whole.
-    pub(crate) fn served(&self) {
-        self.suspects.served(self.content);
+    pub(crate) fn on_served(&self) {
+        self.suspects.on_served(self.content);
     }
 
     fn is_leaving(&self) -> bool {
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -27,18 +27,18 @@
 use crocushold_routing::Share;
 use twox_hash::XxHash3_64;
 
+use crate::active_config::ActiveConfig;
+use crate::active_config::Builder;
 use crate::connections::Connections;
 use crate::coordination::Coordinator;
-use crate::memory::most_held;
-use crate::world::Builder;
-use crate::world::World;
+use crate::memory::max_memory;
 
 /// What is known of one team's part of the configuration.
 #[derive(Clone, Debug)]
 pub(crate) struct PartInfo {
     pub(crate) team: String,
     pub(crate) published: u64,
-    pub(crate) in_force: u64,
+    pub(crate) active: u64,
     pub(crate) findings: u64,
 }
 
@@ -55,7 +55,7 @@
     pub(crate) connections: Connections,
     pub(crate) seed: u64,
     builder: Builder,
-    world: RwLock<Arc<World>>,
+    config: RwLock<Arc<ActiveConfig>>,
     parts: Mutex<Vec<PartInfo>>,
     peers: Mutex<Option<PeerHandle>>,
     draining: AtomicBool,
@@ -81,7 +81,7 @@
             zone: settings.zone.clone(),
             version: env!("CARGO_PKG_VERSION").to_owned(),
         });
-        metrics.set_memory_bound(most_held(&settings, claims.capacity));
+        metrics.set_memory_bound(max_memory(&settings, claims.capacity));
         let builder = Builder::new(clock, &settings, seed, metrics.clone());
         let client = Client::new(PoolLimits::default());
         Shared {
@@ -93,7 +93,7 @@
             connections: Connections::new(settings.limits.per_account),
             seed,
             builder,
-            world: RwLock::new(Arc::new(World::default())),
+            config: RwLock::new(Arc::new(ActiveConfig::default())),
             parts: Mutex::new(Vec::new()),
             peers: Mutex::new(None),
             draining: AtomicBool::new(false),
@@ -103,9 +103,9 @@
     }
 
     /// The configuration in force.
-    pub(crate) fn world(&self) -> Arc<World> {
-        let world = self.world.read();
-        world.unwrap_or_else(PoisonError::into_inner).clone()
+    pub(crate) fn config(&self) -> Arc<ActiveConfig> {
+        let config = self.config.read();
+        config.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// What is known of the configuration's parts.
@@ -128,22 +128,22 @@
     ///
     /// The peers' node gives revisions in order, and equal ones with more parts. An older one comes
     /// from a notice that was read late, and putting it in force would revert a change.
-    pub(crate) fn put_in_force(&self, text: &Text, revision: u64, parts: Vec<PartInfo>) -> bool {
-        let before = self.world();
-        if revision < before.revision {
+    pub(crate) fn activate(&self, text: &Text, revision: u64, parts: Vec<PartInfo>) -> bool {
+        let previous = self.config();
+        if revision < previous.revision {
             return false;
         }
-        let next = Arc::new(self.builder.next(&before, text, revision));
+        let next = Arc::new(self.builder.build(&previous, text, revision));
         // Before the world: its requests must find the limits of its accounts.
         self.coordinator.limits().configure(&next.catalog);
         self.coordinator.orders().configure(&next.catalog, revision);
-        *self.world.write().unwrap_or_else(PoisonError::into_inner) = next;
+        *self.config.write().unwrap_or_else(PoisonError::into_inner) = next;
         *self.parts.lock().unwrap_or_else(PoisonError::into_inner) = parts;
         true
     }
 
     /// Takes this instance's part of what all instances share from the live view.
-    pub(crate) fn take_view(&self, view: &View) {
+    pub(crate) fn on_view(&self, view: &View) {
         self.metrics.set_peers(view.live().saturating_sub(1));
         let instances = u32::try_from(view.live().max(1)).unwrap_or(u32::MAX);
         let index = view.index().and_then(|index| u32::try_from(index).ok());
@@ -158,16 +158,16 @@
             me: identity(&view.me),
             share,
         };
-        self.coordinator.take_view(view);
+        self.coordinator.on_view(view);
         self.builder.set_fleet(&fleet);
-        self.world().set_fleet(&fleet);
+        self.config().set_fleet(&fleet);
     }
 
     /// The stage of the instance's life.
     pub(crate) fn state(&self) -> InstanceState {
         if self.draining.load(Ordering::Relaxed) {
             InstanceState::Draining
-        } else if self.world().revision == 0 {
+        } else if self.config().revision == 0 {
             InstanceState::Starting
         } else {
             InstanceState::Serving
