--- a/crates/entry/src/coordination/lending.rs
+++ b/crates/entry/src/coordination/lending.rs
@@ -1,4 +1,4 @@
-//! Carries loans of account limits between members.
+//! Requests loans of account limits from other members.
 
 use std::sync::Arc;
 
@@ -10,15 +10,16 @@
 
 use super::Coordinator;
 
-/// Between two ticks of the limits: several in each period of their loans.
+/// Interval between ticks of the limits; several fit into each lending period.
 const TICK: Millis = Millis(50);
 
-/// How long a wish for a loan may take. A later answer would find the next wish on its way already.
+/// Timeout of a loan request. A later reply would arrive when the next request has already been
+/// sent.
 const LOAN_TIMEOUT: Millis = Millis(200);
 
 impl Coordinator {
-    /// Asks for loans as long as the process runs. A request never waits for one: it is judged by
-    /// what the instance holds, and what it lacked is asked for here.
+    /// Requests loans as long as the process runs. A request of a caller never waits for a loan: it
+    /// is admitted by what the instance holds, and what was missing is requested here.
     pub(crate) async fn run_lending(self: Arc<Self>) {
         loop {
             let (borrows, asked_at) = self.limits.on_tick();
--- a/crates/entry/src/coordination/limits/account.rs
+++ b/crates/entry/src/coordination/limits/account.rs
@@ -1,19 +1,19 @@
-//! One client account at the gate.
+//! The limits and the usage of one client account.
 
 use crocushold_base::Millis;
 use crocushold_config as config;
 use crocushold_ownership::AccountId;
 use crocushold_ownership::Limit;
 
-/// Weight of the newest answer in the mean length of an account's answers.
+/// Weight of the latest response in the moving average of an account's response lengths.
 const OUTPUT_GAIN: f64 = 0.1;
 
-/// Which of an account's limits.
+/// One of an account's limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LimitKind {
-    /// Requests a second.
+    /// Requests per second.
     Requests,
-    /// Tokens a second, prompt and answer together.
+    /// Tokens per second, prompt and response together.
     Tokens,
     /// Requests in progress.
     Concurrency,
@@ -26,7 +26,7 @@
         LimitKind::Concurrency,
     ];
 
-    /// The configuration's name of the limit.
+    /// The name of the limit in the configuration.
     pub(crate) fn name(self) -> &'static str {
         match self {
             LimitKind::Requests => "requests",
@@ -35,12 +35,12 @@
         }
     }
 
-    /// The id under which instances lend each other this limit of the account called `name`.
+    /// The id under which instances lend each other this limit of the account `name`.
     pub(crate) fn id(self, name: &str) -> AccountId {
         AccountId::from_name(&format!("{}/{name}", self.name()))
     }
 
-    /// The limit as the ledger counts it: rates without a bound on slots, slots without a rate.
+    /// The limit for the ledger: rates have unlimited slots, and slots have no rate.
     pub(crate) fn limit(self, limits: &config::Limits) -> Limit {
         let rate = |rate: u32| Limit {
             rate: f64::from(rate),
@@ -57,7 +57,7 @@
     }
 }
 
-/// A request over one of its account's limits.
+/// A request that exceeds one of its account's limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LimitExceeded {
     pub(crate) kind: LimitKind,
@@ -68,21 +68,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TokenEstimate {
     pub(crate) prompt: u32,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens of the response.
     pub(crate) output: u32,
 }
 
-/// What an admitted request took.
+/// What was charged for an admitted request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Charge {
     pub(crate) prompt: u32,
-    /// Tokens taken in advance.
+    /// Tokens charged in advance.
     pub(crate) tokens: f64,
-    /// Whether it holds a slot of the ledger's.
+    /// Whether the request holds one of the ledger's slots.
     pub(crate) slot: bool,
 }
 
-/// Units that were taken and not used. They end soon, so that refunds don't add up to a burst.
+/// Units that were charged and not used. They expire soon, so that refunds don't accumulate into a
+/// burst.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Credit {
     units: f64,
@@ -95,7 +96,7 @@
         self.until = until;
     }
 
-    /// Takes up to `units`; returns how many.
+    /// Takes up to `units` and returns how many were taken.
     pub(super) fn take(&mut self, units: f64, now: Millis) -> f64 {
         let taken = self.left(now).min(units);
         self.units = self.left(now) - taken;
@@ -111,18 +112,18 @@
 #[derive(Debug)]
 pub(super) struct Account {
     pub(super) name: String,
-    /// The ids of its limits, worked out once: a refusal must stay cheap.
+    /// Ids of the limits, computed once because refusals must be cheap.
     ids: [AccountId; 3],
     pub(super) limits: config::Limits,
     /// Requests in progress on this instance.
     pub(super) running: u32,
     pub(super) requests: Credit,
     pub(super) tokens: Credit,
-    /// Tokens that were used and are still to be taken from the rate.
+    /// Tokens that were used and are not yet charged to the rate.
     pub(super) debt: f64,
-    /// The mean length of its answers.
+    /// Moving average of the response length.
     mean_output: f64,
-    /// Refused since the last event in the log, by limit.
+    /// Refusals since the last log event, by limit.
     pub(super) refused: [u32; 3],
     pub(super) logged_at: Millis,
 }
@@ -147,7 +148,7 @@
         self.ids[kind as usize]
     }
 
-    /// What a request is expected to cost.
+    /// Expected cost of a request, in tokens.
     pub(super) fn estimated_cost(&self, estimate: &TokenEstimate) -> f64 {
         f64::from(estimate.prompt) + self.mean_output.min(f64::from(estimate.output))
     }
--- a/crates/entry/src/coordination/limits/limiter.rs
+++ b/crates/entry/src/coordination/limits/limiter.rs
@@ -1,4 +1,4 @@
-//! Admission against an account's limits, as a pure state machine.
+//! Admission within an account's limits, as a pure state machine.
 
 use crocushold_base::AccountKey;
 use crocushold_base::Millis;
@@ -21,30 +21,31 @@
 use super::account::LimitKind;
 use super::account::TokenEstimate;
 
-/// Most pieces of a token debt that are paid in one call, so that its time is bounded.
+/// Maximum number of installments of a token debt that are paid in one call, which bounds the
+/// duration of the call.
 const MAX_INSTALLMENTS: usize = 64;
 
-/// How often refusals of one account are logged at the most.
+/// Minimum interval between log events for the refusals of one account.
 const REFUSAL_LOG_PERIOD: Millis = Millis::from_secs(10);
 
-/// Admits requests within what this instance holds of each account's limits.
+/// Admits requests within this instance's share of each account's limits.
 #[derive(Debug)]
 pub(crate) struct Limiter {
     settings: LimitSettings,
     limits: Limits,
     accounts: SecondaryMap<AccountKey, Account>,
-    /// Members among which the even shares are split.
+    /// Number of members among which the limits are split evenly.
     reference: usize,
 }
 
-/// Refusals of an account since the last report.
+/// Refusals of an account since the last log event, by limit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RefusalCounts {
     pub(crate) account: String,
     pub(crate) counts: [u32; 3],
 }
 
-/// How an account stands at this instance.
+/// Usage and limits of an account at this instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct AccountStatus {
     pub(crate) account: String,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Puts the limits of a catalog in force. What an account that stays has used goes on counting.
+    /// Applies the limits of a catalog. The usage of accounts that remain is kept.
     pub(crate) fn configure(&mut self, catalog: &Catalog, now: Millis) {
         let gone = |(key, _): &(AccountKey, &Account)| !catalog.accounts.contains_key(*key);
         let gone: Vec<AccountKey> = self.accounts.iter().filter(gone).map(|(k, _)| k).collect();
@@ -94,13 +95,13 @@
         }
     }
 
-    /// Takes the live view and the members that may be admitting.
+    /// Updates the live view and the members that may be admitting requests.
     pub(crate) fn on_view(&mut self, live: View, reference: &View, now: Millis) {
         self.reference = reference.members().len().max(live.members().len()).max(1);
         self.limits.on_view(live, reference, now);
     }
 
-    /// Admits a request, or says which limit it is over.
+    /// Admits a request or returns the limit that it exceeds.
     pub(crate) fn admit(
         &mut self,
         key: AccountKey,
@@ -124,7 +125,8 @@
         now: Millis,
     ) -> Result<Charge, LimitExceeded> {
         let Some(account) = self.accounts.get_mut(key) else {
-            // Its removal is about to be in force; there is nothing to charge it to.
+            // The account was removed and the configuration without it is about to become active;
+            // there is no state to charge.
             return Err(self.exceeded(LimitKind::Concurrency, Millis::ZERO));
         };
         if account.debt > 0.0 {
@@ -154,11 +156,11 @@
         LimitExceeded { kind, retry_after }
     }
 
-    /// Takes a slot; false when the request runs without one.
+    /// Takes a slot. Returns false if the request runs without one.
     ///
-    /// An account with fewer slots than two an instance has no share of its own here, and its first
-    /// request would be refused wherever it arrives. So one runs without a slot, while the refusal
-    /// that the ledger saw asks for a loan.
+    /// An account with fewer than two slots per instance has no share of its own here, and its
+    /// first request would be refused wherever it arrives. So one request runs without a slot,
+    /// while the refusal that the ledger has recorded leads to a request for a loan.
     fn take_slot(&mut self, key: AccountKey, now: Millis) -> Result<bool, LimitExceeded> {
         let account = &mut self.accounts[key];
         let id = account.id(LimitKind::Concurrency);
@@ -194,8 +196,9 @@
         self.accounts[key].requests.add(1.0, until, now);
     }
 
-    /// Takes what the request is expected to cost. It starts on the first piece, as one that costs
-    /// more than the instance may ever save up could not run otherwise; the rest becomes a debt.
+    /// Charges the expected cost of a request. The request starts once the first installment is
+    /// charged, since one that costs more than the instance can ever accumulate could not run
+    /// otherwise. The rest becomes a debt.
     fn take_tokens(
         &mut self,
         key: AccountKey,
@@ -219,8 +222,8 @@
         Some(cost)
     }
 
-    /// Units that are paid at a time: what this instance may save up by itself, so that a debt is
-    /// paid also where no loan can be had.
+    /// Units charged at a time: what this instance can accumulate by itself, so that a debt is paid
+    /// even if no loan is available.
     fn installment(&self, key: AccountKey) -> f64 {
         let rate = f64::from(self.accounts[key].limits.tokens);
         let share = rate * self.settings.base / self.reference as f64;
@@ -247,7 +250,8 @@
         admitted
     }
 
-    /// A request ended, after `output` tokens; `whole` when its answer tells their usual number.
+    /// Settles a request that ended after `output` tokens. `complete` means that the length of the
+    /// response is representative.
     pub(crate) fn settle(
         &mut self,
         key: AccountKey,
@@ -267,7 +271,7 @@
         self.adjust_tokens(key, used - charge.tokens, now);
     }
 
-    /// An admitted request did not run and gets back all that it took.
+    /// Refunds the whole charge of an admitted request that did not run.
     pub(crate) fn refund(&mut self, key: AccountKey, charge: &Charge, now: Millis) {
         self.free_slot(key, charge.slot);
         if self.accounts.contains_key(key) {
@@ -276,7 +280,7 @@
         }
     }
 
-    /// Takes tokens that were used beyond the charge, or gives back those that were not.
+    /// Charges tokens that were used beyond the charge, or refunds those that were not used.
     fn adjust_tokens(&mut self, key: AccountKey, tokens: f64, now: Millis) {
         let until = now + self.settings.term;
         let account = &mut self.accounts[key];
@@ -290,7 +294,7 @@
         account.tokens.add(-tokens - paid, until, now);
     }
 
-    /// Time has passed; call it several times a period. Returns the loans to ask for.
+    /// Advances the time; to be called several times per period. Returns the loans to request.
     pub(crate) fn on_tick(&mut self, now: Millis) -> Vec<Borrow> {
         let owing = self.accounts.iter().filter(|(_, a)| a.debt > 0.0);
         let owing: Vec<AccountKey> = owing.map(|(key, _)| key).collect();
@@ -300,7 +304,7 @@
         self.limits.on_tick(now)
     }
 
-    /// A member asks for a loan.
+    /// Handles another member's request for a loan.
     pub(crate) fn on_borrow(
         &mut self,
         from: Member,
@@ -310,17 +314,17 @@
         self.limits.on_borrow(from, request, now)
     }
 
-    /// A loan came that was asked for at `asked_at`.
+    /// Adds a loan that was requested at `asked_at`.
     pub(crate) fn on_lent(&mut self, id: AccountId, reply: BorrowReply, asked_at: Millis) {
         self.limits.on_lent(id, reply, asked_at);
     }
 
-    /// A member gives slots back.
+    /// Handles the return of slots by another member.
     pub(crate) fn on_return(&mut self, from: Member, request: &ReturnRequest) {
         self.limits.on_return(from, request);
     }
 
-    /// The refusals that are due for a line in the log.
+    /// Returns the refusals whose log event is due.
     pub(crate) fn take_refusals(&mut self, now: Millis) -> Vec<RefusalCounts> {
         let due = |account: &&mut Account| {
             let quiet = account.logged_at == Millis::ZERO;
@@ -337,7 +341,7 @@
         self.accounts.values_mut().filter(due).map(report).collect()
     }
 
-    /// How the accounts with requests in progress or a debt stand.
+    /// Returns the accounts that have requests in progress or a debt.
     pub(crate) fn account_statuses(&self) -> Vec<AccountStatus> {
         let active = self
             .accounts
--- a/crates/entry/src/coordination/limits/mod.rs
+++ b/crates/entry/src/coordination/limits/mod.rs
@@ -1,7 +1,8 @@
-//! The limits of client accounts over all instances and services.
+//! The limits of client accounts, which apply across all instances and services.
 //!
-//! `Limits` of `crocushold-ownership` decides what this instance may admit; [`Gate`] maps an account
-//! to its three limits and settles tokens, [`AccountLimits`] drives it and carries its loans.
+//! `Limits` of `crocushold-ownership` decides how much this instance may admit. `Limiter` maps an
+//! account to its three limits and settles tokens. [`AccountLimits`] drives it and handles its
+//! loans.
 
 mod account;
 mod limiter;
--- a/crates/entry/src/coordination/limits/permit.rs
+++ b/crates/entry/src/coordination/limits/permit.rs
@@ -1,4 +1,4 @@
-//! The right of one request to run under its account's limits.
+//! Permission of one request to run under its account's limits.
 
 use std::sync::Arc;
 
@@ -7,8 +7,8 @@
 use super::account::Charge;
 use super::shared::AccountLimits;
 
-/// What an admitted request holds. It ends exactly once: by [`Permit::settle`], by
-/// [`Permit::refund`], or by its drop as a request that ran without an answer.
+/// The charge of an admitted request. It ends exactly once: by [`Permit::settle`], by
+/// [`Permit::refund`], or when dropped, as a request that ran without a response.
 pub(crate) struct Permit {
     pub(super) limits: Arc<AccountLimits>,
     pub(super) key: AccountKey,
@@ -16,14 +16,14 @@
 }
 
 impl Permit {
-    /// The request ended after `output` tokens.
+    /// Settles a request that ended after `output` tokens.
     pub(crate) fn settle(mut self, output: u32, complete: bool) {
         if let Some(charge) = self.charge.take() {
             self.limits.settle(self.key, &charge, output, complete);
         }
     }
 
-    /// The request did not run.
+    /// Refunds a request that did not run.
     pub(crate) fn refund(mut self) {
         if let Some(charge) = self.charge.take() {
             self.limits.refund(self.key, &charge);
@@ -33,7 +33,7 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        // Without it a request whose caller hung up would hold its slot for ever.
+        // Otherwise a request whose caller disconnected would hold its slot forever.
         if let Some(charge) = self.charge.take() {
             self.limits.settle(self.key, &charge, 0, false);
         }
--- a/crates/entry/src/coordination/limits/shared.rs
+++ b/crates/entry/src/coordination/limits/shared.rs
@@ -1,4 +1,4 @@
-//! The gate behind its lock: what the other tasks call.
+//! The limiter behind its lock.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -49,21 +49,21 @@
         self.limiter.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts the limits of a catalog in force.
+    /// Applies the limits of a catalog.
     pub(crate) fn configure(&self, catalog: &Catalog) {
         self.limiter().configure(catalog, self.clock.now());
     }
 
-    /// Takes the live view and the members that may be admitting.
+    /// Updates the live view and the members that may be admitting requests.
     pub(crate) fn on_view(&self, live: View, reference: &View) {
         self.limiter().on_view(live, reference, self.clock.now());
     }
 
-    /// Admits a request by what this instance holds; no message is sent.
+    /// Admits a request within this instance's share, without sending a message.
     ///
     /// # Errors
     ///
-    /// The limit that the request is over.
+    /// Returns the limit that the request exceeds.
     pub(crate) fn admit(
         self: &Arc<Self>,
         key: AccountKey,
@@ -86,7 +86,7 @@
         self.limiter().refund(key, charge, self.clock.now());
     }
 
-    /// Time has passed. Returns the loans to ask for, and the time that they are counted from.
+    /// Advances the time. Returns the loans to request, and the time from which they count.
     pub(crate) fn on_tick(&self) -> (Vec<Borrow>, Millis) {
         let now = self.clock.now();
         let mut limiter = self.limiter();
@@ -97,26 +97,26 @@
         (borrows, now)
     }
 
-    /// Answers a member that asks for a loan.
+    /// Handles another member's request for a loan.
     pub(crate) fn on_borrow(&self, from: Member, request: &BorrowRequest) -> BorrowReply {
-        // A number that isn't one would spoil the pool for good.
+        // NaN or infinity would corrupt the pool permanently.
         if !request.units.is_finite() {
             return BorrowReply::default();
         }
         self.limiter().on_borrow(from, request, self.clock.now())
     }
 
-    /// Takes a loan in.
+    /// Adds a loan that was granted.
     pub(crate) fn on_lent(&self, id: AccountId, reply: BorrowReply, asked_at: Millis) {
         self.limiter().on_lent(id, reply, asked_at);
     }
 
-    /// A member gives slots back.
+    /// Handles the return of slots by another member.
     pub(crate) fn on_return(&self, from: Member, request: &ReturnRequest) {
         self.limiter().on_return(from, request);
     }
 
-    /// The limits that are in use, for the status page.
+    /// The limits in use, for the status document.
     pub(crate) fn statuses(&self) -> Vec<LimitStatus> {
         let account_statuses = self.limiter().account_statuses();
         let mut all: Vec<LimitStatus> = account_statuses.iter().flat_map(limit_statuses).collect();
--- a/crates/entry/src/coordination/limits/tests.rs
+++ b/crates/entry/src/coordination/limits/tests.rs
@@ -1,4 +1,5 @@
-//! The gate alone: how a request maps to its account's three limits, and how tokens are settled.
+//! The limiter by itself: how a request is mapped to its account's three limits, and how tokens are
+//! settled.
 
 use crocushold_base::AccountKey;
 use crocushold_base::Millis;
@@ -26,7 +27,7 @@
 }
 
 impl Fixture {
-    /// A gate that is alone and has an account with these limits.
+    /// Creates a limiter of a single instance, with one account that has these limits.
     fn new(limits: config::Limits) -> Fixture {
         let mut catalog = Catalog::default();
         let account = config::Account {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Passes time, carrying the gate's loans to itself.
+    /// Advances the time; the limiter borrows from itself.
     fn pass(&mut self, span: u64) {
         for _ in 0..span / 50 {
             self.now += Millis(50);
@@ -110,8 +111,9 @@
     }
 }
 
-/// A caller over one limit repeats its request in a loop. Did each refusal keep a slot or a unit of
-/// the other rate, the account would be locked out by its own refusals: their reason would change.
+/// A caller over one limit repeats its request in a loop. If each refusal kept a slot or a unit of
+/// the other rate, the refusals would use up the account's other limits, and their reason would
+/// change.
 #[test_case(limits(4, 20, 4), LimitKind::Tokens; "over the token rate")]
 #[test_case(limits(2, 10_000, 4), LimitKind::Requests; "over the request rate")]
 fn a_refusal_uses_up_no_other_limit(limits: config::Limits, kind: LimitKind) {
@@ -124,8 +126,8 @@
     assert_eq!(fixture.limiter.account_statuses()[0].running, 1);
 }
 
-/// Answers turn out far longer than anything before them. What was used beyond the charge is owed,
-/// and until it is paid the account gets nothing: over a minute it has its rate and no more.
+/// Responses are far longer than any before. Tokens used beyond the charge become a debt, and the
+/// account is refused until it is paid: over a minute it uses its rate and no more.
 #[test]
 fn tokens_are_settled_on_the_real_count() {
     let mut fixture = Fixture::new(limits(1_000, 1_000, 100));
@@ -141,8 +143,8 @@
     assert!((0.9..=1.08).contains(&share), "{share}");
 }
 
-/// A request is admitted, waits in the queue and is refused there. It did not run, so it must cost
-/// its account nothing.
+/// A request is admitted and then refused in the queue. It did not run, so its account must not be
+/// charged.
 #[test]
 fn a_request_that_did_not_run_costs_nothing() {
     let mut fixture = Fixture::new(limits(2, 20, 2));
@@ -153,8 +155,8 @@
     }
 }
 
-/// With fewer slots than two an instance the even share rounds to nothing. The first request must
-/// not be refused for that, wherever it arrives; a second one needs a loan.
+/// With fewer than two slots per instance the even share rounds to zero. The first request must not
+/// be refused for that reason, wherever it arrives; a second one needs a loan.
 #[test]
 fn a_small_account_runs_one_request_without_a_slot() {
     let mut fixture = Fixture::new(limits(1_000, 10_000, 1));
--- a/crates/entry/src/coordination/members.rs
+++ b/crates/entry/src/coordination/members.rs
@@ -1,4 +1,4 @@
-//! The reference membership: who may hold records of idempotency keys.
+//! The reference membership: the members that may hold records of idempotency keys.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -8,12 +8,12 @@
 use crocushold_ownership::View;
 use crocushold_peers::Status;
 
-/// Every member that isn't known to have ended.
+/// All members that are not known to have terminated.
 ///
-/// An instance that merely can't be reached stays in: if both sides of a partition dropped the
-/// other, each would form groups of its own and grant the same key. One is known to have ended when
-/// it left as planned, when a later life of it was seen, or when it seems dead *and* the platform's
-/// list no longer names it.
+/// An instance that merely can't be reached remains a member: if both sides of a partition removed
+/// the other, each would form its own groups and grant the same key. An instance is known to have
+/// terminated if it left gracefully, if a later incarnation of it was seen, or if it seems dead
+/// *and* the platform's list no longer contains it.
 #[derive(Debug)]
 pub(crate) struct Members {
     me: Member,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Takes what the peers' node knows.
+    /// Updates the members from the peer node's view.
     pub(crate) fn on_view(&mut self, view: &crocushold_peers::View) -> View {
         for life in view.lives.iter() {
             let known = KnownMember {
@@ -49,19 +49,20 @@
         self.reference()
     }
 
-    /// Takes the names that the platform lists.
+    /// Updates the instances that the platform lists.
     pub(crate) fn on_instance_list<'a>(&mut self, names: impl Iterator<Item = &'a str>) -> View {
         self.listed = Some(names.map(InstanceId::from_name).collect());
         self.reference()
     }
 
-    /// The live view, and the members that account limits are split among.
+    /// Returns the live view, and the members among which account limits are split.
     pub(crate) fn limit_views(&self) -> (View, View) {
         (self.with_status(Status::is_live), self.limit_members())
     }
 
-    /// The members that answer, and those that may be acting. A suspect isn't counted on: an
-    /// instance that was cut off must lose its majority long before it declares the others dead.
+    /// Returns the members that reply, and those that may be acting. Suspects are not among the
+    /// former: an instance that is cut off must lose its majority long before it declares the
+    /// others dead.
     pub(crate) fn quorum(&self) -> (View, View) {
         (
             self.with_status(|status| status == Status::Alive),
@@ -76,10 +77,10 @@
         View::new(members.chain([self.me]))
     }
 
-    /// The members that account limits are split among.
+    /// The members among which account limits are split.
     ///
-    /// Unlike the reference it counts an instance that is listed and was not yet heard of. A
-    /// newcomer that counted only those it has met would take the share of all others.
+    /// Unlike the reference membership it includes listed instances that were not heard from yet. A
+    /// new member that counted only those it has met would take the share of all others.
     fn limit_members(&self) -> View {
         let listed = self.listed.iter().flatten();
         let unheard = listed.filter(|id| !self.known.contains_key(id));
@@ -88,7 +89,7 @@
         View::new(reference.members().iter().copied().chain(unheard))
     }
 
-    /// The membership without this instance, for its planned stop.
+    /// The membership without this instance, for its graceful shutdown.
     pub(crate) fn without_me(&self) -> View {
         let all = self.reference();
         let others = all.members().iter().copied();
--- a/crates/entry/src/coordination/mod.rs
+++ b/crates/entry/src/coordination/mod.rs
@@ -1,8 +1,8 @@
-//! What this instance does together with its peers: votes on idempotency keys and claims of its own,
-//! the limits of accounts, orders to engines, and requests under which servers end.
+//! Coordination with the peers: votes on idempotency keys and own claims, account limits, orders to
+//! engines, and requests under which servers terminate.
 //!
-//! The decisions are those of `crocushold-ownership`; this module keeps their state behind a lock,
-//! carries their messages, and feeds them the membership.
+//! `crocushold-ownership` makes the decisions. This module keeps their state behind a lock, sends
+//! and receives their messages, and passes in the membership.
 
 mod lending;
 mod limits;
@@ -62,26 +62,27 @@
 pub(crate) use orders::ModelDemand;
 pub(crate) use suspects::Suspects;
 
-/// How long a claim waits for votes. A group answers in a round trip; a member that is frozen must
-/// not hold the request up for longer than a caller would notice.
+/// Time that a claim waits for votes. A group replies within a round trip; a suspended member must
+/// not delay the request noticeably.
 const VOTE_TIMEOUT: Millis = Millis(500);
 
-/// How long one message of a settlement or transfer may take.
+/// Timeout of one message of a settlement or transfer.
 const MESSAGE_TIMEOUT: Millis = Millis(1000);
 
-/// Between two tries to deliver a settlement.
+/// Delay between attempts to deliver a settlement.
 const SETTLE_RETRY_DELAY: Millis = Millis(500);
 
-/// Tries to deliver a settlement; what is still undelivered counts as unknown at the voter.
+/// Maximum number of attempts to deliver a settlement. If none succeeds, the voter treats the
+/// outcome as unknown.
 const SETTLE_ATTEMPTS: usize = 20;
 
-/// Between two ticks of the claims.
+/// Interval between ticks of the claims.
 const TICK: Millis = Millis(500);
 
-/// How long a planned stop waits for its records to be taken over.
+/// Time that a graceful shutdown waits until other members have taken over its records.
 const HANDOVER_TIMEOUT: Millis = Millis::from_secs(5);
 
-/// One instance's part in the coordination.
+/// Coordinates this instance with its peers.
 pub(crate) struct Coordinator {
     clock: Clock,
     me: Member,
@@ -96,7 +97,7 @@
 }
 
 impl Coordinator {
-    /// A member that has just started.
+    /// Creates the coordinator of an instance that has just started.
     pub(crate) fn new(
         clock: Clock,
         me: Member,
@@ -117,7 +118,7 @@
         })
     }
 
-    /// Connects the coordinator to the peers' node that was started with it as its handler.
+    /// Sets the peer node, which was started with this coordinator as its handler.
     pub(crate) fn connect(&self, peers: PeerHandle) {
         self.transport.connect(peers);
     }
@@ -132,7 +133,7 @@
         &self.orders
     }
 
-    /// The requests under which servers ended.
+    /// The requests under which servers terminated.
     pub(crate) fn suspects(&self) -> &Arc<Suspects> {
         &self.suspects
     }
@@ -145,10 +146,11 @@
         self.members.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The membership changed, or was confirmed.
+    /// Handles a membership that has changed or was confirmed.
     pub(crate) fn on_view(self: &Arc<Self>, view: &crocushold_peers::View) {
         self.transport.update_names(view);
-        // After a pause the own view may be old, and a vote given under it could be a second one.
+        // After a pause this instance's view may be outdated, and a vote given under it could be a
+        // second vote.
         if view.settled {
             self.update_claims(|members| members.on_view(view));
         } else {
@@ -157,24 +159,24 @@
         self.update_limit_shares();
     }
 
-    /// The platform's list names these entry instances.
+    /// Handles an update of the entry instances that the platform lists.
     pub(crate) fn on_instance_list<'a>(self: &Arc<Self>, names: impl Iterator<Item = &'a str>) {
         self.update_claims(|members| members.on_instance_list(names));
         self.update_limit_shares();
     }
 
-    /// Splits the account limits anew. Not only in a settled view: a share that is too small for a
-    /// moment does less harm than one from before a pause.
+    /// Splits the account limits again. This doesn't require a settled view: a share that is too
+    /// small for a moment does less harm than one from before a pause.
     fn update_limit_shares(&self) {
         let (live, sharing) = self.members().limit_views();
         self.limits.on_view(live, &sharing);
     }
 
-    /// Has the claims go on with the members that `read` finds.
+    /// Updates the claims to the members that `read` returns.
     ///
-    /// The claims are locked before the members are read. A list and a view arrive in different tasks:
-    /// each could read its members and then wait for the claims, and the older members would be
-    /// adopted last, as if a newcomer had gone or a leaver had come back.
+    /// The claims are locked before the members are read. A list and a view arrive in different
+    /// tasks. If each read its members first and then waited for the claims, the older members
+    /// could be applied last, as if a new member had gone or one that left had come back.
     fn update_claims(self: &Arc<Self>, read: impl FnOnce(&mut Members) -> View) {
         let transfers = {
             let mut claims = self.claims();
@@ -184,7 +186,7 @@
         self.send_transfers(transfers);
     }
 
-    /// Runs the timers as long as the process runs.
+    /// Runs the timers of the claims as long as the process runs.
     pub(crate) async fn run_timers(self: Arc<Self>) {
         loop {
             let transfers = self.claims().on_tick(self.clock.now());
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Hands the records over before a planned stop, as far as the peers take them in time.
+    /// Transfers the records before a graceful shutdown, as far as the peers accept them in time.
     pub(crate) async fn hand_over(self: &Arc<Self>) {
         if self.members().without_me().members().is_empty() {
             return;
@@ -209,11 +211,11 @@
         info!("{}", event.with("records", self.claims().len()));
     }
 
-    /// Claims an idempotency key: the request may be sent once if this grants it.
+    /// Claims an idempotency key. With the grant, the request may be sent once.
     ///
     /// # Errors
     ///
-    /// What to tell the caller instead.
+    /// Returns the refusal for the caller.
     pub(crate) async fn claim(
         self: &Arc<Self>,
         idempotency_key: IdempotencyKey,
@@ -239,7 +241,7 @@
         }
     }
 
-    /// Collects votes until the verdict stands.
+    /// Collects votes until there is a verdict.
     async fn collect(self: &Arc<Self>, mut round: ClaimRound) -> Verdict {
         let request = *round.request();
         let voters = round.voters().to_vec();
@@ -272,7 +274,7 @@
         }
     }
 
-    /// Tells the members what became of a claim, in the background.
+    /// Sends the outcome of a claim to the members, in the background.
     pub(crate) fn settle(self: &Arc<Self>, settlement: Settlement) {
         let coordinator = self.clone();
         task::spawn(async move { coordinator.deliver(settlement).await });
--- a/crates/entry/src/coordination/order_loop.rs
+++ b/crates/entry/src/coordination/order_loop.rs
@@ -1,4 +1,4 @@
-//! Feeds the orders to engines with the time and the membership.
+//! Passes the time and the membership to the orders to engines.
 
 use std::sync::Arc;
 
@@ -7,14 +7,14 @@
 
 use super::Coordinator;
 
-/// Between two ticks of the orders.
+/// Interval between ticks of the orders.
 const TICK: Millis = Millis::from_secs(1);
 
 impl Coordinator {
     /// Decides and sends orders as long as the process runs.
     pub(crate) async fn run_orders(self: Arc<Self>) {
         loop {
-            // An unsettled view is that of a newcomer, or of an instance that just woke.
+            // A view is unsettled while the instance joins and after it was suspended.
             if self.transport.is_settled() {
                 let (live, reference) = self.members().quorum();
                 self.orders.on_view(&live, &reference);
--- a/crates/entry/src/coordination/orders/engine.rs
+++ b/crates/entry/src/coordination/orders/engine.rs
@@ -1,4 +1,4 @@
-//! One engine as the orders see it.
+//! State of one engine.
 
 use std::net::SocketAddr;
 
@@ -14,45 +14,46 @@
 use super::role::WHOLE;
 use super::role::configured_role;
 
-/// After how long without a report an engine's models are placed on others. Loading elsewhere costs
-/// minutes, so a restart is waited for.
+/// Time without a report after which an engine's models are placed on other engines. Loading them
+/// elsewhere takes minutes, so a restart is waited for.
 const REPORT_TIMEOUT: Millis = Millis::from_secs(60);
 
-/// How old a report may be for another engine to give a model up on the strength of it.
+/// Maximum age of an engine's report for another engine to unload a model because of it.
 const MAX_REPORT_AGE: Millis = Millis::from_secs(5);
 
-/// The number under which instances speak of a model, from the name that engines list.
+/// The id of a model in messages between instances, from the name that engines list.
 pub(super) fn model_id(name: &str) -> ModelId {
     ModelId(XxHash3_64::oneshot(name.as_bytes()) as u32)
 }
 
-/// The engine of a server: a changed address is another engine, which holds other models.
+/// The id of a server's engine. With a different address it is another engine, which holds other
+/// models.
 pub(super) fn engine_id(server: &Server) -> EngineId {
     EngineId::from_name(&format!("{} {}", server.name, server.address))
 }
 
-/// What an engine said of itself.
+/// The latest report of an engine.
 #[derive(Clone, Debug)]
 pub(super) struct LastReport {
-    /// Models that the text names.
+    /// The models that the configuration names.
     pub(super) models: Vec<ModelId>,
     pub(super) role: RoleId,
-    /// When the reading was begun.
+    /// When the report was requested.
     pub(super) at: Millis,
 }
 
-/// One engine.
+/// An engine of a service.
 #[derive(Clone, Debug)]
 pub(super) struct Engine {
     pub(super) id: EngineId,
     pub(super) name: String,
     pub(super) address: SocketAddr,
     pub(super) fencing: Fencing,
-    /// The role that the text wants; none where it names none.
+    /// The configured role, if there is one.
     pub(super) role: Option<RoleId>,
     pub(super) known_since: Millis,
     pub(super) last_report: Option<LastReport>,
-    /// What it was last told to be placed on it, and under which revision.
+    /// The models last placed on the engine, and the revision of that placement.
     pub(super) placed: Option<(u64, Vec<ModelId>)>,
 }
 
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Takes over what the text says anew.
+    /// Applies changes of the configuration.
     pub(super) fn update(&mut self, server: &Server) {
         self.fencing = fencing(server);
         self.role = server.role.map(configured_role);
@@ -94,20 +95,20 @@
         last_report.is_some_and(|last_report| last_report.models.contains(&model))
     }
 
-    /// The models that are placed here and that it doesn't hold yet.
+    /// Models that are placed on the engine and that it doesn't hold yet.
     pub(super) fn missing_models(&self) -> impl Iterator<Item = ModelId> {
         let placed = self.placed.iter().flat_map(|(_, models)| models);
         placed.copied().filter(|model| !self.holds(*model))
     }
 
-    /// Whether the model is to stay or to be loaded here.
+    /// Whether the model is to be kept or loaded on this engine.
     pub(super) fn is_placed(&self, model: ModelId) -> bool {
         let placed = self.placed.as_ref();
         placed.is_some_and(|(_, models)| models.contains(&model))
     }
 
-    /// Whether it runs whole requests and is to go on with it. Where the text names no role, that is
-    /// left to the engine.
+    /// Whether the engine runs whole requests and is to continue to. Without a configured role,
+    /// this is left to the engine.
     pub(super) fn serves_whole_requests(&self) -> bool {
         self.role
             .is_none_or(|desired| desired == WHOLE && self.has_role(WHOLE))
@@ -118,12 +119,12 @@
         last_report.is_some_and(|last_report| last_report.role == role)
     }
 
-    /// Whether it held the model a moment ago.
+    /// Whether a recent report says that the engine holds the model.
     pub(super) fn confirmed_to_hold(&self, model: ModelId, now: Millis) -> bool {
         self.reported_recently(now) && self.holds(model)
     }
 
-    /// Whether it was heard of a moment ago.
+    /// Whether the engine's last report is recent.
     pub(super) fn reported_recently(&self, now: Millis) -> bool {
         let last_report = self.last_report.as_ref();
         last_report.is_some_and(|last_report| now.since(last_report.at) <= MAX_REPORT_AGE)
--- a/crates/entry/src/coordination/orders/loads.rs
+++ b/crates/entry/src/coordination/orders/loads.rs
@@ -1,4 +1,4 @@
-//! Which load goes next, and when.
+//! Decides which model is loaded next, and when.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,24 +15,25 @@
 use super::engine::Engine;
 use super::message::ModelRank;
 
-/// How long a load may take before it is ordered again.
+/// Time after which a load that has not completed is ordered again.
 const LOAD_TIMEOUT: Millis = Millis::from_secs(600);
 
 /// The loads of one service from its weight store.
 ///
-/// Wants and permits are calls inside the process: the owner of the store owns the engines too.
+/// Load wants and permits are calls within the process: the owner of the weight store also owns the
+/// engines.
 #[derive(Debug)]
 pub(super) struct ModelLoads {
     me: Member,
     settings: WeightSettings,
     planner: LoadPlanner,
-    /// The best rank of the requests for a model, lower being sooner.
+    /// The best rank of the requests for each model; lower ranks are loaded sooner.
     ranks: BTreeMap<ModelId, u8>,
-    /// Engines that are to load something now.
+    /// Engines whose next load is due.
     due: BTreeSet<EngineId>,
-    /// Permits that may still be used, with their end.
+    /// Permits that are still valid, with their expiry.
     permits: BTreeMap<(EngineId, ModelId), Millis>,
-    /// Loads that engines have begun, with the time of the order.
+    /// Loads that engines have started, with the time of the order.
     in_progress: BTreeMap<(EngineId, ModelId), Millis>,
 }
 
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Loads a minute.
+    /// Maximum number of loads per minute.
     pub(super) fn rate(&self) -> u32 {
         self.settings.rate as u32
     }
@@ -69,26 +70,26 @@
         self.planner.on_view(live, reference, now);
     }
 
-    /// This process stood still: its permits may be another's by now.
+    /// Handles a pause of this process, after which its permits may belong to another instance.
     pub(super) fn on_pause(&mut self, now: Millis) {
         self.planner.on_pause(now);
         self.clear();
     }
 
-    /// Another instance orders the loads.
+    /// Clears the state when another instance orders the loads.
     pub(super) fn clear(&mut self) {
         self.due.clear();
         self.permits.clear();
         self.in_progress.clear();
     }
 
-    /// An engine obeyed the order to load a model that it lacks.
+    /// Records that an engine obeyed the order to load a model that it lacks.
     pub(super) fn on_started(&mut self, engine: EngineId, model: ModelId, now: Millis) {
         self.in_progress.insert((engine, model), now);
     }
 
-    /// Forgets the loads that ended. An engine that crashed in the middle of one doesn't know of it any
-    /// more, and its reports were missing for a while.
+    /// Removes loads that have ended. An engine that crashed during a load has lost it, and its
+    /// reports were missing for some time.
     fn remove_ended(&mut self, engines: &BTreeMap<EngineId, Engine>, now: Millis) {
         self.in_progress.retain(|(engine, model), at| {
             let engine = engines
@@ -99,7 +100,7 @@
         });
     }
 
-    /// Asks the planner for the loads that are due, and takes its permits.
+    /// Requests the due loads from the planner and stores its permits.
     pub(super) fn on_tick(&mut self, engines: &BTreeMap<EngineId, Engine>, now: Millis) {
         self.permits.retain(|_, until| now < *until);
         self.remove_ended(engines, now);
@@ -112,12 +113,13 @@
         }
     }
 
-    /// Every load that an engine lacks which is to load something now.
+    /// Returns the missing models of every engine whose next load is due.
     ///
-    /// One that has a permit is left out: an engine uses it only when its next order is due. Wanted on,
-    /// it would be given a second one that nobody uses, and half of the rate would be lost. So is one that
-    /// was begun: a report shows the model only minutes later, and until then the loads of a high class
-    /// would be ordered over and over in place of those of the lower ones.
+    /// A load that has a permit is left out: the engine uses the permit only when its next order is
+    /// due. If the load were requested again, it would get a second permit that nobody uses, and
+    /// half of the rate would be lost. Loads in progress are left out too: reports show the model
+    /// only minutes later, and until then the loads of a high-priority class would be ordered
+    /// repeatedly in place of those of lower ones.
     fn load_wants(&self, engines: &BTreeMap<EngineId, Engine>) -> Vec<LoadWant> {
         let due = self.due.iter().filter_map(|id| engines.get(id));
         let loads = due.flat_map(|engine| engine.missing_models().map(|model| (engine.id, model)));
@@ -134,8 +136,9 @@
         load_wants.collect()
     }
 
-    /// A load is due at the engine: uses a permit, or notes that one is wanted. Which of the missing
-    /// models is loaded is the planner's choice, for it knows whose callers wait.
+    /// Uses a permit for a load that is due at the engine, or records that one is needed. The
+    /// planner chooses which of the missing models is loaded, since it knows which ones callers
+    /// wait for.
     pub(super) fn take_permit(&mut self, engine: &Engine) -> Option<ModelId> {
         self.due.insert(engine.id);
         let mut missing_models = engine.missing_models();
--- a/crates/entry/src/coordination/orders/message.rs
+++ b/crates/entry/src/coordination/orders/message.rs
@@ -1,4 +1,4 @@
-//! What goes in and out of a desk.
+//! Inputs and outputs of an order planner.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use crocushold_ownership::Order;
 use crocushold_platform::wire;
 
-/// An order to carry.
+/// An order that is ready to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct OutboundOrder {
     pub(super) order: Order,
@@ -16,18 +16,18 @@
     pub(super) body: wire::Order,
 }
 
-/// An engine obeyed a newer text than this instance has.
+/// An engine that obeyed an order of a newer configuration than this instance has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Outdated {
     pub(super) server: String,
     pub(super) fence: u64,
 }
 
-/// For whom a model is asked.
+/// The rank of the requests for a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ModelRank {
     pub(super) model: ModelId,
-    /// The highest tier of its requests of late, 0 being the live one.
+    /// Highest tier of the recent requests, where 0 is the highest of all.
     pub(super) rank: u8,
 }
 
--- a/crates/entry/src/coordination/orders/mod.rs
+++ b/crates/entry/src/coordination/orders/mod.rs
@@ -1,8 +1,8 @@
-//! Orders to engines: which models each of them is to hold.
+//! Orders to engines: which models each engine is to hold.
 //!
-//! [`place`](placement::place) says from the text which engine holds which model, `Orders` of
-//! `crocushold-ownership` decides what may be ordered when, [`Desk`] joins the two, and
-//! [`EngineOrders`] carries the orders.
+//! [`place`](placement::place) chooses the engines of each model from the configuration, and
+//! `Orders` of `crocushold-ownership` decides what may be ordered when. `OrderPlanner` combines the
+//! two, and [`EngineOrders`] sends the orders.
 
 mod engine;
 mod loads;
--- a/crates/entry/src/coordination/orders/placement.rs
+++ b/crates/entry/src/coordination/orders/placement.rs
@@ -1,4 +1,4 @@
-//! Which engine holds which model.
+//! Placement of models on engines.
 
 use std::cmp::Reverse;
 
@@ -6,38 +6,38 @@
 use crocushold_ownership::ModelId;
 use twox_hash::XxHash3_64;
 
-/// A model of a service, as the text wants it.
+/// A model of a service, as configured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct DesiredModel {
     pub(super) model: ModelId,
-    /// On how many engines.
+    /// Number of engines that are to hold it.
     pub(super) replicas: usize,
 }
 
-/// An engine that models can be placed on.
+/// An engine on which models can be placed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Candidate {
     pub(super) engine: EngineId,
-    /// Whether it was heard of lately.
+    /// Whether the engine has reported lately.
     pub(super) responsive: bool,
-    /// Whether it is to run whole requests.
+    /// Whether the engine is to run whole requests.
     pub(super) whole_requests: bool,
-    /// The models that it holds.
+    /// The models that the engine holds.
     pub(super) held: Vec<ModelId>,
 }
 
-/// What one engine should hold, in ascending order.
+/// The models that one engine should hold, in ascending order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Placement {
     pub(super) engine: EngineId,
     pub(super) models: Vec<ModelId>,
 }
 
-/// Chooses the engines of each model: those that answer go first, then those that are to run whole
-/// requests, then those that hold it already, since a load costs the weight store minutes, then those
-/// of the highest rendezvous weight.
+/// Chooses the engines of each model: first those that respond, then those that are to run whole
+/// requests, then those that already hold the model, since a load occupies the weight store for
+/// minutes, then those of the highest rendezvous weight.
 ///
-/// Instances that see the same reports choose the same engines.
+/// Instances that have the same reports choose the same engines.
 pub(super) fn place(desired: &[DesiredModel], candidates: &[Candidate]) -> Vec<Placement> {
     let mut placements: Vec<Placement> = candidates
         .iter()
--- a/crates/entry/src/coordination/orders/planner.rs
+++ b/crates/entry/src/coordination/orders/planner.rs
@@ -1,4 +1,5 @@
-//! From the text and the engines' reports to the orders of one service, as a pure state machine.
+//! Plans the orders of one service from the configuration and the engines' reports, as a pure state
+//! machine.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -46,12 +47,12 @@
 /// Decides the orders to the engines of one service.
 ///
 /// One instance owns all engines of a service, by rendezvous hashing of the service's name. It is
-/// thus the only one that orders loads from the service's weight store, and can space them and put
-/// them in order without a message.
+/// thus the only one that orders loads from the service's weight store, and can space and
+/// prioritize them without messages.
 #[derive(Debug)]
 pub(super) struct OrderPlanner {
     me: Member,
-    /// The hash that decides the owner.
+    /// The hash that determines the owner.
     service_hash: u64,
     owned: bool,
     orders: Orders,
@@ -62,12 +63,13 @@
     keys: HashMap<ServerKey, EngineId>,
     desired: Vec<DesiredModel>,
     names: BTreeMap<ModelId, String>,
-    /// Engines that were reported as ahead of this instance, with their numbers.
+    /// Engines that were reported to have a newer revision than this instance, with their fencing
+    /// numbers.
     engines_ahead: BTreeMap<EngineId, u64>,
 }
 
 impl OrderPlanner {
-    /// The desk of a service that may order `loads` loads a minute.
+    /// Creates the planner of a service that may order `loads` loads per minute.
     pub(super) fn new(service: &str, loads: u32, me: Member, now: Millis) -> OrderPlanner {
         let settings = OrderSettings::default();
         let service_hash = XxHash3_64::oneshot(service.as_bytes());
@@ -87,12 +89,12 @@
         }
     }
 
-    /// Loads a minute that the service may order.
+    /// Maximum number of loads per minute.
     pub(super) fn loads(&self) -> u32 {
         self.loads.rate()
     }
 
-    /// Takes a text over.
+    /// Applies a configuration.
     pub(super) fn configure(
         &mut self,
         catalog: &Catalog,
@@ -134,12 +136,13 @@
         }
     }
 
-    /// The best rank of the requests for each model of late, lower being sooner.
+    /// Updates the best rank of the recent requests for each model; lower ranks are loaded sooner.
     pub(super) fn on_ranks(&mut self, ranks: &[ModelRank]) {
         self.loads.on_ranks(ranks);
     }
 
-    /// The live view, confirmed as of now, and every member not known to have ended.
+    /// Updates the live view, confirmed as of now, and the members that are not known to have
+    /// terminated.
     pub(super) fn on_view(&mut self, live: &View, reference: &View, now: Millis) {
         self.loads.on_view(live, reference, now);
         let Some(owner) = live.owner(self.service_hash) else {
@@ -147,18 +150,19 @@
         };
         self.owned = owner == self.me;
         let majority = live.members().len() * 2 > reference.members().len();
-        // `Orders` chooses an owner for each engine. Where it sees the service's owner alone, that
-        // one owns them all; a second member that must be counted takes the majority from it.
+        // `Orders` chooses an owner for each engine. With the service's owner as the only member,
+        // it owns all engines; a second member that counts toward the quorum takes away its
+        // majority.
         let nobody = Member::default();
         let count = if majority { 1 } else { 2 };
         let all = View::new([owner, nobody].into_iter().take(count));
         self.orders.on_view(View::new([owner]), &all, now);
     }
 
-    /// A reading of `/load` that was begun at `asked_at`.
+    /// Handles a report of `/load` that was requested at `asked_at`.
     ///
-    /// Models that the text doesn't name are left out, so that none is ever unloaded that somebody
-    /// else may have put there.
+    /// Models that the configuration doesn't name are ignored, so that models which somebody else
+    /// has loaded are never unloaded.
     pub(super) fn on_report(
         &mut self,
         server: ServerKey,
@@ -189,7 +193,7 @@
         self.orders.on_report(report, now);
     }
 
-    /// Time has passed; call it about once a second.
+    /// Advances the time; to be called about once a second.
     pub(super) fn on_tick(&mut self, now: Millis) -> TickActions {
         if self.guard.observe(now) {
             self.loads.on_pause(now);
@@ -201,7 +205,7 @@
         for action in self.orders.on_tick(now) {
             match action {
                 OrderAction::Send(order) => actions.orders.extend(self.outbound_order(order, now)),
-                // Every engine is read once a second anyhow.
+                // All engines are polled regularly anyway.
                 OrderAction::ReadBack(_) => {}
                 OrderAction::Outdated { engine, fence } => {
                     actions.outdated.extend(self.record_outdated(engine, fence));
@@ -211,7 +215,7 @@
         actions
     }
 
-    /// Asks the planner for the loads that are due, and takes its permits.
+    /// Requests the due loads from the planner and stores its permits.
     fn plan_loads(&mut self, now: Millis) {
         if !self.owned {
             self.loads.clear();
@@ -219,7 +223,7 @@
         self.loads.on_tick(&self.engines, now);
     }
 
-    /// Brings the targets up to date with the text, the reports, and which engines answer.
+    /// Updates the targets from the configuration, the reports, and which engines respond.
     fn update_placements(&mut self, now: Millis) {
         let engines = self.engines.values();
         let candidates: Vec<Candidate> = engines.map(|e| e.candidate(now)).collect();
@@ -228,8 +232,9 @@
         }
     }
 
-    /// A target that changes within a revision counts as that of a new engine, whose owner waits and
-    /// reads again: two instances that saw different reports might else undo each other's orders.
+    /// Sets the target of an engine. A target that changes within a revision counts as that of a
+    /// new engine, whose owner waits and reads its state again. Otherwise two instances that saw
+    /// different reports might undo each other's orders.
     fn set_target(&mut self, id: EngineId, models: Vec<ModelId>, now: Millis) {
         let Some(engine) = self.engines.get_mut(&id) else {
             return;
@@ -256,7 +261,7 @@
         self.orders.on_target(target, now);
     }
 
-    /// Makes an order ready to be carried, unless it has to wait.
+    /// Prepares an order for sending, unless it has to wait.
     fn outbound_order(&mut self, order: Order, now: Millis) -> Option<OutboundOrder> {
         let engine = self.engines.get(&order.engine)?;
         let (server, address) = (engine.name.clone(), engine.address);
@@ -308,15 +313,15 @@
         })
     }
 
-    /// Whether a model may go from an engine: only while another engine of the service certainly holds
-    /// it and runs whole requests. Otherwise its callers would be left without a server.
+    /// Whether a model may be unloaded from an engine: only while another engine of the service is
+    /// confirmed to hold it and runs whole requests. Otherwise its callers would have no server.
     fn may_unload(&self, id: EngineId, model: ModelId, now: Millis) -> bool {
         let mut others = self.engines.values().filter(|other| other.id != id);
         others.any(|other| other.serves_whole_requests() && other.confirmed_to_hold(model, now))
     }
 
-    /// Whether an engine may take a role. One that stops running whole requests leaves the callers of
-    /// its models without a server, unless another engine certainly serves each of them.
+    /// Whether an engine may change to a role. If it stops running whole requests, the callers of
+    /// its models have no server, unless another engine is confirmed to serve each of them.
     fn may_change_role(&self, id: EngineId, role: RoleId, now: Millis) -> bool {
         let last_report = self
             .engines
@@ -333,12 +338,13 @@
                 .all(|model| whole_requests().any(|other| other.confirmed_to_hold(*model, now)))
     }
 
-    /// Whether requests for a model should go to this server although it holds it.
+    /// Whether requests for a model should avoid this server although it holds the model.
     ///
-    /// It is about to be unloaded where it isn't placed and a placed engine holds it. An instance that
-    /// went on sending requests there would have them answered that the model is unknown. All
-    /// instances place alike, and the unload waits for longer than their reports can differ. The same
-    /// goes for an engine that the text gives a role without whole requests.
+    /// The model is about to be unloaded if it isn't placed on this engine and an engine on which
+    /// it is placed holds it. If an instance continued to send requests there, they would be
+    /// answered that the model is unknown. All instances compute the same placement, and the unload
+    /// waits longer than their reports can differ. The same applies to an engine whose configured
+    /// role doesn't run whole requests.
     pub(super) fn is_surplus(&self, server: ServerKey, model: ModelId, now: Millis) -> bool {
         let id = self.keys.get(&server);
         let Some(engine) = id.and_then(|id| self.engines.get(id)) else {
@@ -361,16 +367,17 @@
         Some(Outdated { server, fence })
     }
 
-    /// Whether an order may be sent at this moment; ask right before its first byte.
+    /// Whether an order may be sent now; to be checked right before its first byte.
     ///
-    /// The targets that [`Orders::may_send`] knows follow a new text only at the next tick. Within that
-    /// second an order of the replaced text would leave, and an engine that ignores fencing numbers
-    /// would load or unload what nobody wants any more. The order's number is its text's revision.
+    /// The targets that [`Orders::may_send`] knows follow a new configuration only at the next
+    /// tick. Within that second an order of the replaced configuration could be sent, and an engine
+    /// that ignores fencing numbers would load or unload a model that is no longer wanted there.
+    /// The fencing number of an order is the revision of its configuration.
     pub(super) fn may_send(&mut self, order: &Order, now: Millis) -> bool {
         order.fence == self.revision && self.orders.may_send(order, now)
     }
 
-    /// An order was answered, or its call failed.
+    /// Handles the answer to an order, or the failure of its call.
     pub(super) fn on_answer(&mut self, order: &Order, answer: OrderAnswer, now: Millis) {
         let engine = self.engines.get(&order.engine);
         if let (OrderKind::Load(model), OrderAnswer::Obeyed) = (order.kind, answer)
@@ -381,7 +388,7 @@
         self.orders.on_answer(order, answer, now);
     }
 
-    /// Whether this instance owns the service's engines, and how many those are.
+    /// Whether this instance owns the service's engines, and the number of engines.
     pub(super) fn owned(&self) -> (bool, u64) {
         (self.owned, self.engines.len() as u64)
     }
--- a/crates/entry/src/coordination/orders/send.rs
+++ b/crates/entry/src/coordination/orders/send.rs
@@ -1,4 +1,4 @@
-//! One order on its way to an engine.
+//! Sends an order to an engine.
 
 use async_std::future::timeout;
 use async_std::io::ReadExt;
@@ -16,10 +16,10 @@
 
 use super::message::OutboundOrder;
 
-/// Most bytes read of an answer.
+/// Maximum number of bytes read of an answer.
 const MAX_ANSWER_BYTES: u64 = 4096;
 
-/// Sends an order and waits for its answer, for `limit` at the most.
+/// Sends an order and waits for its answer, for at most `limit`.
 pub(super) async fn send(client: &Client, outbound: &OutboundOrder, limit: Millis) -> OrderAnswer {
     let sent = timeout(limit.into(), exchange(client, outbound, limit));
     sent.await.unwrap_or(OrderAnswer::Failed)
@@ -33,7 +33,8 @@
         head_timeout: limit,
         ..SendLimits::default()
     };
-    // On a connection of its own: a repeat after a reused one was closed could come too late.
+    // Uses a new connection: if a reused one turns out to be closed, the repeat could come too
+    // late.
     let sent = client.send(outbound.address, request, &limits, Reuse::Fresh);
     match sent.await {
         Ok(answer) => read(answer).await,
--- a/crates/entry/src/coordination/orders/shared.rs
+++ b/crates/entry/src/coordination/orders/shared.rs
@@ -1,4 +1,4 @@
-//! The desks behind their lock, and the orders that they send.
+//! The order planners behind their lock, and the sending of their orders.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -37,12 +37,12 @@
 use crate::failpoint::Point;
 use crate::failpoint::reach;
 
-/// Which tier asked for a model of late.
+/// The tier of the recent requests for a model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ModelDemand {
     /// The name that engines list.
     pub(crate) model: String,
-    /// The highest tier, 0 being the live one.
+    /// Highest tier of the requests, where 0 is the highest of all.
     pub(crate) tier: u8,
 }
 
@@ -70,8 +70,8 @@
         self.planners.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts a text in force. Services that may order no loads are left alone: what is unloaded there
-    /// could not be loaded again.
+    /// Applies a configuration. Services that may not order loads are skipped: a model that is
+    /// unloaded there could not be loaded again.
     pub(crate) fn configure(&self, catalog: &Catalog, revision: u64) {
         let now = self.clock.now();
         let mut planners = self.planners();
@@ -88,14 +88,15 @@
         }
     }
 
-    /// The services whose engines this instance sends orders to, and has to hear of.
+    /// The services whose engines this instance sends orders to, and whose reports it therefore
+    /// needs.
     pub(crate) fn owned(&self) -> Vec<ServiceKey> {
         let planners = self.planners();
         let owned = planners.iter().filter(|(_, planner)| planner.owned().0);
         owned.map(|(&service, _)| service).collect()
     }
 
-    /// Takes a reading of an engine's `/load` that was begun at `asked_at`.
+    /// Handles an engine's report of `/load` that was requested at `asked_at`.
     pub(crate) fn on_report(
         &self,
         service: ServiceKey,
@@ -110,7 +111,7 @@
     }
 
     /// Whether a model that a server holds is about to be unloaded there, so that its requests
-    /// should go to another one.
+    /// should be sent elsewhere.
     pub(crate) fn is_surplus(&self, service: ServiceKey, server: ServerKey, model: &str) -> bool {
         let now = self.clock.now();
         let planners = self.planners();
@@ -118,7 +119,8 @@
         planner.is_some_and(|planner| planner.is_surplus(server, model_id(model), now))
     }
 
-    /// The members that certainly live, confirmed as of now, and those not known to have ended.
+    /// Updates the members that are certainly live, confirmed as of now, and those not known to
+    /// have terminated.
     pub(crate) fn on_view(&self, live: &View, reference: &View) {
         let now = self.clock.now();
         for planner in self.planners().values_mut() {
@@ -126,7 +128,8 @@
         }
     }
 
-    /// The highest tier that asked for each model of a service of late, 0 being the live one.
+    /// Updates the highest tier of the recent requests for each model of a service, where 0 is the
+    /// highest of all.
     pub(crate) fn on_demand(&self, service: ServiceKey, demand: &[ModelDemand]) {
         let ranks = demand.iter().map(|demand| ModelRank {
             model: model_id(&demand.model),
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Time has passed; sends what is due, each order in a task of its own.
+    /// Advances the time and sends the due orders, each in its own task.
     pub(crate) fn on_tick(self: &Arc<Self>) {
         let now = self.clock.now();
         let actions: Vec<(ServiceKey, TickActions)> = {
@@ -159,8 +162,9 @@
 
     async fn deliver(&self, service: ServiceKey, outbound: &OutboundOrder) {
         reach(Point::Ordering).await;
-        // The process may have been stopped since the order was decided, for as long as another
-        // instance took to become the owner. An engine that ignores fencing numbers would obey it.
+        // The process may have been suspended after the order was decided, long enough for another
+        // instance to become the owner. An engine that ignores fencing numbers would obey the
+        // order.
         if !self.may_send(service, outbound) {
             self.record_answer(service, outbound, OrderAnswer::Failed);
             info!("{}", event("order-dropped", outbound));
@@ -186,7 +190,7 @@
         }
     }
 
-    /// The engines that this instance owns, of all, for the status page.
+    /// The number of engines that this instance owns, and of all engines, for the status document.
     pub(crate) fn status(&self) -> LimitStatus {
         let mut status = LimitStatus {
             limit: "orders/engines-owned".to_owned(),
--- a/crates/entry/src/coordination/orders/tests.rs
+++ b/crates/entry/src/coordination/orders/tests.rs
@@ -1,4 +1,5 @@
-//! The desk alone: placement, what is never unloaded, and what waits for the weight store.
+//! The order planner by itself: placement, what is never unloaded, and what waits for the weight
+//! store.
 
 use crocushold_base::Millis;
 use crocushold_base::ServerKey;
@@ -24,7 +25,7 @@
 
 const MODEL: ModelId = ModelId(7);
 
-/// Loads a minute.
+/// Loads per minute.
 const LOADS: u32 = 6;
 
 fn candidate(number: u64, responsive: bool, held: &[ModelId]) -> Candidate {
@@ -71,7 +72,8 @@
     assert!(two.iter().all(|n| [1, 5, 8].contains(n)), "{two:?}");
 }
 
-/// One engine more joins the service. Were the models dealt out anew, half the fleet would load.
+/// An engine joins the service. If the models were distributed from scratch, half the fleet would
+/// load.
 #[test]
 fn a_joining_engine_moves_no_model_that_is_held() {
     let before = holders(4, &fleet(&[]));
@@ -89,12 +91,12 @@
     assert!(!after.contains(&before[0]) && after.contains(&before[1]));
 }
 
-/// A lone instance, the text of one service with two engines, and what those say of themselves.
+/// A single instance, the configuration of one service with its engines, and the engines' reports.
 struct Fixture {
     planner: OrderPlanner,
     keys: Vec<ServerKey>,
     reports: Vec<LoadReport>,
-    /// The engine whose reports don't come.
+    /// The engine whose reports are missing.
     silent: Option<usize>,
     view: View,
     reference: View,
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Starts anew with engines that check fencing numbers or ignore them.
+    /// Restarts with engines that check fencing numbers or ignore them.
     fn checks(&mut self, checks: bool) {
         let catalog = catalog(1, self.keys.len(), checks);
         let service = &catalog.services[catalog.service("team/fleet").unwrap()];
@@ -131,7 +133,7 @@
         self.keys = service.servers.clone();
     }
 
-    /// Publishes a text that gives the first engine a role.
+    /// Publishes a configuration that gives the first engine a role.
     fn publish_role(&mut self, servers: u32, role: &str) {
         let text = text(servers, self.keys.len(), true);
         let first = "[server fleet/runner-0]\n";
@@ -142,7 +144,7 @@
         self.keys = service.servers.clone();
     }
 
-    /// Runs some seconds, answering each order; returns the orders.
+    /// Runs for some seconds and answers each order. Returns the orders.
     fn run(&mut self, seconds: u64, answer: OrderAnswer) -> Vec<OutboundOrder> {
         let mut sent = Vec::new();
         for _ in 0..seconds {
@@ -208,8 +210,8 @@
     matches!(outbound.body.kind, OrderKind::Unload { .. })
 }
 
-/// Both engines hold the model and the text wants it on one. Both are busy; the one that gives it
-/// up may, since the other serves its callers.
+/// Both engines hold a model that is configured for one. Both are busy; the surplus one may unload
+/// it, since the other serves its callers.
 #[test]
 fn a_spare_replica_is_unloaded_once_the_target_has_stood() {
     let mut fixture = Fixture::new(1, vec![report(&["m"], 3), report(&["m"], 3)]);
@@ -219,7 +221,7 @@
     assert!(sent.iter().all(|outbound| outbound.order.fence == 4));
 }
 
-/// Which engine gives the model up when both hold it and one is to.
+/// The engine that unloads the model if both hold it and one is to.
 fn surplus() -> usize {
     let mut fixture = Fixture::new(1, vec![report(&["m"], 3), report(&["m"], 3)]);
     let sent = fixture.run(34, OrderAnswer::Obeyed);
@@ -227,8 +229,9 @@
     usize::from(unload.server.ends_with('1'))
 }
 
-/// Of two engines that hold a model the one that is to keep it falls silent, a moment before the
-/// other is to give it up. Unloaded now, perhaps nobody could serve the model's callers.
+/// Of two engines that hold a model, the one that is to keep it stops reporting right before the
+/// other is to unload it. If it were unloaded now, there might be no server for the model's
+/// callers.
 #[test]
 fn a_replica_stays_while_the_other_is_silent() {
     let mut fixture = Fixture::new(1, vec![report(&["m"], 3), report(&["m"], 3)]);
@@ -238,7 +241,7 @@
     assert!(!sent.iter().any(is_unload), "{sent:?}");
 }
 
-/// A spare replica is about to be unloaded. Were requests still sent there, those of the last moment
+/// A surplus replica is about to be unloaded. If requests were still sent there, the last ones
 /// would be answered that the model is unknown.
 #[test]
 fn requests_keep_away_from_a_spare_replica() {
@@ -264,8 +267,9 @@
     loads.collect()
 }
 
-/// Ten engines lack a model. Did each load when its order was decided, the weight store would refuse
-/// most of them; a new owner also waits until the former one's loads count no more.
+/// Ten engines lack a model. If each load were ordered as soon as it is decided, the weight store
+/// would refuse most of them. A new owner also waits until the loads of the previous one no longer
+/// count.
 #[test]
 fn loads_stay_within_the_rate_of_the_weight_store() {
     let mut fixture = Fixture::new(10, vec![report(&[], 0); 10]);
@@ -278,14 +282,15 @@
     );
 }
 
-/// Eight engines lack a model, and the store gives a load every three seconds. An engine uses its permit
-/// only when its next order is due, some seconds later. Were it given another one meanwhile, half of
-/// the rate would be lost, and the callers of the last engines would wait for twice as long.
+/// Eight engines lack a model, and the weight store allows a load every three seconds. An engine
+/// uses its permit only when its next order is due, some seconds later. If it were given another
+/// permit in the meantime, half of the rate would be lost, and the callers of the last engines
+/// would wait twice as long.
 #[test]
 fn the_rate_of_the_weight_store_is_used() {
     let mut fixture = Fixture::with_loads(8, vec![report(&[], 0); 8], 20);
     let mut count = 0;
-    // The owner's wait, a load every three seconds, and what the last order waits for.
+    // The wait of a new owner, a load every three seconds, and the wait of the last order.
     while fixture.now < 25_000 + 8 * 3_000 + 3_000 {
         for outbound in fixture.run(1, OrderAnswer::Obeyed) {
             let engine: usize = outbound.server.rsplit('-').next().unwrap().parse().unwrap();
@@ -296,8 +301,8 @@
     assert_eq!(count, 8);
 }
 
-/// The nightly sheets' model comes first in the text, and the chat's is missing too. The chat's
-/// callers are waiting, so its model is loaded first.
+/// The model of the nightly batch comes first in the configuration, and the model of the chat
+/// service is missing too. The chat callers are waiting, so their model is loaded first.
 #[test]
 fn the_model_of_the_highest_tier_is_loaded_first() {
     for (first, second) in [("m", "n"), ("n", "m")] {
@@ -313,9 +318,9 @@
     }
 }
 
-/// The engines take minutes to load. The chat's model is begun on both, and the sheets' model waits for
-/// its turn. Were the loads that are in progress ordered again and again, they would take the store's
-/// permits, and the sheets' model would be begun only once the chat's is there.
+/// The engines take minutes to load. The chat model is loading on both, and the batch model is
+/// next. If the loads in progress were ordered again and again, they would use up the permits, and
+/// the batch model would be loaded only after the chat model is there.
 #[test]
 fn loads_in_progress_take_no_permits() {
     let mut fixture = Fixture::new(2, vec![report(&[], 0); 2]);
@@ -329,7 +334,8 @@
     assert_eq!(loads(&sent), ["m", "m", "n", "n"]);
 }
 
-/// An engine crashes while it loads: no report comes for some seconds, and it has forgotten the load.
+/// An engine crashes while it loads a model: its reports are missing for some seconds, and the load
+/// is lost.
 #[test]
 fn a_load_is_ordered_again_after_a_crash() {
     let mut fixture = Fixture::new(1, vec![report(&[], 0)]);
@@ -341,7 +347,7 @@
     assert_eq!(loads(&fixture.run(30, OrderAnswer::Obeyed)), ["m"]);
 }
 
-/// Without a majority of the fleet, or while another instance owns the service, nothing is ordered.
+/// Nothing is ordered without a majority of the fleet, or while another instance owns the service.
 #[test_case(&["entry-0"], &["entry-0", "b", "c"]; "in a minority")]
 #[test_case(&[], &["entry-0"]; "with no view")]
 fn nothing_is_ordered_by_one_that_may_not(live: &[&str], reference: &[&str]) {
@@ -360,8 +366,9 @@
     assert_eq!(fixture.run(60, OrderAnswer::Obeyed), []);
 }
 
-/// A load is decided, and before it leaves a text without its model is in force. The targets follow a
-/// text at the next tick; until then an engine that ignores fencing numbers would load for nobody.
+/// A load is decided, and before it is sent a configuration without its model becomes active. The
+/// targets follow the configuration at the next tick; until then an engine that ignores fencing
+/// numbers would load a model that nobody uses.
 #[test]
 fn an_order_of_a_replaced_text_may_not_be_sent() {
     let mut fixture = Fixture::new(2, vec![report(&[], 0); 2]);
@@ -375,7 +382,7 @@
     assert!(!fixture.planner.may_send(order, now));
 }
 
-/// The roles among the orders, with their engines.
+/// The role changes among the orders, with their engines.
 fn roles(sent: &[OutboundOrder]) -> Vec<(&str, EngineRole)> {
     let roles = sent.iter().filter_map(|outbound| match outbound.body.kind {
         OrderKind::Role { role } => Some((outbound.server.as_str(), role)),
@@ -384,8 +391,8 @@
     roles.collect()
 }
 
-/// Both engines serve a model, and a text gives the first one another role. Requests keep away from it
-/// at once, and the role is ordered once the text has stood.
+/// Both engines serve a model, and a configuration gives the first one another role. Requests avoid
+/// it immediately, and the role is ordered once the configuration has been stable for a while.
 #[test]
 fn a_role_is_ordered_after_requests_keep_away() {
     let mut fixture = Fixture::new(2, vec![report(&["m", "n"], 3); 2]);
@@ -408,9 +415,9 @@
     );
 }
 
-/// The engine that is to stop running whole requests is the only one that serves a model for now: the
-/// other one lacks it, is silent, or still has a role without whole requests. Its callers would be
-/// left without a server, so the role waits.
+/// The engine that is to stop running whole requests is the only one that currently serves a model:
+/// the other one lacks it, doesn't report, or still has a role without whole requests. The callers
+/// would have no server, so the role change waits.
 #[test_case(report(&["n"], 0), None; "lacks the model")]
 #[test_case(report(&["m", "n"], 0), Some(1); "is silent")]
 #[test_case(LoadReport { role: EngineRole::Decode, ..report(&["m", "n"], 0) }, None; "only decodes")]
@@ -423,8 +430,9 @@
     assert!(!roles(&sent).contains(&first), "{sent:?}");
 }
 
-/// One of two engines is to hold a model, and the text gives the one that does another role. The model
-/// is loaded on the other one first, which then serves its callers; the first gives it up last.
+/// A model is configured for one of two engines, and the configuration gives the engine that holds
+/// it another role. The model is loaded on the other engine first, which then serves its callers;
+/// the first engine unloads it last.
 #[test]
 fn a_model_moves_before_its_engine_changes_role() {
     let mut fixture = Fixture::new(1, vec![report(&["m"], 3), report(&[], 0)]);
@@ -440,7 +448,7 @@
     assert!(fixture.run(10, OrderAnswer::Obeyed).iter().any(is_unload));
 }
 
-/// Engines play other roles than usual, and the text names none.
+/// Engines run in other roles than usual, and the configuration names none.
 #[test]
 fn a_role_that_the_text_does_not_name_is_left_alone() {
     let decodes = LoadReport {
--- a/crates/entry/src/coordination/suspects.rs
+++ b/crates/entry/src/coordination/suspects.rs
@@ -1,4 +1,5 @@
-//! Requests under which backend servers ended: evidence, and what the instances tell each other.
+//! Requests under which backend servers terminated: the evidence, and its exchange between
+//! instances.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -28,19 +29,20 @@
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
 
-/// Between two rounds of telling others what is new.
+/// Interval at which new suspicions are sent to other instances.
 const GOSSIP_PERIOD: Millis = Millis(100);
 
-/// Rounds between two in which others are told all that is open: one may have just started, or missed it.
+/// Every how many rounds all open suspicions are sent: a member may have just started or missed a
+/// message.
 const FULL_GOSSIP_ROUNDS: usize = 10;
 
-/// Members that are told in a round.
+/// Number of members to which suspicions are sent in a round.
 const GOSSIP_FANOUT: usize = 3;
 
-/// How long a message may take. What it tells is told again by others.
+/// Timeout of a message. Its contents are also sent by other instances.
 const GOSSIP_TIMEOUT: Millis = Millis(500);
 
-/// What one instance knows of requests under which servers ended.
+/// What this instance knows of requests under which servers terminated.
 #[derive(Debug)]
 pub(crate) struct Suspects {
     clock: Clock,
@@ -52,7 +54,8 @@
 #[derive(Debug, Default)]
 struct State {
     quarantine: Quarantine,
-    /// How often the process at an address was found to have ended. An address is all that names a server here.
+    /// How often the process at an address was found to have terminated. Servers are identified by
+    /// address alone here.
     terminations: HashMap<SocketAddr, u64>,
 }
 
@@ -70,11 +73,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a request may be sent.
+    /// Checks whether a request may be sent.
     ///
     /// # Errors
     ///
-    /// Its refusal, as servers ended under it: each try would end the next one, with all that runs there.
+    /// Returns a refusal if servers terminated under it: each attempt would terminate another one,
+    /// with all requests that run there.
     pub(crate) fn admit(&self, content: Fingerprint) -> Result<(), Refusal> {
         let admitted = self.state().quarantine.admit(content, self.clock.now());
         admitted.map_err(|held| {
@@ -83,8 +87,9 @@
         })
     }
 
-    /// The server at `address` cut a run that was sent to it at `sent`. A reset looks the same as the end of the
-    /// process, so the server is looked for.
+    /// Handles a run, sent to the server at `address` at the time `sent`, whose connection the
+    /// server broke. A connection reset looks the same as a terminated process, so the server is
+    /// checked.
     pub(crate) fn on_cut(
         self: &Arc<Self>,
         content: Fingerprint,
@@ -106,7 +111,7 @@
         }
     }
 
-    /// A request was served whole.
+    /// Handles a request that was served completely.
     pub(crate) fn on_served(&self, content: Fingerprint) {
         let now = self.clock.now();
         if self.state().quarantine.served(content, now) {
@@ -115,7 +120,7 @@
         }
     }
 
-    /// Another instance tells of suspects.
+    /// Handles the suspicions of another instance.
     pub(super) fn on_suspicions(&self, suspicions: &[Suspicion]) {
         let now = self.clock.now();
         let mut state = self.state();
@@ -141,8 +146,9 @@
         self.log_quarantined(state);
     }
 
-    /// The life of the process at an address, as this instance counts them. Another instance counts differently; the
-    /// runs that it saw cut by the same end overlapped with these, and count once.
+    /// The incarnation of the process at an address, as counted by this instance. Other instances
+    /// count differently; the runs that they saw broken by the same termination overlap with these,
+    /// and count once.
     fn incarnation(&self, state: &State, address: SocketAddr) -> Incarnation {
         let terminations = state
             .terminations
@@ -165,7 +171,7 @@
         }
     }
 
-    /// What to tell others in a round.
+    /// Returns the suspicions to send in a round.
     fn suspicions_to_send(&self, all: bool) -> Vec<Suspicion> {
         let now = self.clock.now();
         let quarantine = &mut self.state().quarantine;
@@ -179,7 +185,8 @@
 }
 
 impl Coordinator {
-    /// Tells other instances of requests under which servers ended, as long as the process runs.
+    /// Sends suspicions about requests under which servers terminated to other instances, as long
+    /// as the process runs.
     pub(crate) async fn run_suspects(self: Arc<Self>) {
         for round in 0usize.. {
             task::sleep(GOSSIP_PERIOD.into()).await;
@@ -197,7 +204,7 @@
         let others = live.members().iter().copied();
         let others: Vec<Member> = others.filter(|member| *member != self.me).collect();
         for number in 0..GOSSIP_FANOUT.min(others.len()) {
-            // Another few in each round, and not the same ones as those that others draw.
+            // Other members in each round, and not the same ones that other instances choose.
             let draw = XxHash3_64::oneshot_with_seed(
                 self.me.id.0,
                 &(round * GOSSIP_FANOUT + number).to_le_bytes(),
--- a/crates/entry/src/coordination/transport.rs
+++ b/crates/entry/src/coordination/transport.rs
@@ -1,4 +1,4 @@
-//! Carries coordination calls to members, who are known to the peers' node by name.
+//! Sends coordination calls to members, which the peer node knows by name.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -13,7 +13,7 @@
 use crocushold_peers::Response;
 use crocushold_peers::View;
 
-/// The way to the other members.
+/// Connects to the other members.
 pub(crate) struct Transport {
     me: Member,
     peers: OnceLock<PeerHandle>,
@@ -30,23 +30,23 @@
     }
 
     pub(crate) fn connect(&self, peers: PeerHandle) {
-        // Connected once, when the instance starts.
+        // Set only once, when the instance starts.
         let _ = self.peers.set(peers);
     }
 
-    /// Learns the names of the lives that are known.
+    /// Updates the names of the known incarnations.
     pub(crate) fn update_names(&self, view: &View) {
         let lives = view.lives.iter();
         let names = lives.map(|life| (Member::new(life.id.as_str(), life.start), life.id.clone()));
         *self.names.lock().unwrap_or_else(PoisonError::into_inner) = names.collect();
     }
 
-    /// Whether the membership vouches for its view: not while joining or right after an own pause.
+    /// Whether the view is settled: not while joining, nor right after this process was suspended.
     pub(crate) fn is_settled(&self) -> bool {
         self.peers.get().is_some_and(|peers| peers.view().settled)
     }
 
-    /// Makes a call; `None` when the member can't be reached or doesn't answer in time.
+    /// Sends a call. Returns `None` if the member can't be reached or doesn't reply in time.
     pub(crate) async fn call(
         &self,
         to: Member,
