--- a/crates/entry/src/pool.rs
+++ b/crates/entry/src/pool.rs
@@ -54,41 +54,42 @@
 #[cfg(test)]
 mod tests;
 
-/// The longest sleep of a pool's timer task; the router wants to be called about once a second.
+/// Maximum sleep of a pool's timer task. The router has to be called about once a second.
 const MAX_TIMER_SLEEP: Millis = Millis(500);
 
-/// The window in which arrivals of the live tier are counted to size the headroom: what is left of a
-/// target of a few hundred milliseconds for waiting. Over seconds, released slots absorb any burst;
-/// within the target they don't.
+/// Window in which arrivals of tier 0 are counted to size the headroom: the part of a target of a
+/// few hundred milliseconds that is left for waiting. Over seconds, released slots absorb any
+/// burst; within the target they don't.
 const HEADROOM_WINDOW: Millis = Millis(250);
 
-/// The greatest share of slots that the headroom keeps free.
+/// Maximum share of slots kept free as headroom.
 const MAX_HEADROOM: f64 = 0.05;
 
-/// Consecutive slow samples that eject a straggler.
+/// Number of consecutive slow samples after which a straggler is ejected.
 const SLOW_SAMPLES: u32 = 3;
 
-/// Share of the slots that lower tiers always leave free, rounded up to a whole slot.
+/// Minimum share of slots that lower tiers leave free, rounded up to a whole slot.
 ///
-/// Started work is never preempted. Without a free slot, a batch of long answers that holds them all
-/// makes every live request wait past its patience, which sheds it for a lower tier.
+/// Running requests are never preempted. Without a free slot, a batch of long responses that holds
+/// all slots makes every request of tier 0 wait beyond its maximum, which sheds it in favor of a
+/// lower tier.
 const MIN_HEADROOM: f64 = 0.01;
 
-/// The mutable state of a pool. One lock holds scheduler and router together, since a dispatch
-/// takes a slot of both.
+/// The mutable state of a pool. One lock holds both scheduler and router, since a dispatch takes a
+/// slot of each.
 pub(crate) struct State {
     pub(crate) scheduler: Scheduler,
     pub(crate) router: Router,
     pub(crate) addresses: HashMap<ServerKey, SocketAddr>,
-    /// The service's name, for events.
+    /// The service's name, for log events.
     service: String,
-    /// The servers as configured: each holds every model of the service.
+    /// The configured servers, each with every model of the service.
     servers: Vec<ServerSpec>,
-    /// Which of them this instance uses.
+    /// The servers that this instance uses.
     pub(crate) reach: Reach,
-    /// The model that last lacked a server.
+    /// The model that last had no server.
     missing_model: Option<ModelKey>,
-    /// Whether some model is to be held by some of the servers only.
+    /// Whether some model is configured for some of the servers only.
     heterogeneous: bool,
     /// The models that servers reported to hold.
     loaded: HashMap<ServerKey, Vec<ModelKey>>,
@@ -104,11 +105,11 @@
     pub(crate) service: String,
     /// The instance's availability zone.
     pub(crate) zone: String,
-    /// Seed of random choices.
+    /// Seed for random choices.
     pub(crate) seed: u64,
-    /// Senders of a server.
+    /// Number of entry instances that send to one server.
     pub(crate) senders: usize,
-    /// Most bytes of queued requests.
+    /// Maximum size of all queued requests, in bytes.
     pub(crate) queue_bytes: u64,
 }
 
@@ -121,7 +122,7 @@
 }
 
 impl Pool {
-    /// A pool without classes or servers.
+    /// Creates a pool without classes or servers.
     pub(crate) fn new(clock: Clock, settings: &PoolSettings) -> Arc<Pool> {
         let (wake, woken) = bounded(1);
         let scheduler = admission::Settings {
@@ -157,13 +158,13 @@
         })
     }
 
-    /// The state. Each call into a state machine leaves it whole, so a panic elsewhere while the
-    /// lock was held doesn't make it unusable.
+    /// Locks the state. Every call into a state machine leaves it consistent, so a panic elsewhere
+    /// while the lock was held doesn't make it unusable.
     pub(crate) fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the state, then starts whatever may start now.
+    /// Changes the state, then dispatches the requests that can start.
     pub(crate) fn update<T>(&self, change: impl FnOnce(&mut State, Millis) -> T) -> T {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -172,23 +173,23 @@
         result
     }
 
-    /// Admits a request to the queue, or refuses it.
+    /// Queues a request, or refuses it.
     pub(crate) fn submit(
         &self,
         arrival: &Arrival,
         requirements: Requirements,
     ) -> Result<QueuedRequest, Refusal> {
         let queued = self.update(|state, now| state.submit(arrival, requirements, now))?;
-        // A full channel holds a wake-up already.
+        // If the channel is full, a wake-up is already pending.
         let _ = self.wake.try_send(());
         Ok(queued)
     }
 
-    /// Takes back a request whose caller left before it took its turn.
+    /// Removes a request whose caller disconnected while it was queued.
     ///
-    /// The turn can have been sent already: the caller hangs up between the dispatch and the moment
-    /// at which its task runs. The server that was picked holds a slot for it then, which nobody
-    /// else would give back. Turns are sent under the lock, so none comes after this look.
+    /// The request may already be dispatched, if the caller disconnects between the dispatch and
+    /// the next run of its task. The chosen server then holds a slot that nobody else would
+    /// release. Results are sent under the lock, so none arrives after this check.
     pub(crate) fn withdraw(&self, mut queued: QueuedRequest) {
         self.update(|state, now| {
             if let Ok(Some(QueueResult::Dispatched(dispatch))) = queued.queue_result.try_recv() {
@@ -199,7 +200,7 @@
         });
     }
 
-    /// Chooses another server after a failed attempt, or gives the request up.
+    /// Chooses another server after a failed attempt, or gives up.
     pub(crate) fn retry(
         &self,
         facts: &RequestFacts,
@@ -210,10 +211,11 @@
         self.update(|state, now| state.pick_for_retry(facts, stage, requirements, tried, now))
     }
 
-    /// Puts a request whose attempt failed back into the queue, at its place by arrival.
+    /// Puts a request whose attempt failed back into the queue, at its position by arrival.
     ///
-    /// When a server dies, those that are left are soon full. Given up on at once, a live request
-    /// would lose its answer while the slots that come free next go to lower tiers behind it.
+    /// When a server fails, the remaining ones are soon full. If the request were given up
+    /// immediately, a request of tier 0 would fail while the next free slots go to lower tiers
+    /// behind it.
     pub(crate) fn requeue(
         &self,
         ticket: Ticket<Dispatched>,
@@ -240,12 +242,12 @@
         self.update(|state, now| state.router.done(attempt, outcome, tokens, now));
     }
 
-    /// Ends a request at any point.
+    /// Ends a request in any state.
     pub(crate) fn cancel(&self, key: RequestKey) {
         self.update(|state, now| state.cancel(key, now));
     }
 
-    /// Runs the pool's timers until the pool is dropped by everyone else.
+    /// Runs the pool's timers until no one else holds the pool.
     pub(crate) async fn run_timers(self: Arc<Pool>) {
         while Arc::strong_count(&self) > 1 {
             let wait = self.update(|state, now| {
--- a/crates/entry/src/pool/demand.rs
+++ b/crates/entry/src/pool/demand.rs
@@ -1,14 +1,14 @@
-//! For whom each model is asked.
+//! Recent demand for models.
 
 use std::collections::HashMap;
 
 use crocushold_base::Millis;
 use crocushold_base::ModelKey;
 
-/// For how long a request counts as demand.
+/// How long a request counts as demand.
 const DEMAND_WINDOW: Millis = Millis::from_secs(60);
 
-/// The highest tier that asked for each model of late, also where no server holds the model.
+/// The highest tier of the recent requests for each model, including models that no server holds.
 #[derive(Debug, Default)]
 pub(crate) struct RecentDemand {
     models: HashMap<ModelKey, LatestRequest>,
@@ -29,7 +29,8 @@
         }
     }
 
-    /// The models that were asked for of late, each with its highest tier, 0 being the live one.
+    /// The recently requested models, each with the highest tier of its requests, where 0 is the
+    /// highest of all.
     pub(crate) fn recent(&self, now: Millis) -> impl Iterator<Item = (ModelKey, u8)> {
         let models = self.models.iter();
         let recent = models.filter(move |(_, request)| now.since(request.at) < DEMAND_WINDOW);
--- a/crates/entry/src/pool/dispatch.rs
+++ b/crates/entry/src/pool/dispatch.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is, and at which server.
+//! Dispatches queued requests to servers.
 
 use std::net::SocketAddr;
 
@@ -30,7 +30,7 @@
 use super::queue::Requirements;
 use crate::refusal::Refusal;
 
-/// Requests set aside in one round because no server could be had for them.
+/// Maximum number of requests that are deferred in one round because no server is available.
 const MAX_DEFERRED: usize = 16;
 
 impl State {
@@ -62,18 +62,18 @@
         self.scheduler.cancel(key, 0, now);
     }
 
-    /// Carries out the scheduler's actions until there are none.
+    /// Executes the scheduler's actions until there are none.
     ///
-    /// What a wider reach brings in is given out at once: without another event, the requests that
-    /// lacked it would wait for the next tick.
+    /// If the reach is widened, the new servers are used immediately: without another event, the
+    /// requests that need them would wait until the next tick.
     pub(super) fn run_scheduler(&mut self, now: Millis) {
         while self.run_scheduler_round(now) {}
     }
 
-    /// One round; true when the reach was widened by it.
+    /// Runs one round. Returns true if it widened the reach.
     ///
-    /// A request for which no server can be had is set aside while others are tried: a model whose
-    /// servers are all busy must not hold up the requests for the other models behind it.
+    /// A request for which no server is available is deferred while others are tried: a model whose
+    /// servers are all busy must not block requests for other models.
     fn run_scheduler_round(&mut self, now: Millis) -> bool {
         let mut deferred = Vec::new();
         let mut shortage = None;
@@ -99,7 +99,7 @@
         self.adapt_reach(shortage, now)
     }
 
-    /// Sends a dispatched request on its way; gives the ticket back when no server could be had.
+    /// Dispatches a request to a server. Returns the ticket if no server is available.
     fn dispatch(&mut self, ticket: Ticket<Dispatched>, now: Millis) -> Result<(), Deferred> {
         let key = ticket.key();
         let Some(entry) = self.queued.get(&key) else {
@@ -120,7 +120,7 @@
                 self.deliver(dispatch, now);
                 Ok(())
             }
-            // Else a server that isn't in reach, or hasn't reported yet, may hold the model.
+            // Otherwise a server that is not in reach or has not reported yet may hold the model.
             Err(none) if none.reason == Reason::NoModel && self.reach.is_searched(now) => {
                 self.scheduler.cancel(key, 0, now);
                 self.notify(key, QueueResult::Refused(Refusal::from_routing(&none)));
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Picks a server that wasn't tried. When none is left, one that was: it may have recovered while
-    /// the request waited, and the request would wait for ever for another.
+    /// Picks a server that was not tried. If there is none, picks one that was: it may have
+    /// recovered while the request was queued, and the request would wait for another one forever.
     fn pick_preferring_untried(
         &mut self,
         requirements: &Requirements,
@@ -152,7 +152,8 @@
         let key = dispatch.ticket.key();
         let attempt = dispatch.pick.attempt;
         if !self.notify(key, QueueResult::Dispatched(dispatch)) {
-            // The caller left between the queue and here: nothing was sent, so both slots return.
+            // The caller disconnected after the dispatch and nothing was sent, so both slots are
+            // released.
             self.router.done(attempt, Outcome::Cancelled, 0, now);
             self.scheduler.cancel(key, 0, now);
         }
--- a/crates/entry/src/pool/queue.rs
+++ b/crates/entry/src/pool/queue.rs
@@ -1,4 +1,4 @@
-//! What a request and its pool tell each other.
+//! Requests in a pool's queue and their results.
 
 use std::net::SocketAddr;
 
@@ -15,16 +15,16 @@
 
 use crate::refusal::Refusal;
 
-/// What a waiting request is told.
+/// The result of queuing a request.
 #[derive(Debug)]
 pub(crate) enum QueueResult {
-    /// It may be sent to the server that was picked.
+    /// It may be sent to the chosen server.
     Dispatched(Dispatch),
     /// It won't run.
     Refused(Refusal),
 }
 
-/// The right to send a request, and where to.
+/// Permission to send a request to a server.
 #[derive(Debug)]
 pub(crate) struct Dispatch {
     pub(crate) ticket: Ticket<Dispatched>,
@@ -32,7 +32,7 @@
     pub(crate) address: SocketAddr,
 }
 
-/// What a request needs of a server.
+/// What a request requires of a server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Requirements {
     pub(crate) model: Option<ModelKey>,
@@ -56,32 +56,32 @@
     }
 }
 
-/// A dispatched request for which no server could be had.
+/// A request for which no server is available yet.
 pub(super) struct Deferred {
     pub(super) ticket: Ticket<Dispatched>,
     pub(super) reason: Reason,
     pub(super) model: Option<ModelKey>,
 }
 
-/// The queue's end of a waiting request.
+/// The pool's entry for a queued request.
 pub(super) struct QueueEntry {
     pub(super) queue_result: oneshot::Sender<QueueResult>,
     pub(super) requirements: Requirements,
-    /// Servers at which it failed already.
+    /// Servers at which an attempt of the request failed.
     pub(super) tried: Vec<ServerKey>,
 }
 
-/// Why a request isn't sent again at once.
+/// Why a request isn't sent again immediately.
 #[derive(Debug)]
 pub(crate) enum NoRetry {
-    /// It may be sent to a server that wasn't tried and has no free slot now.
+    /// It may be sent to a server that was not tried and has no free slot.
     Busy(Decision),
-    /// Its caller gets a final answer.
+    /// It is refused.
     Final(Decision),
 }
 
 impl NoRetry {
-    /// What to tell a caller that won't wait.
+    /// The decision for a caller that doesn't wait.
     pub(crate) fn decision(self) -> Decision {
         match self {
             NoRetry::Busy(decision) | NoRetry::Final(decision) => decision,
@@ -89,7 +89,7 @@
     }
 }
 
-/// A request that was admitted and waits for its turn.
+/// An admitted request that is waiting in the queue.
 #[derive(Debug)]
 pub(crate) struct QueuedRequest {
     pub(crate) key: RequestKey,
--- a/crates/entry/src/pool/reach.rs
+++ b/crates/entry/src/pool/reach.rs
@@ -1,4 +1,4 @@
-//! The servers that the pool's router is given: those in reach of this instance.
+//! The servers given to the pool's router: those in reach of this instance.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,26 +20,26 @@
 use super::State;
 use crate::polling::PollReason;
 
-/// Attempts of a request that failed within the reach before the next is made beyond the subset.
+/// Attempts of a request that may fail within the subset before the next one is made outside it.
 ///
-/// The failure: all servers of the subset died a moment ago, and nobody knows yet. Each request has
-/// three attempts; with all of them in the subset the first callers are told that no server could be
-/// reached, while most of the service is up.
+/// If all servers of the subset have just failed, no instance knows of it yet. Each request has
+/// three attempts. If all of them were made within the subset, the first callers would be told that
+/// no server could be reached, although most of the service is up.
 const SUBSET_ATTEMPTS: usize = 2;
 
-/// The servers of a service as configured.
+/// The configured servers of a service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServerGroup {
-    /// Each with every model of the service.
+    /// The servers, each with every model of the service.
     pub(crate) specs: Vec<ServerSpec>,
-    /// About how many of them an instance is to use.
+    /// Approximate number of servers that one instance should use.
     pub(crate) subset_size: usize,
-    /// Whether some model is to be held by some of them only.
+    /// Whether some model is configured for some of the servers only.
     pub(crate) heterogeneous: bool,
 }
 
 impl State {
-    /// Takes over the configured servers.
+    /// Updates the configured servers.
     pub(crate) fn set_servers(&mut self, group: ServerGroup, now: Millis) {
         self.reach.set_servers(&group.specs, group.subset_size);
         self.servers = group.specs;
@@ -47,14 +47,15 @@
         self.configure_router(now);
     }
 
-    /// Takes over the live instances, which share the servers.
+    /// Updates the live entry instances, which share the servers.
     pub(crate) fn set_fleet(&mut self, fleet: &EntryFleet, now: Millis) {
         if self.reach.set_fleet(fleet) {
             self.configure_router(now);
         }
     }
 
-    /// Takes in which models a server holds. Until it has reported any, it is taken to hold all.
+    /// Updates the models that a server holds. Until its first report, a server is assumed to hold
+    /// all.
     pub(crate) fn set_loaded(&mut self, server: ServerKey, models: Vec<ModelKey>, now: Millis) {
         let same = self.loaded.get(&server) == Some(&models);
         if same || !self.in_reach().any(|key| key == server) {
@@ -70,7 +71,8 @@
         allotted.map(|&(at, _)| self.servers[at].key)
     }
 
-    /// Why a server in reach is polled where there are many.
+    /// The reason for polling a server in reach when there are too many to poll all of them
+    /// frequently.
     pub(crate) fn poll_reason(&self, server: ServerKey) -> PollReason {
         let standing = self.router.why(server);
         if standing.is_some_and(|standing| standing.borrowed) {
@@ -89,7 +91,7 @@
             .collect();
         let reached = self.reach.allotted().iter();
         let mut specs: Vec<ServerSpec> = reached.map(|&(at, _)| self.servers[at].clone()).collect();
-        // What a server held when it was last in reach says nothing of what it holds now.
+        // What a server held when it was last in reach says nothing about what it holds now.
         let mut loaded = HashMap::new();
         let covers_all_servers = self.reach.is_whole() && !self.reach.is_widened();
         let assume_all_models = !self.heterogeneous || covers_all_servers || self.loaded.is_empty();
@@ -98,8 +100,9 @@
                 spec.models.clone_from(&models);
                 loaded.insert(spec.key, models);
             } else if !assume_all_models {
-                // It came into reach a moment ago and may lack the model: its callers would be told
-                // that the model doesn't exist. It reports within a second, while others serve.
+                // The server has just come into reach and may lack the model; its callers would be
+                // told that the model doesn't exist. It reports within a second, and others serve
+                // until then.
                 spec.models.clear();
             }
         }
@@ -108,12 +111,12 @@
         self.router.configure(&specs, now);
     }
 
-    /// Widens the reach when a request lacks a server, and narrows it when the own servers serve
-    /// again; true when it was widened.
+    /// Widens the reach when a request has no server, and narrows it when the instance's own
+    /// servers are available again. Returns true if it was widened.
     ///
-    /// The failure: all servers of the subset are down, ejected or full while hundreds of others are
-    /// idle, and the callers of this instance wait or are refused. Each step reaches twice as many
-    /// servers, so that all are in reach after a few.
+    /// Without it, all servers of the subset could be down, ejected or full while hundreds of
+    /// others are idle, and the callers of this instance would wait or be refused. Each step
+    /// doubles the number of servers in reach, so that a few steps reach all.
     pub(super) fn adapt_reach(
         &mut self,
         shortage: Option<(Reason, Option<ModelKey>)>,
@@ -138,15 +141,15 @@
         self.widen(shortage, model, now)
     }
 
-    /// Why requests wait although nothing was dispatched: the scheduler asks for no server when
-    /// none has a free slot.
+    /// Why requests are queued although nothing was dispatched: the scheduler doesn't ask for a
+    /// server if none has a free slot.
     fn queue_shortage(&self) -> Option<(Reason, Option<ModelKey>)> {
         let queued = !self.queued.is_empty();
         let reason = self.router.shortage(None).filter(|_| queued);
         reason.map(|reason| (reason, None))
     }
 
-    /// Whether an own server could take a request that lacked one.
+    /// Whether a server of the subset could take a request that had no server.
     fn own_servers_available(&self) -> bool {
         self.own_servers().any(|key| {
             let holds = |model| {
@@ -172,8 +175,8 @@
         widened
     }
 
-    /// Tells the operator: a wider reach costs polls, and says that servers of the subset are in
-    /// trouble.
+    /// Logged for the operator: a wider reach costs polls, and shows that servers of the subset
+    /// have problems.
     fn log_reach(&self, name: &'static str) {
         let event = Event::new(name)
             .with("service", &self.service)
@@ -183,8 +186,8 @@
         info!("{event}");
     }
 
-    /// Picks for a further attempt. Not every request that failed may wait in the queue again, so the
-    /// reach is widened at once where no other server in it can be had.
+    /// Picks a server for a retry. Not every failed request may be queued again, so the reach is
+    /// widened immediately if it contains no other available server.
     pub(super) fn pick_untried_server(
         &mut self,
         requirements: &Requirements,
--- a/crates/entry/src/pool/tests.rs
+++ b/crates/entry/src/pool/tests.rs
@@ -35,7 +35,7 @@
     tokens: 0,
 };
 
-/// A pool of one server with one slot, and an arrival that it admits.
+/// A pool of one server with one slot, and a request that it admits.
 struct SingleServer {
     pool: Arc<Pool>,
     server: ServerKey,
@@ -94,9 +94,9 @@
     }
 }
 
-// A caller hangs up at the very moment at which its request gets its turn: the turn was sent and
-// nobody will take it. Nothing was sent to a server, so the server's slot must come back; if it
-// didn't, each such moment would shrink the service until the instance is replaced.
+// A caller disconnects right after its request was dispatched, so nobody receives the result.
+// Nothing was sent to a server, so the server's slot must be released. Otherwise each such event
+// would reduce the service's capacity until the instance is replaced.
 #[test]
 fn a_turn_that_nobody_takes_gives_both_slots_back() {
     let single = SingleServer::new();
@@ -107,8 +107,9 @@
     assert!(single.pool.lock().queued.is_empty());
 }
 
-// A request's attempt fails and it waits for a second turn. Its caller hangs up there, or gets the turn
-// when the slot comes free: either way it holds one place and one slot, and gives back what it holds.
+// An attempt fails and the request is queued again. Its caller disconnects, or the request is
+// dispatched when a slot is free: in both cases it holds one queue entry and one slot, and releases
+// what it holds.
 #[test]
 fn a_second_turn_is_given_and_taken_back_like_the_first() {
     let single = SingleServer::new();
@@ -117,7 +118,7 @@
     let Ok(Some(QueueResult::Dispatched(dispatch))) = first.queue_result.try_recv() else {
         panic!("the first has its turn");
     };
-    // The second takes the slot that the failed attempt gave back.
+    // The second request takes the slot that the failed attempt released.
     let attempt = dispatch.pick.attempt;
     single.pool.end_attempt(attempt, Outcome::Cancelled, 0);
     let ticket = dispatch.ticket.sent().not_run(NotRun::NothingWritten);
@@ -139,7 +140,7 @@
     assert_eq!(single.pool.lock().queued.len(), 0);
 }
 
-/// Sixty servers of eight slots, with two senders each, before twelve instances.
+/// Sixty servers with eight slots and two senders each, and twelve instances.
 struct SubsetFixture {
     pool: Arc<Pool>,
     keys: Vec<ServerKey>,
@@ -223,7 +224,7 @@
         queued
     }
 
-    /// Lets the scheduler run at a later time.
+    /// Runs the scheduler at a later time.
     fn wait(&mut self, ms: u64) {
         self.now += Millis(ms);
         self.pool.lock().run_scheduler(self.now);
@@ -262,8 +263,8 @@
     }
 }
 
-// Every server of this instance's subset refuses connections while fifty others are idle. The caller
-// is served by one of those at once, instead of waiting for a server that is gone.
+// Every server of this instance's subset refuses connections while fifty others are idle. The
+// caller is served by one of those immediately, instead of waiting for a server that is down.
 #[test]
 fn a_dead_subset_refuses_nobody() {
     let mut fixture = SubsetFixture::new();
@@ -274,7 +275,7 @@
     assert!(!own.contains(&dispatch.pick.server));
     fixture.end(&dispatch, Outcome::Complete);
     assert!(fixture.own().len() > own.len());
-    // The own servers are tried again, answer, and are enough after a while.
+    // The servers of the subset are tried again, respond, and after a while suffice.
     for _ in 0..40 {
         fixture.wait(500);
         let dispatch = dispatched(&mut fixture.submit()).unwrap();
@@ -283,8 +284,9 @@
     assert_eq!(fixture.own(), own);
 }
 
-// A request failed on a server, and all servers of the subset are out. It doesn't wait in the queue
-// again, so what is free elsewhere has to be found now, or the caller is refused beside it.
+// An attempt of a request failed, and all servers of the subset are ejected. The request isn't
+// queued again, so a free server outside the subset must be found now, or the caller is refused
+// although there is one.
 #[test]
 fn a_failed_attempt_goes_beyond_the_subset() {
     let fixture = SubsetFixture::new();
@@ -309,8 +311,8 @@
     assert!(!own.contains(&pick.server));
 }
 
-// Two attempts of a request were refused, and nobody knows yet that the whole subset is gone. The
-// third and last must not be spent on it.
+// Two attempts of a request were refused, and it isn't known yet that the whole subset is down. The
+// third and last attempt must be made outside it.
 #[test]
 fn the_last_attempt_is_made_beyond_the_subset() {
     let fixture = SubsetFixture::new();
@@ -335,9 +337,10 @@
     assert!(!own.contains(&pick.server));
 }
 
-// All slots of the subset are taken by long answers and a request waits. The servers beyond may be
-// idle, so after a second each may be given one request; but none whose report says that it is full,
-// or an overload of the whole fleet would put more on every server than it can run.
+// All slots of the subset are held by long responses and a request is queued. The servers outside
+// may be idle, so after a second each may be given one request. Servers whose report says that they
+// are full must get none, or an overload of the whole fleet would put more requests on every server
+// than it can run.
 #[test]
 fn a_full_subset_borrows_from_servers_that_are_not_full() {
     let mut fixture = SubsetFixture::new();
@@ -379,9 +382,9 @@
     drop(dispatches);
 }
 
-// A model is to be held by a few servers, none of which is in the subset. The request for it reaches
-// one within seconds instead of being refused as for an unknown model, and goes to no server that
-// hasn't said that it holds the model: the caller would be told that there is none.
+// A model is held by a few servers, none of which is in the subset. A request for it must reach one
+// within seconds instead of being refused as for an unknown model. It must not be sent to a server
+// that has not reported the model, where the caller would be told that there is no such model.
 #[test]
 fn a_model_outside_the_subset_is_found() {
     let mut fixture = SubsetFixture::new();
@@ -407,15 +410,15 @@
     let dispatch = dispatched(&mut queued).expect("served");
     assert_eq!(dispatch.pick.server, holder);
     fixture.end(&dispatch, Outcome::Complete);
-    // Narrowing would only lose it again.
+    // Narrowing would only lose the server again.
     for _ in 0..60 {
         fixture.wait(500);
     }
     assert!(fixture.own().contains(&holder));
 }
 
-// No server of the whole service holds a model. Its callers are told so once all have been asked,
-// and don't wait for ever.
+// No server of the whole service holds a model. Its callers must be told so once all servers have
+// reported, instead of waiting forever.
 #[test]
 fn a_model_that_nobody_holds_is_refused() {
     let mut fixture = SubsetFixture::new();
@@ -438,8 +441,9 @@
     assert!(matches!(told, Some(QueueResult::Refused(_))), "{told:?}");
 }
 
-// An instance joins, and some servers of this one become others'. The answers that they give this
-// instance's callers go on to their end, their slots come back, and no new request goes there.
+// An instance joins, and some servers of this instance's subset are assigned to others. Their
+// responses to this instance's callers complete, their slots are released, and no new request is
+// sent there.
 #[test]
 fn a_server_that_leaves_the_subset_finishes() {
     let fixture = SubsetFixture::new();
