--- a/crates/entry/src/active_config.rs
+++ b/crates/entry/src/active_config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, with the pools and metrics that belong to it.
+//! The active configuration, with the pools and metrics that belong to it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -40,30 +40,33 @@
 #[cfg(test)]
 mod tests;
 
-/// Multiple of a class's target after which an answer is of no use to its caller, who is then
-/// refused instead of kept waiting.
+/// Multiple of a class's latency target after which a queued request is refused: a response that
+/// late is of no use to the caller.
 const MAX_WAIT_FACTOR: u64 = 4;
 
-/// Part of a target for the whole answer by which a request should have been started.
+/// Divisor of a whole-response target that gives the target for the start of the request.
 ///
-/// The scheduler orders by the latest start that meets the target, and knows the time from start to
-/// first token but not the work of a whole answer. Without time for the work, overload would make it
-/// start every request just too late: the fleet works at full speed and no answer meets its target.
+/// The scheduler orders requests by the latest start that meets the target. It knows the time from
+/// start to first token, but not the duration of a whole response. Without time reserved for the
+/// work, overload would make it start every request just too late: the fleet runs at full speed and
+/// no response meets its target.
 const START_TARGET_DIVISOR: u64 = 2;
 
-/// The lowest tier that waits until it is served: batch work has nobody who gives up.
+/// Requests of this tier and of lower-priority ones may wait in the queue without limit: batch work
+/// has no caller that gives up.
 const UNBOUNDED_WAIT_TIER: u8 = 4;
 
-/// Servers of a subset that should hold each model. With eight in the mean, three instances of
-/// 10,000 have none where only some of the servers hold the model.
+/// Servers of a subset that should hold each model, on average. With eight, three of 10,000
+/// instances have no such server when only some of the servers hold the model.
 const REPLICAS_PER_SUBSET: usize = 8;
 
-/// What is in force at one moment. Requests hold the world they started under until they end.
+/// One version of the configuration and its runtime state. A request keeps the version that it
+/// started with until it ends.
 ///
-/// The default is the world before a configuration was read: it resolves nothing.
+/// The default is the state before the first configuration is read: it resolves nothing.
 #[derive(Default)]
 pub(crate) struct ActiveConfig {
-    /// The revision of the text; zero before the first.
+    /// Revision of the configuration; zero before the first.
     pub(crate) revision: u64,
     pub(crate) catalog: Catalog,
     pub(crate) pools: HashMap<ServiceKey, Arc<Pool>>,
@@ -71,8 +74,8 @@
 }
 
 impl ActiveConfig {
-    /// Hands a reading of the instance list to the routers. Servers are matched by address: the
-    /// list names services in the platform's own way.
+    /// Passes an instance list to the routers. Servers are matched by address, since the list uses
+    /// the platform's own names for services.
     pub(crate) fn on_instance_list(&self, list: &InstanceList) {
         let entries = list.instances.iter();
         let by_address: HashMap<SocketAddr, Presence> = entries
@@ -94,21 +97,21 @@
         }
     }
 
-    /// Tells the routers that the instance list couldn't be read.
+    /// Reports to the routers that the instance list couldn't be read.
     pub(crate) fn list_unavailable(&self) {
         for pool in self.pools.values() {
             pool.update(|state, now| state.router.list_unavailable(now));
         }
     }
 
-    /// Takes over the live instances, among which the servers are shared.
+    /// Updates the set of live entry instances, which share the servers.
     pub(crate) fn set_fleet(&self, fleet: &EntryFleet) {
         for pool in self.pools.values() {
             pool.update(|state, now| state.set_fleet(fleet, now));
         }
     }
 
-    /// The names of the models that an account may use, in order.
+    /// Names of the models that an account may use, sorted and without duplicates.
     pub(crate) fn models_of(&self, account: AccountKey) -> Vec<&str> {
         let catalog = &self.catalog;
         let classes = catalog.accounts[account].classes.iter();
@@ -130,7 +133,7 @@
     }
 }
 
-/// What makes pools and metrics for a world.
+/// Builds an [`ActiveConfig`] with its pools and metrics.
 pub(crate) struct Builder {
     clock: Clock,
     zone: String,
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Remembers the live instances for worlds that are still to come.
+    /// Stores the live entry instances for configurations that are built later.
     pub(crate) fn set_fleet(&self, fleet: &EntryFleet) {
         self.fleet().clone_from(fleet);
     }
@@ -165,7 +168,8 @@
         self.fleet.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The world after `text`; pools of services that stay are carried over with their queues.
+    /// Builds the configuration that replaces `previous`. Pools of services that remain are kept,
+    /// with their queues.
     pub(crate) fn build(
         &self,
         previous: &ActiveConfig,
@@ -232,8 +236,9 @@
         });
     }
 
-    /// An account as one service's scheduler sees it. Its rates and its concurrency are those of all
-    /// services together and hold before the schedulers, so none of them bounds it by itself.
+    /// The account as the scheduler of one service sees it. Its rate limits and its concurrency
+    /// limit apply to all services together and are enforced before the schedulers, so the
+    /// schedulers don't enforce them.
     fn account_spec(&self, key: AccountKey) -> AccountSpec {
         AccountSpec {
             key,
@@ -284,11 +289,11 @@
     }
 }
 
-/// The servers of a service, and about how many of them an instance is to use.
+/// The servers of a service, and roughly how many of them one instance should use.
 ///
-/// A model that only some of the servers hold needs a wider subset: where 100 of 1,000 servers hold
-/// it, a subset of 10 would have none of them in one case of three, and every request for it would
-/// have to wait until the reach is widened.
+/// A model that only some of the servers hold needs a larger subset. If 100 of 1,000 servers hold
+/// it, a subset of 10 contains none of them in one case of three, and every request for the model
+/// would wait until the reach is widened.
 fn server_group(catalog: &Catalog, service: &Service) -> ServerGroup {
     let specs = server_specs(catalog, service);
     let models = service.models.iter();
--- a/crates/entry/src/active_config/tests.rs
+++ b/crates/entry/src/active_config/tests.rs
@@ -1,4 +1,4 @@
-//! What the scheduler is told of a class.
+//! How a class of the configuration is mapped to the scheduler.
 
 use crocushold_base::Millis;
 use crocushold_config::Catalog;
@@ -36,8 +36,9 @@
 idempotent = yes
 ";
 
-// Callers of a whole answer see every answer come just after its target during overload: the
-// scheduler starts each at the last moment that it takes for in time, and the work is still to come.
+// Under overload the scheduler starts each request at the last moment that it considers in time. If
+// the start target of a class with a whole-response target left no time for the work, every
+// response would arrive just after its target.
 #[test_case("clara/streamed", Millis(350), Millis(1_400) ; "a stream starts by its first token")]
 #[test_case("clara/whole", Millis(5_000), Millis(40_000) ; "a whole answer leaves time for its work")]
 fn the_latest_start(name: &str, target: Millis, patience: Millis) {
--- a/crates/entry/src/apply.rs
+++ b/crates/entry/src/apply.rs
@@ -1,4 +1,4 @@
-//! Puts the configuration that the peers' node holds in force.
+//! Activates the configuration that the peer node holds.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,13 +26,13 @@
 use crate::shared::PartInfo;
 use crate::shared::Shared;
 
-/// Between two tries to apply a configuration.
+/// Delay before a failed activation is retried.
 const RETRY_DELAY: Millis = Millis::from_secs(1);
 
-/// Follows the notices of the peers' node as long as it runs.
+/// Processes the notices of the peer node until it stops.
 pub(crate) async fn follow(shared: Arc<Shared>, peers: PeerHandle, notices: Receiver<Notice>) {
     let mut applier = Applier::default();
-    // A notice may have been given before the subscription.
+    // A notice may have been sent before the subscription.
     let mut applied = applier.try_apply(&shared, &peers).await;
     shared.on_view(&peers.view());
     while let Some(notice) = next_notice(&notices, applied).await {
@@ -47,7 +47,8 @@
     }
 }
 
-/// The next notice; that of a configuration again, after a pause, where it couldn't be applied.
+/// Waits for the next notice. After a failed activation, returns [`Notice::Config`] at the latest
+/// after a delay, which retries it.
 async fn next_notice(notices: &Receiver<Notice>, applied: bool) -> Option<Notice> {
     if applied {
         return notices.recv().await.ok();
@@ -56,22 +57,25 @@
     notice.map_or(Some(Notice::Config), Result::ok)
 }
 
-/// The parsed text, and which parts it was made of. Only a part whose hash changed is parsed again.
+/// The parsed configuration and the hashes of its parts. Only parts whose hash changed are parsed
+/// again.
 #[derive(Default)]
 struct Applier {
     text: Text,
     hashes: BTreeMap<Arc<str>, PartHash>,
     revisions: BTreeMap<Arc<str>, u64>,
-    /// Findings that were logged; those that stay aren't logged again with each team's change.
+    /// Findings that were logged. Those that remain are not logged again with every change of some
+    /// team.
     logged: BTreeSet<Finding>,
 }
 
 impl Applier {
-    /// Puts what the node holds in force; false when that panicked.
+    /// Activates the configuration that the peer node holds. Returns false if that panicked.
     ///
-    /// Had the panic ended the task, the instance would serve its text for good, look healthy, and
-    /// never take a change again. Nothing is in force before the last step, so it may be tried anew,
-    /// with all parts parsed again since their state may be half changed.
+    /// If the panic ended the task, the instance would serve its current configuration forever,
+    /// look healthy, and never apply another change. Nothing is activated before the last step, so
+    /// the attempt can be repeated. All parts are parsed again, since their state may be
+    /// inconsistent after the panic.
     async fn try_apply(&mut self, shared: &Shared, peers: &PeerHandle) -> bool {
         let attempt = AssertUnwindSafe(self.apply_current(shared, peers));
         if attempt.catch_unwind().await.is_ok() {
@@ -125,7 +129,7 @@
         }
     }
 
-    /// One line a finding, so that an operator who published a mistake finds it in the log.
+    /// Logs one line per finding, so that an operator who published a mistake finds it in the log.
     fn log_findings(&mut self) {
         let findings: BTreeSet<Finding> = self.text.findings().into_iter().collect();
         for finding in findings.difference(&self.logged) {
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! Answering callers.
+//! Handles the requests of callers.
 
 use std::sync::Arc;
 
@@ -25,13 +25,13 @@
 use crate::refusal::Refusal;
 use crate::shared::Shared;
 
-/// The status of an answer that nobody reads: the caller closed the connection.
+/// Status of a response that nobody reads because the caller closed the connection.
 const CALLER_GONE: StatusCode = StatusCode::RequestTimeout;
 
-/// When to come back while the account holds as many connections as it may.
+/// Retry delay for an account that is at its connection limit.
 const CONNECTIONS_RETRY_AFTER: Millis = Millis::from_secs(1);
 
-/// Answers one request of a caller.
+/// Handles one request of a caller.
 pub(crate) async fn answer(
     shared: &Arc<Shared>,
     connection: &Connection,
@@ -51,7 +51,7 @@
     response
 }
 
-/// At the level `debug`: a flood of refusals must not become a flood of lines.
+/// Logged at level `debug`, so that a flood of refusals doesn't become a flood of log lines.
 fn log_refusal(id: &str, refusal: &Refusal) {
     let event = Event::new("refused")
         .with("request", id)
@@ -74,7 +74,8 @@
         let refusal = Refusal::not_run(Reason::NotServing, "no configuration is in force yet");
         return Err(Failure::Refused(refusal.retry_after(Millis::from_secs(1))));
     }
-    // Before the body is read: a stranger must not make the instance buffer megabytes.
+    // Authenticate before the body is read: an unauthenticated caller must not make the instance
+    // buffer megabytes.
     let account = authenticate(&config, connection, &request).map_err(Failure::Refused)?;
     if request.method() == Method::Get && request.url().path() == "/v1/models" {
         return Ok(list_models(&config, account));
@@ -90,7 +91,8 @@
         .decode(&mut request)
         .await
         .map_err(Failure::Refused)?;
-    // The job has what is needed of it; a second copy would be held for as long as the request waits.
+    // The job contains everything that is needed of the request. Keeping it would hold a second
+    // copy for as long as the job is queued.
     drop(request);
     let exchange = Exchange {
         client: &shared.client,
@@ -128,7 +130,8 @@
     }
 }
 
-/// The account whose key the request bears, for which its connection counts from now on.
+/// Returns the account of the request's API key, and counts the connection for that account from
+/// now on.
 fn authenticate(
     config: &ActiveConfig,
     connection: &Connection,
@@ -145,7 +148,7 @@
     Ok(account)
 }
 
-/// The models that the caller's account may use.
+/// Lists the models that the caller's account may use.
 fn list_models(config: &ActiveConfig, account: AccountKey) -> Response {
     let list = ModelList {
         object: "list",
--- a/crates/entry/src/connections.rs
+++ b/crates/entry/src/connections.rs
@@ -1,4 +1,4 @@
-//! A bound on the connections that one client account holds.
+//! Limits the number of connections of each client account.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,9 +11,9 @@
 #[cfg(test)]
 mod tests;
 
-/// How many connections count for each account.
+/// Number of connections of each account.
 ///
-/// It has at most as many entries as there are connections, whatever the number of accounts.
+/// The table has at most one entry per open connection, whatever the number of accounts.
 #[derive(Debug)]
 struct ConnectionCounts {
     limit: u32,
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Counts a connection for `to` that counted for `from`; changes nothing when `to` holds as many
-    /// as it may.
+    /// Moves a connection from account `from` to account `to`. Returns false and changes nothing if
+    /// `to` is at its limit.
     fn reassign(&mut self, from: Option<AccountKey>, to: AccountKey) -> bool {
         let held = self.counts_by_account.get(&to).copied().unwrap_or(0);
         if held >= self.limit {
@@ -52,21 +52,21 @@
     }
 }
 
-/// The connections of all accounts at this instance; clones share them.
+/// The connections of all accounts at this instance. Clones share the counts.
 #[derive(Clone, Debug)]
 pub(crate) struct Connections {
     counts: Arc<Mutex<ConnectionCounts>>,
 }
 
 impl Connections {
-    /// At most `bound` connections an account.
+    /// Allows at most `limit` connections per account.
     pub(crate) fn new(limit: u32) -> Connections {
         Connections {
             counts: Arc::new(Mutex::new(ConnectionCounts::new(limit))),
         }
     }
 
-    /// A connection that was accepted and counts for no account yet.
+    /// Returns an accepted connection that isn't counted for any account yet.
     pub(crate) fn open(&self) -> Connection {
         Connection {
             all: self.clone(),
@@ -79,7 +79,7 @@
     }
 }
 
-/// One caller's connection. It counts for one account until it is dropped.
+/// A caller's connection. It counts for one account until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Connection {
     all: Connections,
@@ -87,13 +87,13 @@
 }
 
 impl Connection {
-    /// Counts the connection for the account that its request came from; false when the account
-    /// holds as many as it may.
+    /// Counts the connection for the account of its current request. Returns false if the account
+    /// is at its limit.
     ///
-    /// Without it one account's callers could take every connection, and all others would be refused
-    /// at the door. It counts for the latest account alone, since a balancer may send requests of
-    /// many accounts over one connection; and each is counted once, so the counts add up to no more
-    /// than the connections in all.
+    /// Without this limit the callers of one account could take all connections, and those of all
+    /// other accounts would be refused. A connection counts only for the latest account, since a
+    /// balancer may send requests of many accounts over one connection. As each connection is
+    /// counted once, the counts add up to no more than the total number of connections.
     pub(crate) fn count_for(&self, account: AccountKey) -> bool {
         let mut current = self.account.lock().unwrap_or_else(PoisonError::into_inner);
         if *current == Some(account) {
--- a/crates/entry/src/connections/tests.rs
+++ b/crates/entry/src/connections/tests.rs
@@ -3,9 +3,9 @@
 
 use super::Connections;
 
-// Connections come, change their account and go in any order. Each is counted once, nothing is left
-// when all are gone, and an account never holds more than the bound: a place that is lost at a change
-// would lock the account out for good.
+// Connections open, change their account and close in any order. Each is counted once, no account
+// exceeds its limit, and nothing is counted after all have closed. A count that leaked when the
+// account changes would lock the account out permanently.
 #[test]
 fn every_place_is_given_back() {
     let mut accounts: SlotMap<AccountKey, ()> = SlotMap::with_key();
--- a/crates/entry/src/decode.rs
+++ b/crates/entry/src/decode.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to a job: who sends it, what it asks for, which class it is.
+//! Decodes a caller's request into a job: its account, what it asks for, and its class.
 
 use std::hash::Hasher;
 use std::sync::Arc;
@@ -37,60 +37,64 @@
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
 
-/// The caller's credential.
+/// Header with the caller's API key.
 const AUTHORIZATION: &str = "authorization";
 
-/// The class that the caller asks for; lower than its own, never higher.
+/// Header with the requested class, which may be of lower priority than the caller's own, never of
+/// higher.
 const CLASS: &str = "x-class";
 
-/// How the caller bounds its own wait, in milliseconds.
+/// Header with the caller's timeout, in milliseconds.
 const TIMEOUT: &str = "x-timeout-ms";
 
-/// Marks a request as one that runs at most once, and names it.
+/// Header that makes a request run at most once, and identifies it.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// The longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_IDEMPOTENCY_KEY: usize = 255;
 
-/// How long a server may take to begin an answer that isn't streamed, where its class has no target
-/// for the whole of it.
+/// Time within which a server must begin a non-streamed response, for classes without a target for
+/// the whole response.
 const DEFAULT_RESPONSE_TIMEOUT: Millis = Millis::from_secs(600);
 
-/// The same as a multiple of that target: the head of such an answer comes with the end of the work.
+/// The same as a multiple of that target. The head of a non-streamed response arrives when the work
+/// is complete.
 const RESPONSE_TIMEOUT_FACTOR: u64 = 4;
 
-/// The least such bound. A late confirmation is worth more than not to know whether it was made.
+/// Lower bound of that time. For callers a late response is better than not knowing whether the
+/// request ran.
 const MIN_RESPONSE_TIMEOUT: Millis = Millis::from_secs(10);
 
-/// When to come back while requests fill the memory.
+/// Retry delay when requests have used up the memory.
 const MEMORY_RETRY_AFTER: Millis = Millis::from_secs(1);
 
-/// Headers that are the router's own business and don't reach a backend server.
+/// Headers for this proxy only, which are not forwarded to backend servers.
 const STRIPPED_HEADERS: [&str; 3] = [AUTHORIZATION, CLASS, TIMEOUT];
 
-/// Tokens that a plain call counts as.
+/// Tokens that a request counts as that is not a language-model request.
 const PLAIN_CALL_TOKENS: u32 = 1;
 
-/// A request that is ready to be queued and, later, to be sent more than once.
+/// A decoded request that can be queued and sent, several times if attempts fail.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub(crate) resolved: Resolved,
     pub(crate) arrival: Arrival,
     pub(crate) requirements: Requirements,
-    /// Whether the answer is a stream of server-sent events.
+    /// Whether the response is a stream of server-sent events.
     pub(crate) stream: bool,
-    /// The idempotency key, for a request that must not run twice.
+    /// The idempotency key of a request that must not run twice.
     pub(crate) idempotency_key: Option<IdempotencyKey>,
-    /// What is asked, for whom: a request that comes again has the same.
+    /// Identifies the content of the request and its account. A repeated request has the same
+    /// fingerprint.
     pub(crate) content: Fingerprint,
-    /// How long a server may take to begin an answer that isn't a stream.
+    /// Time within which a server must begin a non-streamed response.
     pub(crate) response_timeout: Millis,
     outgoing: OutgoingRequest,
-    /// Held until the request has ended, for its drop alone.
+    /// Releases the reserved memory when the job is dropped.
     _reservation: Option<Arc<Reservation>>,
 }
 
-/// Names a request that must not run twice.
+/// Identifies a request that must not run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct IdempotencyKey {
     pub(crate) key: ClaimKey,
@@ -98,7 +102,7 @@
     pub(crate) account: AccountId,
 }
 
-/// What goes to the backend server.
+/// The request that is sent to the backend server.
 #[derive(Clone, Debug)]
 struct OutgoingRequest {
     method: Method,
@@ -108,7 +112,8 @@
 }
 
 impl OutgoingRequest {
-    /// A hash of what is asked for, which tells a repeat from another request under the same key.
+    /// Hash of the request, which distinguishes a repeat from a different request with the same
+    /// idempotency key.
     fn digest(&self) -> RequestDigest {
         let mut hasher = XxHash3_64::new();
         hasher.write(self.method.to_string().as_bytes());
@@ -130,7 +135,7 @@
 }
 
 impl Job {
-    /// Makes the request for the server at `address`.
+    /// Builds the request for the server at `address`.
     pub(crate) fn request(&self, address: std::net::SocketAddr) -> Request {
         let text = format!("http://{address}{}", self.outgoing.target);
         let url = Url::parse(&text).expect("an address and the path of a parsed URL make a URL");
@@ -141,13 +146,13 @@
     }
 }
 
-/// Whether a path belongs to the interface of language-model servers.
+/// Whether the path belongs to the API of language-model servers.
 pub(crate) fn is_model_call(method: Method, path: &str) -> bool {
     let paths = ["/v1/chat/completions", "/v1/completions"];
     method == Method::Post && paths.contains(&path)
 }
 
-/// Reads the key of a request.
+/// Returns the API key of a request.
 pub(crate) fn api_key(request: &Request) -> Result<&str, Refusal> {
     let header = request.header(AUTHORIZATION).map(|values| values.as_str());
     let key = header.and_then(|text| text.strip_prefix("Bearer "));
@@ -157,10 +162,10 @@
     })
 }
 
-/// What a request is decoded and classified with.
+/// What is needed to decode and classify a request.
 pub(crate) struct RequestDecoder<'a> {
     pub(crate) config: &'a ActiveConfig,
-    /// Whose key the request bears.
+    /// The account of the request's API key.
     pub(crate) account: AccountKey,
     pub(crate) memory: &'a Memory,
     pub(crate) limits: &'a CallerLimits,
@@ -172,7 +177,7 @@
     ///
     /// # Errors
     ///
-    /// The refusal of a request that is malformed or not allowed.
+    /// Returns a refusal if the request is malformed or not allowed.
     pub(crate) async fn decode(&self, request: &mut Request) -> Result<Job, Refusal> {
         let reservation = self.reserve(request)?;
         let limits = ServerLimits {
@@ -259,8 +264,8 @@
         resolved.map_err(Refusal::from_config)
     }
 
-    /// The idempotency key of a request that must not run twice. A repeat of an idempotent one does
-    /// no harm, so that its key needs no claim.
+    /// Returns the idempotency key of a request that must not run twice. Repeating an idempotent
+    /// request does no harm, so the key of such a request isn't claimed.
     fn idempotency_key(
         &self,
         request: &Request,
@@ -285,7 +290,8 @@
         }))
     }
 
-    /// Reserves memory for the head and the body: its announced length, or the bound when it has none.
+    /// Reserves memory for the head and the body. A body without a declared length counts with the
+    /// maximum.
     fn reserve(&self, request: &Request) -> Result<Reservation, Refusal> {
         let announced = request.len().map_or(self.limits.body, |len| len as u64);
         let bytes = footprint(request, announced.min(self.limits.body));
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request, from admission to the head of its answer.
+//! One request, from admission to the head of its response.
 
 mod classify;
 mod guard;
@@ -64,19 +64,19 @@
 use crate::response_observer::ResponseObserver;
 use crate::sent_attempt::SentAttempt;
 
-/// The least time for an attempt whose request is at its bound already.
+/// Minimum timeout of an attempt whose request has reached its deadline.
 const MIN_TIMEOUT: Millis = Millis(1);
 
-/// How a request ended before an answer could be relayed.
+/// Why a request failed before a response could be relayed.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// The caller gets this final answer.
+    /// The caller receives this refusal.
     Refused(Refusal),
-    /// The caller hung up; there is nobody to answer.
+    /// The caller closed the connection.
     CallerGone,
 }
 
-/// One request on its way.
+/// A request that is being processed.
 pub(crate) struct Exchange<'a> {
     pub(crate) client: &'a Client,
     pub(crate) coordinator: &'a Arc<Coordinator>,
@@ -88,25 +88,26 @@
     pub(crate) job: Job,
 }
 
-/// What a request holds until its answer has ended.
+/// Resources that a request holds until its response has ended.
 struct HeldResources {
     ticket: Ticket<Sent>,
     permit: Permit,
     running: Occupancy,
 }
 
-/// What is known of the attempts so far.
+/// The attempts so far.
 struct Attempts {
     facts: RequestFacts,
     tried: Vec<ServerKey>,
 }
 
 impl Exchange<'_> {
-    /// Queues the request, sends it, and returns the answer with its body still to be relayed.
+    /// Queues and sends the request. Returns the response, whose body is still to be relayed.
     ///
     /// # Errors
     ///
-    /// The final refusal, or that the caller is gone. The request has been counted then.
+    /// Returns the refusal, or that the caller has disconnected. The request is already counted in
+    /// the metrics then.
     pub(crate) async fn run(&self, hangup: &Hangup) -> Result<Response, Failure> {
         let result = self.run_uncounted(hangup).await;
         if let Err(failure) = &result {
@@ -131,7 +132,7 @@
         self.send(dispatch, permit, hangup).await
     }
 
-    /// Checks the account's limits, which hold over all services.
+    /// Checks the account's limits, which apply to all services together.
     fn admit(&self) -> Result<Permit, Failure> {
         let arrival = &self.job.arrival;
         let estimate = TokenEstimate {
@@ -142,7 +143,7 @@
         permit.map_err(|exceeded| Failure::Refused(Refusal::from_limit(exceeded)))
     }
 
-    /// Waits in the queue.
+    /// Queues the request and waits until it is dispatched or refused.
     async fn wait_for_dispatch(&self, hangup: &Hangup) -> Result<Dispatch, Failure> {
         let queued = self
             .pool
@@ -157,7 +158,7 @@
         hangup: &Hangup,
     ) -> Result<Dispatch, Failure> {
         let _queued = self.metrics.queued();
-        // The guard also runs when this future is dropped, which is how a cut connection ends it.
+        // If the connection is closed, this future is dropped, and the guard removes the request.
         let mut guard = QueueGuard {
             pool: &self.pool,
             queued: Some(queued),
@@ -178,8 +179,8 @@
         }
     }
 
-    /// Claims the idempotency key, if there is one. It is claimed last, when a server is at hand, so
-    /// that a request that waits or is refused in the queue leaves no record.
+    /// Claims the idempotency key, if there is one. The claim comes last, when a server is
+    /// available, so that a request that is queued or refused in the queue leaves no record.
     async fn claim(&self) -> Result<Option<ClaimGuard<'_>>, Failure> {
         let Some(idempotency_key) = self.job.idempotency_key else {
             return Ok(None);
@@ -195,7 +196,7 @@
                 coordinator: self.coordinator,
                 started: Some(started),
             })),
-            // The process stood still since the votes were asked for.
+            // The process was suspended after it had asked for the votes.
             Err(settlement) => {
                 self.coordinator.settle(settlement);
                 let retry_after = Millis::from_secs(1);
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Sends the request, repeatedly where that is allowed.
+    /// Sends the request, with retries where the retry policy allows them.
     async fn send(
         &self,
         dispatch: Dispatch,
@@ -269,7 +270,7 @@
             attempts.facts.written |= !stage.proves_not_run();
             (pick, address) = match next {
                 Ok(next) => next,
-                // A claim is good for a few seconds only, so its request can't wait for a turn.
+                // A claim is valid for a few seconds only, so its request can't be queued again.
                 Err(NoRetry::Busy(_)) if claim_guard.is_none() => {
                     drop(running);
                     let dispatch = self
@@ -303,7 +304,7 @@
         }
     }
 
-    /// Waits in the queue for a second turn, after the rule for repeats allowed one.
+    /// Puts the request back into the queue, after the retry policy has allowed another attempt.
     async fn requeue_and_wait(
         &self,
         ticket: Ticket<Sent>,
@@ -319,7 +320,8 @@
         let queued = self.pool.requeue(ticket, self.job.requirements, tried);
         let dispatch = self.wait_in_queue(queued, hangup).await;
         dispatch.map_err(|failure| match failure {
-            // The queue knows nothing of the attempts before, and says that nothing ran.
+            // The queue has no record of previous attempts and reports that the request did not
+            // run.
             Failure::Refused(refusal) if attempts.facts.written => {
                 Failure::Refused(refusal.may_have_run())
             }
@@ -327,7 +329,7 @@
         })
     }
 
-    /// Like [`Exchange::claim`]; gives the server's slot back when the claim fails.
+    /// Like [`Exchange::claim`], but also releases the server's slot if the claim fails.
     async fn claim_for(&self, pick: &Pick) -> Result<Option<ClaimGuard<'_>>, Failure> {
         let mut guard = AttemptGuard {
             pool: &self.pool,
@@ -356,19 +358,21 @@
             pick: Some(*pick),
         };
         reach(Point::Claimed).await;
-        // The process may have been stopped since the request got its turn. Nobody can use an answer
-        // any more, and what runs now runs behind the back of a caller that has given up on it.
+        // The process may have been suspended after the request was dispatched. Past the deadline
+        // nobody can use the response, and the request would run although its caller has given up
+        // on it.
         if self.clock.now() >= self.job.arrival.deadline {
             guard.pick = None;
             return AttemptResult::DeadlinePassed;
         }
-        // While the request waited, servers may have ended under others that ask the same.
+        // While the request was queued, servers may have terminated under other requests with the
+        // same content.
         if let Err(refusal) = self.coordinator.suspects().admit(self.job.content) {
             return AttemptResult::Quarantined(refusal);
         }
         let sent = std::pin::pin!(self.client.send(address, request, &limits, reuse));
         let gone = std::pin::pin!(hangup.wait());
-        // Dropping the future cuts the connection, and with it the server's work.
+        // Dropping the future closes the connection, which makes the server stop its work.
         match select(sent, gone).await {
             Either::Left((Ok(answer), _)) => {
                 reach(Point::Answered).await;
@@ -383,10 +387,10 @@
         }
     }
 
-    /// How long the server may take to begin its answer.
+    /// Time within which the server must begin its response.
     ///
-    /// Never past the caller's own bound: the caller has left by then or is about to, and a server
-    /// that hangs would hold a slot for nobody.
+    /// It never exceeds the caller's deadline. The caller will have disconnected by then, and a
+    /// server that hangs would occupy a slot for nobody.
     fn head_timeout(&self, pick: &Pick) -> Millis {
         let bound = if self.job.stream {
             pick.patience
@@ -397,8 +401,9 @@
         bound.min(left.max(MIN_TIMEOUT))
     }
 
-    /// What a failed attempt says of its server. One that was ended by the caller's own bound says
-    /// nothing: a caller with a short bound must not get servers ejected.
+    /// Outcome of a failed attempt for the router. An attempt that ended because of the caller's
+    /// deadline says nothing about the server: a caller with a short timeout must not cause servers
+    /// to be ejected.
     fn outcome(&self, error: &SendError) -> Outcome {
         let deadline_passed = self.clock.now() >= self.job.arrival.deadline;
         if deadline_passed && matches!(error.kind, SendErrorKind::HeadTimeout) {
@@ -407,7 +412,7 @@
         outcome_of_error(error)
     }
 
-    /// Whether an answer is the server's failure rather than the request's, and a repeat is harmless.
+    /// Whether the response is a server failure and the request can safely be repeated.
     fn should_retry(&self, answer: &Answer) -> bool {
         self.job.requirements.idempotent && answer.status.is_server_error()
     }
@@ -448,7 +453,7 @@
         });
         let content_type = response.content_type();
         response.set_body(answer.body.into_body(observer));
-        // Setting a body sets its own type.
+        // Setting the body overwrites the content type.
         if let Some(content_type) = content_type {
             response.set_content_type(content_type);
         }
@@ -475,9 +480,9 @@
     Responded(Box<Answer>),
     Failed(SendError),
     CallerGone,
-    /// The caller's bound passed before a connection was opened.
+    /// The caller's deadline passed before a connection was opened.
     DeadlinePassed,
-    /// It isn't sent, as servers ended under what it asks.
+    /// Not sent, because servers terminated under requests with the same content.
     Quarantined(Refusal),
 }
 
--- a/crates/entry/src/exchange/classify.rs
+++ b/crates/entry/src/exchange/classify.rs
@@ -1,4 +1,4 @@
-//! What a failed attempt means: for the router, for a repeat, for the caller.
+//! Classifies a failed attempt for the router, the retry policy and the caller.
 
 use crocushold_http::SendError;
 use crocushold_http::SendErrorKind;
@@ -50,8 +50,8 @@
 }
 
 pub(super) fn outcome_of_error(error: &SendError) -> Outcome {
-    // A server may close a connection for being idle just when it is used again. That is no fault,
-    // and counting it as one would eject servers that are merely quiet.
+    // A server may close an idle connection just when it is reused. That isn't a fault; counting it
+    // as one would eject servers that merely have little traffic.
     if error.reused && matches!(error.kind, SendErrorKind::Closed | SendErrorKind::Write(_)) {
         return Outcome::Cancelled;
     }
--- a/crates/entry/src/exchange/guard.rs
+++ b/crates/entry/src/exchange/guard.rs
@@ -1,4 +1,4 @@
-//! What gives back what a request holds, also when its future is dropped half-way.
+//! Guards that release what a request holds, also when its future is dropped.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 use crate::pool::QueueResult;
 use crate::pool::QueuedRequest;
 
-/// Takes a request out of the queue when its caller leaves.
+/// Removes a request from the queue when its caller disconnects.
 pub(super) struct QueueGuard<'a> {
     pub(super) pool: &'a Pool,
     pub(super) queued: Option<QueuedRequest>,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Gives the scheduler's slot back when a request ends without an answer.
+/// Releases the scheduler's slot when a request ends without a response.
 pub(super) struct TicketGuard<'a> {
     pub(super) pool: &'a Pool,
     pub(super) ticket: Option<Ticket<Sent>>,
@@ -65,8 +65,8 @@
     }
 }
 
-/// A claim whose request may be sent. Dropped without an outcome, the request counts as one that may
-/// have run: its caller hung up, or the answer never came.
+/// A granted claim whose request may be sent. If it is dropped without an outcome, because the
+/// caller disconnected or no response arrived, the request is recorded as one that may have run.
 pub(super) struct ClaimGuard<'a> {
     pub(super) coordinator: &'a Arc<Coordinator>,
     pub(super) started: Option<Started>,
@@ -98,7 +98,7 @@
     }
 }
 
-/// Gives the router's slot back when an attempt is dropped before its answer.
+/// Releases the router's slot when an attempt is dropped before its response.
 pub(super) struct AttemptGuard<'a> {
     pub(super) pool: &'a Pool,
     pub(super) pick: Option<Pick>,
--- a/crates/entry/src/failpoint.rs
+++ b/crates/entry/src/failpoint.rs
@@ -1,25 +1,25 @@
-//! Steps at which a test can hold this process, or have it panic.
+//! Points at which a test can block this process or make it panic.
 //!
-//! A fault from outside can't hit the moment between two steps of the same process, such as a claim
-//! and the first byte that it allows. The points are there only with the feature `failpoints`, which
-//! the tests' builds have and the shipped binary lacks.
+//! Faults injected from outside can't hit the moment between two steps of one process, such as a
+//! claim and the first byte that is sent because of it. Failpoints exist only with the feature
+//! `failpoints`, which test builds enable and the shipped binary doesn't.
 
-/// A step at which a test can step in.
+/// A failpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Point {
-    /// A request has its turn and its server; its key isn't claimed yet.
+    /// A request was dispatched to a server; its key is not claimed yet.
     Dispatched,
-    /// A claimant has a member's vote and hasn't counted it yet.
+    /// A claimant received a member's vote and has not counted it yet.
     Voted,
-    /// A request's key is claimed; no connection is opened yet.
+    /// A request's key is claimed; no connection is open yet.
     Claimed,
-    /// The head of an answer has come; nothing is relayed yet.
+    /// The head of a response has arrived; nothing is relayed yet.
     Answered,
-    /// The last byte of an answer was read; the request isn't settled yet.
+    /// The last byte of a response was read; the request is not settled yet.
     Read,
-    /// A configuration was received; it isn't in force yet.
+    /// A configuration was received; it is not active yet.
     Applying,
-    /// An order to an engine was decided; whether it may be sent is still to be asked.
+    /// An order to an engine was decided; the check whether it may be sent is still to come.
     Ordering,
 }
 
@@ -30,11 +30,11 @@
 #[cfg(feature = "failpoints")]
 pub(crate) use enabled::reach;
 
-/// Goes past a point, or waits there as long as a test holds it.
+/// Passes a failpoint, or blocks while a test holds it.
 #[cfg(not(feature = "failpoints"))]
 pub(crate) async fn reach(_: Point) {}
 
-/// Goes past a point at which nothing can wait.
+/// Passes a failpoint that can't block.
 #[cfg(not(feature = "failpoints"))]
 pub(crate) fn pass(_: Point) {}
 
@@ -52,10 +52,10 @@
 
     use super::Point;
 
-    /// The operator's path below which the points are.
+    /// Prefix of the failpoint paths on the operator's address.
     const PATH: &str = "/failpoints/";
 
-    /// Between two looks at whether a point still holds.
+    /// Interval at which a blocked task checks the failpoint.
     const PAUSE: Duration = Duration::from_millis(2);
 
     static POINTS: [(Point, &str, AtomicUsize); 7] = [
@@ -68,7 +68,7 @@
         (Point::Ordering, "ordering", AtomicUsize::new(0)),
     ];
 
-    /// One task that waits at a point.
+    /// A task that is blocked at a failpoint.
     struct WaitingTask(&'static AtomicUsize);
 
     impl WaitingTask {
@@ -84,14 +84,14 @@
         }
     }
 
-    /// Whether the point's action is `return`, which holds; any other is carried out here.
+    /// Whether the failpoint's action is `return`, which blocks. Other actions are executed here.
     fn holds(name: &str) -> bool {
         fail::eval(name, |_| ()).is_some()
     }
 
-    /// Goes past a point, or waits there as long as a test holds it.
+    /// Passes a failpoint, or blocks while a test holds it.
     ///
-    /// The task waits, not its thread, so that the rest of the process goes on.
+    /// Only the task is blocked, not its thread, so the rest of the process continues.
     pub(crate) async fn reach(point: Point) {
         let found = POINTS.iter().find(|(at, ..)| *at == point);
         let Some((_, name, count)) = found else {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Goes past a point at which nothing can wait.
+    /// Passes a failpoint that can't block.
     pub(crate) fn pass(point: Point) {
         let found = POINTS.iter().find(|(at, ..)| *at == point);
         if let Some((_, name, _)) = found {
@@ -114,8 +114,9 @@
         }
     }
 
-    /// Answers `POST /failpoints/<name>/<actions>`, which sets a point in the language of the crate
-    /// `fail`, and `GET /failpoints/<name>`, which tells how many tasks are held there.
+    /// Handles `POST /failpoints/<name>/<actions>`, which configures a failpoint in the syntax of
+    /// the crate `fail`, and `GET /failpoints/<name>`, which returns the number of tasks blocked
+    /// there.
     pub(crate) fn command(request: &Request) -> Option<Response> {
         let rest = request.url().path().strip_prefix(PATH)?;
         let (name, actions) = rest.split_once('/').unwrap_or((rest, ""));
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -1,4 +1,4 @@
-//! One running entry instance: its listeners, its tasks, and its planned stop.
+//! A running entry instance: its listeners, its tasks, and its graceful shutdown.
 
 use std::io;
 use std::net::SocketAddr;
@@ -35,19 +35,19 @@
 use crate::refusal::refuse_unread;
 use crate::shared::Shared;
 
-/// Connections of balancers, scrapers and operators at a time.
+/// Maximum number of connections of balancers, metrics scrapers and operators.
 const MAX_OPERATOR_CONNECTIONS: usize = 256;
 
 quick_error! {
     /// Why an instance could not start.
     #[derive(Debug)]
     pub enum StartError {
-        /// An address can't be listened on.
+        /// Failed to listen on an address.
         Bind(address: SocketAddr, cause: io::Error) {
             display("can't listen on {address}: {cause}")
             source(cause)
         }
-        /// The peers' node can't be started.
+        /// Failed to start the peer node.
         Peers(address: SocketAddr, cause: peers::StartError) {
             display("can't start the peers' node on {address}: {cause}")
             source(cause)
@@ -55,7 +55,7 @@
     }
 }
 
-/// A running entry instance; made by [`Instance::start`].
+/// An entry instance; started by [`Instance::start`].
 #[derive(Debug)]
 pub struct Instance;
 
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when an address can't be listened on.
+    /// Returns an error if an address can't be listened on or the peer node can't be started.
     pub async fn start(settings: Settings) -> Result<InstanceHandle, StartError> {
         let started = wall_clock();
         let seed = started ^ XxHash3_64::oneshot(settings.id.as_bytes());
@@ -96,9 +96,9 @@
 
 /// Controls a running instance.
 pub struct InstanceHandle {
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub listen: SocketAddr,
-    /// Where the operator connects.
+    /// Address on which operators connect.
     pub operator: SocketAddr,
     callers: ListenerHandle,
     serving: JoinHandle<()>,
@@ -107,16 +107,16 @@
 }
 
 impl InstanceHandle {
-    /// Where peers connect.
+    /// Address on which peers connect.
     pub fn peer(&self) -> SocketAddr {
         self.peers.me().address
     }
 
-    /// Stops gracefully: the health answer fails first, requests are served until the balancer has
-    /// noticed, then no connection is accepted and those in progress end by themselves.
+    /// Shuts down gracefully. The health check fails first. Requests are served until the balancer
+    /// has noticed, then no connection is accepted and open ones run to their end.
     ///
-    /// Returns the number of connections that were still open at the bound of the drain; they are
-    /// cut when the process ends.
+    /// Returns the number of connections that were still open when the drain timeout expired. They
+    /// are closed when the process exits.
     pub async fn stop(self) -> usize {
         self.shared.start_drain();
         info!("{}", Event::new("drain-started"));
@@ -127,10 +127,12 @@
             Ok(()) => 0,
             Err(_) => self.callers.connections(),
         };
-        // Last: until then the peers count this instance in, and it uses no more than its share.
-        // One that joined lately may not have been heard of. It would get neither the records nor the
-        // mark of this instance and count it as lost; two such losses make newcomers refuse fresh keys
-        // for a window. A newcomer that serves is known to nearly all, so some that are asked name it.
+        // The peers come last: until the instance leaves, they count it in when they split limits,
+        // and it uses no more than its share. A peer that joined recently may be unknown here. It
+        // would receive neither the records nor the notice that this instance leaves, and would
+        // count it as lost; two such losses make new members refuse fresh keys for a whole window.
+        // A new member that serves is known to nearly all others, so some of those asked will name
+        // it.
         self.peers.refresh().await;
         self.shared.on_view(&self.peers.view());
         self.shared.coordinator.hand_over().await;
@@ -146,7 +148,7 @@
     }
 }
 
-/// Milliseconds since 1970, which order the lives of an instance.
+/// Milliseconds since the Unix epoch; orders the incarnations of an instance.
 fn wall_clock() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |span| span.as_millis() as u64)
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,14 +1,15 @@
 //! The entry instance: from a caller's connection to a backend server and back.
 //!
-//! This crate is the thin shell around the decisions. It owns the sockets, the clock and the tasks,
-//! and feeds events to the state machines of `crocushold-admission` and `crocushold-routing`.
+//! This crate does the I/O. It owns the sockets, the clock and the tasks, and passes events to the
+//! state machines of `crocushold-admission`, `crocushold-routing` and `crocushold-ownership`, which
+//! make the decisions.
 //!
-//! * [`Instance`] runs one entry instance: the callers' listener, the operator's listener, and the
-//!   reads of what the platform publishes.
-//! * A `World` is the configuration in force with the pools and metrics that belong to it.
-//! * A `Pool` joins the scheduler and the router of one service under one lock.
-//! * A request is decoded and classified (`intake`), waits in its pool, is sent (`exchange`), and its
-//!   answer is watched on its way to the caller (`settle`).
+//! * [`Instance`] runs one entry instance: the listener for callers, the listener for operators,
+//!   and the reads of the data that the platform publishes.
+//! * An `ActiveConfig` is one version of the configuration with its pools and metrics.
+//! * A `Pool` holds the scheduler and the router of one service under one lock.
+//! * A request is decoded and classified (`decode`), queued in its pool, and sent (`exchange`). Its
+//!   response is observed while it is relayed to the caller (`response_observer`).
 
 mod active_config;
 mod apply;
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's interface: health, readiness, metrics and status.
+//! The operator's endpoints: health, readiness, metrics and status.
 
 use std::sync::Arc;
 
@@ -27,10 +27,10 @@
 use crate::active_config::ActiveConfig;
 use crate::shared::Shared;
 
-/// How long the peers' thread may take to tell what it knows; a page without it is of use, too.
+/// Timeout for the state of the peer node. Without it, the page is still useful.
 const STANDING_TIMEOUT: Millis = Millis::from_secs(1);
 
-/// Answers a request on the operator's address.
+/// Handles a request on the operator's address.
 pub(crate) async fn answer(shared: &Arc<Shared>, request: &Request) -> Response {
     #[cfg(feature = "failpoints")]
     if let Some(response) = crate::failpoint::command(request) {
@@ -51,10 +51,11 @@
     }
 }
 
-/// What the balancer asks.
+/// The health check of the balancer.
 ///
-/// Fails first on a planned stop, so that the balancer sends nothing more while requests are still
-/// served; and before a configuration is in force, since the instance would refuse all it is sent.
+/// It fails at the start of a graceful shutdown, so that the balancer stops sending requests while
+/// they are still served. It also fails before a configuration is active, since the instance would
+/// refuse all requests.
 fn health(shared: &Shared) -> Response {
     match shared.state() {
         InstanceState::Serving => text(StatusCode::Ok, "ok\n"),
@@ -78,14 +79,14 @@
 }
 
 async fn metrics(shared: &Shared) -> Response {
-    // What the thread can't tell now stays as it was told last.
+    // Without a reply, the metric keeps its last value.
     if let Some(standing) = standing(shared).await {
         shared.metrics.set_confirmed(standing.confirmed);
     }
     text(StatusCode::Ok, shared.metrics.render(shared.clock.now()))
 }
 
-/// What the peers' thread tells; none when it doesn't answer in time.
+/// State of the peer node; `None` if it doesn't reply in time.
 async fn standing(shared: &Shared) -> Option<Standing> {
     let peers = shared.peers()?;
     let told = timeout(STANDING_TIMEOUT.into(), peers.standing()).await;
--- a/crates/entry/src/payload.rs
+++ b/crates/entry/src/payload.rs
@@ -1,6 +1,6 @@
-//! What the router reads from the body of a language-model request.
+//! Decodes the bodies of language-model requests.
 //!
-//! Only the fields that a decision needs are decoded; all others pass through as raw JSON, so an
+//! Only the fields that decisions depend on are decoded. All others pass through as raw JSON, so an
 //! image of several megabytes is scanned once and never copied into a tree.
 
 use std::borrow::Cow;
@@ -20,21 +20,21 @@
 /// Bytes of prompt text that identify a shared prefix; fixed by the protocol of cache events.
 const PREFIX_BYTES: usize = 256;
 
-/// Bytes of prompt text that make one token on average, for the estimate before an engine has
-/// counted.
+/// Average number of bytes of prompt text per token, for an estimate until an engine has counted
+/// the tokens.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Messages that a body may have.
+/// Maximum number of messages in a body.
 ///
-/// A message of two bytes takes forty in memory while it is read: without the bound, bodies of the
-/// allowed size would take many times the memory that was reserved for them.
+/// A message of two bytes takes forty bytes of memory while it is decoded. Without this limit,
+/// bodies of the allowed size would take many times the memory that was reserved for them.
 const MAX_MESSAGES: usize = 16_384;
 
-/// Fields that a body may have, for the same reason.
+/// Maximum number of fields in a body, for the same reason.
 const MAX_FIELDS: usize = 1_024;
 
 quick_error! {
-    /// Why a body could not be read.
+    /// Why a body could not be decoded.
     #[derive(Debug)]
     pub enum PayloadError {
         /// The body is not a JSON object, or a field has the wrong type.
@@ -49,18 +49,18 @@
     }
 }
 
-/// The decoded facts of a language-model request.
+/// The decoded fields of a language-model request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Payload {
-    /// The model that the caller asks for.
+    /// The requested model.
     pub model: String,
-    /// Whether the answer is to be streamed as server-sent events.
+    /// Whether the response is to be streamed as server-sent events.
     pub stream: bool,
-    /// The caller's bound on generated tokens.
+    /// Maximum number of tokens to generate, as set by the caller.
     pub max_tokens: Option<u32>,
-    /// The estimated number of tokens of the prompt.
+    /// Estimated number of tokens of the prompt.
     pub prompt_tokens: u32,
-    /// The hash of the prompt's prefix, when the prompt is long enough to share one.
+    /// Hash of the prompt's prefix, if the prompt is long enough to share one.
     pub prefix: Option<u64>,
 }
 
@@ -84,7 +84,7 @@
     content: Option<&'a RawValue>,
 }
 
-/// The messages of a body, no more than [`MAX_MESSAGES`].
+/// The messages of a body, at most [`MAX_MESSAGES`].
 #[derive(Default)]
 struct Messages<'a>(Vec<Message<'a>>);
 
@@ -115,7 +115,7 @@
     }
 }
 
-/// All fields of a body, no more than [`MAX_FIELDS`].
+/// All fields of a body, at most [`MAX_FIELDS`].
 struct AllFields<'a>(BTreeMap<Cow<'a, str>, &'a RawValue>);
 
 impl<'de: 'a, 'a> Deserialize<'de> for AllFields<'a> {
@@ -145,17 +145,19 @@
     }
 }
 
-/// A prompt that is a string is decoded; anything else (content parts, token numbers) stays opaque.
+/// Decodes a prompt that is a string. Any other prompt (content parts, token numbers) is returned
+/// as raw JSON.
 fn decode_text(raw: &RawValue) -> Cow<'_, str> {
     serde_json::from_str(raw.get()).unwrap_or(Cow::Borrowed(raw.get()))
 }
 
 impl Payload {
-    /// Decodes the facts from the body of a chat or text completion request.
+    /// Decodes the body of a chat or text completion request.
     ///
     /// # Errors
     ///
-    /// When the body is not a JSON object of the expected shape, or names no model.
+    /// Returns an error if the body is not a JSON object of the expected form, or has no field
+    /// `model`.
     pub fn decode(body: &[u8]) -> Result<Payload, PayloadError> {
         let fields: Fields<'_> = serde_json::from_slice(body)?;
         let texts = prompt_texts(&fields);
@@ -171,12 +173,12 @@
     }
 }
 
-/// Sets the field `priority` of the body, replacing the caller's: a caller must not be able to
-/// raise its own priority at the engine.
+/// Sets the field `priority` of the body and replaces the caller's value: a caller must not be able
+/// to raise its own priority at the engine.
 ///
 /// # Errors
 ///
-/// When the body is not a JSON object.
+/// Returns an error if the body is not a JSON object.
 pub fn set_priority(body: &[u8], priority: u8) -> Result<Vec<u8>, PayloadError> {
     let AllFields(mut fields) = serde_json::from_slice(body)?;
     let value = RawValue::from_string(priority.to_string())?;
--- a/crates/entry/src/platform_reads.rs
+++ b/crates/entry/src/platform_reads.rs
@@ -1,4 +1,4 @@
-//! Reads of what the platform publishes, on behalf of the peers' node and of the routers.
+//! Reads the data that the platform publishes, for the peer node and for the routers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -40,7 +40,7 @@
 
 use crate::shared::Shared;
 
-/// The platform's addresses; the next one is tried after a failure.
+/// Addresses of the platform, tried in turn after failures.
 #[derive(Debug)]
 pub(crate) struct Addresses {
     all: Vec<SocketAddr>,
@@ -48,7 +48,7 @@
 }
 
 impl Addresses {
-    /// `None` without an address.
+    /// Returns `None` if there is no address.
     pub(crate) fn new(all: &[SocketAddr]) -> Option<Arc<Addresses>> {
         (!all.is_empty()).then(|| {
             Arc::new(Addresses {
@@ -67,8 +67,8 @@
     }
 }
 
-/// Makes the reads that the peers' node asks for, each in a task of its own: a watch waits for
-/// seconds, and the parts must not wait behind it.
+/// Executes the reads that the peer node requests, each in its own task: a watch waits for seconds
+/// and must not delay the reads of parts.
 pub(crate) async fn run_reads(
     shared: Arc<Shared>,
     peers: PeerHandle,
@@ -165,7 +165,7 @@
     })
 }
 
-/// Polls the instance list and hands it to the peers' node and to the routers.
+/// Polls the instance list and passes it to the peer node and to the routers.
 pub(crate) async fn poll_instances(
     shared: Arc<Shared>,
     peers: PeerHandle,
@@ -183,7 +183,7 @@
         address: String::new(),
         clock: shared.clock,
     };
-    // Kept open: the poller runs as long as the process.
+    // Kept open, since the poller runs as long as the process.
     let (_events, inbox) = mpsc::channel(1);
     let mut latest = InstanceList::default();
     let publish = |_: &InstancePoller, update: Update| match update {
@@ -191,8 +191,9 @@
             on_instance_list(&shared, &peers, &list);
             latest = list;
         }
-        // Given to the routers again: a configuration that came into force since may have brought
-        // servers that the list calls leaving, and the routers count the age of the list from here.
+        // Passed on even though it is unchanged: a configuration activated since then may have
+        // added servers that the list reports as leaving, and the routers measure the age of the
+        // list from here.
         Update::Unchanged => shared.config().on_instance_list(&latest),
         Update::Unavailable => shared.config().list_unavailable(),
         Update::Report(report) => {
@@ -202,7 +203,7 @@
     run(InstancePoller::new(settings), &shell, inbox, publish).await;
 }
 
-/// Reads from whichever of the platform's addresses answered last.
+/// Fetches from the platform address that last replied.
 struct FailoverFetch {
     fetch: HttpFetch,
     addresses: Arc<Addresses>,
--- a/crates/entry/src/polling.rs
+++ b/crates/entry/src/polling.rs
@@ -1,7 +1,8 @@
-//! Load reports and cache events, polled from the backend servers.
+//! Polls load reports and cache events from the backend servers.
 //!
-//! Both are hints: a server that doesn't answer keeps what is known of it, and its own traffic says
-//! whether it still works. Few servers are polled every second, many rarely: see [`plan`].
+//! Both are hints. If a server doesn't reply, its last known state is kept, and its own traffic
+//! shows whether it still works. A small set of servers is polled every second, a large one rarely;
+//! see [`schedule`].
 
 mod schedule;
 
@@ -33,33 +34,35 @@
 #[cfg(test)]
 mod tests;
 
-/// Between two rounds of polls.
+/// Interval between rounds of polls.
 const PERIOD: Millis = Millis::from_secs(1);
 
-/// The longest wait for one answer.
+/// Timeout of one poll.
 const POLL_TIMEOUT: Millis = Millis(800);
 
-/// Most bytes of an answer.
+/// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 256 * 1024;
 
-/// Polls that are made at a time.
+/// Maximum number of concurrent polls.
 const MAX_CONCURRENT_POLLS: usize = 32;
 
-/// Most cache events taken from one answer; the rest is a gap, which the router copes with.
+/// Maximum number of cache events taken from one response. The rest becomes a gap, which the router
+/// tolerates.
 const MAX_EVENTS: usize = 1024;
 
 const OK: u16 = 200;
 
-/// What is remembered of one server between polls.
+/// State kept for one server between polls.
 #[derive(Clone, Copy, Debug, Default)]
 struct PollState {
-    /// The least difference seen between this clock and the server's: that of the freshest report.
+    /// The smallest difference seen between the local clock and the server's, which belongs to the
+    /// freshest report.
     offset: Option<i64>,
-    /// The number of the last cache event.
+    /// Sequence number of the last cache event.
     last: u64,
 }
 
-/// One server to poll.
+/// A server to poll.
 #[derive(Clone, Debug)]
 struct PollTarget {
     key: ServerKey,
@@ -69,18 +72,18 @@
     poll_state: PollState,
 }
 
-/// What a poll brought.
+/// The result of a poll.
 struct PollResult {
     key: ServerKey,
     reason: PollReason,
     poll_state: PollState,
     report: Option<(LoadReport, Millis)>,
-    /// When the report was asked for.
+    /// When the report was requested.
     asked_at: Millis,
     events: Option<CacheEvents>,
 }
 
-/// Polls the servers in reach, once a second at most, as long as the process runs.
+/// Polls the servers in reach, at most once a second, as long as the process runs.
 pub(crate) async fn poll(shared: Arc<Shared>) {
     let fetch = HttpFetch::new(shared.client.clone());
     let mut poll_states: HashMap<ServerKey, PollState> = HashMap::new();
@@ -109,7 +112,7 @@
     }
 }
 
-/// Hands a reading of an engine to the orders.
+/// Passes an engine's load report to the order planners.
 fn report_to_orders(shared: &Shared, config: &ActiveConfig, polled: &PollResult) {
     let server = config.catalog.servers.get(polled.key);
     if let (Some(server), Some((report, _))) = (server, &polled.report) {
@@ -118,7 +121,8 @@
     }
 }
 
-/// Tells the orders which models are asked for, since the most urgent is loaded first.
+/// Reports which models are requested, since the models of the highest-priority requests are loaded
+/// first.
 fn report_demand(shared: &Shared, config: &ActiveConfig) {
     let now = shared.clock.now();
     for (service, pool) in &config.pools {
@@ -132,8 +136,8 @@
     }
 }
 
-/// The servers to poll, and why: those that this instance may send to, and all engines of the
-/// services for which it sends the orders.
+/// Servers to poll and the reason: the servers that this instance may send to, and all engines of
+/// the services whose orders it sends.
 fn poll_reasons(shared: &Shared, config: &ActiveConfig) -> HashMap<ServerKey, PollReason> {
     let mut reached = Vec::new();
     for pool in config.pools.values() {
@@ -164,7 +168,7 @@
     poll_reasons
 }
 
-/// The servers that are due.
+/// Returns the servers that are due.
 fn targets(
     config: &ActiveConfig,
     poll_reasons: &HashMap<ServerKey, PollReason>,
@@ -224,8 +228,8 @@
     (reply.status == OK).then_some(reply.body)
 }
 
-/// How much older a report is than the freshest one seen. The clocks of server and instance aren't
-/// compared: only the differences between reports count.
+/// Age of a report relative to the freshest one seen. The clocks of server and instance aren't
+/// compared; only the differences between reports count.
 fn age(poll_state: &mut PollState, taken: u64, now: Millis) -> Millis {
     let difference = now.0 as i64 - taken as i64;
     let least = poll_state
@@ -256,8 +260,9 @@
                 waiting: report.waiting,
                 age,
             };
-            // A rare report is no help to the choice: in the model one each 5 s made the 99th
-            // percentile two times worse than none, as prefixes piled up on homes taken for idle.
+            // Infrequent reports don't help the selection. In the simulation, one report every 5 s
+            // made the 99th percentile twice as bad as none, since prefixes piled up on their
+            // preferred servers, which seemed idle.
             if polled.reason == PollReason::Selection {
                 state.router.load_report(polled.key, report, now);
             } else {
--- a/crates/entry/src/polling/schedule.rs
+++ b/crates/entry/src/polling/schedule.rs
@@ -1,46 +1,47 @@
-//! When which server is polled: a state machine.
+//! Decides when each server is polled, as a state machine.
 
 use std::collections::HashMap;
 
 use crocushold_base::Millis;
 use crocushold_base::ServerKey;
 
-/// The most servers in reach that are polled every second.
+/// Maximum number of servers in reach that are polled every second.
 ///
-/// Above, polls would take more than all the rest of control: 1,073 bytes a second for each server
-/// (docs/CAPACITY.md). Reports that are rarer than every few seconds are worse than none for the
-/// choice of a server, so the choice then goes by the instance's own requests alone.
+/// Beyond it, polls would take more than all other control traffic: 1,073 bytes a second for each
+/// server (docs/CAPACITY.md). Reports at intervals of several seconds make the selection of a
+/// server worse than no reports, so the selection then relies on the instance's own requests alone.
 pub(super) const MAX_SELECTION_POLLED: usize = 64;
 
-/// Engines that this instance sends orders to: an order needs a report of the last 5 s.
+/// Engines to which this instance sends orders. An order needs a report that is at most 5 s old.
 const ORDERS_PERIOD: Millis = Millis::from_secs(2);
 
-/// Borrowed servers, which get nothing while their report says that they are full.
+/// Borrowed servers, which receive no requests while their report says that they are full.
 const BORROWED_PERIOD: Millis = Millis::from_secs(5);
 
-/// Servers that hold different models: a request for one that was unloaded meanwhile fails.
+/// Servers that hold different models. A request for a model that was unloaded in the meantime
+/// fails.
 const HETEROGENEOUS_PERIOD: Millis = Millis::from_secs(10);
 
-/// All others.
+/// All other servers.
 const BACKGROUND_PERIOD: Millis = Millis::from_secs(120);
 
-/// Why a server is polled.
+/// Why a server is polled; determines the interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum PollReason {
-    /// In reach, for the choice of a server.
+    /// In reach, and few enough to be polled for server selection.
     Selection,
-    /// This instance sends it orders.
+    /// This instance sends orders to the server.
     Orders,
-    /// In reach for the moment, beyond the own subset.
+    /// In reach temporarily, outside this instance's subset.
     Borrowed,
-    /// In reach, in a service whose models are on some servers only.
+    /// In reach, in a service whose models are held by some of the servers only.
     Heterogeneous,
-    /// In reach.
+    /// In reach, for no other reason.
     Background,
 }
 
 impl PollReason {
-    /// Between two polls; zero for every round.
+    /// Interval between two polls; zero means every round.
     fn period(self) -> Millis {
         match self {
             PollReason::Selection => Millis::ZERO,
@@ -52,14 +53,14 @@
     }
 }
 
-/// Remembers when each server is due.
+/// The next poll time of each server.
 #[derive(Debug, Default)]
 pub(super) struct PollSchedule {
     due: HashMap<ServerKey, Millis>,
 }
 
 impl PollSchedule {
-    /// Which of the servers are polled now. One that is new is polled at once.
+    /// Returns the servers to poll in this round. A new server is polled immediately.
     pub(super) fn round(
         &mut self,
         servers: &[(ServerKey, PollReason)],
@@ -70,15 +71,15 @@
         for (number, &(key, reason)) in servers.iter().enumerate() {
             let period = reason.period();
             let due = before.get(&key).copied();
-            // A cause with a shorter period than the one that set the time comes into its right.
+            // A reason with a shorter interval than the one that set the time applies immediately.
             let due = due.map(|due| due.min(now + period));
             if due.is_some_and(|due| due > now) {
                 self.due.extend(due.map(|due| (key, due)));
                 continue;
             }
             polled.push(key);
-            // Those that came together would be polled together for ever: a burst that competes
-            // with requests, where an even stream doesn't.
+            // Servers that were added together would always be polled together: a burst that
+            // competes with requests, where a steady stream of polls doesn't.
             let span = match due {
                 Some(_) => period,
                 None => Millis(period.0 * (number as u64 + 1) / servers.len() as u64),
--- a/crates/entry/src/polling/tests.rs
+++ b/crates/entry/src/polling/tests.rs
@@ -11,8 +11,8 @@
     (0..count).map(|_| (keys.insert(()), reason)).collect()
 }
 
-// Polls took 127 KB a second of an instance with 118 servers, of 4 KB that all of control may take.
-// Over a minute after the first round they must not exceed their rate, nor come in one burst.
+// Polls took 127 KB a second of an instance with 118 servers, where all control traffic may take 4
+// KB. In the minute after the first round, polls must keep to their rate and not come in bursts.
 #[test_case(PollReason::Selection, 7_080, 118)]
 #[test_case(PollReason::Orders, 3_540, 60)]
 #[test_case(PollReason::Borrowed, 1_416, 25)]
@@ -30,8 +30,8 @@
     assert!(rounds.iter().all(|&polls| polls <= at_once), "{rounds:?}");
 }
 
-// A server that was asked rarely is borrowed now. Its next report must not be two minutes away, or
-// requests go to it although it is full.
+// A server that was polled rarely becomes a borrowed one. If its next report were still two minutes
+// away, requests would be sent to it although it is full.
 #[test]
 fn a_shorter_period_holds_at_once() {
     let rare = servers(1, PollReason::Background);
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Final answers to requests that are not served.
+//! Final responses to requests that are not served.
 
 use crocushold_admission as admission;
 use crocushold_base::Millis;
@@ -13,11 +13,11 @@
 use crate::coordination::LimitExceeded;
 use crate::coordination::LimitKind;
 
-/// Why a request is not served. The name is part of the interface towards callers.
+/// Why a request is not served. The names are part of the API for callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The key is missing or belongs to no client account.
+    /// The API key is missing or belongs to no client account.
     Unauthorized,
     /// The account may not use the class, the model or the path.
     Forbidden,
@@ -25,42 +25,42 @@
     NotFound,
     /// The body is malformed or lacks a field.
     BadRequest,
-    /// The body is larger than the bound.
+    /// The body is too large.
     BodyTooLarge,
-    /// The account exceeds its rate of requests or tokens.
+    /// The account exceeds its limit of requests or tokens per second.
     RateLimited,
-    /// The account has as many requests in progress as it may.
+    /// The account is at its limit of requests in progress.
     ConcurrencyLimited,
-    /// The account holds as many connections as it may; this one is closed.
+    /// The account is at its limit of connections; this one is closed.
     ConnectionsLimited,
     /// The queue of the class is full.
     QueueFull,
-    /// The request would miss its target if it waited.
+    /// The request would miss its latency target if it were queued.
     Overloaded,
-    /// The request waited until its target was lost.
+    /// The request was queued until it missed its latency target.
     Expired,
     /// No backend server of the service can take the request.
     NoServer,
-    /// The backend server failed before it answered.
+    /// The backend server failed before it responded.
     ServerFailed,
-    /// Servers ended while they ran what is asked.
+    /// Servers terminated while they ran requests with this content.
     Quarantined,
-    /// The idempotency key is in use by another request, or its fate is unknown.
+    /// The idempotency key is in use by another request, or the outcome of its request is unknown.
     KeyConflict,
-    /// The owner of the idempotency key can't be asked.
+    /// The owners of the idempotency key can't be reached, or have no room for it.
     KeyUnavailable,
-    /// The instance has no configuration, or is about to stop.
+    /// The instance has no configuration yet, or is shutting down.
     NotServing,
 }
 
-/// Whether a request that isn't served did run at a backend server.
+/// Whether a refused request ran at a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ran {
-    /// No byte of it left for a backend server: repeating it is safe.
+    /// No byte of it was sent to a backend server: repeating it is safe.
     No,
-    /// It ran under the same idempotency key, in an earlier try.
+    /// An earlier request with the same idempotency key ran.
     Yes,
-    /// It may have run, in whole or in part.
+    /// It may have run, completely or in part.
     Unknown,
 }
 
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The reason as the metrics count it.
+    /// The reason as counted in the metrics.
     pub(crate) fn metric(self) -> RefusalReason {
         match self {
             Reason::Unauthorized
@@ -152,21 +152,21 @@
     }
 }
 
-/// The final answer to a request that is not served.
+/// The final response to a request that is not served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request is refused.
     pub reason: Reason,
     /// Whether the request ran.
     pub ran: Ran,
-    /// When a repeat makes sense; `None` when it never does.
+    /// Time after which a retry is useful; `None` if it never is.
     pub retry_after: Option<Millis>,
-    /// A sentence for a person.
+    /// Message for a person.
     pub message: String,
 }
 
-/// The answer to what never becomes a request: a head that can't be taken, a body that is announced too
-/// long, or a connection above the bound of all.
+/// Returns the response to a request that is refused before it is read: its head is invalid, its
+/// declared body is too large, or its connection exceeds the limit of the instance.
 pub(crate) fn refuse_unread(status: StatusCode, retry_after: Option<Millis>) -> Response {
     let reason = match status {
         StatusCode::PayloadTooLarge => Reason::BodyTooLarge,
@@ -197,7 +197,7 @@
 }
 
 impl Refusal {
-    /// A refusal of a request of which no byte left for a backend server.
+    /// Creates a refusal of a request of which no byte was sent to a backend server.
     pub fn not_run(reason: Reason, message: impl Into<String>) -> Refusal {
         Refusal {
             reason,
@@ -207,8 +207,8 @@
         }
     }
 
-    /// The same refusal of a request that was sent before. Its caller isn't asked to come back, which
-    /// would be taken for a promise that nothing ran.
+    /// Marks the refused request as sent before. The caller isn't asked to retry, which it would
+    /// take as a guarantee that nothing ran.
     #[must_use]
     pub(crate) fn may_have_run(mut self) -> Refusal {
         self.ran = Ran::Unknown;
@@ -218,14 +218,14 @@
         self
     }
 
-    /// Adds when the caller may come back.
+    /// Sets the time after which the caller may retry.
     #[must_use]
     pub fn retry_after(mut self, span: Millis) -> Refusal {
         self.retry_after = Some(span);
         self
     }
 
-    /// The refusal of a request that the configuration doesn't allow.
+    /// Creates the refusal of a request that the configuration doesn't allow.
     pub(crate) fn from_config(refusal: config::Refusal) -> Refusal {
         let reason = match refusal {
             config::Refusal::UnknownKey => Reason::Unauthorized,
@@ -236,7 +236,7 @@
         Refusal::not_run(reason, refusal.to_string())
     }
 
-    /// The refusal of a request over one of its account's limits.
+    /// Creates the refusal of a request that exceeds one of its account's limits.
     pub(crate) fn from_limit(exceeded: LimitExceeded) -> Refusal {
         let (reason, message) = match exceeded.kind {
             LimitKind::Requests => (Reason::RateLimited, "too many requests"),
@@ -249,7 +249,7 @@
         Refusal::not_run(reason, message).retry_after(exceeded.retry_after)
     }
 
-    /// The refusal of a request that was not admitted, or waited in vain.
+    /// Creates the refusal of a request that was not admitted, or was queued and not dispatched.
     pub(crate) fn from_admission(refusal: &admission::Refusal) -> Refusal {
         let (reason, message) = match refusal.reason {
             admission::Reason::UnknownClass | admission::Reason::UnknownAccount => {
@@ -273,10 +273,10 @@
         Refusal::not_run(reason, message).retry_after(refusal.retry_after)
     }
 
-    /// The answer to a request whose idempotency key could not be claimed.
+    /// Creates the refusal of a request whose idempotency key could not be claimed.
     ///
-    /// A repeat under the same key is always safe, so it is told when to come back also where the
-    /// earlier try may have run.
+    /// A retry with the same key is always safe, so the caller is told when to retry even if an
+    /// earlier attempt may have run.
     pub(crate) fn from_claim(refusal: ownership::Refusal) -> Refusal {
         let (reason, ran, retry_after, message) = match refusal {
             ownership::Refusal::InProgress { retry_after } => (
@@ -325,13 +325,13 @@
         }
     }
 
-    /// The refusal of a request for which there is no server.
+    /// Creates the refusal of a request for which there is no server.
     pub(crate) fn from_routing(none: &routing::NoServer) -> Refusal {
         let refusal = Refusal::not_run(Reason::NoServer, none.reason.to_string());
         refusal.retry_after(none.retry_after)
     }
 
-    /// Makes the HTTP response.
+    /// Converts the refusal to an HTTP response.
     pub fn into_response(self) -> Response {
         let mut response = Response::new(self.reason.status());
         response.insert_header("x-refusal-reason", self.reason.as_str());
--- a/crates/entry/src/response_observer.rs
+++ b/crates/entry/src/response_observer.rs
@@ -1,4 +1,4 @@
-//! Watching an answer on its way to the caller, and settling the request at its end.
+//! Observes a response while it is relayed to the caller, and settles the request when it ends.
 
 use std::sync::Arc;
 
@@ -25,17 +25,17 @@
 use crate::pool::Pool;
 use crate::sent_attempt::SentAttempt;
 
-/// Tokens between two reports of progress: often enough to see a straggler, seldom enough that the
-/// pool's lock isn't taken for each token.
+/// Tokens between two progress reports: frequent enough to detect a straggler, and rare enough that
+/// the pool's lock isn't taken for each token.
 const PROGRESS_TOKENS: u64 = 16;
 
-/// Bytes kept of the end of an answer that isn't streamed; its usage stands there.
+/// Bytes kept of the end of a non-streamed response, which contains its token usage.
 const TAIL_BYTES: usize = 2048;
 
-/// The slots that a request holds at the scheduler and at the router while its answer is relayed.
+/// The slots that a request holds in the scheduler and in the router while its response is relayed.
 ///
-/// A panic on the way to the settlement would leak them: the server would count one request more for
-/// ever, and take one less. The drop gives them back wherever that happens.
+/// If a panic before the settlement leaked them, the server would appear to have one request more
+/// forever, and take one less. Dropping this value releases them in all cases.
 pub(crate) struct RequestSlots {
     pool: Arc<Pool>,
     ticket: Option<Ticket<Sent>>,
@@ -90,17 +90,17 @@
     pub(crate) slots: RequestSlots,
     pub(crate) permit: Permit,
     pub(crate) arrived: Millis,
-    /// Whether the answer is a stream of server-sent events.
+    /// Whether the response is a stream of server-sent events.
     pub(crate) stream: bool,
-    /// Whether the answer's status is the server's own failure.
+    /// Whether the response's status is a failure of the server.
     pub(crate) failed: bool,
-    /// What is told of its server.
+    /// The attempt, whose end is reported to the suspects.
     pub(crate) sent: SentAttempt,
-    /// Counts the request as in flight; held for its drop alone.
+    /// Counts the request as in flight until it is dropped.
     pub(crate) _running: Occupancy,
 }
 
-/// Settles one request exactly once: at the end of its answer, whatever the end.
+/// Settles a request exactly once, when its response ends for whatever reason.
 pub(crate) struct ResponseObserver {
     context: Option<RequestContext>,
     counter: EventCounter,
@@ -148,7 +148,7 @@
         self.tail.extend_from_slice(keep);
     }
 
-    /// Tokens of the answer: as the server counted them, else one for each event.
+    /// Number of tokens of the response: as counted by the server, or else one per event.
     fn tokens(&self, stream: bool) -> u64 {
         let last = if stream {
             self.counter.last_event()
@@ -246,7 +246,7 @@
     completion_tokens: u64,
 }
 
-/// The count of generated tokens in the usage object that ends an answer.
+/// The number of generated tokens in the usage object at the end of a response.
 fn usage_in(tail: &[u8]) -> Option<u64> {
     let text = String::from_utf8_lossy(tail);
     let at = text.rfind("\"usage\"")?;
--- a/crates/entry/src/sent_attempt.rs
+++ b/crates/entry/src/sent_attempt.rs
@@ -1,4 +1,5 @@
-//! One send of a request to a backend server, and what its end says of either.
+//! An attempt that was sent to a backend server, and what its end shows about the server and the
+//! request.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,27 +12,28 @@
 use crate::coordination::Suspects;
 use crate::pool::Pool;
 
-/// One send of a request to a backend server.
+/// An attempt that was sent to a backend server.
 pub(crate) struct SentAttempt {
     pub(crate) suspects: Arc<Suspects>,
     pub(crate) pool: Arc<Pool>,
     pub(crate) server: ServerKey,
     pub(crate) address: SocketAddr,
-    /// What was asked.
+    /// Fingerprint of the request's content.
     pub(crate) content: Fingerprint,
     pub(crate) sent: Millis,
 }
 
 impl SentAttempt {
-    /// The server broke the connection off.
+    /// Handles a connection that the server broke.
     pub(crate) fn on_cut(&self) {
-        // A planned end cuts what is left at the end of its grace.
+        // A server that leaves as planned breaks the remaining connections at the end of its grace
+        // period.
         if !self.is_leaving() {
             self.suspects.on_cut(self.content, self.address, self.sent);
         }
     }
 
-    /// The answer came whole.
+    /// Handles a response that was complete.
     pub(crate) fn on_served(&self) {
         self.suspects.on_served(self.content);
     }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of an instance share.
+//! State shared by the tasks of an instance.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -33,7 +33,7 @@
 use crate::coordination::Coordinator;
 use crate::memory::max_memory;
 
-/// What is known of one team's part of the configuration.
+/// State of one team's part of the configuration.
 #[derive(Clone, Debug)]
 pub(crate) struct PartInfo {
     pub(crate) team: String,
@@ -42,16 +42,16 @@
     pub(crate) findings: u64,
 }
 
-/// What the tasks of an instance share.
+/// State shared by the tasks of an instance.
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
     pub(crate) clock: Clock,
     pub(crate) client: Client,
     pub(crate) metrics: Metrics,
     pub(crate) coordinator: Arc<Coordinator>,
-    /// Heads and bodies of requests that are read, queued or being sent.
+    /// Memory for heads and bodies of requests that are being read, queued or sent.
     pub(crate) memory: Memory,
-    /// Connections of each client account.
+    /// The connections of each client account.
     pub(crate) connections: Connections,
     pub(crate) seed: u64,
     builder: Builder,
@@ -63,7 +63,8 @@
 }
 
 impl Shared {
-    /// The state of a process that was started at `started`, in wall-clock milliseconds.
+    /// Creates the state of a process that was started at `started`, in milliseconds since the Unix
+    /// epoch.
     pub(crate) fn new(settings: Settings, started: u64, seed: u64) -> Shared {
         let clock = Clock::start();
         let me = Member::new(&settings.id, started);
@@ -102,19 +103,19 @@
         }
     }
 
-    /// The configuration in force.
+    /// The active configuration.
     pub(crate) fn config(&self) -> Arc<ActiveConfig> {
         let config = self.config.read();
         config.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// What is known of the configuration's parts.
+    /// The parts of the configuration.
     pub(crate) fn parts(&self) -> Vec<PartInfo> {
         let parts = self.parts.lock();
         parts.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The peers' node, once it runs.
+    /// The peer node, once it runs.
     pub(crate) fn peers(&self) -> Option<PeerHandle> {
         let peers = self.peers.lock();
         peers.unwrap_or_else(PoisonError::into_inner).clone()
@@ -124,17 +125,19 @@
         *self.peers.lock().unwrap_or_else(PoisonError::into_inner) = Some(handle);
     }
 
-    /// Puts a configuration in force; false when the one in force is newer.
+    /// Activates a configuration. Returns false if the active one is newer.
     ///
-    /// The peers' node gives revisions in order, and equal ones with more parts. An older one comes
-    /// from a notice that was read late, and putting it in force would revert a change.
+    /// The peer node provides revisions in ascending order, and an equal revision with more parts.
+    /// An older one comes from a notice that was processed late, and activating it would revert a
+    /// change.
     pub(crate) fn activate(&self, text: &Text, revision: u64, parts: Vec<PartInfo>) -> bool {
         let previous = self.config();
         if revision < previous.revision {
             return false;
         }
         let next = Arc::new(self.builder.build(&previous, text, revision));
-        // Before the world: its requests must find the limits of its accounts.
+        // Before the configuration is replaced, since requests under it need the limits of its
+        // accounts.
         self.coordinator.limits().configure(&next.catalog);
         self.coordinator.orders().configure(&next.catalog, revision);
         *self.config.write().unwrap_or_else(PoisonError::into_inner) = next;
@@ -142,7 +145,7 @@
         true
     }
 
-    /// Takes this instance's part of what all instances share from the live view.
+    /// Updates this instance's share of what all instances share, from the live view.
     pub(crate) fn on_view(&self, view: &View) {
         self.metrics.set_peers(view.live().saturating_sub(1));
         let instances = u32::try_from(view.live().max(1)).unwrap_or(u32::MAX);
@@ -163,7 +166,7 @@
         self.config().set_fleet(&fleet);
     }
 
-    /// The stage of the instance's life.
+    /// The lifecycle state of the instance.
     pub(crate) fn state(&self) -> InstanceState {
         if self.draining.load(Ordering::Relaxed) {
             InstanceState::Draining
@@ -174,12 +177,12 @@
         }
     }
 
-    /// Begins a planned stop.
+    /// Starts a graceful shutdown.
     pub(crate) fn start_drain(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
-    /// A number for a request that no other request of this process has.
+    /// Returns a request id that is unique within this process.
     pub(crate) fn request_id(&self) -> String {
         let number = self.next_id.fetch_add(1, Ordering::Relaxed);
         format!("{}-{:x}-{number:x}", self.settings.id, self.seed as u32)
--- a/crates/entry/tests/payload.rs
+++ b/crates/entry/tests/payload.rs
@@ -1,4 +1,4 @@
-//! What is read from the body of a language-model request.
+//! Decoding of the bodies of language-model requests.
 
 use crocushold_entry::Payload;
 use crocushold_entry::PayloadError;
@@ -42,8 +42,8 @@
     assert!(matches!(result, Err(PayloadError::NoModel)));
 }
 
-/// A caller writes `priority` into its own body. If the router only added its field, the engine
-/// would see two, and the caller's might win: a nightly batch could overtake live requests.
+/// A caller may set `priority` in its own body. If the router only added its field, the engine
+/// would see both, and the caller's might win: a nightly batch could overtake interactive requests.
 #[test]
 fn the_priority_of_the_caller_is_replaced() {
     let body = br#"{"priority":0,"model":"m","x":[1.50]}"#;
@@ -51,8 +51,9 @@
     assert_eq!(out, r#"{"model":"m","priority":4,"x":[1.50]}"#);
 }
 
-// A caller fills a body of the allowed size with the smallest messages or fields. Each of them becomes
-// an entry several times its size in memory, which no bound on bodies counts: the body is refused.
+// A caller fills a body of the allowed size with the smallest messages or fields. Each becomes an
+// entry several times its size in memory, which the limit on body sizes doesn't cover, so the body
+// is refused.
 #[test]
 fn a_body_of_countless_small_parts_is_refused() {
     let messages = |count| {
