--- a/crates/entry/src/active_config/tests.rs
+++ b/crates/entry/src/active_config/tests.rs
@@ -39,14 +39,14 @@
 // Under overload the scheduler starts each request at the last moment that it considers in time. If
 // the start target of a class with a whole-response target left no time for the work, every
 // response would arrive just after its target.
-#[test_case("clara/streamed", Millis(350), Millis(1_400) ; "a stream starts by its first token")]
-#[test_case("clara/whole", Millis(5_000), Millis(40_000) ; "a whole answer leaves time for its work")]
-fn the_latest_start(name: &str, target: Millis, patience: Millis) {
+#[test_case("clara/streamed", Millis(350), Millis(1_400) ; "a stream: the target of the first token")]
+#[test_case("clara/whole", Millis(5_000), Millis(40_000) ; "a whole response: half of its target")]
+fn a_class_sets_start_target_and_max_wait(name: &str, target: Millis, max_wait: Millis) {
     let mut catalog = Catalog::default();
     catalog.apply(&Text::parse(TEXT));
     let mut classes = catalog.classes.iter();
     let (key, class) = classes.find(|(_, class)| class.name == name).unwrap();
     let spec = class_spec(key, class);
     assert_eq!(spec.target, target);
-    assert_eq!(spec.max_wait, patience);
+    assert_eq!(spec.max_wait, max_wait);
 }
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -32,7 +32,7 @@
 const CONNECTIONS_RETRY_AFTER: Millis = Millis::from_secs(1);
 
 /// Handles one request of a caller.
-pub(crate) async fn answer(
+pub(crate) async fn handle(
     shared: &Arc<Shared>,
     connection: &Connection,
     request: Request,
@@ -159,7 +159,7 @@
             .collect(),
     };
     let mut response = Response::new(200);
-    response.set_body(serde_json::to_string(&list).expect("strings always serialise"));
+    response.set_body(serde_json::to_string(&list).expect("strings can always be serialized"));
     response.insert_header("content-type", "application/json");
     response
 }
--- a/crates/entry/src/connections/tests.rs
+++ b/crates/entry/src/connections/tests.rs
@@ -7,15 +7,18 @@
 // exceeds its limit, and nothing is counted after all have closed. A count that leaked when the
 // account changes would lock the account out permanently.
 #[test]
-fn every_place_is_given_back() {
+fn closed_connections_are_not_counted() {
     let mut accounts: SlotMap<AccountKey, ()> = SlotMap::with_key();
     let (a, b) = (accounts.insert(()), accounts.insert(()));
     let all = Connections::new(2);
     let (first, second, third) = (all.open(), all.open(), all.open());
     assert!(first.count_for(a) && second.count_for(a) && first.count_for(a));
-    assert!(!third.count_for(a), "above the bound");
-    assert!(second.count_for(b) && third.count_for(a), "one moved away");
-    assert!(!second.count_for(a), "and can't come back");
+    assert!(!third.count_for(a), "above the limit");
+    assert!(
+        second.count_for(b) && third.count_for(a),
+        "one changed its account"
+    );
+    assert!(!second.count_for(a), "and can't change back");
     assert_eq!(all.counts().counts_by_account.values().sum::<u32>(), 3);
     drop((first, second, third));
     assert!(all.counts().counts_by_account.is_empty());
--- a/crates/entry/src/coordination/limits/limiter.rs
+++ b/crates/entry/src/coordination/limits/limiter.rs
@@ -67,9 +67,14 @@
 
     /// Applies the limits of a catalog. The usage of accounts that remain is kept.
     pub(crate) fn configure(&mut self, catalog: &Catalog, now: Millis) {
-        let gone = |(key, _): &(AccountKey, &Account)| !catalog.accounts.contains_key(*key);
-        let gone: Vec<AccountKey> = self.accounts.iter().filter(gone).map(|(k, _)| k).collect();
-        for key in gone {
+        let removed = |(key, _): &(AccountKey, &Account)| !catalog.accounts.contains_key(*key);
+        let removed: Vec<AccountKey> = self
+            .accounts
+            .iter()
+            .filter(removed)
+            .map(|(k, _)| k)
+            .collect();
+        for key in removed {
             self.remove(key);
         }
         for (key, account) in &catalog.accounts {
--- a/crates/entry/src/coordination/limits/tests.rs
+++ b/crates/entry/src/coordination/limits/tests.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn each_limit_refuses_by_its_own_name() {
+fn a_refusal_names_the_exceeded_limit() {
     let cases = [
         (limits(2, 10_000, 100), LimitKind::Requests),
         (limits(1_000, 4, 100), LimitKind::Tokens),
@@ -129,7 +129,7 @@
 /// Responses are far longer than any before. Tokens used beyond the charge become a debt, and the
 /// account is refused until it is paid: over a minute it uses its rate and no more.
 #[test]
-fn tokens_are_settled_on_the_real_count() {
+fn tokens_are_settled_by_the_actual_count() {
     let mut fixture = Fixture::new(limits(1_000, 1_000, 100));
     let mut used = 0;
     for _ in 0..1_200 {
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn an_account_that_is_gone_is_refused_and_leaves_no_state() {
+fn a_removed_account_is_refused_and_leaves_no_state() {
     let mut fixture = Fixture::new(limits(1_000, 10_000, 10));
     fixture.pass(1_000);
     let charge = fixture.admit(&SHORT).unwrap();
--- a/crates/entry/src/coordination/members.rs
+++ b/crates/entry/src/coordination/members.rs
@@ -38,13 +38,13 @@
 
     /// Updates the members from the peer node's view.
     pub(crate) fn on_view(&mut self, view: &crocushold_peers::View) -> View {
-        for life in view.lives.iter() {
+        for incarnation in view.lives.iter() {
             let known = KnownMember {
-                start: life.start,
-                status: life.status,
+                start: incarnation.start,
+                status: incarnation.status,
             };
             self.known
-                .insert(InstanceId::from_name(life.id.as_str()), known);
+                .insert(InstanceId::from_name(incarnation.id.as_str()), known);
         }
         self.reference()
     }
--- a/crates/entry/src/coordination/mod.rs
+++ b/crates/entry/src/coordination/mod.rs
@@ -260,7 +260,7 @@
             }
         }
         let verdict = round.on_deadline();
-        verdict.expect("the verdict stands once every voter was heard or given up")
+        verdict.expect("there is a verdict once all voters have replied or timed out")
     }
 
     async fn vote_of(&self, voter: Member, request: ClaimRequest) -> Option<Vote> {
--- a/crates/entry/src/coordination/orders/tests.rs
+++ b/crates/entry/src/coordination/orders/tests.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_model_is_placed_on_as_many_engines_as_the_text_says() {
+fn a_model_is_placed_on_as_many_engines_as_configured() {
     for replicas in [0, 1, 4, 10, 12] {
         assert_eq!(holders(replicas, &fleet(&[])).len(), replicas.min(10));
     }
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_silent_engine_is_replaced() {
+fn an_engine_without_reports_is_replaced() {
     let before = holders(2, &fleet(&[]));
     let mut fleet = fleet(&before);
     fleet[before[0] as usize].responsive = false;
@@ -97,7 +97,7 @@
     keys: Vec<ServerKey>,
     reports: Vec<LoadReport>,
     /// The engine whose reports are missing.
-    silent: Option<usize>,
+    not_reporting: Option<usize>,
     view: View,
     reference: View,
     now: u64,
@@ -118,7 +118,7 @@
             planner,
             keys: service.servers.clone(),
             reports,
-            silent: None,
+            not_reporting: None,
             view: View::new([me]),
             reference: View::new([me]),
             now: 0,
@@ -152,7 +152,7 @@
             let now = Millis(self.now);
             self.planner.on_view(&self.view, &self.reference, now);
             for (at, report) in self.reports.iter().enumerate() {
-                if self.silent != Some(at) {
+                if self.not_reporting != Some(at) {
                     self.planner.on_report(self.keys[at], report, now, now);
                 }
             }
@@ -213,7 +213,7 @@
 /// Both engines hold a model that is configured for one. Both are busy; the surplus one may unload
 /// it, since the other serves its callers.
 #[test]
-fn a_spare_replica_is_unloaded_once_the_target_has_stood() {
+fn a_surplus_replica_is_unloaded_once_the_target_is_stable() {
     let mut fixture = Fixture::new(1, vec![report(&["m"], 3), report(&["m"], 3)]);
     assert_eq!(fixture.run(29, OrderAnswer::Obeyed), []);
     let sent = fixture.run(4, OrderAnswer::Obeyed);
@@ -233,10 +233,10 @@
 /// other is to unload it. If it were unloaded now, there might be no server for the model's
 /// callers.
 #[test]
-fn a_replica_stays_while_the_other_is_silent() {
+fn a_replica_stays_while_the_other_does_not_report() {
     let mut fixture = Fixture::new(1, vec![report(&["m"], 3), report(&["m"], 3)]);
     fixture.run(20, OrderAnswer::Obeyed);
-    fixture.silent = Some(1 - surplus());
+    fixture.not_reporting = Some(1 - surplus());
     let sent = fixture.run(35, OrderAnswer::Obeyed);
     assert!(!sent.iter().any(is_unload), "{sent:?}");
 }
@@ -244,7 +244,7 @@
 /// A surplus replica is about to be unloaded. If requests were still sent there, the last ones
 /// would be answered that the model is unknown.
 #[test]
-fn requests_keep_away_from_a_spare_replica() {
+fn requests_avoid_a_surplus_replica() {
     let mut fixture = Fixture::new(1, vec![report(&["m"], 3), report(&["m"], 3)]);
     fixture.run(3, OrderAnswer::Obeyed);
     let surplus_flags = fixture.keys.iter().map(|key| {
@@ -341,16 +341,16 @@
     let mut fixture = Fixture::new(1, vec![report(&[], 0)]);
     let first = fixture.run(60, OrderAnswer::Obeyed);
     assert_eq!(loads(&first), ["m"]);
-    fixture.silent = Some(0);
+    fixture.not_reporting = Some(0);
     fixture.run(8, OrderAnswer::Obeyed);
-    fixture.silent = None;
+    fixture.not_reporting = None;
     assert_eq!(loads(&fixture.run(30, OrderAnswer::Obeyed)), ["m"]);
 }
 
 /// Nothing is ordered without a majority of the fleet, or while another instance owns the service.
 #[test_case(&["entry-0"], &["entry-0", "b", "c"]; "in a minority")]
 #[test_case(&[], &["entry-0"]; "with no view")]
-fn nothing_is_ordered_by_one_that_may_not(live: &[&str], reference: &[&str]) {
+fn nothing_is_ordered_without_ownership(live: &[&str], reference: &[&str]) {
     let mut fixture = Fixture::new(1, vec![report(&["m"], 0), report(&["m"], 0)]);
     let view = |names: &[&str]| View::new(names.iter().map(|name| Member::new(name, 1)));
     fixture.view = view(live);
@@ -360,7 +360,7 @@
 }
 
 #[test]
-fn models_that_the_text_never_named_are_left_alone() {
+fn unconfigured_models_are_left_alone() {
     let held = || report(&["m", "n", "x"], 0);
     let mut fixture = Fixture::new(2, vec![held(), held()]);
     assert_eq!(fixture.run(60, OrderAnswer::Obeyed), []);
@@ -370,7 +370,7 @@
 /// targets follow the configuration at the next tick; until then an engine that ignores fencing
 /// numbers would load a model that nobody uses.
 #[test]
-fn an_order_of_a_replaced_text_may_not_be_sent() {
+fn an_order_of_a_replaced_configuration_may_not_be_sent() {
     let mut fixture = Fixture::new(2, vec![report(&[], 0); 2]);
     let mut sent = Vec::new();
     while sent.is_empty() {
@@ -394,7 +394,7 @@
 /// Both engines serve a model, and a configuration gives the first one another role. Requests avoid
 /// it immediately, and the role is ordered once the configuration has been stable for a while.
 #[test]
-fn a_role_is_ordered_after_requests_keep_away() {
+fn a_role_is_ordered_after_requests_avoid_the_engine() {
     let mut fixture = Fixture::new(2, vec![report(&["m", "n"], 3); 2]);
     fixture.run(3, OrderAnswer::Obeyed);
     fixture.publish_role(2, "prefill");
@@ -419,12 +419,12 @@
 /// the other one lacks it, doesn't report, or still has a role without whole requests. The callers
 /// would have no server, so the role change waits.
 #[test_case(report(&["n"], 0), None; "lacks the model")]
-#[test_case(report(&["m", "n"], 0), Some(1); "is silent")]
+#[test_case(report(&["m", "n"], 0), Some(1); "does not report")]
 #[test_case(LoadReport { role: EngineRole::Decode, ..report(&["m", "n"], 0) }, None; "only decodes")]
-fn a_role_waits_until_another_engine_serves(other: LoadReport, silent: Option<usize>) {
+fn a_role_waits_until_another_engine_serves(other: LoadReport, not_reporting: Option<usize>) {
     let mut fixture = Fixture::new(2, vec![report(&["m", "n"], 3), other]);
     fixture.publish_role(2, "prefill");
-    fixture.silent = silent;
+    fixture.not_reporting = not_reporting;
     let sent = fixture.run(55, OrderAnswer::Failed);
     let first = ("team/fleet/runner-0", EngineRole::Prefill);
     assert!(!roles(&sent).contains(&first), "{sent:?}");
@@ -450,7 +450,7 @@
 
 /// Engines run in other roles than usual, and the configuration names none.
 #[test]
-fn a_role_that_the_text_does_not_name_is_left_alone() {
+fn an_unconfigured_role_is_left_alone() {
     let decodes = LoadReport {
         role: EngineRole::Decode,
         ..report(&["m", "n"], 0)
--- a/crates/entry/src/coordination/transport.rs
+++ b/crates/entry/src/coordination/transport.rs
@@ -37,7 +37,12 @@
     /// Updates the names of the known incarnations.
     pub(crate) fn update_names(&self, view: &View) {
         let lives = view.lives.iter();
-        let names = lives.map(|life| (Member::new(life.id.as_str(), life.start), life.id.clone()));
+        let names = lives.map(|incarnation| {
+            (
+                Member::new(incarnation.id.as_str(), incarnation.start),
+                incarnation.id.clone(),
+            )
+        });
         *self.names.lock().unwrap_or_else(PoisonError::into_inner) = names.collect();
     }
 
--- a/crates/entry/src/decode.rs
+++ b/crates/entry/src/decode.rs
@@ -138,7 +138,8 @@
     /// Builds the request for the server at `address`.
     pub(crate) fn request(&self, address: std::net::SocketAddr) -> Request {
         let text = format!("http://{address}{}", self.outgoing.target);
-        let url = Url::parse(&text).expect("an address and the path of a parsed URL make a URL");
+        let url =
+            Url::parse(&text).expect("an address and the path of a parsed URL form a valid URL");
         let mut request = Request::new(self.outgoing.method, url);
         relay_headers(&self.outgoing.headers, request.as_mut());
         request.set_body(self.outgoing.body.clone());
--- a/crates/entry/src/exchange/guard.rs
+++ b/crates/entry/src/exchange/guard.rs
@@ -26,7 +26,7 @@
     pub(super) fn queue_result(&mut self) -> &mut oneshot::Receiver<QueueResult> {
         let queued = self.queued.as_mut();
         &mut queued
-            .expect("the guard is disarmed after the turn")
+            .expect("a guard that is not disarmed has a request")
             .queue_result
     }
 
@@ -53,7 +53,7 @@
     pub(super) fn take(&mut self) -> Ticket<Sent> {
         self.ticket
             .take()
-            .expect("the ticket is there while the request is at a server")
+            .expect("the ticket is taken only when the request leaves the server")
     }
 }
 
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -49,7 +49,7 @@
         }
         /// Failed to start the peer node.
         Peers(address: SocketAddr, cause: peers::StartError) {
-            display("can't start the peers' node on {address}: {cause}")
+            display("can't start the peer node on {address}: {cause}")
             source(cause)
         }
     }
@@ -228,7 +228,7 @@
         move |request, hangup| {
             let shared = shared.clone();
             let connection = connection.clone();
-            async move { callers::answer(&shared, &connection, request, hangup).await }
+            async move { callers::handle(&shared, &connection, request, hangup).await }
         }
     }))
 }
@@ -237,6 +237,6 @@
     let shared = shared.clone();
     task::spawn(listener.run(move |request, _| {
         let shared = shared.clone();
-        async move { operator::answer(&shared, &request).await }
+        async move { operator::handle(&shared, &request).await }
     }));
 }
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -31,7 +31,7 @@
 const STANDING_TIMEOUT: Millis = Millis::from_secs(1);
 
 /// Handles a request on the operator's address.
-pub(crate) async fn answer(shared: &Arc<Shared>, request: &Request) -> Response {
+pub(crate) async fn handle(shared: &Arc<Shared>, request: &Request) -> Response {
     #[cfg(feature = "failpoints")]
     if let Some(response) = crate::failpoint::command(request) {
         return response;
@@ -89,8 +89,8 @@
 /// State of the peer node; `None` if it doesn't reply in time.
 async fn standing(shared: &Shared) -> Option<Standing> {
     let peers = shared.peers()?;
-    let told = timeout(STANDING_TIMEOUT.into(), peers.standing()).await;
-    told.ok().flatten()
+    let reply = timeout(STANDING_TIMEOUT.into(), peers.standing()).await;
+    reply.ok().flatten()
 }
 
 async fn status_json(shared: &Shared) -> Response {
--- a/crates/entry/src/platform_reads.rs
+++ b/crates/entry/src/platform_reads.rs
@@ -115,7 +115,9 @@
             let call = Call::Part {
                 team: team.to_string(),
             };
-            let result = read(shell, &call).await.map_err(|failure| failed(&failure));
+            let result = read(shell, &call)
+                .await
+                .map_err(|failure| read_failed(&failure));
             let part = result.and_then(|answer| part_of(&team, answer));
             PlatformRead::Part(team, part)
         }
@@ -123,11 +125,13 @@
 }
 
 async fn read_index(shell: &Shell<HttpFetch>, call: Call) -> PlatformRead {
-    let result = read(shell, &call).await.map_err(|failure| failed(&failure));
+    let result = read(shell, &call)
+        .await
+        .map_err(|failure| read_failed(&failure));
     PlatformRead::Index(result.and_then(index_of))
 }
 
-fn failed(failure: &Failure) -> ReadFailed {
+fn read_failed(failure: &Failure) -> ReadFailed {
     debug!(
         "{}",
         Event::new("platform-read-failed").with("cause", failure)
--- a/crates/entry/src/polling/tests.rs
+++ b/crates/entry/src/polling/tests.rs
@@ -22,7 +22,7 @@
     let servers = servers(118, reason);
     let mut schedule = PollSchedule::default();
     let first = schedule.round(&servers, Millis(1_000));
-    assert_eq!(first.len(), servers.len(), "each is asked once at first");
+    assert_eq!(first.len(), servers.len(), "each is polled once at first");
     let rounds = (2..62).map(|second| schedule.round(&servers, Millis(second * 1_000)).len());
     let rounds: Vec<usize> = rounds.collect();
     let sum: usize = rounds.iter().sum();
@@ -33,7 +33,7 @@
 // A server that was polled rarely becomes a borrowed one. If its next report were still two minutes
 // away, requests would be sent to it although it is full.
 #[test]
-fn a_shorter_period_holds_at_once() {
+fn a_shorter_period_applies_immediately() {
     let rare = servers(1, PollReason::Background);
     let mut schedule = PollSchedule::default();
     schedule.round(&rare, Millis(1_000));
--- a/crates/entry/src/pool/tests.rs
+++ b/crates/entry/src/pool/tests.rs
@@ -98,10 +98,10 @@
 // Nothing was sent to a server, so the server's slot must be released. Otherwise each such event
 // would reduce the service's capacity until the instance is replaced.
 #[test]
-fn a_turn_that_nobody_takes_gives_both_slots_back() {
+fn an_unreceived_dispatch_releases_both_slots() {
     let single = SingleServer::new();
     let queued = single.pool.submit(&single.arrival, REQUIREMENTS).unwrap();
-    assert_eq!(single.in_flight(), 1, "the turn was sent");
+    assert_eq!(single.in_flight(), 1, "dispatched");
     single.pool.withdraw(queued);
     assert_eq!(single.in_flight(), 0);
     assert!(single.pool.lock().queued.is_empty());
@@ -111,12 +111,12 @@
 // dispatched when a slot is free: in both cases it holds one queue entry and one slot, and releases
 // what it holds.
 #[test]
-fn a_second_turn_is_given_and_taken_back_like_the_first() {
+fn a_requeued_request_holds_one_entry_and_one_slot() {
     let single = SingleServer::new();
     let mut first = single.pool.submit(&single.arrival, REQUIREMENTS).unwrap();
     let second = single.pool.submit(&single.arrival, REQUIREMENTS).unwrap();
     let Ok(Some(QueueResult::Dispatched(dispatch))) = first.queue_result.try_recv() else {
-        panic!("the first has its turn");
+        panic!("the first request was not dispatched");
     };
     // The second request takes the slot that the failed attempt released.
     let attempt = dispatch.pick.attempt;
@@ -266,12 +266,12 @@
 // Every server of this instance's subset refuses connections while fifty others are idle. The
 // caller is served by one of those immediately, instead of waiting for a server that is down.
 #[test]
-fn a_dead_subset_refuses_nobody() {
+fn a_failed_subset_refuses_nobody() {
     let mut fixture = SubsetFixture::new();
     let own = fixture.own();
     assert!((6..=16).contains(&own.len()), "{}", own.len());
     fixture.refuse_all(&own);
-    let dispatch = dispatched(&mut fixture.submit()).expect("served at once");
+    let dispatch = dispatched(&mut fixture.submit()).expect("served immediately");
     assert!(!own.contains(&dispatch.pick.server));
     fixture.end(&dispatch, Outcome::Complete);
     assert!(fixture.own().len() > own.len());
@@ -288,11 +288,11 @@
 // queued again, so a free server outside the subset must be found now, or the caller is refused
 // although there is one.
 #[test]
-fn a_failed_attempt_goes_beyond_the_subset() {
+fn a_failed_attempt_is_retried_outside_the_subset() {
     let fixture = SubsetFixture::new();
     let own = fixture.own();
     fixture.refuse_all(&own);
-    assert_eq!(fixture.own(), own, "nobody lacked a server so far");
+    assert_eq!(fixture.own(), own, "no request was without a server so far");
     let facts = RequestFacts {
         idempotent: true,
         relayed: false,
@@ -314,7 +314,7 @@
 // Two attempts of a request were refused, and it isn't known yet that the whole subset is down. The
 // third and last attempt must be made outside it.
 #[test]
-fn the_last_attempt_is_made_beyond_the_subset() {
+fn the_last_attempt_is_made_outside_the_subset() {
     let fixture = SubsetFixture::new();
     let own = fixture.own();
     let facts = RequestFacts {
@@ -402,8 +402,14 @@
     };
     let mut queued = fixture.submit_for(requirements);
     let reached = fixture.own();
-    assert!(reached.len() > own.len(), "looked for at once");
-    assert!(dispatched(&mut queued).is_none(), "not sent blindly");
+    assert!(
+        reached.len() > own.len(),
+        "the reach is widened immediately"
+    );
+    assert!(
+        dispatched(&mut queued).is_none(),
+        "not sent to a server that may lack the model"
+    );
     let holder = *reached.iter().find(|key| !own.contains(key)).unwrap();
     report(&fixture, holder, &[fixture.model]);
     fixture.wait(100);
@@ -437,15 +443,18 @@
         fixture.wait(2_000);
     }
     assert_eq!(fixture.own().len(), fixture.keys.len());
-    let told = queued.queue_result.try_recv().unwrap();
-    assert!(matches!(told, Some(QueueResult::Refused(_))), "{told:?}");
+    let result = queued.queue_result.try_recv().unwrap();
+    assert!(
+        matches!(result, Some(QueueResult::Refused(_))),
+        "{result:?}"
+    );
 }
 
 // An instance joins, and some servers of this instance's subset are assigned to others. Their
 // responses to this instance's callers complete, their slots are released, and no new request is
 // sent there.
 #[test]
-fn a_server_that_leaves_the_subset_finishes() {
+fn a_server_that_leaves_the_subset_completes_its_requests() {
     let fixture = SubsetFixture::new();
     let dispatches: Vec<_> = (0..20)
         .map(|_| dispatched(&mut fixture.submit()).unwrap())
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -351,7 +351,8 @@
                 retry_after_ms: self.retry_after.map(|span| span.0),
             },
         };
-        let text = serde_json::to_string(&body).expect("strings and numbers always serialise");
+        let text =
+            serde_json::to_string(&body).expect("strings and numbers can always be serialized");
         response.set_body(text);
         response.insert_header("content-type", "application/json");
         response
--- a/crates/entry/tests/payload.rs
+++ b/crates/entry/tests/payload.rs
@@ -32,7 +32,7 @@
 #[test_case(r#"{"model":"m","messages":[{"content":[{"type":"text","text":"hi"}]}]}"#; "parts")]
 #[test_case(r#"{"model":"m","messages":[{"content":null}]}"#; "null content")]
 #[test_case(r#"{"model":"m","prompt":[1,2,3]}"#; "token numbers")]
-fn accepts_prompts_that_are_no_plain_strings(body: &str) {
+fn accepts_prompts_that_are_not_strings(body: &str) {
     assert!(Payload::decode(body.as_bytes()).is_ok());
 }
 
@@ -55,7 +55,7 @@
 // entry several times its size in memory, which the limit on body sizes doesn't cover, so the body
 // is refused.
 #[test]
-fn a_body_of_countless_small_parts_is_refused() {
+fn a_body_of_too_many_small_parts_is_refused() {
     let messages = |count| {
         format!(
             r#"{{"model":"m","messages":[{}]}}"#,
