--- a/crates/entry/src/coordination/limits/tests.rs
+++ b/crates/entry/src/coordination/limits/tests.rs
@@ -112,7 +112,7 @@
 }
 
 /// A caller over one limit repeats its request in a loop. If each refusal kept a slot or a unit of
-/// the other rate, the refusals would use up the account's other limits, and their reason would
+/// the other rate, the account would be locked out by its own refusals, and their reason would
 /// change.
 #[test_case(limits(4, 20, 4), LimitKind::Tokens; "over the token rate")]
 #[test_case(limits(2, 10_000, 4), LimitKind::Requests; "over the request rate")]
--- a/crates/entry/src/coordination/mod.rs
+++ b/crates/entry/src/coordination/mod.rs
@@ -72,7 +72,7 @@
 /// Delay between attempts to deliver a settlement.
 const SETTLE_RETRY_DELAY: Millis = Millis(500);
 
-/// Maximum number of attempts to deliver a settlement. If none succeeds, the voter treats the
+/// Maximum number of attempts to deliver a settlement. A voter that none of them reaches treats the
 /// outcome as unknown.
 const SETTLE_ATTEMPTS: usize = 20;
 
--- a/crates/entry/src/coordination/orders/planner.rs
+++ b/crates/entry/src/coordination/orders/planner.rs
@@ -205,7 +205,7 @@
         for action in self.orders.on_tick(now) {
             match action {
                 OrderAction::Send(order) => actions.orders.extend(self.outbound_order(order, now)),
-                // All engines are polled regularly anyway.
+                // All engines are polled every one or two seconds anyway.
                 OrderAction::ReadBack(_) => {}
                 OrderAction::Outdated { engine, fence } => {
                     actions.outdated.extend(self.record_outdated(engine, fence));
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -389,8 +389,8 @@
 
     /// Time within which the server must begin its response.
     ///
-    /// It never exceeds the caller's deadline. The caller will have disconnected by then, and a
-    /// server that hangs would occupy a slot for nobody.
+    /// It never exceeds the caller's deadline. The caller will have disconnected by then or is about
+    /// to, and a server that hangs would occupy a slot for nobody.
     fn head_timeout(&self, pick: &Pick) -> Millis {
         let bound = if self.job.stream {
             pick.patience
