--- a/crates/entry/src/coordination/limits/mod.rs
+++ b/crates/entry/src/coordination/limits/mod.rs
@@ -7,7 +7,7 @@
 mod account;
 mod limiter;
 mod permit;
-mod shared;
+mod shell;
 #[cfg(test)]
 mod tests;
 
@@ -15,4 +15,4 @@
 pub(crate) use account::LimitKind;
 pub(crate) use account::TokenEstimate;
 pub(crate) use permit::Permit;
-pub(crate) use shared::AccountLimits;
+pub(crate) use shell::AccountLimits;
--- a/crates/entry/src/coordination/limits/permit.rs
+++ b/crates/entry/src/coordination/limits/permit.rs
@@ -5,7 +5,7 @@
 use crocushold_base::AccountKey;
 
 use super::account::Charge;
-use super::shared::AccountLimits;
+use super::shell::AccountLimits;
 
 /// The charge of an admitted request. It ends exactly once: by [`Permit::settle`], by
 /// [`Permit::refund`], or when dropped, as a request that ran without a response.
--- a/crates/entry/src/coordination/orders/mod.rs
+++ b/crates/entry/src/coordination/orders/mod.rs
@@ -11,9 +11,9 @@
 mod planner;
 mod role;
 mod send;
-mod shared;
+mod shell;
 #[cfg(test)]
 mod tests;
 
-pub(crate) use shared::EngineOrders;
-pub(crate) use shared::ModelDemand;
+pub(crate) use shell::EngineOrders;
+pub(crate) use shell::ModelDemand;
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -29,9 +29,9 @@
 use crate::apply;
 use crate::callers;
 use crate::operator;
-use crate::platform_reads;
-use crate::platform_reads::Addresses;
 use crate::polling;
+use crate::publish;
+use crate::publish::Addresses;
 use crate::refusal::refuse_unread;
 use crate::shared::Shared;
 
@@ -205,13 +205,13 @@
     task::spawn(shared.coordinator.clone().run_suspects());
     task::spawn(apply::follow(shared.clone(), handle.clone(), notices));
     if let Some(addresses) = Addresses::new(&settings.platform) {
-        task::spawn(platform_reads::run_reads(
+        task::spawn(publish::run_reads(
             shared.clone(),
             handle.clone(),
             addresses.clone(),
             node.platform,
         ));
-        task::spawn(platform_reads::poll_instances(
+        task::spawn(publish::poll_instances(
             shared.clone(),
             handle.clone(),
             addresses,
