--- a/crates/entry/src/apply.rs
+++ b/crates/entry/src/apply.rs
@@ -1,4 +1,4 @@
-//! Puts the configuration that the peers' node holds in force.
+//! Activates the configuration that the peer node holds.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,19 +26,19 @@
 use crate::shared::PartInfo;
 use crate::shared::Shared;
 
-/// Between two tries to apply a configuration.
-const RETRY: Millis = Millis::from_secs(1);
+/// Delay before a failed activation is retried.
+const RETRY_DELAY: Millis = Millis::from_secs(1);
 
-/// Follows the notices of the peers' node as long as it runs.
+/// Processes the notices of the peer node until it stops.
 pub(crate) async fn follow(shared: Arc<Shared>, peers: PeerHandle, notices: Receiver<Notice>) {
     let mut applier = Applier::default();
-    // A notice may have been given before the subscription.
+    // A notice may have been sent before the subscription.
     let mut applied = applier.try_apply(&shared, &peers).await;
-    shared.take_view(&peers.view());
-    while let Some(notice) = next(&notices, applied).await {
+    shared.on_view(&peers.view());
+    while let Some(notice) = next_notice(&notices, applied).await {
         match notice {
             Notice::Config => applied = applier.try_apply(&shared, &peers).await,
-            Notice::View => shared.take_view(&peers.view()),
+            Notice::View => shared.on_view(&peers.view()),
             Notice::Finding(finding) => {
                 let event = Event::new("peer-finding").with("finding", format!("{finding:?}"));
                 warn!("{event}");
@@ -47,33 +47,37 @@
     }
 }
 
-/// The next notice; that of a configuration again, after a pause, where it couldn't be applied.
-async fn next(notices: &Receiver<Notice>, applied: bool) -> Option<Notice> {
+/// Waits for the next notice. After a failed activation, returns [`Notice::Config`] at the latest
+/// after a delay, which retries it.
+async fn next_notice(notices: &Receiver<Notice>, applied: bool) -> Option<Notice> {
     if applied {
         return notices.recv().await.ok();
     }
-    let notice = timeout(RETRY.into(), notices.recv()).await;
+    let notice = timeout(RETRY_DELAY.into(), notices.recv()).await;
     notice.map_or(Some(Notice::Config), Result::ok)
 }
 
-/// The parsed text, and which parts it was made of. Only a part whose hash changed is parsed again.
+/// The parsed configuration and the hashes of its parts. Only parts whose hash changed are parsed
+/// again.
 #[derive(Default)]
 struct Applier {
     text: Text,
     hashes: BTreeMap<Arc<str>, PartHash>,
     revisions: BTreeMap<Arc<str>, u64>,
-    /// Findings that were logged; those that stay aren't logged again with each team's change.
+    /// Findings that were logged. Those that remain are not logged again with every change of some
+    /// team.
     logged: BTreeSet<Finding>,
 }
 
 impl Applier {
-    /// Puts what the node holds in force; false when that panicked.
+    /// Activates the configuration that the peer node holds. Returns false if that panicked.
     ///
-    /// Had the panic ended the task, the instance would serve its text for good, look healthy, and
-    /// never take a change again. Nothing is in force before the last step, so it may be tried anew,
-    /// with all parts parsed again since their state may be half changed.
+    /// If the panic ended the task, the instance would serve its current configuration forever,
+    /// look healthy, and never apply another change. Nothing is activated before the last step, so
+    /// the attempt can be repeated. All parts are parsed again, since their state may be
+    /// inconsistent after the panic.
     async fn try_apply(&mut self, shared: &Shared, peers: &PeerHandle) -> bool {
-        let attempt = AssertUnwindSafe(self.apply_held(shared, peers));
+        let attempt = AssertUnwindSafe(self.apply_current(shared, peers));
         if attempt.catch_unwind().await.is_ok() {
             return true;
         }
@@ -82,7 +86,7 @@
         false
     }
 
-    async fn apply_held(&mut self, shared: &Shared, peers: &PeerHandle) {
+    async fn apply_current(&mut self, shared: &Shared, peers: &PeerHandle) {
         let snapshot = peers.config();
         reach(Point::Applying).await;
         self.apply(shared, snapshot);
@@ -92,16 +96,16 @@
         let Some(snapshot) = snapshot else {
             return;
         };
-        self.take_parts(&snapshot);
+        self.update_parts(&snapshot);
         let parts = self.part_infos();
         self.log_findings();
-        if shared.put_in_force(&self.text, snapshot.revision, parts) {
+        if shared.activate(&self.text, snapshot.revision, parts) {
             let event = Event::new("config-in-force").with("revision", snapshot.revision);
             info!("{event}");
         }
     }
 
-    fn take_parts(&mut self, snapshot: &Snapshot) {
+    fn update_parts(&mut self, snapshot: &Snapshot) {
         let mut present = BTreeSet::new();
         for part in snapshot.parts() {
             let team = &part.head.team;
@@ -112,20 +116,20 @@
                 self.hashes.insert(team.clone(), part.head.hash);
             }
         }
-        let gone: Vec<Arc<str>> = self
+        let removed: Vec<Arc<str>> = self
             .hashes
             .keys()
             .filter(|team| !present.contains(*team))
             .cloned()
             .collect();
-        for team in gone {
+        for team in removed {
             self.text.remove_part(&team);
             self.hashes.remove(&team);
             self.revisions.remove(&team);
         }
     }
 
-    /// One line a finding, so that an operator who published a mistake finds it in the log.
+    /// Logs one line per finding, so that an operator who published a mistake finds it in the log.
     fn log_findings(&mut self) {
         let findings: BTreeSet<Finding> = self.text.findings().into_iter().collect();
         for finding in findings.difference(&self.logged) {
@@ -147,7 +151,7 @@
             PartInfo {
                 team: part.team().to_owned(),
                 published,
-                in_force: match part.in_force() {
+                active: match part.in_force() {
                     InForce::Current => published,
                     InForce::Previous | InForce::Nothing => 0,
                 },
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! Answering callers.
+//! Handles the requests of callers.
 
 use std::sync::Arc;
 
@@ -15,24 +15,24 @@
 use log::debug;
 use serde::Serialize;
 
+use crate::active_config::ActiveConfig;
 use crate::connections::Connection;
+use crate::decode::RequestDecoder;
+use crate::decode::api_key;
 use crate::exchange::Exchange;
 use crate::exchange::Failure;
-use crate::intake::Intake;
-use crate::intake::key_of;
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
 use crate::shared::Shared;
-use crate::world::World;
 
-/// The status of an answer that nobody reads: the caller closed the connection.
+/// Status of a response that nobody reads because the caller closed the connection.
 const CALLER_GONE: StatusCode = StatusCode::RequestTimeout;
 
-/// When to come back while the account holds as many connections as it may.
-const CONNECTIONS_RETRY: Millis = Millis::from_secs(1);
+/// Retry delay for an account that is at its connection limit.
+const CONNECTIONS_RETRY_AFTER: Millis = Millis::from_secs(1);
 
-/// Answers one request of a caller.
-pub(crate) async fn answer(
+/// Handles one request of a caller.
+pub(crate) async fn handle(
     shared: &Arc<Shared>,
     connection: &Connection,
     request: Request,
@@ -51,7 +51,7 @@
     response
 }
 
-/// At the level `debug`: a flood of refusals must not become a flood of lines.
+/// Logged at level `debug`, so that a flood of refusals doesn't become a flood of log lines.
 fn log_refusal(id: &str, refusal: &Refusal) {
     let event = Event::new("refused")
         .with("request", id)
@@ -69,32 +69,37 @@
     id: &str,
 ) -> Result<Response, Failure> {
     let arrived = shared.clock.now();
-    let world = shared.world();
-    if world.revision == 0 {
+    let config = shared.config();
+    if config.revision == 0 {
         let refusal = Refusal::not_run(Reason::NotServing, "no configuration is in force yet");
         return Err(Failure::Refused(refusal.retry_after(Millis::from_secs(1))));
     }
-    // Before the body is read: a stranger must not make the instance buffer megabytes.
-    let account = authenticate(&world, connection, &request).map_err(Failure::Refused)?;
+    // Authenticate before the body is read: an unauthenticated caller must not make the instance
+    // buffer megabytes.
+    let account = authenticate(&config, connection, &request).map_err(Failure::Refused)?;
     if request.method() == Method::Get && request.url().path() == "/v1/models" {
-        return Ok(list_models(&world, account));
+        return Ok(list_models(&config, account));
     }
-    let intake = Intake {
-        world: &world,
+    let decoder = RequestDecoder {
+        config: &config,
         account,
         memory: &shared.memory,
         limits: &shared.settings.limits,
         arrived,
     };
-    let job = intake.read(&mut request).await.map_err(Failure::Refused)?;
-    // The job has what is needed of it; a second copy would be held for as long as the request waits.
+    let job = decoder
+        .decode(&mut request)
+        .await
+        .map_err(Failure::Refused)?;
+    // The job contains everything that is needed of the request. Keeping it would hold a second
+    // copy for as long as the job is queued.
     drop(request);
     let exchange = Exchange {
         client: &shared.client,
         coordinator: &shared.coordinator,
         clock: shared.clock,
-        pool: world.pools[&job.resolved.service].clone(),
-        metrics: world.classes[&job.resolved.class].clone(),
+        pool: config.pools[&job.resolved.service].clone(),
+        metrics: config.classes[&job.resolved.class].clone(),
         id,
         arrived,
         job,
@@ -125,35 +130,36 @@
     }
 }
 
-/// The account whose key the request bears, for which its connection counts from now on.
+/// Returns the account of the request's API key, and counts the connection for that account from
+/// now on.
 fn authenticate(
-    world: &World,
+    config: &ActiveConfig,
     connection: &Connection,
     request: &Request,
 ) -> Result<AccountKey, Refusal> {
-    let credential = Credential::of(key_of(request)?);
+    let credential = Credential::of(api_key(request)?);
     let unknown = || Refusal::from_config(config::Refusal::UnknownKey);
-    let account = world.catalog.account_of(&credential).ok_or_else(unknown)?;
+    let account = config.catalog.account_of(&credential).ok_or_else(unknown)?;
     if !connection.count_for(account) {
         let text = "the account holds as many connections as it may";
         let refusal = Refusal::not_run(Reason::ConnectionsLimited, text);
-        return Err(refusal.retry_after(CONNECTIONS_RETRY));
+        return Err(refusal.retry_after(CONNECTIONS_RETRY_AFTER));
     }
     Ok(account)
 }
 
-/// The models that the caller's account may use.
-fn list_models(world: &World, account: AccountKey) -> Response {
+/// Lists the models that the caller's account may use.
+fn list_models(config: &ActiveConfig, account: AccountKey) -> Response {
     let list = ModelList {
         object: "list",
-        data: world
+        data: config
             .models_of(account)
             .into_iter()
             .map(ModelEntry::new)
             .collect(),
     };
     let mut response = Response::new(200);
-    response.set_body(serde_json::to_string(&list).expect("strings always serialise"));
+    response.set_body(serde_json::to_string(&list).expect("strings can always be serialized"));
     response.insert_header("content-type", "application/json");
     response
 }
--- a/crates/entry/src/connections.rs
+++ b/crates/entry/src/connections.rs
@@ -1,4 +1,4 @@
-//! A bound on the connections that one client account holds.
+//! Limits the number of connections of each client account.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,31 +11,31 @@
 #[cfg(test)]
 mod tests;
 
-/// How many connections count for each account.
+/// Number of connections of each account.
 ///
-/// It has at most as many entries as there are connections, whatever the number of accounts.
+/// The table has at most one entry per open connection, whatever the number of accounts.
 #[derive(Debug)]
-struct Table {
-    bound: u32,
-    held: HashMap<AccountKey, u32>,
+struct ConnectionCounts {
+    limit: u32,
+    counts_by_account: HashMap<AccountKey, u32>,
 }
 
-impl Table {
-    fn new(bound: u32) -> Table {
-        Table {
-            bound,
-            held: HashMap::new(),
+impl ConnectionCounts {
+    fn new(limit: u32) -> ConnectionCounts {
+        ConnectionCounts {
+            limit,
+            counts_by_account: HashMap::new(),
         }
     }
 
-    /// Counts a connection for `to` that counted for `from`; changes nothing when `to` holds as many
-    /// as it may.
-    fn shift(&mut self, from: Option<AccountKey>, to: AccountKey) -> bool {
-        let held = self.held.get(&to).copied().unwrap_or(0);
-        if held >= self.bound {
+    /// Moves a connection from account `from` to account `to`. Returns false and changes nothing if
+    /// `to` is at its limit.
+    fn reassign(&mut self, from: Option<AccountKey>, to: AccountKey) -> bool {
+        let held = self.counts_by_account.get(&to).copied().unwrap_or(0);
+        if held >= self.limit {
             return false;
         }
-        self.held.insert(to, held + 1);
+        self.counts_by_account.insert(to, held + 1);
         if let Some(from) = from {
             self.release(from);
         }
@@ -43,30 +43,30 @@
     }
 
     fn release(&mut self, account: AccountKey) {
-        if let Some(held) = self.held.get_mut(&account) {
+        if let Some(held) = self.counts_by_account.get_mut(&account) {
             *held -= 1;
             if *held == 0 {
-                self.held.remove(&account);
+                self.counts_by_account.remove(&account);
             }
         }
     }
 }
 
-/// The connections of all accounts at this instance; clones share them.
+/// The connections of all accounts at this instance. Clones share the counts.
 #[derive(Clone, Debug)]
 pub(crate) struct Connections {
-    table: Arc<Mutex<Table>>,
+    counts: Arc<Mutex<ConnectionCounts>>,
 }
 
 impl Connections {
-    /// At most `bound` connections an account.
-    pub(crate) fn new(bound: u32) -> Connections {
+    /// Allows at most `limit` connections per account.
+    pub(crate) fn new(limit: u32) -> Connections {
         Connections {
-            table: Arc::new(Mutex::new(Table::new(bound))),
+            counts: Arc::new(Mutex::new(ConnectionCounts::new(limit))),
         }
     }
 
-    /// A connection that was accepted and counts for no account yet.
+    /// Returns an accepted connection that isn't counted for any account yet.
     pub(crate) fn open(&self) -> Connection {
         Connection {
             all: self.clone(),
@@ -74,12 +74,12 @@
         }
     }
 
-    fn table(&self) -> MutexGuard<'_, Table> {
-        self.table.lock().unwrap_or_else(PoisonError::into_inner)
+    fn counts(&self) -> MutexGuard<'_, ConnectionCounts> {
+        self.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// One caller's connection. It counts for one account until it is dropped.
+/// A caller's connection. It counts for one account until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Connection {
     all: Connections,
@@ -87,19 +87,19 @@
 }
 
 impl Connection {
-    /// Counts the connection for the account that its request came from; false when the account
-    /// holds as many as it may.
+    /// Counts the connection for the account of its current request. Returns false if the account
+    /// is at its limit.
     ///
-    /// Without it one account's callers could take every connection, and all others would be refused
-    /// at the door. It counts for the latest account alone, since a balancer may send requests of
-    /// many accounts over one connection; and each is counted once, so the counts add up to no more
-    /// than the connections in all.
+    /// Without this limit the callers of one account could take all connections, and those of all
+    /// other accounts would be refused. A connection counts only for the latest account, since a
+    /// balancer may send requests of many accounts over one connection. As each connection is
+    /// counted once, the counts add up to no more than the total number of connections.
     pub(crate) fn count_for(&self, account: AccountKey) -> bool {
         let mut current = self.account.lock().unwrap_or_else(PoisonError::into_inner);
         if *current == Some(account) {
             return true;
         }
-        let counted = self.all.table().shift(*current, account);
+        let counted = self.all.counts().reassign(*current, account);
         if counted {
             *current = Some(account);
         }
@@ -111,7 +111,7 @@
     fn drop(&mut self) {
         let account = self.account.get_mut();
         if let Some(account) = *account.unwrap_or_else(PoisonError::into_inner) {
-            self.all.table().release(account);
+            self.all.counts().release(account);
         }
     }
 }
--- a/crates/entry/src/coordination/mod.rs
+++ b/crates/entry/src/coordination/mod.rs
@@ -1,13 +1,13 @@
-//! What this instance does together with its peers: votes on idempotency keys and claims of its own,
-//! the limits of accounts, orders to engines, and requests under which servers end.
+//! Coordination with the peers: votes on idempotency keys and own claims, account limits, orders to
+//! engines, and requests under which servers terminate.
 //!
-//! The decisions are those of `crocushold-ownership`; this module keeps their state behind a lock,
-//! carries their messages, and feeds them the membership.
+//! `crocushold-ownership` makes the decisions. This module keeps their state behind a lock, sends
+//! and receives their messages, and passes in the membership.
 
 mod lending;
 mod limits;
 mod members;
-mod ordering;
+mod order_loop;
 mod orders;
 mod suspects;
 mod transport;
@@ -51,37 +51,38 @@
 use crate::coordination::members::Members;
 use crate::coordination::orders::EngineOrders;
 use crate::coordination::transport::Transport;
+use crate::decode::IdempotencyKey;
 use crate::failpoint::Point;
 use crate::failpoint::reach;
-use crate::intake::Once;
 
-pub(crate) use limits::Ask;
-pub(crate) use limits::LimitHit;
+pub(crate) use limits::LimitExceeded;
 pub(crate) use limits::LimitKind;
 pub(crate) use limits::Permit;
+pub(crate) use limits::TokenEstimate;
 pub(crate) use orders::ModelDemand;
 pub(crate) use suspects::Suspects;
 
-/// How long a claim waits for votes. A group answers in a round trip; a member that is frozen must
-/// not hold the request up for longer than a caller would notice.
-const VOTE_DEADLINE: Millis = Millis(500);
+/// Time that a claim waits for votes. A group replies within a round trip; a suspended member must
+/// not delay the request noticeably.
+const VOTE_TIMEOUT: Millis = Millis(500);
 
-/// How long one message of a settlement or transfer may take.
-const MESSAGE_DEADLINE: Millis = Millis(1000);
+/// Timeout of one message of a settlement or transfer.
+const MESSAGE_TIMEOUT: Millis = Millis(1000);
 
-/// Between two tries to deliver a settlement.
-const SETTLE_PAUSE: Millis = Millis(500);
+/// Delay between attempts to deliver a settlement.
+const SETTLE_RETRY_DELAY: Millis = Millis(500);
 
-/// Tries to deliver a settlement; what is still undelivered counts as unknown at the voter.
-const SETTLE_TRIES: usize = 20;
+/// Maximum number of attempts to deliver a settlement. A voter that none of them reaches treats the
+/// outcome as unknown.
+const SETTLE_ATTEMPTS: usize = 20;
 
-/// Between two ticks of the claims.
+/// Interval between ticks of the claims.
 const TICK: Millis = Millis(500);
 
-/// How long a planned stop waits for its records to be taken over.
-const HANDOVER_LIMIT: Millis = Millis::from_secs(5);
+/// Time that a graceful shutdown waits until other members have taken over its records.
+const HANDOVER_TIMEOUT: Millis = Millis::from_secs(5);
 
-/// One instance's part in the coordination.
+/// Coordinates this instance with its peers.
 pub(crate) struct Coordinator {
     clock: Clock,
     me: Member,
@@ -92,11 +93,11 @@
     orders: Arc<EngineOrders>,
     suspects: Arc<Suspects>,
     transport: Transport,
-    next: AtomicU64,
+    next_claim: AtomicU64,
 }
 
 impl Coordinator {
-    /// A member that has just started.
+    /// Creates the coordinator of an instance that has just started.
     pub(crate) fn new(
         clock: Clock,
         me: Member,
@@ -113,11 +114,11 @@
             orders: EngineOrders::new(clock, me, client),
             suspects: Suspects::new(clock, me),
             transport: Transport::new(me),
-            next: AtomicU64::new(0),
+            next_claim: AtomicU64::new(0),
         })
     }
 
-    /// Connects the coordinator to the peers' node that was started with it as its handler.
+    /// Sets the peer node, which was started with this coordinator as its handler.
     pub(crate) fn connect(&self, peers: PeerHandle) {
         self.transport.connect(peers);
     }
@@ -132,7 +133,7 @@
         &self.orders
     }
 
-    /// The requests under which servers ended.
+    /// The requests under which servers terminated.
     pub(crate) fn suspects(&self) -> &Arc<Suspects> {
         &self.suspects
     }
@@ -145,37 +146,38 @@
         self.members.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The membership changed, or was confirmed.
-    pub(crate) fn take_view(self: &Arc<Self>, view: &crocushold_peers::View) {
-        self.transport.learn(view);
-        // After a pause the own view may be old, and a vote given under it could be a second one.
+    /// Handles a membership that has changed or was confirmed.
+    pub(crate) fn on_view(self: &Arc<Self>, view: &crocushold_peers::View) {
+        self.transport.update_names(view);
+        // After a pause this instance's view may be outdated, and a vote given under it could be a
+        // second vote.
         if view.settled {
-            self.adopt(|members| members.seen(view));
+            self.update_claims(|members| members.on_view(view));
         } else {
-            self.members().seen(view);
+            self.members().on_view(view);
         }
-        self.share_limits();
+        self.update_limit_shares();
     }
 
-    /// The platform's list names these entry instances.
-    pub(crate) fn take_list<'a>(self: &Arc<Self>, names: impl Iterator<Item = &'a str>) {
-        self.adopt(|members| members.listed(names));
-        self.share_limits();
+    /// Handles an update of the entry instances that the platform lists.
+    pub(crate) fn on_instance_list<'a>(self: &Arc<Self>, names: impl Iterator<Item = &'a str>) {
+        self.update_claims(|members| members.on_instance_list(names));
+        self.update_limit_shares();
     }
 
-    /// Splits the account limits anew. Not only in a settled view: a share that is too small for a
-    /// moment does less harm than one from before a pause.
-    fn share_limits(&self) {
-        let (live, sharing) = self.members().split();
+    /// Splits the account limits again. This doesn't require a settled view: a share that is too
+    /// small for a moment does less harm than one from before a pause.
+    fn update_limit_shares(&self) {
+        let (live, sharing) = self.members().limit_views();
         self.limits.on_view(live, &sharing);
     }
 
-    /// Has the claims go on with the members that `read` finds.
+    /// Updates the claims to the members that `read` returns.
     ///
-    /// The claims are locked before the members are read. A list and a view arrive in different tasks:
-    /// each could read its members and then wait for the claims, and the older members would be
-    /// adopted last, as if a newcomer had gone or a leaver had come back.
-    fn adopt(self: &Arc<Self>, read: impl FnOnce(&mut Members) -> View) {
+    /// The claims are locked before the members are read. A list and a view arrive in different
+    /// tasks. If each read its members first and then waited for the claims, the older members
+    /// could be applied last, as if a new member had gone or one that left had come back.
+    fn update_claims(self: &Arc<Self>, read: impl FnOnce(&mut Members) -> View) {
         let transfers = {
             let mut claims = self.claims();
             let view = read(&mut self.members());
@@ -184,7 +186,7 @@
         self.send_transfers(transfers);
     }
 
-    /// Runs the timers as long as the process runs.
+    /// Runs the timers of the claims as long as the process runs.
     pub(crate) async fn run_timers(self: Arc<Self>) {
         loop {
             let transfers = self.claims().on_tick(self.clock.now());
@@ -193,13 +195,13 @@
         }
     }
 
-    /// Hands the records over before a planned stop, as far as the peers take them in time.
+    /// Transfers the records before a graceful shutdown, as far as the peers accept them in time.
     pub(crate) async fn hand_over(self: &Arc<Self>) {
         if self.members().without_me().members().is_empty() {
             return;
         }
-        self.adopt(|members| members.without_me());
-        let done = timeout(HANDOVER_LIMIT.into(), async {
+        self.update_claims(|members| members.without_me());
+        let done = timeout(HANDOVER_TIMEOUT.into(), async {
             while !self.claims().is_handover_complete() {
                 task::sleep(Millis(50).into()).await;
             }
@@ -209,20 +211,23 @@
         info!("{}", event.with("records", self.claims().len()));
     }
 
-    /// Claims an idempotency key: the request may be sent once if this grants it.
+    /// Claims an idempotency key. With the grant, the request may be sent once.
     ///
     /// # Errors
     ///
-    /// What to tell the caller instead.
-    pub(crate) async fn claim(self: &Arc<Self>, once: Once) -> Result<Grant, Refusal> {
+    /// Returns the refusal for the caller.
+    pub(crate) async fn claim(
+        self: &Arc<Self>,
+        idempotency_key: IdempotencyKey,
+    ) -> Result<Grant, Refusal> {
         let request = ClaimRequest {
-            key: once.key,
+            key: idempotency_key.key,
             claim: ClaimId {
                 claimant: self.me,
-                seq: self.next.fetch_add(1, Ordering::Relaxed) + 1,
+                seq: self.next_claim.fetch_add(1, Ordering::Relaxed) + 1,
             },
-            digest: once.digest,
-            account: once.account,
+            digest: idempotency_key.digest,
+            account: idempotency_key.account,
             group: GroupId::default(),
         };
         let view = self.claims().view().clone();
@@ -236,7 +241,7 @@
         }
     }
 
-    /// Collects votes until the verdict stands.
+    /// Collects votes until there is a verdict.
     async fn collect(self: &Arc<Self>, mut round: ClaimRound) -> Verdict {
         let request = *round.request();
         let voters = round.voters().to_vec();
@@ -255,7 +260,7 @@
             }
         }
         let verdict = round.on_deadline();
-        verdict.expect("the verdict stands once every voter was heard or given up")
+        verdict.expect("there is a verdict once all voters have replied or timed out")
     }
 
     async fn vote_of(&self, voter: Member, request: ClaimRequest) -> Option<Vote> {
@@ -263,42 +268,42 @@
             return Some(self.claims().on_claim(&request, self.clock.now()));
         }
         let call = Request::Claim(request);
-        match self.transport.call(voter, call, VOTE_DEADLINE).await? {
+        match self.transport.call(voter, call, VOTE_TIMEOUT).await? {
             Response::Vote(vote) => Some(vote),
             _ => None,
         }
     }
 
-    /// Tells the members what became of a claim, in the background.
+    /// Sends the outcome of a claim to the members, in the background.
     pub(crate) fn settle(self: &Arc<Self>, settlement: Settlement) {
         let coordinator = self.clone();
         task::spawn(async move { coordinator.deliver(settlement).await });
     }
 
     async fn deliver(&self, mut settlement: Settlement) {
-        for _ in 0..SETTLE_TRIES {
+        for _ in 0..SETTLE_ATTEMPTS {
             for member in settlement.pending().to_vec() {
-                if self.tell(member, &settlement).await {
+                if self.send_settlement(member, &settlement).await {
                     settlement.on_acknowledged(member);
                 }
             }
             if settlement.pending().is_empty() {
                 return;
             }
-            task::sleep(SETTLE_PAUSE.into()).await;
+            task::sleep(SETTLE_RETRY_DELAY.into()).await;
             let view = self.claims().view().clone();
             settlement.on_view(&view);
         }
     }
 
-    async fn tell(&self, member: Member, settlement: &Settlement) -> bool {
+    async fn send_settlement(&self, member: Member, settlement: &Settlement) -> bool {
         let request = *settlement.request();
         if member == self.me {
             self.claims().on_settle(&request, self.clock.now());
             return true;
         }
         let call = Request::Settle(request);
-        let answer = self.transport.call(member, call, MESSAGE_DEADLINE).await;
+        let answer = self.transport.call(member, call, MESSAGE_TIMEOUT).await;
         answer == Some(Response::Done)
     }
 
@@ -313,7 +318,7 @@
         let call = Request::Transfer(transfer.request.clone());
         let answer = self
             .transport
-            .call(transfer.to, call, MESSAGE_DEADLINE)
+            .call(transfer.to, call, MESSAGE_TIMEOUT)
             .await;
         if answer == Some(Response::Done) {
             self.claims().on_transfer_acknowledged(transfer);
@@ -340,7 +345,7 @@
                 Response::Done
             }
             Request::Suspect(suspicions) => {
-                self.suspects.hear(&suspicions);
+                self.suspects.on_suspicions(&suspicions);
                 Response::Done
             }
         }
--- a/crates/entry/src/coordination/orders/placement.rs
+++ b/crates/entry/src/coordination/orders/placement.rs
@@ -1,4 +1,4 @@
-//! Which engine holds which model.
+//! Placement of models on engines.
 
 use std::cmp::Reverse;
 
@@ -6,39 +6,39 @@
 use crocushold_ownership::ModelId;
 use twox_hash::XxHash3_64;
 
-/// A model of a service, as the text wants it.
+/// A model of a service, as configured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Wanted {
+pub(super) struct DesiredModel {
     pub(super) model: ModelId,
-    /// On how many engines.
+    /// Number of engines that are to hold it.
     pub(super) replicas: usize,
 }
 
-/// An engine that models can be placed on.
+/// An engine on which models can be placed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Candidate {
     pub(super) engine: EngineId,
-    /// Whether it was heard of lately.
-    pub(super) up: bool,
-    /// Whether it is to run whole requests.
-    pub(super) whole: bool,
-    /// The models that it holds.
+    /// Whether the engine has reported lately.
+    pub(super) responsive: bool,
+    /// Whether the engine is to run whole requests.
+    pub(super) whole_requests: bool,
+    /// The models that the engine holds.
     pub(super) held: Vec<ModelId>,
 }
 
-/// What one engine should hold, in ascending order.
+/// The models that one engine should hold, in ascending order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Placement {
     pub(super) engine: EngineId,
     pub(super) models: Vec<ModelId>,
 }
 
-/// Chooses the engines of each model: those that answer go first, then those that are to run whole
-/// requests, then those that hold it already, since a load costs the weight store minutes, then those
-/// of the highest rendezvous weight.
+/// Chooses the engines of each model: first those that respond, then those that are to run whole
+/// requests, then those that already hold the model, since a load occupies the weight store for
+/// minutes, then those of the highest rendezvous weight.
 ///
-/// Instances that see the same reports choose the same engines.
-pub(super) fn place(wanted: &[Wanted], candidates: &[Candidate]) -> Vec<Placement> {
+/// Instances that have the same reports choose the same engines.
+pub(super) fn place(desired: &[DesiredModel], candidates: &[Candidate]) -> Vec<Placement> {
     let mut placements: Vec<Placement> = candidates
         .iter()
         .map(|candidate| Placement {
@@ -46,9 +46,9 @@
             models: Vec::new(),
         })
         .collect();
-    for wanted in wanted {
-        for at in choose(wanted, candidates) {
-            placements[at].models.push(wanted.model);
+    for desired in desired {
+        for at in choose(desired, candidates) {
+            placements[at].models.push(desired.model);
         }
     }
     for placement in &mut placements {
@@ -58,15 +58,20 @@
     placements
 }
 
-fn choose(wanted: &Wanted, candidates: &[Candidate]) -> Vec<usize> {
+fn choose(desired: &DesiredModel, candidates: &[Candidate]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..candidates.len()).collect();
     order.sort_by_key(|&at| {
         let candidate = &candidates[at];
-        let held = candidate.held.contains(&wanted.model);
-        let weight = weight(wanted.model, candidate.engine);
-        (!candidate.up, !candidate.whole, !held, Reverse(weight))
+        let held = candidate.held.contains(&desired.model);
+        let weight = weight(desired.model, candidate.engine);
+        (
+            !candidate.responsive,
+            !candidate.whole_requests,
+            !held,
+            Reverse(weight),
+        )
     });
-    order.truncate(wanted.replicas);
+    order.truncate(desired.replicas);
     order
 }
 
--- a/crates/entry/src/coordination/orders/shell.rs
+++ b/crates/entry/src/coordination/orders/shell.rs
@@ -1,4 +1,4 @@
-//! The desks behind their lock, and the orders that they send.
+//! The order planners behind their lock, and the sending of their orders.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,22 +27,22 @@
 use log::info;
 use log::warn;
 
-use super::desk::Desk;
 use super::engine::model_id;
-use super::message::Duties;
-use super::message::Errand;
+use super::message::ModelRank;
+use super::message::OutboundOrder;
 use super::message::Outdated;
-use super::message::Ranked;
+use super::message::TickActions;
+use super::planner::OrderPlanner;
 use super::send::send;
 use crate::failpoint::Point;
 use crate::failpoint::reach;
 
-/// Which tier asked for a model of late.
+/// The tier of the recent requests for a model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ModelDemand {
     /// The name that engines list.
     pub(crate) model: String,
-    /// The highest tier, 0 being the live one.
+    /// Highest tier of the requests, where 0 is the highest of all.
     pub(crate) tier: u8,
 }
 
@@ -52,7 +52,7 @@
     client: Client,
     me: Member,
     call_limit: Millis,
-    desks: Mutex<BTreeMap<ServiceKey, Desk>>,
+    planners: Mutex<BTreeMap<ServiceKey, OrderPlanner>>,
 }
 
 impl EngineOrders {
@@ -62,40 +62,41 @@
             client,
             me,
             call_limit: OrderSettings::default().call_timeout,
-            desks: Mutex::new(BTreeMap::new()),
+            planners: Mutex::new(BTreeMap::new()),
         })
     }
 
-    fn desks(&self) -> MutexGuard<'_, BTreeMap<ServiceKey, Desk>> {
-        self.desks.lock().unwrap_or_else(PoisonError::into_inner)
+    fn planners(&self) -> MutexGuard<'_, BTreeMap<ServiceKey, OrderPlanner>> {
+        self.planners.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts a text in force. Services that may order no loads are left alone: what is unloaded there
-    /// could not be loaded again.
+    /// Applies a configuration. Services that may not order loads are skipped: a model that is
+    /// unloaded there could not be loaded again.
     pub(crate) fn configure(&self, catalog: &Catalog, revision: u64) {
         let now = self.clock.now();
-        let mut desks = self.desks();
+        let mut planners = self.planners();
         let ordered = |service: &Service| service.kind == Kind::Model && service.weight_loads > 0;
-        desks.retain(|key, _| catalog.services.get(*key).is_some_and(ordered));
+        planners.retain(|key, _| catalog.services.get(*key).is_some_and(ordered));
         for (key, service) in catalog.services.iter().filter(|(_, s)| ordered(s)) {
             let loads = service.weight_loads;
-            let fresh = || Desk::new(&service.name, loads, self.me, now);
-            let desk = desks.entry(key).or_insert_with(fresh);
-            if desk.loads() != loads {
-                *desk = fresh();
+            let fresh = || OrderPlanner::new(&service.name, loads, self.me, now);
+            let planner = planners.entry(key).or_insert_with(fresh);
+            if planner.loads() != loads {
+                *planner = fresh();
             }
-            desk.configure(catalog, service, revision, now);
+            planner.configure(catalog, service, revision, now);
         }
     }
 
-    /// The services whose engines this instance sends orders to, and has to hear of.
+    /// The services whose engines this instance sends orders to, and whose reports it therefore
+    /// needs.
     pub(crate) fn owned(&self) -> Vec<ServiceKey> {
-        let desks = self.desks();
-        let owned = desks.iter().filter(|(_, desk)| desk.owned().0);
+        let planners = self.planners();
+        let owned = planners.iter().filter(|(_, planner)| planner.owned().0);
         owned.map(|(&service, _)| service).collect()
     }
 
-    /// Takes a reading of an engine's `/load` that was begun at `asked_at`.
+    /// Handles an engine's report of `/load` that was requested at `asked_at`.
     pub(crate) fn on_report(
         &self,
         service: ServiceKey,
@@ -104,94 +105,99 @@
         asked_at: Millis,
     ) {
         let now = self.clock.now();
-        if let Some(desk) = self.desks().get_mut(&service) {
-            desk.on_report(server, report, asked_at, now);
+        if let Some(planner) = self.planners().get_mut(&service) {
+            planner.on_report(server, report, asked_at, now);
         }
     }
 
     /// Whether a model that a server holds is about to be unloaded there, so that its requests
-    /// should go to another one.
-    pub(crate) fn is_spare(&self, service: ServiceKey, server: ServerKey, model: &str) -> bool {
+    /// should be sent elsewhere.
+    pub(crate) fn is_surplus(&self, service: ServiceKey, server: ServerKey, model: &str) -> bool {
         let now = self.clock.now();
-        let desks = self.desks();
-        let desk = desks.get(&service);
-        desk.is_some_and(|desk| desk.is_spare(server, model_id(model), now))
+        let planners = self.planners();
+        let planner = planners.get(&service);
+        planner.is_some_and(|planner| planner.is_surplus(server, model_id(model), now))
     }
 
-    /// The members that certainly live, confirmed as of now, and those not known to have ended.
+    /// Updates the members that are certainly live, confirmed as of now, and those not known to
+    /// have terminated.
     pub(crate) fn on_view(&self, live: &View, reference: &View) {
         let now = self.clock.now();
-        for desk in self.desks().values_mut() {
-            desk.on_view(live, reference, now);
+        for planner in self.planners().values_mut() {
+            planner.on_view(live, reference, now);
         }
     }
 
-    /// The highest tier that asked for each model of a service of late, 0 being the live one.
+    /// Updates the highest tier of the recent requests for each model of a service, where 0 is the
+    /// highest of all.
     pub(crate) fn on_demand(&self, service: ServiceKey, demand: &[ModelDemand]) {
-        let ranks = demand.iter().map(|demand| Ranked {
+        let ranks = demand.iter().map(|demand| ModelRank {
             model: model_id(&demand.model),
             rank: demand.tier,
         });
-        let ranks: Vec<Ranked> = ranks.collect();
-        if let Some(desk) = self.desks().get_mut(&service) {
-            desk.on_ranks(&ranks);
+        let ranks: Vec<ModelRank> = ranks.collect();
+        if let Some(planner) = self.planners().get_mut(&service) {
+            planner.on_ranks(&ranks);
         }
     }
 
-    /// Time has passed; sends what is due, each order in a task of its own.
+    /// Advances the time and sends the due orders, each in its own task.
     pub(crate) fn on_tick(self: &Arc<Self>) {
         let now = self.clock.now();
-        let duties: Vec<(ServiceKey, Duties)> = {
-            let mut desks = self.desks();
-            let desks = desks.iter_mut();
-            desks.map(|(key, desk)| (*key, desk.on_tick(now))).collect()
+        let actions: Vec<(ServiceKey, TickActions)> = {
+            let mut planners = self.planners();
+            let planners = planners.iter_mut();
+            planners
+                .map(|(key, planner)| (*key, planner.on_tick(now)))
+                .collect()
         };
-        for (service, duties) in duties {
-            duties.outdated.iter().for_each(log_outdated);
-            for errand in duties.errands {
+        for (service, actions) in actions {
+            actions.outdated.iter().for_each(log_outdated);
+            for outbound in actions.orders {
                 let orders = self.clone();
-                task::spawn(async move { orders.carry(service, &errand).await });
+                task::spawn(async move { orders.deliver(service, &outbound).await });
             }
         }
     }
 
-    async fn carry(&self, service: ServiceKey, errand: &Errand) {
+    async fn deliver(&self, service: ServiceKey, outbound: &OutboundOrder) {
         reach(Point::Ordering).await;
-        // The process may have been stopped since the order was decided, for as long as another
-        // instance took to become the owner. An engine that ignores fencing numbers would obey it.
-        if !self.may_send(service, errand) {
-            self.answered(service, errand, OrderAnswer::Failed);
-            info!("{}", event("order-dropped", errand));
+        // The process may have been suspended after the order was decided, long enough for another
+        // instance to become the owner. An engine that ignores fencing numbers would obey the
+        // order.
+        if !self.may_send(service, outbound) {
+            self.record_answer(service, outbound, OrderAnswer::Failed);
+            info!("{}", event("order-dropped", outbound));
             return;
         }
-        let answer = send(&self.client, errand, self.call_limit).await;
-        self.answered(service, errand, answer);
-        let event = event("order-sent", errand);
+        let answer = send(&self.client, outbound, self.call_limit).await;
+        self.record_answer(service, outbound, answer);
+        let event = event("order-sent", outbound);
         info!("{}", event.with("answer", answer_name(answer)));
     }
 
-    fn may_send(&self, service: ServiceKey, errand: &Errand) -> bool {
+    fn may_send(&self, service: ServiceKey, outbound: &OutboundOrder) -> bool {
         let now = self.clock.now();
-        let mut desks = self.desks();
-        let desk = desks.get_mut(&service);
-        desk.is_some_and(|desk| desk.may_send(&errand.order, now))
+        let mut planners = self.planners();
+        let planner = planners.get_mut(&service);
+        planner.is_some_and(|planner| planner.may_send(&outbound.order, now))
     }
 
-    fn answered(&self, service: ServiceKey, errand: &Errand, answer: OrderAnswer) {
+    fn record_answer(&self, service: ServiceKey, outbound: &OutboundOrder, answer: OrderAnswer) {
         let now = self.clock.now();
-        if let Some(desk) = self.desks().get_mut(&service) {
-            desk.on_answer(&errand.order, answer, now);
+        if let Some(planner) = self.planners().get_mut(&service) {
+            planner.on_answer(&outbound.order, answer, now);
         }
     }
 
-    /// The engines that this instance owns, of all, for the status page.
+    /// The number of engines that this instance owns, and of all engines, for the status document.
     pub(crate) fn status(&self) -> LimitStatus {
         let mut status = LimitStatus {
             limit: "orders/engines-owned".to_owned(),
             ..LimitStatus::default()
         };
-        for desk in self.desks().values() {
-            let (owned, engines) = desk.owned();
+        for planner in self.planners().values() {
+            let (owned, engines) = planner.owned();
             status.bound += engines;
             status.used += if owned { engines } else { 0 };
         }
@@ -199,14 +205,14 @@
     }
 }
 
-fn event(name: &'static str, errand: &Errand) -> Event {
-    let event = Event::new(name).with("server", &errand.server);
-    let event = match &errand.body.kind {
+fn event(name: &'static str, outbound: &OutboundOrder) -> Event {
+    let event = Event::new(name).with("server", &outbound.server);
+    let event = match &outbound.body.kind {
         OrderKind::Load { model } => event.with("kind", "load").with("model", model),
         OrderKind::Unload { model } => event.with("kind", "unload").with("model", model),
         OrderKind::Role { role } => event.with("kind", "role").with("role", role_name(*role)),
     };
-    event.with("fence", errand.order.fence)
+    event.with("fence", outbound.order.fence)
 }
 
 fn role_name(role: EngineRole) -> &'static str {
--- a/crates/entry/src/intake.rs
+++ b/crates/entry/src/decode.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to a job: who sends it, what it asks for, which class it is.
+//! Decodes a caller's request into a job: its account, what it asks for, and its class.
 
 use std::hash::Hasher;
 use std::sync::Arc;
@@ -28,87 +28,92 @@
 use http_types::headers::Headers;
 use twox_hash::XxHash3_64;
 
+use crate::active_config::ActiveConfig;
 use crate::memory::footprint;
 use crate::payload::Payload;
 use crate::payload::PayloadError;
 use crate::payload::set_priority;
-use crate::pool::Need;
+use crate::pool::Requirements;
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
-use crate::world::World;
 
-/// The caller's credential.
+/// Header with the caller's API key.
 const AUTHORIZATION: &str = "authorization";
 
-/// The class that the caller asks for; lower than its own, never higher.
+/// Header with the requested class, which may be of lower priority than the caller's own, never of
+/// higher.
 const CLASS: &str = "x-class";
 
-/// How the caller bounds its own wait, in milliseconds.
+/// Header with the caller's timeout, in milliseconds.
 const TIMEOUT: &str = "x-timeout-ms";
 
-/// Marks a request as one that runs at most once, and names it.
+/// Header that makes a request run at most once, and identifies it.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// The longest idempotency key, in bytes.
-const MAX_KEY: usize = 255;
+/// Maximum length of an idempotency key, in bytes.
+const MAX_IDEMPOTENCY_KEY: usize = 255;
 
-/// How long a server may take to begin an answer that isn't streamed, where its class has no target
-/// for the whole of it.
-const ANSWER_TIMEOUT: Millis = Millis::from_secs(600);
+/// Time within which a server must begin a non-streamed response, for classes without a target for
+/// the whole response.
+const DEFAULT_RESPONSE_TIMEOUT: Millis = Millis::from_secs(600);
 
-/// The same as a multiple of that target: the head of such an answer comes with the end of the work.
-const ANSWER_FACTOR: u64 = 4;
+/// The same as a multiple of that target. The head of a non-streamed response arrives when the work
+/// is complete.
+const RESPONSE_TIMEOUT_FACTOR: u64 = 4;
 
-/// The least such bound. A late confirmation is worth more than not to know whether it was made.
-const ANSWER_FLOOR: Millis = Millis::from_secs(10);
+/// Lower bound of that time. For callers a late response is better than not knowing whether the
+/// request ran.
+const MIN_RESPONSE_TIMEOUT: Millis = Millis::from_secs(10);
 
-/// When to come back while requests fill the memory.
-const FULL_RETRY: Millis = Millis::from_secs(1);
+/// Retry delay when requests have used up the memory.
+const MEMORY_RETRY_AFTER: Millis = Millis::from_secs(1);
 
-/// Headers that are the router's own business and don't reach a backend server.
-const PRIVATE: [&str; 3] = [AUTHORIZATION, CLASS, TIMEOUT];
+/// Headers for this proxy only, which are not forwarded to backend servers.
+const STRIPPED_HEADERS: [&str; 3] = [AUTHORIZATION, CLASS, TIMEOUT];
 
-/// Tokens that a plain call counts as.
-const PLAIN_TOKENS: u32 = 1;
+/// Tokens that a request counts as that is not a language-model request.
+const PLAIN_CALL_TOKENS: u32 = 1;
 
-/// A request that is ready to be queued and, later, to be sent more than once.
+/// A decoded request that can be queued and sent, several times if attempts fail.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub(crate) resolved: Resolved,
     pub(crate) arrival: Arrival,
-    pub(crate) need: Need,
-    /// Whether the answer is a stream of server-sent events.
+    pub(crate) requirements: Requirements,
+    /// Whether the response is a stream of server-sent events.
     pub(crate) stream: bool,
-    /// The idempotency key, for a request that must not run twice.
-    pub(crate) once: Option<Once>,
-    /// What is asked, for whom: a request that comes again has the same.
+    /// The idempotency key of a request that must not run twice.
+    pub(crate) idempotency_key: Option<IdempotencyKey>,
+    /// Identifies the content of the request and its account. A repeated request has the same
+    /// fingerprint.
     pub(crate) content: Fingerprint,
-    /// How long a server may take to begin an answer that isn't a stream.
-    pub(crate) answer_timeout: Millis,
-    outgoing: Outgoing,
-    /// Held until the request has ended, for its drop alone.
+    /// Time within which a server must begin a non-streamed response.
+    pub(crate) response_timeout: Millis,
+    outgoing: OutgoingRequest,
+    /// Releases the reserved memory when the job is dropped.
     _reservation: Option<Arc<Reservation>>,
 }
 
-/// Names a request that must not run twice.
+/// Identifies a request that must not run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Once {
+pub(crate) struct IdempotencyKey {
     pub(crate) key: ClaimKey,
     pub(crate) digest: RequestDigest,
     pub(crate) account: AccountId,
 }
 
-/// What goes to the backend server.
+/// The request that is sent to the backend server.
 #[derive(Clone, Debug)]
-struct Outgoing {
+struct OutgoingRequest {
     method: Method,
     target: String,
     headers: Headers,
     body: Vec<u8>,
 }
 
-impl Outgoing {
-    /// A hash of what is asked for, which tells a repeat from another request under the same key.
+impl OutgoingRequest {
+    /// Hash of the request, which distinguishes a repeat from a different request with the same
+    /// idempotency key.
     fn digest(&self) -> RequestDigest {
         let mut hasher = XxHash3_64::new();
         hasher.write(self.method.to_string().as_bytes());
@@ -130,10 +135,11 @@
 }
 
 impl Job {
-    /// Makes the request for the server at `address`.
+    /// Builds the request for the server at `address`.
     pub(crate) fn request(&self, address: std::net::SocketAddr) -> Request {
         let text = format!("http://{address}{}", self.outgoing.target);
-        let url = Url::parse(&text).expect("an address and the path of a parsed URL make a URL");
+        let url =
+            Url::parse(&text).expect("an address and the path of a parsed URL form a valid URL");
         let mut request = Request::new(self.outgoing.method, url);
         relay_headers(&self.outgoing.headers, request.as_mut());
         request.set_body(self.outgoing.body.clone());
@@ -141,14 +147,14 @@
     }
 }
 
-/// Whether a path belongs to the interface of language-model servers.
+/// Whether the path belongs to the API of language-model servers.
 pub(crate) fn is_model_call(method: Method, path: &str) -> bool {
     let paths = ["/v1/chat/completions", "/v1/completions"];
     method == Method::Post && paths.contains(&path)
 }
 
-/// Reads the key of a request.
-pub(crate) fn key_of(request: &Request) -> Result<&str, Refusal> {
+/// Returns the API key of a request.
+pub(crate) fn api_key(request: &Request) -> Result<&str, Refusal> {
     let header = request.header(AUTHORIZATION).map(|values| values.as_str());
     let key = header.and_then(|text| text.strip_prefix("Bearer "));
     key.ok_or_else(|| {
@@ -157,23 +163,23 @@
     })
 }
 
-/// What a request is decoded and classified with.
-pub(crate) struct Intake<'a> {
-    pub(crate) world: &'a World,
-    /// Whose key the request bears.
+/// What is needed to decode and classify a request.
+pub(crate) struct RequestDecoder<'a> {
+    pub(crate) config: &'a ActiveConfig,
+    /// The account of the request's API key.
     pub(crate) account: AccountKey,
     pub(crate) memory: &'a MemoryBudget,
     pub(crate) limits: &'a CallerLimits,
     pub(crate) arrived: Millis,
 }
 
-impl Intake<'_> {
+impl RequestDecoder<'_> {
     /// Decodes and classifies a request.
     ///
     /// # Errors
     ///
-    /// The refusal of a request that is malformed or not allowed.
-    pub(crate) async fn read(&self, request: &mut Request) -> Result<Job, Refusal> {
+    /// Returns a refusal if the request is malformed or not allowed.
+    pub(crate) async fn decode(&self, request: &mut Request) -> Result<Job, Refusal> {
         let reservation = self.reserve(request)?;
         let limits = ServerLimits {
             body_bytes: self.limits.body,
@@ -181,16 +187,16 @@
             ..ServerLimits::default()
         };
         let body = read_body(request, &limits).await;
-        let body = body.map_err(|error| refuse_body(&error))?;
+        let body = body.map_err(|error| body_refusal(&error))?;
         let job = if is_model_call(request.method(), request.url().path()) {
             self.model_job(request, &body)
         } else {
             self.plain_job(request, body)
         };
         let job = job?;
-        let account = &self.world.catalog.accounts[job.resolved.account].name;
+        let account = &self.config.catalog.accounts[job.resolved.account].name;
         Ok(Job {
-            once: self.once(request, &job)?,
+            idempotency_key: self.idempotency_key(request, &job)?,
             content: job.outgoing.content(account),
             _reservation: Some(Arc::new(reservation)),
             ..job
@@ -198,10 +204,11 @@
     }
 
     fn model_job(&self, request: &Request, body: &[u8]) -> Result<Job, Refusal> {
-        let payload = Payload::decode(body).map_err(|error| malformed(&error))?;
+        let payload = Payload::decode(body).map_err(|error| payload_refusal(&error))?;
         let resolved = self.resolve(request, Target::Model(&payload.model))?;
-        let class = &self.world.catalog.classes[resolved.class];
-        let body = set_priority(body, class.priority.tier()).map_err(|error| malformed(&error))?;
+        let class = &self.config.catalog.classes[resolved.class];
+        let body =
+            set_priority(body, class.priority.tier()).map_err(|error| payload_refusal(&error))?;
         let max_tokens = payload.max_tokens.unwrap_or(u32::MAX);
         Ok(Job {
             resolved,
@@ -214,11 +221,11 @@
                 bytes: u32::try_from(body.len()).unwrap_or(u32::MAX),
                 deadline: deadline(request, self.arrived),
             },
-            need: need(&resolved, class, payload.prefix, payload.prompt_tokens),
+            requirements: requirements(&resolved, class, payload.prefix, payload.prompt_tokens),
             stream: payload.stream,
-            answer_timeout: answer_timeout(class),
+            response_timeout: response_timeout(class),
             outgoing: outgoing(request, body),
-            once: None,
+            idempotency_key: None,
             content: Fingerprint::of(&[]),
             _reservation: None,
         })
@@ -231,22 +238,22 @@
             path: request.url().path(),
         };
         let resolved = self.resolve(request, target)?;
-        let class = &self.world.catalog.classes[resolved.class];
+        let class = &self.config.catalog.classes[resolved.class];
         Ok(Job {
             resolved,
             arrival: Arrival {
                 class: resolved.class,
                 account: resolved.account,
-                max_tokens: PLAIN_TOKENS,
+                max_tokens: PLAIN_CALL_TOKENS,
                 bytes: u32::try_from(body.len()).unwrap_or(u32::MAX),
                 deadline: deadline(request, self.arrived),
                 ..Arrival::default()
             },
-            need: need(&resolved, class, None, 0),
+            requirements: requirements(&resolved, class, None, 0),
             stream: false,
-            answer_timeout: answer_timeout(class),
+            response_timeout: response_timeout(class),
             outgoing: outgoing(request, body),
-            once: None,
+            idempotency_key: None,
             content: Fingerprint::of(&[]),
             _reservation: None,
         })
@@ -254,13 +261,17 @@
 
     fn resolve(&self, request: &Request, target: Target<'_>) -> Result<Resolved, Refusal> {
         let wanted = request.header(CLASS).map(|values| values.as_str());
-        let resolved = resolve_account(&self.world.catalog, self.account, target, wanted);
+        let resolved = resolve_account(&self.config.catalog, self.account, target, wanted);
         resolved.map_err(Refusal::from_config)
     }
 
-    /// The idempotency key of a request that must not run twice. A repeat of an idempotent one does
-    /// no harm, so that its key needs no claim.
-    fn once(&self, request: &Request, job: &Job) -> Result<Option<Once>, Refusal> {
+    /// Returns the idempotency key of a request that must not run twice. Repeating an idempotent
+    /// request does no harm, so the key of such a request isn't claimed.
+    fn idempotency_key(
+        &self,
+        request: &Request,
+        job: &Job,
+    ) -> Result<Option<IdempotencyKey>, Refusal> {
         let Some(header) = request.header(IDEMPOTENCY_KEY) else {
             return Ok(None);
         };
@@ -268,30 +279,31 @@
             return Ok(None);
         }
         let key = header.as_str();
-        if key.is_empty() || key.len() > MAX_KEY {
-            let text = format!("an idempotency key has 1 to {MAX_KEY} bytes");
+        if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY {
+            let text = format!("an idempotency key has 1 to {MAX_IDEMPOTENCY_KEY} bytes");
             return Err(Refusal::not_run(Reason::BadRequest, text));
         }
-        let account = &self.world.catalog.accounts[job.resolved.account].name;
-        Ok(Some(Once {
+        let account = &self.config.catalog.accounts[job.resolved.account].name;
+        Ok(Some(IdempotencyKey {
             key: ClaimKey::new(account, key),
             digest: job.outgoing.digest(),
             account: AccountId::from_name(account),
         }))
     }
 
-    /// Reserves memory for the head and the body: its announced length, or the bound when it has none.
+    /// Reserves memory for the head and the body. A body without a declared length counts with the
+    /// maximum.
     fn reserve(&self, request: &Request) -> Result<Reservation, Refusal> {
         let announced = request.len().map_or(self.limits.body, |len| len as u64);
         let bytes = footprint(request, announced.min(self.limits.body));
         self.memory.reserve(bytes).ok_or_else(|| {
             let text = "the instance has no memory left for the request";
-            Refusal::not_run(Reason::Overloaded, text).retry_after(FULL_RETRY)
+            Refusal::not_run(Reason::Overloaded, text).retry_after(MEMORY_RETRY_AFTER)
         })
     }
 }
 
-fn refuse_body(error: &BodyError) -> Refusal {
+fn body_refusal(error: &BodyError) -> Refusal {
     let reason = match error.status() {
         StatusCode::PayloadTooLarge => Reason::BodyTooLarge,
         _ => Reason::BadRequest,
@@ -299,12 +311,17 @@
     Refusal::not_run(reason, error.to_string())
 }
 
-fn malformed(error: &PayloadError) -> Refusal {
+fn payload_refusal(error: &PayloadError) -> Refusal {
     Refusal::not_run(Reason::BadRequest, error.to_string())
 }
 
-fn need(resolved: &Resolved, class: &Class, prefix: Option<u64>, tokens: u32) -> Need {
-    Need {
+fn requirements(
+    resolved: &Resolved,
+    class: &Class,
+    prefix: Option<u64>,
+    tokens: u32,
+) -> Requirements {
+    Requirements {
         model: resolved.model,
         prefix,
         tier: class.priority.index() as u8,
@@ -313,9 +330,14 @@
     }
 }
 
-fn answer_timeout(class: &Class) -> Millis {
-    let bound = |target: Millis| Millis(target.0.saturating_mul(ANSWER_FACTOR)).max(ANSWER_FLOOR);
-    class.targets.whole_answer.map_or(ANSWER_TIMEOUT, bound)
+fn response_timeout(class: &Class) -> Millis {
+    let bound = |target: Millis| {
+        Millis(target.0.saturating_mul(RESPONSE_TIMEOUT_FACTOR)).max(MIN_RESPONSE_TIMEOUT)
+    };
+    class
+        .targets
+        .whole_answer
+        .map_or(DEFAULT_RESPONSE_TIMEOUT, bound)
 }
 
 fn deadline(request: &Request, now: Millis) -> Millis {
@@ -324,16 +346,16 @@
     span.map_or(Millis::MAX, |span| now + span)
 }
 
-fn outgoing(request: &Request, body: Vec<u8>) -> Outgoing {
+fn outgoing(request: &Request, body: Vec<u8>) -> OutgoingRequest {
     let mut headers = Request::new(Method::Get, request.url().clone());
     relay_headers(request.as_ref(), headers.as_mut());
-    for name in PRIVATE {
+    for name in STRIPPED_HEADERS {
         headers.remove_header(name);
     }
     let url = request.url();
     let query = url.query().map(|query| format!("?{query}"));
     let headers: &Headers = headers.as_ref();
-    Outgoing {
+    OutgoingRequest {
         method: request.method(),
         target: format!("{}{}", url.path(), query.unwrap_or_default()),
         headers: headers.clone(),
--- a/crates/entry/src/exchange/fate.rs
+++ b/crates/entry/src/exchange/classify.rs
@@ -1,4 +1,4 @@
-//! What a failed attempt means: for the router, for a repeat, for the caller.
+//! Classifies a failed attempt for the router, the retry policy and the caller.
 
 use crocushold_http::SendError;
 use crocushold_http::SendErrorKind;
@@ -12,12 +12,12 @@
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
 
-pub(super) fn give_up(decision: Decision, late: bool) -> Failure {
+pub(super) fn give_up(decision: Decision, timed_out: bool) -> Failure {
     let (ran, retry_after) = match decision {
         Decision::GiveUp { ran, retry_after } => (Ran::from(ran), retry_after),
         Decision::Retry => (Ran::Unknown, None),
     };
-    let message = match (ran, late) {
+    let message = match (ran, timed_out) {
         (Ran::No, true) => "the request's bound passed before it was sent; it did not run",
         (Ran::No, false) => "no backend server could be reached; the request did not run",
         (Ran::Unknown, true) => {
@@ -50,8 +50,8 @@
 }
 
 pub(super) fn outcome_of_error(error: &SendError) -> Outcome {
-    // A server may close a connection for being idle just when it is used again. That is no fault,
-    // and counting it as one would eject servers that are merely quiet.
+    // A server may close an idle connection just when it is reused. That isn't a fault; counting it
+    // as one would eject servers that merely have little traffic.
     if error.reused && matches!(error.kind, SendErrorKind::Closed | SendErrorKind::Write(_)) {
         return Outcome::Cancelled;
     }
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's interface: health, readiness, metrics and status.
+//! The operator's endpoints: health, readiness, metrics and status.
 
 use std::sync::Arc;
 
@@ -24,14 +24,14 @@
 use http_types::Response;
 use http_types::StatusCode;
 
+use crate::active_config::ActiveConfig;
 use crate::shared::Shared;
-use crate::world::World;
 
-/// How long the peers' thread may take to tell what it knows; a page without it is of use, too.
+/// Timeout for the state of the peer node. Without it, the page is still useful.
 const STANDING_TIMEOUT: Millis = Millis::from_secs(1);
 
-/// Answers a request on the operator's address.
-pub(crate) async fn answer(shared: &Arc<Shared>, request: &Request) -> Response {
+/// Handles a request on the operator's address.
+pub(crate) async fn handle(shared: &Arc<Shared>, request: &Request) -> Response {
     #[cfg(feature = "failpoints")]
     if let Some(response) = crate::failpoint::command(request) {
         return response;
@@ -51,10 +51,11 @@
     }
 }
 
-/// What the balancer asks.
+/// The health check of the balancer.
 ///
-/// Fails first on a planned stop, so that the balancer sends nothing more while requests are still
-/// served; and before a configuration is in force, since the instance would refuse all it is sent.
+/// It fails at the start of a graceful shutdown, so that the balancer stops sending requests while
+/// they are still served. It also fails before a configuration is active, since the instance would
+/// refuse all requests.
 fn health(shared: &Shared) -> Response {
     match shared.state() {
         InstanceState::Serving => text(StatusCode::Ok, "ok\n"),
@@ -78,18 +79,18 @@
 }
 
 async fn metrics(shared: &Shared) -> Response {
-    // What the thread can't tell now stays as it was told last.
+    // Without a reply, the metric keeps its last value.
     if let Some(standing) = standing(shared).await {
         shared.metrics.set_confirmed(standing.confirmed);
     }
     text(StatusCode::Ok, shared.metrics.render(shared.clock.now()))
 }
 
-/// What the peers' thread tells; none when it doesn't answer in time.
+/// State of the peer node; `None` if it doesn't reply in time.
 async fn standing(shared: &Shared) -> Option<Standing> {
     let peers = shared.peers()?;
-    let told = timeout(STANDING_TIMEOUT.into(), peers.standing()).await;
-    told.ok().flatten()
+    let reply = timeout(STANDING_TIMEOUT.into(), peers.standing()).await;
+    reply.ok().flatten()
 }
 
 async fn status_json(shared: &Shared) -> Response {
@@ -106,31 +107,31 @@
 }
 
 fn status(shared: &Shared, standing: Standing) -> Status {
-    let world = shared.world();
+    let config = shared.config();
     Status {
         instance: shared.settings.id.clone(),
         zone: shared.settings.zone.clone(),
         version: env!("CARGO_PKG_VERSION").to_owned(),
         state: shared.state(),
         uptime_ms: shared.clock.now().0,
-        config: config_status(shared, &world, &standing),
+        config: config_status(shared, &config, &standing),
         peers: standing.peers.into_iter().map(peer_status).collect(),
-        classes: class_statuses(shared, &world),
-        servers: server_statuses(&world),
+        classes: class_statuses(shared, &config),
+        servers: server_statuses(&config),
         limits: limit_statuses(shared),
     }
 }
 
-fn config_status(shared: &Shared, world: &World, standing: &Standing) -> ConfigStatus {
+fn config_status(shared: &Shared, config: &ActiveConfig, standing: &Standing) -> ConfigStatus {
     let parts = shared.parts().into_iter().map(|part| PartStatus {
         team: part.team,
-        revision: part.in_force,
+        revision: part.active,
         published: part.published,
         findings: part.findings,
     });
     ConfigStatus {
-        revision: world.revision,
-        newest_revision: standing.newest.max(world.revision),
+        revision: config.revision,
+        newest_revision: standing.newest.max(config.revision),
         confirmed_ms: standing.confirmed.map(|age| age.0),
         parts: parts.collect(),
     }
@@ -156,12 +157,12 @@
     all
 }
 
-fn class_statuses(shared: &Shared, world: &World) -> Vec<ClassStatus> {
+fn class_statuses(shared: &Shared, config: &ActiveConfig) -> Vec<ClassStatus> {
     let now = shared.clock.now();
-    let classes = world.catalog.classes.iter();
+    let classes = config.catalog.classes.iter();
     let mut all: Vec<ClassStatus> = classes
         .filter_map(|(key, class)| {
-            let metrics = world.classes.get(&key)?;
+            let metrics = config.classes.get(&key)?;
             let windows = Window::ALL.into_iter().map(|window| WindowStatus {
                 window,
                 counts: metrics.window(now, window),
@@ -180,18 +181,18 @@
     all
 }
 
-fn server_statuses(world: &World) -> Vec<ServerStatus> {
+fn server_statuses(config: &ActiveConfig) -> Vec<ServerStatus> {
     let mut all = Vec::new();
-    for (service, pool) in &world.pools {
+    for (service, pool) in &config.pools {
         let state = pool.lock();
-        let Some(service) = world.catalog.services.get(*service) else {
+        let Some(service) = config.catalog.services.get(*service) else {
             continue;
         };
         for &key in &service.servers {
             let Some(standing) = state.router.standing(key) else {
                 continue;
             };
-            let server = &world.catalog.servers[key];
+            let server = &config.catalog.servers[key];
             all.push(ServerStatus {
                 server: server.name.clone(),
                 service: service.name.clone(),
--- a/crates/entry/src/pool.rs
+++ b/crates/entry/src/pool.rs
@@ -2,8 +2,8 @@
 
 mod demand;
 mod dispatch;
+mod queue;
 mod reach;
-mod turn;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -41,60 +41,61 @@
 use crocushold_routing::Stage;
 use futures::channel::oneshot;
 
-use crate::pool::demand::Demand as ModelDemand;
+use crate::pool::demand::RecentDemand;
+pub(crate) use crate::pool::queue::Dispatch;
+pub(crate) use crate::pool::queue::NoRetry;
+use crate::pool::queue::QueueEntry;
+pub(crate) use crate::pool::queue::QueueResult;
+pub(crate) use crate::pool::queue::QueuedRequest;
+pub(crate) use crate::pool::queue::Requirements;
 pub(crate) use crate::pool::reach::ServerGroup;
-pub(crate) use crate::pool::turn::Need;
-pub(crate) use crate::pool::turn::NoRepeat;
-pub(crate) use crate::pool::turn::Start;
-pub(crate) use crate::pool::turn::Turn;
-use crate::pool::turn::Waiter;
-pub(crate) use crate::pool::turn::Waiting;
 use crate::refusal::Refusal;
 
 #[cfg(test)]
 mod tests;
 
-/// The longest sleep of a pool's timer task; the router wants to be called about once a second.
-const TICK: Millis = Millis(500);
+/// Maximum sleep of a pool's timer task. The router has to be called about once a second.
+const MAX_TIMER_SLEEP: Millis = Millis(500);
 
-/// The window in which arrivals of the live tier are counted to size the headroom: what is left of a
-/// target of a few hundred milliseconds for waiting. Over seconds, released slots absorb any burst;
-/// within the target they don't.
+/// Window in which arrivals of tier 0 are counted to size the headroom: the part of a target of a
+/// few hundred milliseconds that is left for waiting. Over seconds, released slots absorb any
+/// burst; within the target they don't.
 const HEADROOM_WINDOW: Millis = Millis(250);
 
-/// The greatest share of slots that the headroom keeps free.
-const MOST_HEADROOM: f64 = 0.05;
+/// Maximum share of slots kept free as headroom.
+const MAX_HEADROOM: f64 = 0.05;
 
-/// Consecutive slow samples that eject a straggler.
+/// Number of consecutive slow samples after which a straggler is ejected.
 const SLOW_SAMPLES: u32 = 3;
 
-/// Share of the slots that lower tiers always leave free, rounded up to a whole slot.
+/// Minimum share of slots that lower tiers leave free, rounded up to a whole slot.
 ///
-/// Started work is never preempted. Without a free slot, a batch of long answers that holds them all
-/// makes every live request wait past its patience, which sheds it for a lower tier.
-const LEAST_HEADROOM: f64 = 0.01;
+/// Running requests are never preempted. Without a free slot, a batch of long responses that holds
+/// all slots makes every request of tier 0 wait beyond its maximum, which sheds it in favor of a
+/// lower tier.
+const MIN_HEADROOM: f64 = 0.01;
 
-/// The mutable state of a pool. One lock holds scheduler and router together, since a dispatch
-/// takes a slot of both.
+/// The mutable state of a pool. One lock holds both scheduler and router, since a dispatch takes a
+/// slot of each.
 pub(crate) struct State {
     pub(crate) scheduler: Scheduler,
     pub(crate) router: Router,
     pub(crate) addresses: HashMap<ServerKey, SocketAddr>,
-    /// The service's name, for events.
+    /// The service's name, for log events.
     service: String,
-    /// The servers as configured: each holds every model of the service.
+    /// The configured servers, each with every model of the service.
     servers: Vec<ServerSpec>,
-    /// Which of them this instance uses.
+    /// The servers that this instance uses.
     pub(crate) reach: ServerSubset,
-    /// The model that last lacked a server.
-    lacking: Option<ModelKey>,
-    /// Whether some model is to be held by some of the servers only.
-    mixed: bool,
+    /// The model that last had no server.
+    missing_model: Option<ModelKey>,
+    /// Whether some model is configured for some of the servers only.
+    heterogeneous: bool,
     /// The models that servers reported to hold.
     loaded: HashMap<ServerKey, Vec<ModelKey>>,
     retry: RetryPolicy,
-    waiting: HashMap<RequestKey, Waiter>,
-    pub(crate) demand: ModelDemand,
+    queued: HashMap<RequestKey, QueueEntry>,
+    pub(crate) demand: RecentDemand,
 }
 
 /// Settings of a pool.
@@ -104,11 +105,11 @@
     pub(crate) service: String,
     /// The instance's availability zone.
     pub(crate) zone: String,
-    /// Seed of random choices.
+    /// Seed for random choices.
     pub(crate) seed: u64,
-    /// Senders of a server.
+    /// Number of entry instances that send to one server.
     pub(crate) senders: usize,
-    /// Most bytes of queued requests.
+    /// Maximum size of all queued requests, in bytes.
     pub(crate) queue_bytes: u64,
 }
 
@@ -121,16 +122,16 @@
 }
 
 impl Pool {
-    /// A pool without classes or servers.
+    /// Creates a pool without classes or servers.
     pub(crate) fn new(clock: Clock, settings: &PoolSettings) -> Arc<Pool> {
         let (wake, woken) = bounded(1);
         let scheduler = admission::Settings {
             seed: settings.seed,
             queue_bytes: settings.queue_bytes,
             headroom: HeadroomSettings {
-                max_share: MOST_HEADROOM,
+                max_share: MAX_HEADROOM,
                 window: HEADROOM_WINDOW,
-                min_share: LEAST_HEADROOM,
+                min_share: MIN_HEADROOM,
                 ..HeadroomSettings::default()
             },
             ..admission::Settings::default()
@@ -141,13 +142,13 @@
             addresses: HashMap::new(),
             service: settings.service.clone(),
             servers: Vec::new(),
-            mixed: false,
+            heterogeneous: false,
             reach: ServerSubset::new(settings.senders),
-            lacking: None,
+            missing_model: None,
             loaded: HashMap::new(),
             retry: RetryPolicy::new(RetrySettings::default(), clock.now()),
-            waiting: HashMap::new(),
-            demand: ModelDemand::default(),
+            queued: HashMap::new(),
+            demand: RecentDemand::default(),
         };
         Arc::new(Pool {
             clock,
@@ -157,78 +158,83 @@
         })
     }
 
-    /// The state. Each call into a state machine leaves it whole, so a panic elsewhere while the
-    /// lock was held doesn't make it unusable.
+    /// Locks the state. Every call into a state machine leaves it consistent, so a panic elsewhere
+    /// while the lock was held doesn't make it unusable.
     pub(crate) fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the state, then starts whatever may start now.
+    /// Changes the state, then dispatches the requests that can start.
     pub(crate) fn update<T>(&self, change: impl FnOnce(&mut State, Millis) -> T) -> T {
         let now = self.clock.now();
         let mut state = self.lock();
         let result = change(&mut state, now);
-        state.pump(now);
+        state.run_scheduler(now);
         result
     }
 
-    /// Admits a request to the queue, or refuses it.
-    pub(crate) fn submit(&self, arrival: &Arrival, need: Need) -> Result<Waiting, Refusal> {
-        let waiting = self.update(|state, now| state.submit(arrival, need, now))?;
-        // A full channel holds a wake-up already.
+    /// Queues a request, or refuses it.
+    pub(crate) fn submit(
+        &self,
+        arrival: &Arrival,
+        requirements: Requirements,
+    ) -> Result<QueuedRequest, Refusal> {
+        let queued = self.update(|state, now| state.submit(arrival, requirements, now))?;
+        // If the channel is full, a wake-up is already pending.
         let _ = self.wake.try_send(());
-        Ok(waiting)
+        Ok(queued)
     }
 
-    /// Takes back a request whose caller left before it took its turn.
+    /// Removes a request whose caller disconnected while it was queued.
     ///
-    /// The turn can have been sent already: the caller hangs up between the dispatch and the moment
-    /// at which its task runs. The server that was picked holds a slot for it then, which nobody
-    /// else would give back. Turns are sent under the lock, so none comes after this look.
-    pub(crate) fn withdraw(&self, mut waiting: Waiting) {
+    /// The request may already be dispatched, if the caller disconnects between the dispatch and
+    /// the next run of its task. The chosen server then holds a slot that nobody else would
+    /// release. Results are sent under the lock, so none arrives after this check.
+    pub(crate) fn withdraw(&self, mut queued: QueuedRequest) {
         self.update(|state, now| {
-            if let Ok(Some(Turn::Start(start))) = waiting.turn.try_recv() {
-                let attempt = start.pick.attempt;
+            if let Ok(Some(QueueResult::Dispatched(dispatch))) = queued.queue_result.try_recv() {
+                let attempt = dispatch.pick.attempt;
                 state.router.done(attempt, Outcome::Cancelled, 0, now);
             }
-            state.cancel(waiting.key, now);
+            state.cancel(queued.key, now);
         });
     }
 
-    /// Chooses another server after a failed attempt, or gives the request up.
+    /// Chooses another server after a failed attempt, or gives up.
     pub(crate) fn retry(
         &self,
         facts: &RequestFacts,
         stage: Stage,
-        need: &Need,
+        requirements: &Requirements,
         tried: &[ServerKey],
-    ) -> Result<(Pick, SocketAddr), NoRepeat> {
-        self.update(|state, now| state.repick(facts, stage, need, tried, now))
+    ) -> Result<(Pick, SocketAddr), NoRetry> {
+        self.update(|state, now| state.pick_for_retry(facts, stage, requirements, tried, now))
     }
 
-    /// Puts a request whose attempt failed back into the queue, at its place by arrival.
+    /// Puts a request whose attempt failed back into the queue, at its position by arrival.
     ///
-    /// When a server dies, those that are left are soon full. Given up on at once, a live request
-    /// would lose its answer while the slots that come free next go to lower tiers behind it.
+    /// When a server fails, the remaining ones are soon full. If the request were given up
+    /// immediately, a request of tier 0 would fail while the next free slots go to lower tiers
+    /// behind it.
     pub(crate) fn requeue(
         &self,
         ticket: Ticket<Dispatched>,
-        need: Need,
+        requirements: Requirements,
         tried: Vec<ServerKey>,
-    ) -> Waiting {
-        let (sender, turn) = oneshot::channel();
+    ) -> QueuedRequest {
+        let (sender, queue_result) = oneshot::channel();
         let key = ticket.key();
-        let waiter = Waiter {
-            turn: sender,
-            need,
+        let entry = QueueEntry {
+            queue_result: sender,
+            requirements,
             tried,
         };
         self.update(|state, now| {
-            state.waiting.insert(key, waiter);
+            state.queued.insert(key, entry);
             state.scheduler.requeue(ticket, now);
         });
         let _ = self.wake.try_send(());
-        Waiting { key, turn }
+        QueuedRequest { key, queue_result }
     }
 
     /// Ends an attempt at a server.
@@ -236,18 +242,18 @@
         self.update(|state, now| state.router.done(attempt, outcome, tokens, now));
     }
 
-    /// Ends a request at any point.
+    /// Ends a request in any state.
     pub(crate) fn cancel(&self, key: RequestKey) {
         self.update(|state, now| state.cancel(key, now));
     }
 
-    /// Runs the pool's timers until the pool is dropped by everyone else.
+    /// Runs the pool's timers until no one else holds the pool.
     pub(crate) async fn run_timers(self: Arc<Pool>) {
         while Arc::strong_count(&self) > 1 {
             let wait = self.update(|state, now| {
                 state.router.tick(now);
                 let at = state.scheduler.wake_at().unwrap_or(Millis::MAX);
-                at.since(now).max(Millis(1)).min(TICK)
+                at.since(now).max(Millis(1)).min(MAX_TIMER_SLEEP)
             });
             let _ = timeout(wait.into(), self.woken.recv()).await;
         }
--- a/crates/entry/src/pool/reach.rs
+++ b/crates/entry/src/pool/reach.rs
@@ -1,4 +1,4 @@
-//! The servers that the pool's router is given: those in reach of this instance.
+//! The servers given to the pool's router: those in reach of this instance.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,45 +16,46 @@
 use crocushold_routing::Shortage;
 use log::info;
 
-use super::Need;
+use super::Requirements;
 use super::State;
-use crate::loads::Cause;
+use crate::polling::PollReason;
 
-/// Attempts of a request that failed within the reach before the next is made beyond the subset.
+/// Attempts of a request that may fail within the subset before the next one is made outside it.
 ///
-/// The failure: all servers of the subset died a moment ago, and nobody knows yet. Each request has
-/// three attempts; with all of them in the subset the first callers are told that no server could be
-/// reached, while most of the service is up.
-const FAILED_WITHIN: usize = 2;
+/// If all servers of the subset have just failed, no instance knows of it yet. Each request has
+/// three attempts. If all of them were made within the subset, the first callers would be told that
+/// no server could be reached, although most of the service is up.
+const SUBSET_ATTEMPTS: usize = 2;
 
-/// The servers of a service as configured.
+/// The configured servers of a service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServerGroup {
-    /// Each with every model of the service.
+    /// The servers, each with every model of the service.
     pub(crate) specs: Vec<ServerSpec>,
-    /// About how many of them an instance is to use.
-    pub(crate) wanted: usize,
-    /// Whether some model is to be held by some of them only.
-    pub(crate) mixed: bool,
+    /// Approximate number of servers that one instance should use.
+    pub(crate) subset_size: usize,
+    /// Whether some model is configured for some of the servers only.
+    pub(crate) heterogeneous: bool,
 }
 
 impl State {
-    /// Takes over the configured servers.
+    /// Updates the configured servers.
     pub(crate) fn set_servers(&mut self, group: ServerGroup, now: Millis) {
-        self.reach.set_servers(&group.specs, group.wanted);
+        self.reach.set_servers(&group.specs, group.subset_size);
         self.servers = group.specs;
-        self.mixed = group.mixed;
+        self.heterogeneous = group.heterogeneous;
         self.configure_router(now);
     }
 
-    /// Takes over the live instances, which share the servers.
+    /// Updates the live entry instances, which share the servers.
     pub(crate) fn set_fleet(&mut self, fleet: &EntryFleet, now: Millis) {
         if self.reach.set_fleet(fleet) {
             self.configure_router(now);
         }
     }
 
-    /// Takes in which models a server holds. Until it has reported any, it is taken to hold all.
+    /// Updates the models that a server holds. Until its first report, a server is assumed to hold
+    /// all.
     pub(crate) fn set_loaded(&mut self, server: ServerKey, models: Vec<ModelKey>, now: Millis) {
         let same = self.loaded.get(&server) == Some(&models);
         if same || !self.in_reach().any(|key| key == server) {
@@ -70,15 +71,16 @@
         allotted.map(|&(at, _)| self.servers[at].key)
     }
 
-    /// Why a server in reach is polled where there are many.
-    pub(crate) fn poll_cause(&self, server: ServerKey) -> Cause {
+    /// The reason for polling a server in reach when there are too many to poll all of them
+    /// frequently.
+    pub(crate) fn poll_reason(&self, server: ServerKey) -> PollReason {
         let standing = self.router.standing(server);
         if standing.is_some_and(|standing| standing.borrowed) {
-            Cause::Borrowed
-        } else if self.mixed {
-            Cause::Mixed
+            PollReason::Borrowed
+        } else if self.heterogeneous {
+            PollReason::Heterogeneous
         } else {
-            Cause::Rare
+            PollReason::Background
         }
     }
 
@@ -89,17 +91,18 @@
             .collect();
         let reached = self.reach.allotted().iter();
         let mut specs: Vec<ServerSpec> = reached.map(|&(at, _)| self.servers[at].clone()).collect();
-        // What a server held when it was last in reach says nothing of what it holds now.
+        // What a server held when it was last in reach says nothing about what it holds now.
         let mut loaded = HashMap::new();
-        let small = self.reach.is_whole() && !self.reach.is_widened();
-        let blind = !self.mixed || small || self.loaded.is_empty();
+        let covers_all_servers = self.reach.is_whole() && !self.reach.is_widened();
+        let assume_all_models = !self.heterogeneous || covers_all_servers || self.loaded.is_empty();
         for spec in &mut specs {
             if let Some(models) = self.loaded.remove(&spec.key) {
                 spec.models.clone_from(&models);
                 loaded.insert(spec.key, models);
-            } else if !blind {
-                // It came into reach a moment ago and may lack the model: its callers would be told
-                // that the model doesn't exist. It reports within a second, while others serve.
+            } else if !assume_all_models {
+                // The server has just come into reach and may lack the model; its callers would be
+                // told that the model doesn't exist. It reports within a second, and others serve
+                // until then.
                 spec.models.clear();
             }
         }
@@ -108,46 +111,46 @@
         self.router.configure(&specs, now);
     }
 
-    /// Widens the reach when a request lacks a server, and narrows it when the own servers serve
-    /// again; true when it was widened.
+    /// Widens the reach when a request has no server, and narrows it when the instance's own
+    /// servers are available again. Returns true if it was widened.
     ///
-    /// The failure: all servers of the subset are down, ejected or full while hundreds of others are
-    /// idle, and the callers of this instance wait or are refused. Each step reaches twice as many
-    /// servers, so that all are in reach after a few.
-    pub(super) fn follow_lack(
+    /// Without it, all servers of the subset could be down, ejected or full while hundreds of
+    /// others are idle, and the callers of this instance would wait or be refused. Each step
+    /// doubles the number of servers in reach, so that a few steps reach all.
+    pub(super) fn adapt_reach(
         &mut self,
-        lack: Option<(Reason, Option<ModelKey>)>,
+        shortage: Option<(Reason, Option<ModelKey>)>,
         now: Millis,
     ) -> bool {
-        let lack = lack.or_else(|| self.blocked());
-        let Some((reason, model)) = lack else {
-            let serves = self.reach.is_widened() && self.own_serve();
+        let shortage = shortage.or_else(|| self.queue_shortage());
+        let Some((reason, model)) = shortage else {
+            let serves = self.reach.is_widened() && self.own_servers_available();
             if self.reach.on_relief(serves, now) {
                 self.log_reach("reach-narrowed");
                 self.configure_router(now);
             }
             return false;
         };
-        let lack = match reason {
+        let shortage = match reason {
             Reason::NoModel | Reason::Out => Shortage::Down,
             Reason::Busy | Reason::Late { .. } | Reason::Cold | Reason::Region | Reason::Tried => {
                 Shortage::Full
             }
             Reason::Stale => return false,
         };
-        self.widen(lack, model, now)
+        self.widen(shortage, model, now)
     }
 
-    /// Why requests wait although nothing was dispatched: the scheduler asks for no server when
-    /// none has a free slot.
-    fn blocked(&self) -> Option<(Reason, Option<ModelKey>)> {
-        let waiting = !self.waiting.is_empty();
-        let reason = self.router.unavailable_reason(None).filter(|_| waiting);
+    /// Why requests are queued although nothing was dispatched: the scheduler doesn't ask for a
+    /// server if none has a free slot.
+    fn queue_shortage(&self) -> Option<(Reason, Option<ModelKey>)> {
+        let queued = !self.queued.is_empty();
+        let reason = self.router.unavailable_reason(None).filter(|_| queued);
         reason.map(|reason| (reason, None))
     }
 
-    /// Whether an own server could take a request that lacked one.
-    fn own_serve(&self) -> bool {
+    /// Whether a server of the subset could take a request that had no server.
+    fn own_servers_available(&self) -> bool {
         self.own_servers().any(|key| {
             let holds = |model| {
                 self.loaded
@@ -158,13 +161,13 @@
                 let standing = self.router.standing(key);
                 standing.is_some_and(|standing| standing.in_flight < standing.limit)
             };
-            self.lacking.is_none_or(holds) && free(key)
+            self.missing_model.is_none_or(holds) && free(key)
         })
     }
 
-    fn widen(&mut self, lack: Shortage, model: Option<ModelKey>, now: Millis) -> bool {
-        self.lacking = model;
-        let widened = self.reach.on_shortage(lack, now);
+    fn widen(&mut self, shortage: Shortage, model: Option<ModelKey>, now: Millis) -> bool {
+        self.missing_model = model;
+        let widened = self.reach.on_shortage(shortage, now);
         if widened {
             self.log_reach("reach-widened");
             self.configure_router(now);
@@ -172,8 +175,8 @@
         widened
     }
 
-    /// Tells the operator: a wider reach costs polls, and says that servers of the subset are in
-    /// trouble.
+    /// Logged for the operator: a wider reach costs polls, and shows that servers of the subset
+    /// have problems.
     fn log_reach(&self, name: &'static str) {
         let event = Event::new(name)
             .with("service", &self.service)
@@ -183,28 +186,28 @@
         info!("{event}");
     }
 
-    /// Picks for a further attempt. Not every request that failed may wait in the queue again, so the
-    /// reach is widened at once where no other server in it can be had.
-    pub(super) fn pick_again(
+    /// Picks a server for a retry. Not every failed request may be queued again, so the reach is
+    /// widened immediately if it contains no other available server.
+    pub(super) fn pick_untried_server(
         &mut self,
-        need: &Need,
+        requirements: &Requirements,
         tried: &[ServerKey],
         now: Millis,
     ) -> Result<(Pick, SocketAddr), NoServer> {
-        if tried.len() >= FAILED_WITHIN && !self.reach.is_whole() {
-            self.widen(Shortage::Retry, need.model, now);
+        if tried.len() >= SUBSET_ATTEMPTS && !self.reach.is_whole() {
+            self.widen(Shortage::Retry, requirements.model, now);
             let own = self.own_servers();
             let exclude: Vec<ServerKey> = own.chain(tried.iter().copied()).collect();
-            if let Ok(picked) = self.pick(need, &exclude, now) {
+            if let Ok(picked) = self.pick(requirements, &exclude, now) {
                 return Ok(picked);
             }
         }
-        let picked = self.pick(need, tried, now);
+        let picked = self.pick(requirements, tried, now);
         let Err(none) = &picked else {
             return picked;
         };
-        if none.reason != Reason::Stale && self.widen(Shortage::Retry, need.model, now) {
-            return self.pick(need, tried, now);
+        if none.reason != Reason::Stale && self.widen(Shortage::Retry, requirements.model, now) {
+            return self.pick(requirements, tried, now);
         }
         picked
     }
--- a/crates/entry/src/publish.rs
+++ b/crates/entry/src/publish.rs
@@ -1,4 +1,4 @@
-//! Reads of what the platform publishes, on behalf of the peers' node and of the routers.
+//! Reads the data that the platform publishes, for the peer node and for the routers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -40,7 +40,7 @@
 
 use crate::shared::Shared;
 
-/// The platform's addresses; the next one is tried after a failure.
+/// Addresses of the platform, tried in turn after failures.
 #[derive(Debug)]
 pub(crate) struct Addresses {
     all: Vec<SocketAddr>,
@@ -48,7 +48,7 @@
 }
 
 impl Addresses {
-    /// `None` without an address.
+    /// Returns `None` if there is no address.
     pub(crate) fn new(all: &[SocketAddr]) -> Option<Arc<Addresses>> {
         (!all.is_empty()).then(|| {
             Arc::new(Addresses {
@@ -67,9 +67,9 @@
     }
 }
 
-/// Makes the reads that the peers' node asks for, each in a task of its own: a watch waits for
-/// seconds, and the parts must not wait behind it.
-pub(crate) async fn make_reads(
+/// Executes the reads that the peer node requests, each in its own task: a watch waits for seconds
+/// and must not delay the reads of parts.
+pub(crate) async fn run_reads(
     shared: Arc<Shared>,
     peers: PeerHandle,
     addresses: Arc<Addresses>,
@@ -81,7 +81,7 @@
         let addresses = addresses.clone();
         task::spawn(async move {
             let shell = shell(&shared, addresses.current());
-            let read = make_read(&shell, request).await;
+            let read = run_read(&shell, request).await;
             if is_failure(&read) {
                 addresses.advance();
             }
@@ -105,7 +105,7 @@
     }
 }
 
-async fn make_read(shell: &Shell<HttpFetch>, request: PlatformRequest) -> PlatformRead {
+async fn run_read(shell: &Shell<HttpFetch>, request: PlatformRequest) -> PlatformRead {
     match request {
         PlatformRequest::ReadIndex => read_index(shell, Call::Index).await,
         PlatformRequest::WatchIndex { after, wait } => {
@@ -115,7 +115,9 @@
             let call = Call::Part {
                 team: team.to_string(),
             };
-            let result = read(shell, &call).await.map_err(|failure| failed(&failure));
+            let result = read(shell, &call)
+                .await
+                .map_err(|failure| read_failed(&failure));
             let part = result.and_then(|answer| part_of(&team, answer));
             PlatformRead::Part(team, part)
         }
@@ -123,11 +125,13 @@
 }
 
 async fn read_index(shell: &Shell<HttpFetch>, call: Call) -> PlatformRead {
-    let result = read(shell, &call).await.map_err(|failure| failed(&failure));
+    let result = read(shell, &call)
+        .await
+        .map_err(|failure| read_failed(&failure));
     PlatformRead::Index(result.and_then(index_of))
 }
 
-fn failed(failure: &Failure) -> ReadFailed {
+fn read_failed(failure: &Failure) -> ReadFailed {
     debug!(
         "{}",
         Event::new("platform-read-failed").with("cause", failure)
@@ -165,7 +169,7 @@
     })
 }
 
-/// Polls the instance list and hands it to the peers' node and to the routers.
+/// Polls the instance list and passes it to the peer node and to the routers.
 pub(crate) async fn poll_instances(
     shared: Arc<Shared>,
     peers: PeerHandle,
@@ -176,25 +180,26 @@
         ..PollerSettings::default()
     };
     let shell = Shell {
-        fetch: Rotating {
+        fetch: FailoverFetch {
             fetch: HttpFetch::new(shared.client.clone()),
             addresses,
         },
         address: String::new(),
         clock: shared.clock,
     };
-    // Kept open: the poller runs as long as the process.
+    // Kept open, since the poller runs as long as the process.
     let (_events, inbox) = mpsc::channel(1);
     let mut latest = InstanceList::default();
     let publish = |_: &InstancePoller, update: Update| match update {
         Update::Instances(list) => {
-            take_list(&shared, &peers, &list);
+            on_instance_list(&shared, &peers, &list);
             latest = list;
         }
-        // Given to the routers again: a configuration that came into force since may have brought
-        // servers that the list calls leaving, and the routers count the age of the list from here.
-        Update::Unchanged => shared.world().take_list(&latest),
-        Update::Unavailable => shared.world().list_unavailable(),
+        // Passed on even though it is unchanged: a configuration activated since then may have
+        // added servers that the list reports as leaving, and the routers measure the age of the
+        // list from here.
+        Update::Unchanged => shared.config().on_instance_list(&latest),
+        Update::Unavailable => shared.config().list_unavailable(),
         Update::Report(report) => {
             info!("{}", Event::new("instance-list").with("report", &report));
         }
@@ -202,13 +207,13 @@
     run(InstancePoller::new(settings), &shell, inbox, publish).await;
 }
 
-/// Reads from whichever of the platform's addresses answered last.
-struct Rotating {
+/// Fetches from the platform address that last replied.
+struct FailoverFetch {
     fetch: HttpFetch,
     addresses: Arc<Addresses>,
 }
 
-impl Fetch for Rotating {
+impl Fetch for FailoverFetch {
     async fn get(&self, get: Get) -> Result<Reply, FetchError> {
         let address = self.addresses.current();
         let reply = self.fetch.get(Get { address, ..get }).await;
@@ -219,11 +224,11 @@
     }
 }
 
-fn take_list(shared: &Shared, peers: &PeerHandle, list: &InstanceList) {
+fn on_instance_list(shared: &Shared, peers: &PeerHandle, list: &InstanceList) {
     let entries = list.instances.iter();
     peers.instance_list(entries.filter_map(listed_peer).collect());
-    shared.coordinator.take_list(entry_names(list));
-    shared.world().take_list(list);
+    shared.coordinator.on_instance_list(entry_names(list));
+    shared.config().on_instance_list(list);
 }
 
 fn entry_names(list: &InstanceList) -> impl Iterator<Item = &str> {
--- a/crates/entry/src/sent_run.rs
+++ b/crates/entry/src/sent_attempt.rs
@@ -1,4 +1,5 @@
-//! One send of a request to a backend server, and what its end says of either.
+//! An attempt that was sent to a backend server, and what its end shows about the server and the
+//! request.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,29 +12,30 @@
 use crate::coordination::Suspects;
 use crate::pool::Pool;
 
-/// One send of a request to a backend server.
-pub(crate) struct SentRun {
+/// An attempt that was sent to a backend server.
+pub(crate) struct SentAttempt {
     pub(crate) suspects: Arc<Suspects>,
     pub(crate) pool: Arc<Pool>,
     pub(crate) server: ServerKey,
     pub(crate) address: SocketAddr,
-    /// What was asked.
+    /// Fingerprint of the request's content.
     pub(crate) content: Fingerprint,
     pub(crate) sent: Millis,
 }
 
-impl SentRun {
-    /// The server broke the connection off.
-    pub(crate) fn cut(&self) {
-        // A planned end cuts what is left at the end of its grace.
+impl SentAttempt {
+    /// Handles a connection that the server broke.
+    pub(crate) fn on_cut(&self) {
+        // A server that leaves as planned breaks the remaining connections at the end of its grace
+        // period.
         if !self.is_leaving() {
-            self.suspects.run_cut(self.content, self.address, self.sent);
+            self.suspects.on_cut(self.content, self.address, self.sent);
         }
     }
 
-    /// The answer came whole.
-    pub(crate) fn served(&self) {
-        self.suspects.served(self.content);
+    /// Handles a response that was complete.
+    pub(crate) fn on_served(&self) {
+        self.suspects.on_served(self.content);
     }
 
     fn is_leaving(&self) -> bool {
