--- a/crates/entry/src/coordination/members.rs
+++ b/crates/entry/src/coordination/members.rs
@@ -38,7 +38,7 @@
 
     /// Takes what the peers' node knows.
     pub(crate) fn seen(&mut self, view: &crocushold_peers::View) -> View {
-        for life in view.lives.iter() {
+        for life in view.members.iter() {
             let known = Known {
                 start: life.start,
                 status: life.status,
--- a/crates/entry/src/coordination/transport.rs
+++ b/crates/entry/src/coordination/transport.rs
@@ -36,7 +36,7 @@
 
     /// Learns the names of the lives that are known.
     pub(crate) fn learn(&self, view: &View) {
-        let lives = view.lives.iter();
+        let lives = view.members.iter();
         let names = lives.map(|life| (Member::new(life.id.as_str(), life.start), life.id.clone()));
         *self.names.lock().unwrap_or_else(PoisonError::into_inner) = names.collect();
     }
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -15,8 +15,8 @@
 use crocushold_metrics::status::Status;
 use crocushold_metrics::status::WindowStatus;
 use crocushold_peers as peers;
-use crocushold_peers::PeerStanding;
-use crocushold_peers::Standing;
+use crocushold_peers::PeerSyncStatus;
+use crocushold_peers::SyncStatus;
 use crocushold_routing as routing;
 use crocushold_routing::State;
 use http_types::Method;
@@ -80,15 +80,15 @@
 async fn metrics(shared: &Shared) -> Response {
     // What the thread can't tell now stays as it was told last.
     if let Some(standing) = standing(shared).await {
-        shared.metrics.set_confirmed(standing.confirmed);
+        shared.metrics.set_confirmed(standing.confirmed_age);
     }
     text(StatusCode::Ok, shared.metrics.render(shared.clock.now()))
 }
 
 /// What the peers' thread tells; none when it doesn't answer in time.
-async fn standing(shared: &Shared) -> Option<Standing> {
+async fn standing(shared: &Shared) -> Option<SyncStatus> {
     let peers = shared.peers()?;
-    let told = timeout(STANDING_TIMEOUT.into(), peers.standing()).await;
+    let told = timeout(STANDING_TIMEOUT.into(), peers.sync_status()).await;
     told.ok().flatten()
 }
 
@@ -105,7 +105,7 @@
     }
 }
 
-fn status(shared: &Shared, standing: Standing) -> Status {
+fn status(shared: &Shared, standing: SyncStatus) -> Status {
     let world = shared.world();
     Status {
         instance: shared.settings.id.clone(),
@@ -121,7 +121,7 @@
     }
 }
 
-fn config_status(shared: &Shared, world: &World, standing: &Standing) -> ConfigStatus {
+fn config_status(shared: &Shared, world: &World, standing: &SyncStatus) -> ConfigStatus {
     let parts = shared.parts().into_iter().map(|part| PartStatus {
         team: part.team,
         revision: part.in_force,
@@ -130,13 +130,13 @@
     });
     ConfigStatus {
         revision: world.revision,
-        newest_revision: standing.newest.max(world.revision),
-        confirmed_ms: standing.confirmed.map(|age| age.0),
+        newest_revision: standing.newest_revision.max(world.revision),
+        confirmed_ms: standing.confirmed_age.map(|age| age.0),
         parts: parts.collect(),
     }
 }
 
-fn peer_status(peer: PeerStanding) -> PeerStatus {
+fn peer_status(peer: PeerSyncStatus) -> PeerStatus {
     PeerStatus {
         instance: peer.id.to_string(),
         zone: peer.zone,
@@ -146,7 +146,7 @@
         }
         .to_owned(),
         revision: peer.revision,
-        heard_ms: peer.heard.map(|age| age.0),
+        heard_ms: peer.heard_age.map(|age| age.0),
     }
 }
 
--- a/crates/entry/src/publish.rs
+++ b/crates/entry/src/publish.rs
@@ -10,7 +10,7 @@
 use crocushold_base::Event;
 use crocushold_peers::Index;
 use crocushold_peers::IndexEntry;
-use crocushold_peers::Listed;
+use crocushold_peers::ListedInstance;
 use crocushold_peers::PartText;
 use crocushold_peers::PeerHandle;
 use crocushold_peers::PlatformRead;
@@ -232,12 +232,12 @@
     entries.map(|entry| entry.id.as_str())
 }
 
-fn listed_peer(entry: &InstanceEntry) -> Option<Listed> {
+fn listed_peer(entry: &InstanceEntry) -> Option<ListedInstance> {
     if entry.role != InstanceRole::Entry {
         return None;
     }
     let address = entry.peer_address?;
-    Some(Listed {
+    Some(ListedInstance {
         instance: crocushold_peers::Instance::new(&entry.id, address, &entry.zone),
         leaving: entry.state != InstanceState::Live,
     })
--- a/crates/peers/examples/embed.rs
+++ b/crates/peers/examples/embed.rs
@@ -14,7 +14,7 @@
 use crocushold_peers::Index;
 use crocushold_peers::IndexEntry;
 use crocushold_peers::Instance;
-use crocushold_peers::Listed;
+use crocushold_peers::ListedInstance;
 use crocushold_peers::PartText;
 use crocushold_peers::PeerHandle;
 use crocushold_peers::PeerNode;
@@ -114,9 +114,9 @@
 }
 
 async fn show(handles: &[PeerHandle], platform: &Mutex<Platform>) -> Result<(), Box<dyn Error>> {
-    let listed: Vec<Listed> = handles
+    let listed: Vec<ListedInstance> = handles
         .iter()
-        .map(|handle| Listed {
+        .map(|handle| ListedInstance {
             instance: handle.me().clone(),
             leaving: false,
         })
--- a/crates/peers/examples/wire.rs
+++ b/crates/peers/examples/wire.rs
@@ -19,7 +19,7 @@
 use async_std::task;
 use crocushold_peers::Index;
 use crocushold_peers::Instance;
-use crocushold_peers::Listed;
+use crocushold_peers::ListedInstance;
 use crocushold_peers::PeerHandle;
 use crocushold_peers::PeerNode;
 use crocushold_peers::PlatformRead;
@@ -42,9 +42,9 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let counter = Arc::new(Counter::default());
     let nodes = [start(1, &counter)?, start(2, &counter)?];
-    let listed: Vec<Listed> = nodes
+    let listed: Vec<ListedInstance> = nodes
         .iter()
-        .map(|node| Listed {
+        .map(|node| ListedInstance {
             instance: node.me().clone(),
             leaving: false,
         })
--- a/crates/peers/src/member/mod.rs
+++ b/crates/peers/src/member/mod.rs
@@ -35,7 +35,7 @@
 
 pub use ring::RINGS;
 pub use settings::MemberSettings;
-pub use view::Life;
+pub use view::MemberState;
 pub use view::View;
 
 /// Members at random that hear from this one itself that it leaves, besides those it probes.
@@ -43,7 +43,7 @@
 
 /// An instance in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedInstance {
     /// The instance.
     pub instance: Instance,
     /// Whether the platform says that it is leaving.
@@ -161,14 +161,14 @@
     /// The live view.
     pub fn view(&self) -> View {
         let instances = self.table.live().map(|r| r.instance.clone());
-        let lives = self.table.iter().map(|record| Life {
+        let members = self.table.iter().map(|record| MemberState {
             id: record.instance.id.clone(),
             start: record.incarnation.start,
             status: record.status,
         });
         View {
             instances: instances.collect::<Vec<_>>().into(),
-            lives: lives.collect(),
+            members: members.collect(),
             digest: self.digest(),
             me: self.me.id.clone(),
             settled: self.is_settled(),
@@ -216,7 +216,7 @@
     }
 
     /// Takes the platform's list in.
-    pub fn list(&mut self, listed: &[Listed], now: Millis) -> Vec<MemberAction> {
+    pub fn list(&mut self, listed: &[ListedInstance], now: Millis) -> Vec<MemberAction> {
         let seeds = listed
             .iter()
             .filter(|entry| !entry.leaving && entry.instance.id != self.me.id)
--- a/crates/peers/src/member/view.rs
+++ b/crates/peers/src/member/view.rs
@@ -12,7 +12,7 @@
 
 /// One life of an instance, and what is known of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Life {
+pub struct MemberState {
     /// The instance.
     pub id: InstanceId,
     /// Wall-clock milliseconds at which the process started.
@@ -27,7 +27,7 @@
     /// The live instances.
     pub instances: Arc<[Instance]>,
     /// Every instance that is known, with those that left or seem dead, in order of their names.
-    pub lives: Arc<[Life]>,
+    pub members: Arc<[MemberState]>,
     /// Digest of names and lives: equal on two instances exactly when they see the same instances.
     pub digest: u64,
     /// The instance whose view this is.
--- a/crates/peers/src/node.rs
+++ b/crates/peers/src/node.rs
@@ -7,7 +7,7 @@
 use crate::identity::Incarnation;
 use crate::identity::Instance;
 use crate::identity::InstanceId;
-use crate::member::Listed;
+use crate::member::ListedInstance;
 use crate::member::Member;
 use crate::member::MemberAction;
 use crate::member::MemberFinding;
@@ -24,8 +24,8 @@
 use crate::spread::SpreadAction;
 use crate::spread::SpreadFinding;
 use crate::spread::SpreadSettings;
-use crate::standing::PeerStanding;
-use crate::standing::Standing;
+use crate::sync_status::PeerSyncStatus;
+use crate::sync_status::SyncStatus;
 
 /// Settings of a [`Node`].
 #[derive(Clone, Debug, Default)]
@@ -42,7 +42,7 @@
     /// Time passed. To be given about every 100 ms: a long gap reads as an own pause.
     Tick,
     /// The platform's list of entry instances.
-    InstanceList(Vec<Listed>),
+    InstanceList(Vec<ListedInstance>),
     /// The outcome of a read of the platform.
     PlatformRead(PlatformRead),
     /// A message came, be it a request or an answer.
@@ -135,23 +135,23 @@
     }
 
     /// How fresh the configuration is, for an operator.
-    pub fn standing(&self, now: Millis) -> Standing {
+    pub fn sync_status(&self, now: Millis) -> SyncStatus {
         let view = self.member.view();
         let others = view.instances.iter().filter(|peer| peer.id != view.me);
         let peers = others.map(|peer| {
-            let mut lives = view.lives.iter().filter(|life| life.id == peer.id);
-            let live = lives.find(|life| life.status.is_live());
-            PeerStanding {
+            let mut states = view.members.iter().filter(|state| state.id == peer.id);
+            let live = states.find(|state| state.status.is_live());
+            PeerSyncStatus {
                 id: peer.id.clone(),
                 zone: peer.zone.to_string(),
-                status: live.map_or(Status::Alive, |life| life.status),
+                status: live.map_or(Status::Alive, |state| state.status),
                 revision: self.spread.heard(&peer.id),
-                heard: self.spread.heard_at(&peer.id).map(|at| now.since(at)),
+                heard_age: self.spread.heard_at(&peer.id).map(|at| now.since(at)),
             }
         });
-        Standing {
-            newest: self.spread.newest(),
-            confirmed: self.spread.confirmed_at().map(|at| now.since(at)),
+        SyncStatus {
+            newest_revision: self.spread.newest(),
+            confirmed_age: self.spread.confirmed_at().map(|at| now.since(at)),
             peers: peers.collect(),
         }
     }
--- a/crates/peers/src/shell/core.rs
+++ b/crates/peers/src/shell/core.rs
@@ -33,7 +33,7 @@
 use crate::shell::handle::Shared;
 use crate::shell::server::Doors;
 use crate::shell::settings::Settings;
-use crate::standing::Standing;
+use crate::sync_status::SyncStatus;
 
 /// The node and all that surrounds it, on one thread.
 pub(crate) struct Core {
@@ -95,8 +95,8 @@
     }
 
     /// How fresh the configuration is, for an operator.
-    pub(crate) fn standing(&self) -> Standing {
-        self.node.borrow().standing(self.clock.now())
+    pub(crate) fn sync_status(&self) -> SyncStatus {
+        self.node.borrow().sync_status(self.clock.now())
     }
 
     fn ask_platform(&self, request: PlatformRequest) {
--- a/crates/peers/src/shell/handle.rs
+++ b/crates/peers/src/shell/handle.rs
@@ -15,14 +15,14 @@
 use crate::coordination::Response;
 use crate::identity::Instance;
 use crate::identity::InstanceId;
-use crate::member::Listed;
+use crate::member::ListedInstance;
 use crate::member::View;
 use crate::node::Event;
 use crate::node::Finding;
 use crate::shell::error::CallError;
 use crate::spread::PlatformRead;
 use crate::spread::Snapshot;
-use crate::standing::Standing;
+use crate::sync_status::SyncStatus;
 
 /// Notices that a subscriber may leave unread before it misses some.
 const NOTICES: usize = 256;
@@ -64,7 +64,7 @@
         answer: oneshot::Sender<Result<Response, CallError>>,
     },
     Refresh(oneshot::Sender<()>),
-    Standing(oneshot::Sender<Standing>),
+    SyncStatus(oneshot::Sender<SyncStatus>),
     Leave(oneshot::Sender<()>),
     Stop,
 }
@@ -151,15 +151,15 @@
     }
 
     /// How fresh the configuration is at this moment; none when the thread is overloaded or stopped.
-    pub async fn standing(&self) -> Option<Standing> {
+    pub async fn sync_status(&self) -> Option<SyncStatus> {
         let (answer, answered) = oneshot::channel();
-        self.commands.try_send(Command::Standing(answer)).ok()?;
+        self.commands.try_send(Command::SyncStatus(answer)).ok()?;
         answered.await.ok()
     }
 
     /// Gives the platform's instance list in. Lost when the thread is overloaded; give it in again
     /// with the next read.
-    pub fn instance_list(&self, listed: Vec<Listed>) {
+    pub fn instance_list(&self, listed: Vec<ListedInstance>) {
         self.tell(Event::InstanceList(listed));
     }
 
--- a/crates/peers/src/shell/mod.rs
+++ b/crates/peers/src/shell/mod.rs
@@ -174,8 +174,8 @@
                 core.feed(Event::Refresh);
                 task::spawn_local(tell_when_sent(core.clone(), done));
             }
-            Command::Standing(answer) => {
-                let _ = answer.send(core.standing());
+            Command::SyncStatus(answer) => {
+                let _ = answer.send(core.sync_status());
             }
             Command::Leave(done) => {
                 core.feed(Event::Leave);
--- a/crates/peers/src/standing.rs
+++ b/crates/peers/src/sync_status.rs
@@ -7,19 +7,19 @@
 
 /// How fresh the configuration in force is, as one instance knows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct SyncStatus {
     /// The highest revision that the platform or a peer told of.
-    pub newest: u64,
+    pub newest_revision: u64,
     /// Since the platform last answered with a revision that isn't older than the one held; none
     /// when it never did.
-    pub confirmed: Option<Millis>,
+    pub confirmed_age: Option<Millis>,
     /// The live peers, in order of their names.
-    pub peers: Vec<PeerStanding>,
+    pub peers: Vec<PeerSyncStatus>,
 }
 
 /// What is known of a live peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PeerStanding {
+pub struct PeerSyncStatus {
     /// The peer.
     pub id: InstanceId,
     /// Its availability zone.
@@ -29,5 +29,5 @@
     /// The revision that it told last; 0 when none was heard.
     pub revision: u64,
     /// Since it was last heard by this instance itself; none when it never was, or doesn't answer.
-    pub heard: Option<Millis>,
+    pub heard_age: Option<Millis>,
 }
--- a/crates/peers/tests/fleet/mod.rs
+++ b/crates/peers/tests/fleet/mod.rs
@@ -19,7 +19,7 @@
 use crocushold_peers::IndexEntry;
 use crocushold_peers::Instance;
 use crocushold_peers::InstanceId;
-use crocushold_peers::Listed;
+use crocushold_peers::ListedInstance;
 use crocushold_peers::Message;
 use crocushold_peers::Node;
 use crocushold_peers::NodeSettings;
@@ -300,9 +300,9 @@
     }
 
     /// The platform's list as it should be now.
-    pub(crate) fn listing(&self) -> Vec<Listed> {
+    pub(crate) fn listing(&self) -> Vec<ListedInstance> {
         let alive = self.slots.iter().filter(|slot| slot.alive);
-        let listed = alive.map(|slot| Listed {
+        let listed = alive.map(|slot| ListedInstance {
             instance: slot.instance.clone(),
             leaving: false,
         });
--- a/crates/peers/tests/membership.rs
+++ b/crates/peers/tests/membership.rs
@@ -12,7 +12,7 @@
 use crocushold_peers::Incarnation;
 use crocushold_peers::Instance;
 use crocushold_peers::InstanceId;
-use crocushold_peers::Listed;
+use crocushold_peers::ListedInstance;
 use crocushold_peers::Member;
 use crocushold_peers::MemberAction;
 use crocushold_peers::MemberFinding;
@@ -365,7 +365,7 @@
     let life = Incarnation::starting(5);
     let mut now = Millis(1000);
     let mut member = Member::new(settings, instance(1), life, 1, now);
-    let peer = Listed {
+    let peer = ListedInstance {
         instance: instance(2),
         leaving: false,
     };
--- a/crates/peers/tests/newcomer.rs
+++ b/crates/peers/tests/newcomer.rs
@@ -7,7 +7,7 @@
 use crocushold_peers::Event;
 use crocushold_peers::Incarnation;
 use crocushold_peers::Instance;
-use crocushold_peers::Listed;
+use crocushold_peers::ListedInstance;
 use crocushold_peers::Node;
 use crocushold_peers::NodeSettings;
 use test_case::test_case;
@@ -40,11 +40,11 @@
             nodes: nodes.collect(),
             now,
         };
-        let listed = (0..count).map(|number| Listed {
+        let listed = (0..count).map(|number| ListedInstance {
             instance: instance(number),
             leaving: false,
         });
-        let listed: Vec<Listed> = listed.collect();
+        let listed: Vec<ListedInstance> = listed.collect();
         for at in 0..count {
             group.feed(at, Event::InstanceList(listed.clone()));
         }
--- a/crates/peers/tests/sockets.rs
+++ b/crates/peers/tests/sockets.rs
@@ -39,7 +39,7 @@
 use crocushold_peers::IndexEntry;
 use crocushold_peers::Instance;
 use crocushold_peers::Limits;
-use crocushold_peers::Listed;
+use crocushold_peers::ListedInstance;
 use crocushold_peers::PartText;
 use crocushold_peers::PeerHandle;
 use crocushold_peers::PeerNode;
@@ -126,9 +126,9 @@
 
 fn introduce(handles: &[&PeerHandle], others: &[Instance]) {
     let mine = handles.iter().map(|handle| handle.me().clone());
-    let listed: Vec<Listed> = mine
+    let listed: Vec<ListedInstance> = mine
         .chain(others.iter().cloned())
-        .map(|instance| Listed {
+        .map(|instance| ListedInstance {
             instance,
             leaving: false,
         })
--- a/crates/peers/tests/spread.rs
+++ b/crates/peers/tests/spread.rs
@@ -76,8 +76,8 @@
 /// The oldest and the youngest confirmation that any instance knows of.
 fn confirmed(fleet: &Fleet) -> (Millis, Millis) {
     let ages = fleet.alive().map(|slot| {
-        let standing = slot.node.standing(fleet.now);
-        standing.confirmed.expect("it was confirmed once")
+        let status = slot.node.sync_status(fleet.now);
+        status.confirmed_age.expect("it was confirmed once")
     });
     let ages: Vec<Millis> = ages.collect();
     let (oldest, youngest) = (ages.iter().max(), ages.iter().min());
@@ -107,9 +107,9 @@
     let (oldest, _) = confirmed(&fleet);
     assert!(oldest < Millis::from_secs(5), "{oldest}");
     for slot in fleet.alive() {
-        let standing = slot.node.standing(fleet.now);
-        assert_eq!(standing.newest, newest);
-        assert!(standing.peers.iter().any(|peer| peer.revision == newest));
+        let status = slot.node.sync_status(fleet.now);
+        assert_eq!(status.newest_revision, newest);
+        assert!(status.peers.iter().any(|peer| peer.revision == newest));
     }
 }
 
--- a/crates/peers/tests/stranger.rs
+++ b/crates/peers/tests/stranger.rs
@@ -19,7 +19,7 @@
 use crocushold_ownership::ReturnRequest;
 use crocushold_peers::CallError;
 use crocushold_peers::Instance;
-use crocushold_peers::Listed;
+use crocushold_peers::ListedInstance;
 use crocushold_peers::PeerHandle;
 use crocushold_peers::PeerNode;
 use crocushold_peers::Refuse;
@@ -139,7 +139,7 @@
         let node = start();
         let trap = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
         let address = trap.local_addr().expect("bound");
-        let listed = Listed {
+        let listed = ListedInstance {
             instance: Instance::new("entry-2", address, "stgo-a"),
             leaving: false,
         };
--- a/crates/peers/tests/versions.rs
+++ b/crates/peers/tests/versions.rs
@@ -33,7 +33,7 @@
 use crocushold_peers::Index;
 use crocushold_peers::IndexEntry;
 use crocushold_peers::Instance;
-use crocushold_peers::Listed;
+use crocushold_peers::ListedInstance;
 use crocushold_peers::PartText;
 use crocushold_peers::PeerHandle;
 use crocushold_peers::PeerNode;
@@ -165,7 +165,7 @@
         }
     }
 
-    fn list(&self, listed: Vec<Listed>) {
+    fn list(&self, listed: Vec<ListedInstance>) {
         match self {
             Program::Old(old) => old.feed(Event::InstanceList(listed)),
             Program::Present(handle) => handle.instance_list(listed),
@@ -190,11 +190,11 @@
     }
 
     fn introduce(&self) {
-        let listed = self.programs.iter().map(|program| Listed {
+        let listed = self.programs.iter().map(|program| ListedInstance {
             instance: program.me().clone(),
             leaving: false,
         });
-        let listed: Vec<Listed> = listed.collect();
+        let listed: Vec<ListedInstance> = listed.collect();
         for program in &self.programs {
             program.list(listed.clone());
         }
