--- a/crates/peers/examples/embed.rs
+++ b/crates/peers/examples/embed.rs
@@ -20,7 +20,7 @@
 use crocushold_peers::PeerNode;
 use crocushold_peers::PlatformRead;
 use crocushold_peers::PlatformRequest;
-use crocushold_peers::Refuse;
+use crocushold_peers::RefuseAll;
 use crocushold_peers::Settings;
 use crocushold_peers::SharedKey;
 use crocushold_peers::Started;
@@ -72,7 +72,7 @@
     let me = Instance::new(&format!("entry-{number}"), address, zone);
     let key = SharedKey::new(b"an example's key");
     let settings = Settings::new(me, key, number, number);
-    Ok(PeerNode::start(settings, Arc::new(Refuse))?)
+    Ok(PeerNode::start(settings, Arc::new(RefuseAll))?)
 }
 
 /// Answers a node's reads of the platform, as the embedder's HTTP client would.
--- a/crates/peers/examples/wire.rs
+++ b/crates/peers/examples/wire.rs
@@ -23,7 +23,7 @@
 use crocushold_peers::PeerHandle;
 use crocushold_peers::PeerNode;
 use crocushold_peers::PlatformRead;
-use crocushold_peers::Refuse;
+use crocushold_peers::RefuseAll;
 use crocushold_peers::Settings;
 use crocushold_peers::SharedKey;
 
@@ -114,7 +114,7 @@
     };
     let counter = counter.clone();
     thread::spawn(move || forward_all(&front, listen, &counter));
-    let started = PeerNode::start(settings, Arc::new(Refuse))?;
+    let started = PeerNode::start(settings, Arc::new(RefuseAll))?;
     Ok(started.handle)
 }
 
--- a/crates/peers/src/auth.rs
+++ b/crates/peers/src/auth.rs
@@ -28,7 +28,7 @@
 pub type Proof = [u8; 32];
 
 /// Draws a challenge.
-pub(crate) fn challenge(rng: &mut impl Rng) -> Challenge {
+pub(crate) fn random_challenge(rng: &mut impl Rng) -> Challenge {
     let mut challenge = Challenge::default();
     rng.fill_bytes(&mut challenge);
     challenge
@@ -88,9 +88,9 @@
     /// The end that connected.
     pub caller: InstanceId,
     /// Its challenge.
-    pub challenge: Challenge,
+    pub caller_challenge: Challenge,
     /// The other end's challenge.
-    pub answer: Challenge,
+    pub callee_challenge: Challenge,
 }
 
 impl Transcript {
@@ -101,8 +101,8 @@
             Role::Callee => b"crocushold peer callee\0".as_slice(),
         });
         message.extend_from_slice(&self.version.to_be_bytes());
-        message.extend_from_slice(&self.challenge);
-        message.extend_from_slice(&self.answer);
+        message.extend_from_slice(&self.caller_challenge);
+        message.extend_from_slice(&self.callee_challenge);
         message.extend_from_slice(self.caller.as_str().as_bytes());
         hmac_sha256(&key.0, &message)
     }
--- a/crates/peers/src/coordination/mod.rs
+++ b/crates/peers/src/coordination/mod.rs
@@ -51,9 +51,9 @@
 
 /// A handler that refuses every call.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Refuse;
+pub struct RefuseAll;
 
-impl Handler for Refuse {
+impl Handler for RefuseAll {
     fn handle(&self, _from: Member, _request: Request) -> Response {
         Response::Refused
     }
--- a/crates/peers/src/coordination/wire.rs
+++ b/crates/peers/src/coordination/wire.rs
@@ -41,7 +41,7 @@
 
 /// A vote or outcome as numbers.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Coded {
+pub(crate) struct VoteCode {
     pub(crate) kind: u16,
     pub(crate) status: u16,
     pub(crate) retry: Millis,
@@ -81,24 +81,24 @@
     })
 }
 
-pub(crate) fn code_vote(vote: Vote) -> Coded {
-    let plain = |kind| Coded {
+pub(crate) fn encode_vote(vote: Vote) -> VoteCode {
+    let plain = |kind| VoteCode {
         kind,
-        ..Coded::default()
+        ..VoteCode::default()
     };
-    let later = |kind, retry| Coded {
+    let later = |kind, retry| VoteCode {
         kind,
         retry,
-        ..Coded::default()
+        ..VoteCode::default()
     };
     match vote {
         Vote::Unknown => plain(0),
         Vote::Granted => plain(1),
         Vote::InProgress { retry_after } => later(2, retry_after),
-        Vote::Done { status } => Coded {
+        Vote::Done { status } => VoteCode {
             kind: 3,
             status,
-            ..Coded::default()
+            ..VoteCode::default()
         },
         Vote::Mismatch => plain(4),
         Vote::Full { retry_after } => later(5, retry_after),
@@ -107,13 +107,13 @@
     }
 }
 
-pub(crate) fn read_vote(coded: Coded) -> Vote {
-    let retry_after = coded.retry;
-    match coded.kind {
+pub(crate) fn decode_vote(code: VoteCode) -> Vote {
+    let retry_after = code.retry;
+    match code.kind {
         1 => Vote::Granted,
         2 => Vote::InProgress { retry_after },
         3 => Vote::Done {
-            status: coded.status,
+            status: code.status,
         },
         4 => Vote::Mismatch,
         5 => Vote::Full { retry_after },
@@ -123,20 +123,20 @@
     }
 }
 
-pub(crate) fn code_outcome(outcome: Outcome) -> Coded {
+pub(crate) fn encode_outcome(outcome: Outcome) -> VoteCode {
     let (kind, status) = match outcome {
         Outcome::Unknown => (0, 0),
         Outcome::Completed { status } => (1, status),
         Outcome::NotRun => (2, 0),
     };
-    Coded {
+    VoteCode {
         kind,
         status,
-        ..Coded::default()
+        ..VoteCode::default()
     }
 }
 
-pub(crate) fn read_outcome(kind: u16, status: u16) -> Outcome {
+pub(crate) fn decode_outcome(kind: u16, status: u16) -> Outcome {
     match kind {
         1 => Outcome::Completed { status },
         2 => Outcome::NotRun,
--- a/crates/peers/src/member/join.rs
+++ b/crates/peers/src/member/join.rs
@@ -13,7 +13,7 @@
 
 /// Wait after all contacts refused at once. Without it a newcomer whose peers aren't up yet would
 /// try them as fast as the network refuses.
-const REFUSED_WAIT: Millis = Millis(200);
+const REFUSED_RETRY_DELAY: Millis = Millis(200);
 
 /// How far the instance is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,8 +31,8 @@
 pub(super) struct Join {
     stage: Stage,
     since: Millis,
-    asked: Vec<InstanceId>,
-    last_try: Option<Millis>,
+    contacted: Vec<InstanceId>,
+    last_attempt: Option<Millis>,
     last_sync: Option<Millis>,
 }
 
@@ -41,8 +41,8 @@
         Join {
             stage: Stage::Joining,
             since: now,
-            asked: Vec::new(),
-            last_try: None,
+            contacted: Vec::new(),
+            last_attempt: None,
             last_sync: None,
         }
     }
@@ -61,29 +61,29 @@
         self.stage == Stage::Resuming
     }
 
-    pub(super) fn answered(&mut self) {
+    pub(super) fn settle(&mut self) {
         self.stage = Stage::Settled;
-        self.asked.clear();
+        self.contacted.clear();
     }
 
     pub(super) fn failed(&mut self, peer: &InstanceId) {
-        self.asked.retain(|asked| asked != peer);
+        self.contacted.retain(|id| id != peer);
     }
 }
 
 impl Member {
     /// Suspects an own pause when ticks have a gap: what is known is old, answers were lost, and
     /// others may have declared this instance dead. Accusing them from that knowledge would take
-    /// healthy members out of the view, so a peer is asked first.
-    pub(super) fn notice_pause(&mut self, now: Millis) {
+    /// healthy members out of the view, so a peer is contacted first.
+    pub(super) fn detect_pause(&mut self, now: Millis) {
         let gap = now.since(self.last_tick.unwrap_or(now));
-        if gap < self.settings.pause || self.left {
+        if gap < self.settings.pause_threshold || self.left {
             return;
         }
         self.report(MemberFinding::Paused(gap));
         self.prober.reset();
         self.restart_suspicions(now);
-        self.worsen();
+        self.raise_health_score();
         self.incarnation = self.incarnation.next();
         self.publish_self(now);
         if self.join.is_settled() {
@@ -98,49 +98,49 @@
         if self.left {
             return;
         }
-        if !self.join.is_settled() && now.since(self.join.since) >= self.settings.join_wait {
-            self.join.answered();
+        if !self.join.is_settled() && now.since(self.join.since) >= self.settings.join_timeout {
+            self.join.settle();
             self.restart_suspicions(now);
         }
-        if self.is_time_to_try(now) {
-            self.try_contacts(now);
+        if self.attempt_is_due(now) {
+            self.contact_peers(now);
         }
     }
 
-    fn is_time_to_try(&self, now: Millis) -> bool {
-        let Some(last) = self.join.last_try else {
+    fn attempt_is_due(&self, now: Millis) -> bool {
+        let Some(last) = self.join.last_attempt else {
             return true;
         };
-        let hurried = !self.join.is_settled() || self.live() <= 1;
-        let wait = if hurried {
+        let urgent = !self.join.is_settled() || self.live() <= 1;
+        let wait = if urgent {
             self.settings.probe_interval
         } else {
             self.settings.retry_interval
         };
-        let idle = self.join.is_joining() && self.join.asked.is_empty();
+        let idle = self.join.is_joining() && self.join.contacted.is_empty();
         let waited = now.since(last);
-        waited >= wait || (idle && waited >= REFUSED_WAIT)
+        waited >= wait || (idle && waited >= REFUSED_RETRY_DELAY)
     }
 
-    fn try_contacts(&mut self, now: Millis) {
+    fn contact_peers(&mut self, now: Millis) {
         let settled = self.join.is_settled() && self.live() > 1;
         let count = if settled { 1 } else { self.settings.helpers };
-        let mut contacts = self.lost(count);
+        let mut contacts = self.missing_instances(count);
         if self.join.is_resuming() {
             contacts = self.sample(count);
         }
         if contacts.is_empty() {
             return;
         }
-        self.join.last_try = Some(now);
+        self.join.last_attempt = Some(now);
         for contact in contacts {
-            self.join.asked.push(contact.id.clone());
+            self.join.contacted.push(contact.id.clone());
             self.send_sync(&contact.id);
         }
     }
 
     /// Instances that should live but aren't in the view: listed by the platform, or lost.
-    fn lost(&mut self, count: usize) -> Vec<Instance> {
+    fn missing_instances(&mut self, count: usize) -> Vec<Instance> {
         let is_out = |id: &InstanceId| {
             let record = self.table.get(id);
             record.is_none_or(|record| record.status == Status::Dead)
@@ -151,8 +151,8 @@
             .iter()
             .filter(|r| r.status == Status::Dead && !self.listed.contains_key(&r.instance.id))
             .map(|r| &r.instance);
-        let lost = listed.chain(dead).sample(&mut self.rng, count);
-        lost.into_iter().cloned().collect()
+        let missing = listed.chain(dead).sample(&mut self.rng, count);
+        missing.into_iter().cloned().collect()
     }
 
     pub(super) fn send_sync(&mut self, to: &InstanceId) {
@@ -171,14 +171,14 @@
     pub(super) fn on_members(&mut self, from: &InstanceId, updates: &[Update], now: Millis) {
         let origin = self.origin();
         let mut newer = Vec::new();
-        for update in updates.iter().take(self.settings.members) {
+        for update in updates.iter().take(self.settings.max_members) {
             self.apply(update, now);
             let known = self.table.get(&update.instance.id);
             let overruled =
                 known.filter(|r| (r.incarnation, r.status) > (update.incarnation, update.status));
             newer.extend(overruled.map(|record| record.update(origin)));
         }
-        self.join.answered();
+        self.join.settle();
         // What the other holds alive is dead here, as after a split: it has to be refuted over
         // there, or the two halves never agree again.
         if !newer.is_empty() {
@@ -187,17 +187,17 @@
     }
 
     /// Compares views when both ends should long have heard the same.
-    pub(super) fn compare(&mut self, from: &InstanceId, digest: u64, now: Millis) {
+    pub(super) fn compare_views(&mut self, from: &InstanceId, digest: u64, now: Millis) {
         if digest == 0 || digest == self.digest() {
-            self.mismatch.remove(from);
+            self.mismatch_since.remove(from);
             return;
         }
         // By peer: one that agrees must not hide another that doesn't, or a newcomer among many that
         // agree would never be told of them.
-        if self.mismatch.len() >= self.settings.members {
-            self.mismatch.clear();
+        if self.mismatch_since.len() >= self.settings.max_members {
+            self.mismatch_since.clear();
         }
-        let since = *self.mismatch.entry(from.clone()).or_insert(now);
+        let since = *self.mismatch_since.entry(from.clone()).or_insert(now);
         let interval = self.settings.sync_interval;
         let recent = self.join.last_sync.is_some_and(|t| now.since(t) < interval);
         if now.since(since) < interval || recent {
--- a/crates/peers/src/member/merge.rs
+++ b/crates/peers/src/member/merge.rs
@@ -5,14 +5,14 @@
 use crate::identity::InstanceId;
 use crate::member::Member;
 use crate::member::MemberFinding;
-use crate::member::table::Merge;
+use crate::member::table::MergeOutcome;
 use crate::message::Gossip;
 use crate::message::Status;
 use crate::message::Update;
 
 impl Member {
     /// Takes in what a message says by itself: its sender lives, in the given incarnation.
-    pub(super) fn hear(&mut self, from: &InstanceId, gossip: &Gossip, now: Millis) {
+    pub(super) fn observe_sender(&mut self, from: &InstanceId, gossip: &Gossip, now: Millis) {
         let Some(record) = self.table.get_mut(from) else {
             return;
         };
@@ -32,7 +32,7 @@
             // suspicion starts again so that the refutation has time to come.
             *suspicion = suspicion.restarted(now);
         }
-        self.compare(from, gossip.view_digest, now);
+        self.compare_views(from, gossip.view_digest, now);
     }
 
     /// Applies another's statement about a member.
@@ -42,22 +42,22 @@
             return;
         }
         let mut update = update.clone();
-        if update.status == Status::Dead && self.holds_alive(&update) {
+        if update.status == Status::Dead && self.considers_alive(&update) {
             // Late gossip from the far side of a split would remove a member that answers here.
             // As a suspicion it leaves the member the time to refute it.
             update.status = Status::Suspect;
         }
         if self.merge(&update, now) {
-            self.bury_predecessors(&update, now);
+            self.remove_predecessors(&update, now);
             return;
         }
-        self.queue.heard(&update);
+        self.queue.mark_received(&update);
         if update.status == Status::Suspect {
             self.confirm_suspicion(&update, now);
         }
     }
 
-    pub(super) fn holds_alive(&self, update: &Update) -> bool {
+    pub(super) fn considers_alive(&self, update: &Update) -> bool {
         self.table
             .get(&update.instance.id)
             .is_some_and(|known| known.status == Status::Alive)
@@ -76,7 +76,7 @@
         };
         self.report(finding);
         // Being suspected while alive is a sign of being slow oneself.
-        self.worsen();
+        self.raise_health_score();
         self.incarnation = update.incarnation.next();
         self.publish_self(now);
     }
@@ -84,13 +84,13 @@
     /// Merges an update and passes it on; returns whether it was news.
     pub(super) fn merge(&mut self, update: &Update, now: Millis) -> bool {
         let before = self.table.digest();
-        match self.table.merge(update, self.settings.members, now) {
-            Merge::Old => return false,
-            Merge::Full => {
+        match self.table.merge(update, self.settings.max_members, now) {
+            MergeOutcome::Stale => return false,
+            MergeOutcome::Full => {
                 self.report(MemberFinding::Full(update.instance.id.clone()));
                 return false;
             }
-            Merge::Changed => {}
+            MergeOutcome::Changed => {}
         }
         // A newcomer's whole view is news to nobody else.
         if !self.join.is_joining() || update.instance.id == self.me.id {
@@ -104,7 +104,7 @@
     }
 
     /// A live newcomer at an address proves that an earlier user of the address is gone.
-    pub(super) fn bury_predecessors(&mut self, update: &Update, now: Millis) {
+    pub(super) fn remove_predecessors(&mut self, update: &Update, now: Millis) {
         if update.status != Status::Alive {
             return;
         }
--- a/crates/peers/src/member/mod.rs
+++ b/crates/peers/src/member/mod.rs
@@ -26,7 +26,7 @@
 use crate::identity::InstanceId;
 use crate::member::join::Join;
 use crate::member::probe::Prober;
-use crate::member::queue::Queue;
+use crate::member::queue::UpdateQueue;
 use crate::member::table::Table;
 use crate::message::Body;
 use crate::message::Gossip;
@@ -84,14 +84,14 @@
     incarnation: Incarnation,
     left: bool,
     table: Table,
-    queue: Queue,
+    queue: UpdateQueue,
     listed: BTreeMap<InstanceId, Instance>,
     targets: Option<Vec<InstanceId>>,
     prober: Prober,
     join: Join,
-    health: u64,
+    health_score: u64,
     last_tick: Option<Millis>,
-    mismatch: BTreeMap<InstanceId, Millis>,
+    mismatch_since: BTreeMap<InstanceId, Millis>,
     version: u64,
     rng: SmallRng,
     actions: Vec<MemberAction>,
@@ -112,14 +112,14 @@
             incarnation,
             left: false,
             table: Table::default(),
-            queue: Queue::default(),
+            queue: UpdateQueue::default(),
             listed: BTreeMap::new(),
             targets: None,
             prober: Prober::default(),
             join: Join::new(now),
-            health: 0,
+            health_score: 0,
             last_tick: None,
-            mismatch: BTreeMap::new(),
+            mismatch_since: BTreeMap::new(),
             version: 0,
             rng: SmallRng::seed_from_u64(seed),
             actions: Vec::new(),
@@ -186,8 +186,8 @@
         if self.targets.is_none() {
             let me = &self.me.id;
             let others = self.table.live().filter(|r| r.instance.id != *me);
-            let mine = ring::places(me);
-            let others = others.map(|r| (&r.instance.id, &r.places));
+            let mine = ring::positions(me);
+            let others = others.map(|r| (&r.instance.id, &r.positions));
             self.targets = Some(ring::successors(&mine, others));
         }
         self.targets.as_deref().unwrap_or_default()
@@ -210,17 +210,17 @@
         {
             updates.push(record.update(self.origin()));
         }
-        let room = self.settings.updates.saturating_sub(updates.len());
+        let room = self.settings.max_updates.saturating_sub(updates.len());
         updates.extend(self.queue.take(room, self.table.live_count()));
         updates
     }
 
     /// Takes the platform's list in.
-    pub fn list(&mut self, listed: &[ListedInstance], now: Millis) -> Vec<MemberAction> {
+    pub fn set_listed(&mut self, listed: &[ListedInstance], now: Millis) -> Vec<MemberAction> {
         let seeds = listed
             .iter()
             .filter(|entry| !entry.leaving && entry.instance.id != self.me.id)
-            .take(self.settings.members);
+            .take(self.settings.max_members);
         self.listed = seeds
             .map(|entry| (entry.instance.id.clone(), entry.instance.clone()))
             .collect();
@@ -229,13 +229,13 @@
     }
 
     /// Number of instances in the platform's last list that may be reached.
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
 
     /// Lets time pass. To be called several times a probe timeout.
     pub fn tick(&mut self, now: Millis) -> Vec<MemberAction> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         self.last_tick = Some(now);
         if self.left {
             return self.finish();
@@ -245,9 +245,9 @@
             self.advance_probe(now);
             self.expire_suspicions(now);
         }
-        self.expire_relays(now);
+        self.expire_relayed_probes(now);
         self.queue.expire(now);
-        self.table.expire(self.settings.tombstone, now);
+        self.table.expire(self.settings.tombstone_ttl, now);
         self.finish()
     }
 
@@ -262,7 +262,7 @@
         for update in &gossip.updates {
             self.apply(update, now);
         }
-        self.hear(from, gossip, now);
+        self.observe_sender(from, gossip, now);
         match body {
             Body::Probe(_) => self.actions.push(MemberAction::Reply(self.ack())),
             Body::Ack(id) => self.on_ack(from, id, now),
@@ -332,7 +332,7 @@
     }
 
     fn origin(&self) -> u32 {
-        ring::place(0, &self.me.id) as u32
+        ring::hash_id(0, &self.me.id) as u32
     }
 
     /// What this instance says of itself to one that may not know it.
@@ -359,16 +359,16 @@
         self.merge(&update, now);
     }
 
-    fn worsen(&mut self) {
-        self.health = (self.health + 1).min(self.settings.health_ceiling);
+    fn raise_health_score(&mut self) {
+        self.health_score = (self.health_score + 1).min(self.settings.max_health_score);
     }
 
-    fn improve(&mut self) {
-        self.health = self.health.saturating_sub(1);
+    fn lower_health_score(&mut self) {
+        self.health_score = self.health_score.saturating_sub(1);
     }
 
     /// Spans grow with the local health score: an instance that is slow itself accuses later.
     fn scaled(&self, span: Millis) -> Millis {
-        Millis(span.0 * (self.health + 1))
+        Millis(span.0 * (self.health_score + 1))
     }
 }
--- a/crates/peers/src/member/probe.rs
+++ b/crates/peers/src/member/probe.rs
@@ -9,7 +9,7 @@
 use crate::message::Update;
 
 /// Probes that are made for others at a time.
-const RELAYS: usize = 64;
+const MAX_RELAYED_PROBES: usize = 64;
 
 /// A probe that isn't answered yet.
 #[derive(Debug)]
@@ -17,12 +17,12 @@
     target: InstanceId,
     sent: Millis,
     indirect: bool,
-    denied: bool,
+    helper_answered: bool,
 }
 
 /// A probe made for another.
 #[derive(Debug)]
-struct Relay {
+struct RelayedProbe {
     target: InstanceId,
     requester: InstanceId,
     deadline: Millis,
@@ -32,8 +32,8 @@
 #[derive(Debug, Default)]
 pub(super) struct Prober {
     pending: Option<Pending>,
-    relays: Vec<Relay>,
-    turn: usize,
+    relayed: Vec<RelayedProbe>,
+    next_target: usize,
     last: Option<Millis>,
 }
 
@@ -41,14 +41,14 @@
     /// Drops probes whose answers may have been lost in an own pause.
     pub(super) fn reset(&mut self) {
         self.pending = None;
-        self.relays.clear();
+        self.relayed.clear();
     }
 }
 
 impl Member {
     pub(super) fn advance_probe(&mut self, now: Millis) {
-        self.ask_helpers_when_late(now);
-        self.judge_when_over(now);
+        self.probe_indirectly_on_timeout(now);
+        self.conclude_probe(now);
         self.start_probe(now);
     }
 
@@ -58,24 +58,24 @@
         if waits || self.prober.pending.is_some() {
             return;
         }
-        let turn = self.prober.turn;
+        let next_target = self.prober.next_target;
         let targets = self.targets();
         if targets.is_empty() {
             return;
         }
-        let target = targets[turn % targets.len()].clone();
-        self.prober.turn = turn.wrapping_add(1);
+        let target = targets[next_target % targets.len()].clone();
+        self.prober.next_target = next_target.wrapping_add(1);
         self.prober.last = Some(now);
         self.prober.pending = Some(Pending {
             target: target.clone(),
             sent: now,
             indirect: false,
-            denied: false,
+            helper_answered: false,
         });
         self.send(&target, Body::Probe(target.clone()));
     }
 
-    fn ask_helpers_when_late(&mut self, now: Millis) {
+    fn probe_indirectly_on_timeout(&mut self, now: Millis) {
         let timeout = self.scaled(self.settings.probe_timeout);
         let late = self
             .prober
@@ -83,11 +83,11 @@
             .as_ref()
             .is_some_and(|p| now.since(p.sent) >= timeout);
         if late {
-            self.ask_helpers();
+            self.probe_indirectly();
         }
     }
 
-    fn ask_helpers(&mut self) {
+    fn probe_indirectly(&mut self) {
         let Some(pending) = &mut self.prober.pending else {
             return;
         };
@@ -96,10 +96,10 @@
         }
         pending.indirect = true;
         let target = pending.target.clone();
-        self.send_to_helpers(&target);
+        self.send_indirect_probes(&target);
     }
 
-    fn send_to_helpers(&mut self, target: &InstanceId) {
+    fn send_indirect_probes(&mut self, target: &InstanceId) {
         let helpers = self.sample(self.settings.helpers + 1);
         let helpers = helpers.into_iter().filter(|h| h.id != *target);
         for helper in helpers.take(self.settings.helpers) {
@@ -110,19 +110,19 @@
     pub(super) fn probe_failed(&mut self, peer: &InstanceId) {
         let probed = self.prober.pending.as_ref().map(|p| &p.target);
         if probed == Some(peer) {
-            self.ask_helpers();
+            self.probe_indirectly();
         }
     }
 
-    fn judge_when_over(&mut self, now: Millis) {
+    fn conclude_probe(&mut self, now: Millis) {
         let interval = self.scaled(self.settings.probe_interval);
         let over = |pending: &mut Pending| now.since(pending.sent) >= interval;
         let Some(pending) = self.prober.pending.take_if(over) else {
             return;
         };
         // When not even a helper answered, the fault may well be this instance's own.
-        if !pending.denied {
-            self.worsen();
+        if !pending.helper_answered {
+            self.raise_health_score();
         }
         self.suspect(&pending.target, now);
     }
@@ -159,7 +159,7 @@
     }
 
     /// Time from suspicion to death: long at first, shorter with each independent suspicion.
-    fn suspicion_span(&self, suspicions: usize) -> Millis {
+    fn suspicion_timeout(&self, suspicions: usize) -> Millis {
         let settings = &self.settings;
         let magnitude = (self.live().max(10) as f64).log10();
         let interval = settings.probe_interval.0 as f64;
@@ -173,14 +173,14 @@
     pub(super) fn expire_suspicions(&mut self, now: Millis) {
         let suspects = self.table.live().filter_map(|record| {
             let suspicion = record.suspicion.as_ref()?;
-            let span = self.suspicion_span(suspicion.origins.len());
+            let span = self.suspicion_timeout(suspicion.origins.len());
             let expired = now.since(suspicion.since) >= span;
-            expired.then(|| (record.instance.id.clone(), suspicion.last_call))
+            expired.then(|| (record.instance.id.clone(), suspicion.final_probe))
         });
         let suspects: Vec<_> = suspects.collect();
-        for (id, last_call) in suspects {
-            match last_call {
-                None => self.make_last_call(&id, now),
+        for (id, final_probe) in suspects {
+            match final_probe {
+                None => self.send_final_probe(&id, now),
                 Some(t) if now.since(t) >= self.scaled(self.settings.probe_interval) => {
                     self.declare(&id, Status::Dead, now);
                 }
@@ -191,13 +191,13 @@
 
     /// Probes a suspect once more, directly and through helpers. Its refutation may have got lost on the way here alone; a death
     /// declared then would take a healthy member out of every view.
-    fn make_last_call(&mut self, id: &InstanceId, now: Millis) {
+    fn send_final_probe(&mut self, id: &InstanceId, now: Millis) {
         let record = self.table.get_mut(id);
         if let Some(suspicion) = record.and_then(|record| record.suspicion.as_mut()) {
-            suspicion.last_call = Some(now);
+            suspicion.final_probe = Some(now);
         }
         self.send(id, Body::Probe(id.clone()));
-        self.send_to_helpers(id);
+        self.send_indirect_probes(id);
     }
 
     /// Starts running suspicions again, as refutations may have been lost in an own pause.
@@ -225,64 +225,64 @@
             self.declare(from, Status::Dead, now);
             return;
         }
-        self.join.answered();
-        self.settle_probe(from);
-        self.answer_relays(from);
+        self.join.settle();
+        self.complete_probe(from);
+        self.confirm_relayed_probes(from);
     }
 
-    fn settle_probe(&mut self, target: &InstanceId) {
+    fn complete_probe(&mut self, target: &InstanceId) {
         let settled = self.prober.pending.take_if(|p| p.target == *target);
         if settled.is_some() {
-            self.improve();
+            self.lower_health_score();
         }
     }
 
-    fn answer_relays(&mut self, target: &InstanceId) {
-        let relays = &mut self.prober.relays;
-        let answered: Vec<Relay> = relays.extract_if(.., |r| r.target == *target).collect();
+    fn confirm_relayed_probes(&mut self, target: &InstanceId) {
+        let relayed = &mut self.prober.relayed;
+        let answered: Vec<RelayedProbe> = relayed.extract_if(.., |r| r.target == *target).collect();
         for relay in answered {
-            self.answer_relay(relay, true);
+            self.confirm_relayed_probe(relay, true);
         }
     }
 
-    fn answer_relay(&mut self, relay: Relay, alive: bool) {
+    fn confirm_relayed_probe(&mut self, relay: RelayedProbe, alive: bool) {
         let target = relay.target;
         self.send(&relay.requester, Body::Confirm { target, alive });
     }
 
     pub(super) fn on_indirect(&mut self, from: &InstanceId, target: &InstanceId, now: Millis) {
-        let relay = Relay {
+        let relay = RelayedProbe {
             target: target.clone(),
             requester: from.clone(),
             deadline: now + self.settings.probe_timeout,
         };
         let known = self.table.get(target).is_some();
-        if !known || self.prober.relays.len() >= RELAYS {
-            self.answer_relay(relay, false);
+        if !known || self.prober.relayed.len() >= MAX_RELAYED_PROBES {
+            self.confirm_relayed_probe(relay, false);
             return;
         }
-        self.prober.relays.push(relay);
+        self.prober.relayed.push(relay);
         self.send(target, Body::Probe(target.clone()));
     }
 
-    pub(super) fn expire_relays(&mut self, now: Millis) {
-        let relays = &mut self.prober.relays;
-        let expired: Vec<Relay> = relays.extract_if(.., |r| now >= r.deadline).collect();
+    pub(super) fn expire_relayed_probes(&mut self, now: Millis) {
+        let relayed = &mut self.prober.relayed;
+        let expired: Vec<RelayedProbe> = relayed.extract_if(.., |r| now >= r.deadline).collect();
         for relay in expired {
-            self.answer_relay(relay, false);
+            self.confirm_relayed_probe(relay, false);
         }
     }
 
     pub(super) fn on_confirm(&mut self, target: &InstanceId, alive: bool, now: Millis) {
         if alive {
-            self.settle_probe(target);
+            self.complete_probe(target);
             self.restart_suspicion(target, now);
             return;
         }
         if let Some(pending) = &mut self.prober.pending
             && pending.target == *target
         {
-            pending.denied = true;
+            pending.helper_answered = true;
         }
     }
 }
--- a/crates/peers/src/member/queue.rs
+++ b/crates/peers/src/member/queue.rs
@@ -8,13 +8,13 @@
 use crate::message::Update;
 
 /// Transmissions of an update, as a multiple of the binary logarithm of the number of members.
-const TRANSMISSIONS: u32 = 2;
+const TRANSMISSION_FACTOR: u32 = 2;
 
 /// Least logarithm that counts, so that a newcomer who knows nobody yet isn't forgotten.
-const LEAST_LOG: u32 = 4;
+const MIN_LOG: u32 = 4;
 
 /// Time after which an update is left to the comparison of views.
-const LIFETIME: Millis = Millis::from_secs(15);
+const MAX_AGE: Millis = Millis::from_secs(15);
 
 /// An update and how often it was passed on.
 #[derive(Debug)]
@@ -26,11 +26,11 @@
 
 /// The updates that are piggybacked on messages, at most one for each member.
 #[derive(Debug, Default)]
-pub(crate) struct Queue {
+pub(crate) struct UpdateQueue {
     pending: BTreeMap<InstanceId, Pending>,
 }
 
-impl Queue {
+impl UpdateQueue {
     /// Adds an update in place of an older one about the same member.
     pub(crate) fn push(&mut self, update: Update, now: Millis) {
         let id = update.instance.id.clone();
@@ -43,7 +43,7 @@
     }
 
     /// Another member passed the same update on: one transmission less is needed here.
-    pub(crate) fn heard(&mut self, update: &Update) {
+    pub(crate) fn mark_received(&mut self, update: &Update) {
         if let Some(pending) = self.pending.get_mut(&update.instance.id)
             && pending.update == *update
         {
@@ -55,12 +55,12 @@
     /// fill each message for minutes after all have compared their views and know.
     pub(crate) fn expire(&mut self, now: Millis) {
         self.pending
-            .retain(|_, pending| now.since(pending.since) < LIFETIME);
+            .retain(|_, pending| now.since(pending.since) < MAX_AGE);
     }
 
     /// Takes up to `limit` updates, the least often sent first.
     pub(crate) fn take(&mut self, limit: usize, members: usize) -> Vec<Update> {
-        let most = TRANSMISSIONS * (members as u32 + 1).ilog2().max(LEAST_LOG);
+        let most = TRANSMISSION_FACTOR * (members as u32 + 1).ilog2().max(MIN_LOG);
         let mut order: Vec<(u32, InstanceId)> = self
             .pending
             .iter()
--- a/crates/peers/src/member/ring.rs
+++ b/crates/peers/src/member/ring.rs
@@ -13,23 +13,23 @@
 /// Number of rings; also the number of members that a member probes.
 pub const RINGS: usize = 4;
 
-/// Places of a member on the rings.
-pub(crate) type Places = [u64; RINGS];
+/// Positions of a member on the rings.
+pub(crate) type Positions = [u64; RINGS];
 
 /// Hash of an instance's name under `seed`.
-pub(crate) fn place(seed: u64, id: &InstanceId) -> u64 {
+pub(crate) fn hash_id(seed: u64, id: &InstanceId) -> u64 {
     XxHash3_64::oneshot_with_seed(seed, id.as_str().as_bytes())
 }
 
-/// The places of an instance.
-pub(crate) fn places(id: &InstanceId) -> Places {
-    std::array::from_fn(|ring| place(ring as u64 + 1, id))
+/// The positions of an instance.
+pub(crate) fn positions(id: &InstanceId) -> Positions {
+    std::array::from_fn(|ring| hash_id(ring as u64 + 1, id))
 }
 
 /// The successors of the member at `mine` among `others`, without doubles.
 pub(crate) fn successors<'a>(
-    mine: &Places,
-    others: impl Iterator<Item = (&'a InstanceId, &'a Places)>,
+    mine: &Positions,
+    others: impl Iterator<Item = (&'a InstanceId, &'a Positions)>,
 ) -> Vec<InstanceId> {
     let mut nearest: [Option<(u64, &InstanceId)>; RINGS] = [None; RINGS];
     for (id, theirs) in others {
--- a/crates/peers/src/member/settings.rs
+++ b/crates/peers/src/member/settings.rs
@@ -19,21 +19,21 @@
     /// Independent suspicions after which the shortest time counts.
     pub confirmations: usize,
     /// Ceiling of the local health score.
-    pub health_ceiling: u64,
+    pub max_health_score: u64,
     /// Updates that one message carries at most.
-    pub updates: usize,
+    pub max_updates: usize,
     /// Members known at most.
-    pub members: usize,
+    pub max_members: usize,
     /// Time for which the dead are remembered, so that late gossip doesn't bring them back.
-    pub tombstone: Millis,
+    pub tombstone_ttl: Millis,
     /// Time between two tries to reach an instance that is listed or lost.
     pub retry_interval: Millis,
     /// Least time between two comparisons of whole views.
     pub sync_interval: Millis,
     /// Gap between two ticks from which the process counts as paused.
-    pub pause: Millis,
+    pub pause_threshold: Millis,
     /// Longest wait for a peer while joining.
-    pub join_wait: Millis,
+    pub join_timeout: Millis,
 }
 
 impl Default for MemberSettings {
@@ -45,14 +45,14 @@
             suspicion_intervals: 3,
             suspicion_factor: 2,
             confirmations: 2,
-            health_ceiling: 4,
-            updates: 8,
-            members: 1024,
-            tombstone: Millis::from_secs(3600),
+            max_health_score: 4,
+            max_updates: 8,
+            max_members: 1024,
+            tombstone_ttl: Millis::from_secs(3600),
             retry_interval: Millis::from_secs(5),
             sync_interval: Millis::from_secs(5),
-            pause: Millis(1500),
-            join_wait: Millis::from_secs(3),
+            pause_threshold: Millis(1500),
+            join_timeout: Millis::from_secs(3),
         }
     }
 }
--- a/crates/peers/src/member/table.rs
+++ b/crates/peers/src/member/table.rs
@@ -9,7 +9,7 @@
 use crate::identity::Instance;
 use crate::identity::InstanceId;
 use crate::member::ring;
-use crate::member::ring::Places;
+use crate::member::ring::Positions;
 use crate::message::BUCKETS;
 use crate::message::Status;
 use crate::message::Update;
@@ -22,7 +22,7 @@
     /// Those who suspect, by hash.
     pub(crate) origins: Vec<u32>,
     /// When this instance itself made the last probe before it declares the member dead.
-    pub(crate) last_call: Option<Millis>,
+    pub(crate) final_probe: Option<Millis>,
 }
 
 impl Suspicion {
@@ -31,7 +31,7 @@
         Suspicion {
             since: now,
             origins: self.origins.clone(),
-            last_call: None,
+            final_probe: None,
         }
     }
 }
@@ -44,7 +44,7 @@
     pub(crate) status: Status,
     pub(crate) changed: Millis,
     pub(crate) suspicion: Option<Suspicion>,
-    pub(crate) places: Places,
+    pub(crate) positions: Positions,
 }
 
 impl Record {
@@ -61,9 +61,9 @@
 
 /// What merging an update did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Merge {
+pub(crate) enum MergeOutcome {
     /// The table already knew better.
-    Old,
+    Stale,
     /// The table changed.
     Changed,
     /// The table is full.
@@ -125,24 +125,24 @@
     }
 
     /// Takes an update in, if it is newer than what is known; `limit` bounds the table.
-    pub(crate) fn merge(&mut self, update: &Update, limit: usize, now: Millis) -> Merge {
+    pub(crate) fn merge(&mut self, update: &Update, limit: usize, now: Millis) -> MergeOutcome {
         let Some(known) = self.records.get(&update.instance.id) else {
             return self.insert(update, limit, now);
         };
         let newer = (update.incarnation, update.status) > (known.incarnation, known.status);
         if !newer {
-            return Merge::Old;
+            return MergeOutcome::Stale;
         }
         self.replace(update, now);
-        Merge::Changed
+        MergeOutcome::Changed
     }
 
-    fn insert(&mut self, update: &Update, limit: usize, now: Millis) -> Merge {
+    fn insert(&mut self, update: &Update, limit: usize, now: Millis) -> MergeOutcome {
         if self.records.len() >= limit && !self.evict() {
-            return Merge::Full;
+            return MergeOutcome::Full;
         }
         self.replace(update, now);
-        Merge::Changed
+        MergeOutcome::Changed
     }
 
     /// Drops the oldest of the dead to make room.
@@ -163,22 +163,22 @@
             status: update.status,
             changed: now,
             suspicion: suspicion(update, now),
-            places: ring::places(&id),
+            positions: ring::positions(&id),
         };
         if let Some(old) = self.records.get(&id).cloned() {
-            self.count(&old, false);
+            self.toggle_digest(&old, false);
         }
-        self.count(&record, true);
+        self.toggle_digest(&record, true);
         self.records.insert(id, record);
     }
 
     /// Adds a live record to the digests, or takes it out again.
-    fn count(&mut self, record: &Record, add: bool) {
+    fn toggle_digest(&mut self, record: &Record, add: bool) {
         if !record.status.is_live() {
             return;
         }
         let id = &record.instance.id;
-        self.digests[bucket(id)] ^= ring::place(record.incarnation.start, id);
+        self.digests[bucket(id)] ^= ring::hash_id(record.incarnation.start, id);
         self.live = if add { self.live + 1 } else { self.live - 1 };
     }
 
@@ -193,10 +193,10 @@
     (update.status == Status::Suspect).then(|| Suspicion {
         since: now,
         origins: vec![update.origin],
-        last_call: None,
+        final_probe: None,
     })
 }
 
 fn bucket(id: &InstanceId) -> usize {
-    ring::place(0, id) as usize % BUCKETS
+    ring::hash_id(0, id) as usize % BUCKETS
 }
--- a/crates/peers/src/member/view.rs
+++ b/crates/peers/src/member/view.rs
@@ -62,12 +62,12 @@
         let Some(me) = self.get(&self.me) else {
             return true;
         };
-        let mine = ring::place(WATCHER_SEED, &me.id);
+        let mine = ring::hash_id(WATCHER_SEED, &me.id);
         let ahead = self
             .instances
             .iter()
             .filter(|other| other.zone == me.zone)
-            .filter(|other| ring::place(WATCHER_SEED, &other.id) > mine)
+            .filter(|other| ring::hash_id(WATCHER_SEED, &other.id) > mine)
             .count();
         ahead < count
     }
--- a/crates/peers/src/node.rs
+++ b/crates/peers/src/node.rs
@@ -97,9 +97,9 @@
 pub struct Node {
     member: Member,
     spread: Spread,
-    shown: Option<(u64, bool)>,
+    published: Option<(u64, bool)>,
     /// Who sent the message that is being handled.
-    asker: Option<InstanceId>,
+    requester: Option<InstanceId>,
 }
 
 impl Node {
@@ -114,8 +114,8 @@
         Node {
             member: Member::new(settings.member, me, incarnation, seed, now),
             spread: Spread::new(settings.spread, seed ^ 1, now),
-            shown: None,
-            asker: None,
+            published: None,
+            requester: None,
         }
     }
 
@@ -145,8 +145,8 @@
                 id: peer.id.clone(),
                 zone: peer.zone.to_string(),
                 status: live.map_or(Status::Alive, |state| state.status),
-                revision: self.spread.heard(&peer.id),
-                heard_age: self.spread.heard_at(&peer.id).map(|at| now.since(at)),
+                revision: self.spread.peer_revision(&peer.id),
+                heard_age: self.spread.last_heard(&peer.id).map(|at| now.since(at)),
             }
         });
         SyncStatus {
@@ -162,12 +162,12 @@
         match event {
             Event::Tick => self.tick(now, &mut actions),
             Event::InstanceList(listed) => {
-                let done = self.member.list(&listed, now);
-                self.show_listed();
+                let done = self.member.set_listed(&listed, now);
+                self.update_spread_view();
                 self.member_actions(done, &mut actions);
             }
             Event::PlatformRead(read) => {
-                let done = self.spread.platform(read, now);
+                let done = self.spread.platform_read(read, now);
                 self.spread_actions(done, &mut actions);
             }
             Event::Message(from, message) => self.receive(&from, &message, now, &mut actions),
@@ -186,7 +186,7 @@
                 self.member_actions(done, &mut actions);
             }
         }
-        self.show_view(&mut actions);
+        self.publish_view(&mut actions);
         actions
     }
 
@@ -194,7 +194,7 @@
         let done = self.member.tick(now);
         self.member_actions(done, actions);
         let peers = self.member.live().saturating_sub(1);
-        self.spread.peers_known(peers, self.member.is_settled());
+        self.spread.set_peers(peers, self.member.is_settled());
         if peers > 0 {
             let done = self.spread.query_peers(now);
             self.spread_actions(done, actions);
@@ -211,12 +211,12 @@
         actions: &mut Vec<Action>,
     ) {
         let Message { gossip, body } = message;
-        self.asker = Some(from.clone());
+        self.requester = Some(from.clone());
         let done = self.member.receive(from, gossip, body, now);
         self.member_actions(done, actions);
         let done = self.spread.receive(from, gossip, body, now);
         self.spread_actions(done, actions);
-        self.asker = None;
+        self.requester = None;
     }
 
     fn failed(&mut self, peer: &InstanceId, now: Millis, actions: &mut Vec<Action>) {
@@ -259,7 +259,7 @@
     /// Announces over the connections that the probes keep open.
     fn announce(&mut self, revision: u64, actions: &mut Vec<Action>) {
         let mut behind = self.neighbours();
-        behind.retain(|peer| self.spread.heard(peer) < revision);
+        behind.retain(|peer| self.spread.peer_revision(peer) < revision);
         // Taken in turn: always the first ones by name would leave some instances out.
         let turn = revision as usize % behind.len().max(1);
         behind.rotate_left(turn);
@@ -292,8 +292,8 @@
     }
 
     fn reply(&mut self, body: Body) -> Action {
-        let asker = self.asker.as_ref();
-        let updates = asker.map(|id| self.member.updates(id));
+        let requester = self.requester.as_ref();
+        let updates = requester.map(|id| self.member.updates(id));
         let gossip = self.gossip(updates.unwrap_or_default());
         Action::Reply(Message { gossip, body })
     }
@@ -308,19 +308,19 @@
         }
     }
 
-    fn show_listed(&mut self) {
+    fn update_spread_view(&mut self) {
         let view = self.member.view();
-        self.spread.view_changed(&view, self.member.listed());
+        self.spread.view_changed(&view, self.member.listed_count());
     }
 
-    fn show_view(&mut self, actions: &mut Vec<Action>) {
-        let shown = Some((self.member.version(), self.member.is_settled()));
-        if self.shown == shown {
+    fn publish_view(&mut self, actions: &mut Vec<Action>) {
+        let published = Some((self.member.version(), self.member.is_settled()));
+        if self.published == published {
             return;
         }
-        self.shown = shown;
+        self.published = published;
         let view = self.member.view();
-        self.spread.view_changed(&view, self.member.listed());
+        self.spread.view_changed(&view, self.member.listed_count());
         actions.push(Action::ViewChanged(view));
     }
 }
--- a/crates/peers/src/shell/calls.rs
+++ b/crates/peers/src/runtime/calls.rs
@@ -11,35 +11,35 @@
 
 use crate::coordination::Request;
 use crate::coordination::Response;
-use crate::coordination::wire as coded;
+use crate::coordination::wire as codec;
 use crate::coordination::wire::Claim;
-use crate::coordination::wire::Coded;
+use crate::coordination::wire::VoteCode;
 use crate::message::Message;
-use crate::shell::clients::Line;
+use crate::runtime::clients::PeerSession;
 use crate::wire;
 
 /// Sends a message and reads the answer.
-pub(crate) async fn exchange(line: Line, message: Message) -> capnp::Result<Message> {
-    let mut request = line.session.exchange_request();
-    wire::write(&message, line.version, request.get().init_message());
+pub(crate) async fn exchange(session: PeerSession, message: Message) -> capnp::Result<Message> {
+    let mut request = session.client.exchange_request();
+    wire::write(&message, session.version, request.get().init_message());
     let response = request.send().promise.await?;
     wire::read(response.get()?.get_message()?)
 }
 
 /// Makes a coordination call.
-pub(crate) async fn coordinate(line: Line, request: Request) -> capnp::Result<Response> {
+pub(crate) async fn coordinate(session: PeerSession, request: Request) -> capnp::Result<Response> {
     match request {
-        Request::Claim(request) => claim(&line, &request).await,
-        Request::Settle(request) => settle(&line, &request).await,
-        Request::Transfer(request) => transfer(&line, &request).await,
-        Request::Borrow(request) => borrow(&line, &request).await,
-        Request::Return(request) => give_back(&line, &request).await,
-        Request::Suspect(suspicions) => suspect(&line, &suspicions).await,
+        Request::Claim(request) => claim(&session, &request).await,
+        Request::Settle(request) => settle(&session, &request).await,
+        Request::Transfer(request) => transfer(&session, &request).await,
+        Request::Borrow(request) => borrow(&session, &request).await,
+        Request::Return(request) => give_back(&session, &request).await,
+        Request::Suspect(suspicions) => suspect(&session, &suspicions).await,
     }
 }
 
-async fn claim(line: &Line, request: &ClaimRequest) -> capnp::Result<Response> {
-    let mut call = line.session.claim_request();
+async fn claim(session: &PeerSession, request: &ClaimRequest) -> capnp::Result<Response> {
+    let mut call = session.client.claim_request();
     let mut params = call.get();
     params.set_group(request.group.0);
     let claim = Claim {
@@ -48,10 +48,10 @@
         digest: request.digest,
         account: request.account,
     };
-    coded::write_claim(&claim, params.init_claim());
+    codec::write_claim(&claim, params.init_claim());
     let response = call.send().promise.await?;
     let answer = response.get()?;
-    let vote = coded::read_vote(Coded {
+    let vote = codec::decode_vote(VoteCode {
         kind: answer.get_vote(),
         status: answer.get_status(),
         retry: Millis(answer.get_retry_ms()),
@@ -59,10 +59,10 @@
     Ok(Response::Vote(vote))
 }
 
-async fn settle(line: &Line, request: &SettleRequest) -> capnp::Result<Response> {
-    let mut call = line.session.settle_request();
+async fn settle(session: &PeerSession, request: &SettleRequest) -> capnp::Result<Response> {
+    let mut call = session.client.settle_request();
     let mut params = call.get();
-    let outcome = coded::code_outcome(request.outcome);
+    let outcome = codec::encode_outcome(request.outcome);
     params.set_outcome(outcome.kind);
     params.set_status(outcome.status);
     let claim = Claim {
@@ -71,20 +71,20 @@
         digest: request.digest,
         account: request.account,
     };
-    coded::write_claim(&claim, params.init_claim());
+    codec::write_claim(&claim, params.init_claim());
     call.send().promise.await?;
     Ok(Response::Done)
 }
 
-async fn transfer(line: &Line, request: &TransferRequest) -> capnp::Result<Response> {
-    let mut call = line.session.transfer_request();
-    coded::write_transfer(request, call.get());
+async fn transfer(session: &PeerSession, request: &TransferRequest) -> capnp::Result<Response> {
+    let mut call = session.client.transfer_request();
+    codec::write_transfer(request, call.get());
     call.send().promise.await?;
     Ok(Response::Done)
 }
 
-async fn borrow(line: &Line, request: &BorrowRequest) -> capnp::Result<Response> {
-    let mut call = line.session.borrow_request();
+async fn borrow(session: &PeerSession, request: &BorrowRequest) -> capnp::Result<Response> {
+    let mut call = session.client.borrow_request();
     let mut params = call.get();
     params.set_account(request.account.0);
     params.set_units(request.units);
@@ -98,8 +98,8 @@
     }))
 }
 
-async fn give_back(line: &Line, request: &ReturnRequest) -> capnp::Result<Response> {
-    let mut call = line.session.give_back_request();
+async fn give_back(session: &PeerSession, request: &ReturnRequest) -> capnp::Result<Response> {
+    let mut call = session.client.give_back_request();
     let mut params = call.get();
     params.set_account(request.account.0);
     params.set_kept(request.kept);
@@ -107,11 +107,11 @@
     Ok(Response::Done)
 }
 
-async fn suspect(line: &Line, suspicions: &[Suspicion]) -> capnp::Result<Response> {
-    let mut call = line.session.suspect_request();
+async fn suspect(session: &PeerSession, suspicions: &[Suspicion]) -> capnp::Result<Response> {
+    let mut call = session.client.suspect_request();
     let mut list = call.get().init_suspicions(suspicions.len() as u32);
     for (at, suspicion) in suspicions.iter().enumerate() {
-        coded::write_suspicion(suspicion, list.reborrow().get(at as u32));
+        codec::write_suspicion(suspicion, list.reborrow().get(at as u32));
     }
     call.send().promise.await?;
     Ok(Response::Done)
--- a/crates/peers/src/shell/clients.rs
+++ b/crates/peers/src/runtime/clients.rs
@@ -15,15 +15,15 @@
 use crate::identity::Instance;
 use crate::identity::InstanceId;
 use crate::peer_capnp::session;
-use crate::shell::circuit::Circuit;
-use crate::shell::connect::Connection;
-use crate::shell::connect::connect;
-use crate::shell::error::CallError;
-use crate::shell::settings::Settings;
+use crate::runtime::circuit::CircuitBreaker;
+use crate::runtime::connect::Connection;
+use crate::runtime::connect::connect;
+use crate::runtime::error::CallError;
+use crate::runtime::settings::Settings;
 
 /// A session with a peer and the protocol version that was agreed for it.
-pub(crate) struct Line {
-    pub(crate) session: session::Client,
+pub(crate) struct PeerSession {
+    pub(crate) client: session::Client,
     pub(crate) version: u16,
 }
 
@@ -31,22 +31,22 @@
 #[derive(Default)]
 struct Client {
     connection: Mutex<Option<Connection>>,
-    circuit: RefCell<Circuit>,
-    waiting: Cell<usize>,
-    used: Cell<Millis>,
+    circuit: RefCell<CircuitBreaker>,
+    pending: Cell<usize>,
+    last_used: Cell<Millis>,
 }
 
-/// Counts a waiting call for as long as it lives.
-struct Waiting<'a>(&'a Cell<usize>);
+/// Counts a pending call for as long as it lives.
+struct PendingCall<'a>(&'a Cell<usize>);
 
-impl<'a> Waiting<'a> {
-    fn enter(waiting: &'a Cell<usize>) -> Waiting<'a> {
-        waiting.set(waiting.get() + 1);
-        Waiting(waiting)
+impl<'a> PendingCall<'a> {
+    fn enter(pending: &'a Cell<usize>) -> PendingCall<'a> {
+        pending.set(pending.get() + 1);
+        PendingCall(pending)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -77,24 +77,24 @@
         &self,
         peer: &Instance,
         deadline: Millis,
-        make: impl FnOnce(Line) -> F,
+        make: impl FnOnce(PeerSession) -> F,
     ) -> Result<T, CallError>
     where
         F: Future<Output = capnp::Result<T>>,
     {
         let limits = &self.settings.limits;
         let client = self.client(&peer.id)?;
-        if client.waiting.get() >= limits.calls {
+        if client.pending.get() >= limits.pending_calls {
             return Err(CallError::Busy);
         }
         if !client.circuit.borrow_mut().admit(limits, self.clock.now()) {
             return Err(CallError::CircuitOpen);
         }
-        let _waiting = Waiting::enter(&client.waiting);
-        let whole = self.connect_and_call(&client, peer, make);
-        let outcome = timeout(Duration::from(deadline), whole).await;
+        let _waiting = PendingCall::enter(&client.pending);
+        let attempt = self.connect_and_call(&client, peer, make);
+        let outcome = timeout(Duration::from(deadline), attempt).await;
         let outcome = outcome.unwrap_or(Err(CallError::Deadline));
-        self.judge(&client, &outcome);
+        self.record_outcome(&client, &outcome);
         outcome
     }
 
@@ -102,17 +102,17 @@
         &self,
         client: &Client,
         peer: &Instance,
-        make: impl FnOnce(Line) -> F,
+        make: impl FnOnce(PeerSession) -> F,
     ) -> Result<T, CallError>
     where
         F: Future<Output = capnp::Result<T>>,
     {
-        let line = self.line(client, peer).await?;
-        let answer = make(line).await;
+        let session = self.session(client, peer).await?;
+        let answer = make(session).await;
         answer.map_err(CallError::from_answer)
     }
 
-    async fn line(&self, client: &Client, peer: &Instance) -> Result<Line, CallError> {
+    async fn session(&self, client: &Client, peer: &Instance) -> Result<PeerSession, CallError> {
         let mut slot = client.connection.lock().await;
         let usable = |c: &Connection| c.is_open() && c.address == peer.address;
         if !slot.as_ref().is_some_and(usable) {
@@ -120,13 +120,13 @@
             *slot = Some(connect(&self.settings, peer).await?);
         }
         let connection = slot.as_ref().expect("connected above");
-        Ok(Line {
-            session: connection.session.clone(),
+        Ok(PeerSession {
+            client: connection.session.clone(),
             version: connection.version,
         })
     }
 
-    fn judge<T>(&self, client: &Client, outcome: &Result<T, CallError>) {
+    fn record_outcome<T>(&self, client: &Client, outcome: &Result<T, CallError>) {
         let now = self.clock.now();
         let mut circuit = client.circuit.borrow_mut();
         // During an upgrade an older program answers that it doesn't know a call. Were that counted as
@@ -150,15 +150,15 @@
             evict(&mut clients)?;
         }
         let client = clients.entry(id.clone()).or_default().clone();
-        client.used.set(self.clock.now());
+        client.last_used.set(self.clock.now());
         Ok(client)
     }
 
     /// Closes connections that weren't used for long.
     pub(crate) fn close_idle(&self) {
         let now = self.clock.now();
-        let idle = self.settings.limits.idle;
-        let is_used = |c: &Client| c.waiting.get() > 0 || now.since(c.used.get()) < idle;
+        let idle = self.settings.limits.idle_timeout;
+        let is_used = |c: &Client| c.pending.get() > 0 || now.since(c.last_used.get()) < idle;
         self.clients.borrow_mut().retain(|_, c| is_used(c));
     }
 
@@ -169,8 +169,8 @@
 }
 
 fn evict(clients: &mut BTreeMap<InstanceId, Rc<Client>>) -> Result<(), CallError> {
-    let unused = clients.iter().filter(|(_, c)| c.waiting.get() == 0);
-    let oldest = unused.min_by_key(|(_, c)| c.used.get());
+    let unused = clients.iter().filter(|(_, c)| c.pending.get() == 0);
+    let oldest = unused.min_by_key(|(_, c)| c.last_used.get());
     let id = oldest.map(|(id, _)| id.clone()).ok_or(CallError::Busy)?;
     clients.remove(&id);
     Ok(())
--- a/crates/peers/src/shell/connect.rs
+++ b/crates/peers/src/runtime/connect.rs
@@ -22,13 +22,13 @@
 use crate::auth::Challenge;
 use crate::auth::Role;
 use crate::auth::Transcript;
-use crate::auth::challenge;
+use crate::auth::random_challenge;
 use crate::identity::Instance;
 use crate::peer_capnp::gate;
 use crate::peer_capnp::session;
-use crate::shell::error::CallError;
-use crate::shell::settings::Limits;
-use crate::shell::settings::Settings;
+use crate::runtime::error::CallError;
+use crate::runtime::settings::Limits;
+use crate::runtime::settings::Settings;
 use crate::wire;
 
 /// Limits on what is read from a connection.
@@ -78,9 +78,9 @@
 }
 
 /// Aborts the connection's task unless the handshake succeeds.
-struct Guard(Option<AbortHandle>);
+struct AbortGuard(Option<AbortHandle>);
 
-impl Drop for Guard {
+impl Drop for AbortGuard {
     fn drop(&mut self) {
         if let Some(system) = &self.0 {
             system.abort();
@@ -95,7 +95,7 @@
 /// [`CallError::Connect`] when there is no connection or no agreement, [`CallError::Replaced`] when
 /// another instance answers.
 pub(crate) async fn connect(settings: &Settings, peer: &Instance) -> Result<Connection, CallError> {
-    let span = Duration::from(settings.limits.handshake);
+    let span = Duration::from(settings.limits.handshake_timeout);
     let opening = open(settings, peer);
     let opened = timeout(span, opening).await;
     opened.unwrap_or_else(|_| Err(CallError::Connect("no answer in time".into())))
@@ -115,8 +115,8 @@
         let _ = running.await;
         is_open.set(false);
     });
-    let mut guard = Guard(Some(handle));
-    let (session, version) = shake_hands(settings, peer, &gate).await?;
+    let mut guard = AbortGuard(Some(handle));
+    let (session, version) = handshake(settings, peer, &gate).await?;
     let system = guard.0.take().expect("the guard was armed above");
     Ok(Connection {
         session,
@@ -127,61 +127,61 @@
     })
 }
 
-async fn shake_hands(
+async fn handshake(
     settings: &Settings,
     peer: &Instance,
     gate: &gate::Client,
 ) -> Result<(session::Client, u16), CallError> {
-    let transcript = hello(settings, gate).await.map_err(refused)?;
+    let transcript = hello(settings, gate).await.map_err(connect_error)?;
     let mut request = gate.authenticate_request();
     let proof = transcript.proof(&settings.key, Role::Caller);
     request.get().set_proof(&proof);
-    let response = request.send().promise.await.map_err(refused)?;
-    let answer = response.get().map_err(refused)?;
-    let proof = answer.get_proof().map_err(refused)?;
+    let response = request.send().promise.await.map_err(connect_error)?;
+    let answer = response.get().map_err(connect_error)?;
+    let proof = answer.get_proof().map_err(connect_error)?;
     if !transcript.verify(&settings.key, Role::Callee, proof) {
         return Err(CallError::Connect("the peer doesn't hold the key".into()));
     }
-    let found = wire::id_of(answer.get_id().map_err(refused)?).map_err(refused)?;
+    let found = wire::read_id(answer.get_id().map_err(connect_error)?).map_err(connect_error)?;
     if found != peer.id {
         return Err(CallError::Replaced(found));
     }
-    let session = answer.get_session().map_err(refused)?;
+    let session = answer.get_session().map_err(connect_error)?;
     Ok((session, transcript.version))
 }
 
 async fn hello(settings: &Settings, gate: &gate::Client) -> capnp::Result<Transcript> {
-    let challenge = challenge(&mut rand::rng());
+    let caller_challenge = random_challenge(&mut rand::rng());
     let mut request = gate.hello_request();
     let mut hello = request.get();
     hello.set_min_version(settings.versions.oldest);
     hello.set_max_version(settings.versions.newest);
     hello.set_id(settings.me.id.as_str());
     hello.set_start(settings.start);
-    hello.set_challenge(&challenge);
+    hello.set_challenge(&caller_challenge);
     let response = request.send().promise.await?;
     let answer = response.get()?;
     let version = answer.get_version();
-    let spoken = settings.versions.oldest..=settings.versions.newest;
-    if !spoken.contains(&version) {
+    let supported = settings.versions.oldest..=settings.versions.newest;
+    if !supported.contains(&version) {
         return Err(wire::malformed("version"));
     }
     Ok(Transcript {
         version,
         caller: settings.me.id.clone(),
-        challenge,
-        answer: challenge_of(answer.get_challenge()?)?,
+        caller_challenge,
+        callee_challenge: read_challenge(answer.get_challenge()?)?,
     })
 }
 
 /// Reads a challenge.
-pub(crate) fn challenge_of(bytes: &[u8]) -> capnp::Result<Challenge> {
+pub(crate) fn read_challenge(bytes: &[u8]) -> capnp::Result<Challenge> {
     let bytes: &[u8; CHALLENGE_BYTES] =
         bytes.try_into().map_err(|_| wire::malformed("challenge"))?;
     Ok(*bytes)
 }
 
 #[allow(clippy::needless_pass_by_value)] // the shape that map_err wants
-fn refused(err: capnp::Error) -> CallError {
+fn connect_error(err: capnp::Error) -> CallError {
     CallError::Connect(err.to_string())
 }
--- a/crates/peers/src/shell/core.rs
+++ b/crates/peers/src/runtime/core.rs
@@ -25,14 +25,14 @@
 use crate::node::Event;
 use crate::node::Finding;
 use crate::node::Node;
-use crate::shell::calls;
-use crate::shell::clients::Clients;
-use crate::shell::error::CallError;
-use crate::shell::handle::Notice;
-use crate::shell::handle::PlatformRequest;
-use crate::shell::handle::Shared;
-use crate::shell::server::Doors;
-use crate::shell::settings::Settings;
+use crate::runtime::calls;
+use crate::runtime::clients::Clients;
+use crate::runtime::error::CallError;
+use crate::runtime::handle::Notice;
+use crate::runtime::handle::PlatformRequest;
+use crate::runtime::handle::Shared;
+use crate::runtime::server::IncomingCounts;
+use crate::runtime::settings::Settings;
 use crate::sync_status::SyncStatus;
 
 /// The node and all that surrounds it, on one thread.
@@ -40,13 +40,13 @@
     pub(crate) settings: Rc<Settings>,
     pub(crate) clock: Clock,
     pub(crate) handler: Arc<dyn Handler>,
-    pub(crate) doors: Doors,
+    pub(crate) incoming: IncomingCounts,
     pub(crate) clients: Clients,
     node: RefCell<Node>,
     shared: Arc<Shared>,
     platform: Sender<PlatformRequest>,
     sending: Cell<usize>,
-    strangers: Cell<u64>,
+    failed_proofs: Cell<u64>,
 }
 
 impl Core {
@@ -63,12 +63,12 @@
             settings,
             clock,
             handler,
-            doors: Doors::default(),
+            incoming: IncomingCounts::default(),
             node: RefCell::new(node),
             shared,
             platform,
             sending: Cell::new(0),
-            strangers: Cell::new(0),
+            failed_proofs: Cell::new(0),
         }
     }
 
@@ -86,8 +86,8 @@
                     self.ask_platform(PlatformRequest::WatchIndex { after, wait });
                 }
                 Action::ReadPart(team) => self.ask_platform(PlatformRequest::ReadPart(team)),
-                Action::ViewChanged(view) => self.shared.show_view(view),
-                Action::InForce(snapshot) => self.shared.show_config(snapshot),
+                Action::ViewChanged(view) => self.shared.set_view(view),
+                Action::InForce(snapshot) => self.shared.set_config(snapshot),
                 Action::Report(finding) => self.report(finding),
             }
         }
@@ -120,8 +120,8 @@
     }
 
     async fn exchange(self: &Rc<Self>, to: Instance, message: Message) {
-        let deadline = self.settings.limits.exchange;
-        let make = |line| calls::exchange(line, message);
+        let deadline = self.settings.limits.exchange_timeout;
+        let make = |session| calls::exchange(session, message);
         let outcome = self.clients.call(&to, deadline, make).await;
         match outcome {
             Ok(answer) if answer.body == Body::None => {}
@@ -154,7 +154,7 @@
         }
         let known = self.node.borrow().member().locate(&peer);
         let instance = known.ok_or(CallError::NoPeer)?;
-        let make = |line| calls::coordinate(line, request);
+        let make = |session| calls::coordinate(session, request);
         self.clients.call(&instance, deadline, make).await
     }
 
@@ -164,9 +164,9 @@
     }
 
     /// Counts a failed proof, and logs the first and then every hundredth.
-    pub(crate) fn note_stranger(&self) {
-        let count = self.strangers.get();
-        self.strangers.set(count + 1);
+    pub(crate) fn count_failed_proof(&self) {
+        let count = self.failed_proofs.get();
+        self.failed_proofs.set(count + 1);
         if count.is_multiple_of(100) {
             let record = Record::new("peer-not-admitted").with("count", count + 1);
             warn!("{record}");
--- a/crates/peers/src/shell/handle.rs
+++ b/crates/peers/src/runtime/handle.rs
@@ -19,13 +19,13 @@
 use crate::member::View;
 use crate::node::Event;
 use crate::node::Finding;
-use crate::shell::error::CallError;
+use crate::runtime::error::CallError;
 use crate::spread::PlatformRead;
 use crate::spread::Snapshot;
 use crate::sync_status::SyncStatus;
 
 /// Notices that a subscriber may leave unread before it misses some.
-const NOTICES: usize = 256;
+const NOTICE_BACKLOG: usize = 256;
 
 /// A read of the platform that the embedder should make.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -98,12 +98,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn show_view(&self, view: View) {
+    pub(crate) fn set_view(&self, view: View) {
         self.state().view = view;
         self.notify(&Notice::View);
     }
 
-    pub(crate) fn show_config(&self, config: Snapshot) {
+    pub(crate) fn set_config(&self, config: Snapshot) {
         self.state().config = Some(config);
         self.notify(&Notice::Config);
     }
@@ -145,7 +145,7 @@
 
     /// Notices of changes from now on.
     pub fn subscribe(&self) -> Receiver<Notice> {
-        let (sender, receiver) = bounded(NOTICES);
+        let (sender, receiver) = bounded(NOTICE_BACKLOG);
         self.shared.state().subscribers.push(sender);
         receiver
     }
@@ -160,12 +160,12 @@
     /// Gives the platform's instance list in. Lost when the thread is overloaded; give it in again
     /// with the next read.
     pub fn instance_list(&self, listed: Vec<ListedInstance>) {
-        self.tell(Event::InstanceList(listed));
+        self.send_event(Event::InstanceList(listed));
     }
 
     /// Gives the outcome of a [`PlatformRequest`] in.
     pub fn platform_read(&self, read: PlatformRead) {
-        self.tell(Event::PlatformRead(read));
+        self.send_event(Event::PlatformRead(read));
     }
 
     /// Makes a coordination call, which fails at `deadline` at the latest.
@@ -219,7 +219,7 @@
         let _ = self.commands.send(Command::Stop).await;
     }
 
-    fn tell(&self, event: Event) {
+    fn send_event(&self, event: Event) {
         let _ = self.commands.try_send(Command::Event(event));
     }
 }
--- a/crates/peers/src/shell/mod.rs
+++ b/crates/peers/src/runtime/mod.rs
@@ -34,9 +34,9 @@
 use crate::identity::Incarnation;
 use crate::node::Event;
 use crate::node::Node;
-use crate::shell::core::Core;
-use crate::shell::handle::Command;
-use crate::shell::handle::Shared;
+use crate::runtime::core::Core;
+use crate::runtime::handle::Command;
+use crate::runtime::handle::Shared;
 
 pub use error::CallError;
 pub use error::StartError;
@@ -51,19 +51,19 @@
 const TICK: Millis = Millis(100);
 
 /// Time between two looks for idle connections.
-const IDLE_CHECK: Millis = Millis::from_secs(10);
+const IDLE_CHECK_INTERVAL: Millis = Millis::from_secs(10);
 
 /// Wait after a failed accept, as when the process has no file descriptors left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Longest wait for the neighbours to hear that this instance leaves, or to answer with their views.
-const LEAVE_WAIT: Millis = Millis::from_secs(1);
+const SEND_TIMEOUT: Millis = Millis::from_secs(1);
 
 /// Commands that wait for the thread.
-const COMMANDS: usize = 1024;
+const COMMAND_BACKLOG: usize = 1024;
 
 /// Reads of the platform that wait for the embedder.
-const PLATFORM_REQUESTS: usize = 64;
+const PLATFORM_REQUEST_BACKLOG: usize = 64;
 
 /// A node among its peers, on a thread of its own.
 pub struct PeerNode;
@@ -111,8 +111,8 @@
             clock.now(),
         );
         let shared = Arc::new(Shared::new(node.member().view()));
-        let (commands, received) = bounded(COMMANDS);
-        let (platform, requests) = bounded(PLATFORM_REQUESTS);
+        let (commands, received) = bounded(COMMAND_BACKLOG);
+        let (platform, requests) = bounded(PLATFORM_REQUEST_BACKLOG);
         let setup = Setup {
             settings,
             node,
@@ -172,14 +172,14 @@
             }
             Command::Refresh(done) => {
                 core.feed(Event::Refresh);
-                task::spawn_local(tell_when_sent(core.clone(), done));
+                task::spawn_local(notify_when_sent(core.clone(), done));
             }
             Command::SyncStatus(answer) => {
                 let _ = answer.send(core.sync_status());
             }
             Command::Leave(done) => {
                 core.feed(Event::Leave);
-                task::spawn_local(tell_when_sent(core.clone(), done));
+                task::spawn_local(notify_when_sent(core.clone(), done));
             }
             Command::Stop => break,
         }
@@ -217,14 +217,14 @@
 
 async fn close_idle(core: Rc<Core>) {
     loop {
-        task::sleep(Duration::from(IDLE_CHECK)).await;
+        task::sleep(Duration::from(IDLE_CHECK_INTERVAL)).await;
         core.clients.close_idle();
     }
 }
 
-async fn tell_when_sent(core: Rc<Core>, done: oneshot::Sender<()>) {
+async fn notify_when_sent(core: Rc<Core>, done: oneshot::Sender<()>) {
     let began = core.clock.now();
-    while core.is_sending() && core.clock.now().since(began) < LEAVE_WAIT {
+    while core.is_sending() && core.clock.now().since(began) < SEND_TIMEOUT {
         task::sleep(Duration::from(Millis(10))).await;
     }
     let _ = done.send(());
--- a/crates/peers/src/shell/server.rs
+++ b/crates/peers/src/runtime/server.rs
@@ -23,10 +23,10 @@
 
 use crate::auth::Role;
 use crate::auth::Transcript;
-use crate::auth::challenge;
+use crate::auth::random_challenge;
 use crate::coordination::Request;
 use crate::coordination::Response;
-use crate::coordination::wire as coded;
+use crate::coordination::wire as codec;
 use crate::identity::InstanceId;
 use crate::message::Body;
 use crate::message::Gossip;
@@ -34,47 +34,51 @@
 use crate::node::Event;
 use crate::peer_capnp::gate;
 use crate::peer_capnp::session;
-use crate::shell::connect::challenge_of;
-use crate::shell::connect::network;
-use crate::shell::core::Core;
-use crate::shell::settings::Versions;
+use crate::runtime::connect::network;
+use crate::runtime::connect::read_challenge;
+use crate::runtime::core::Core;
+use crate::runtime::settings::Versions;
 use crate::wire;
 
 /// Connections that others hold open to this instance.
 #[derive(Default)]
-pub(crate) struct Doors {
+pub(crate) struct IncomingCounts {
     open: Cell<usize>,
-    strangers: Cell<usize>,
+    unauthenticated: Cell<usize>,
 }
 
 /// One connection; counted for as long as it lives.
-struct Visit {
+struct IncomingConnection {
     core: Rc<Core>,
-    is_peer: Cell<bool>,
+    authenticated: Cell<bool>,
     used: Cell<Millis>,
 }
 
-impl Visit {
-    fn enter(core: Rc<Core>) -> Option<Rc<Visit>> {
+impl IncomingConnection {
+    fn open(core: Rc<Core>) -> Option<Rc<IncomingConnection>> {
         let limits = &core.settings.limits;
-        let doors = &core.doors;
-        if doors.open.get() >= limits.incoming || doors.strangers.get() >= limits.strangers {
+        let incoming = &core.incoming;
+        if incoming.open.get() >= limits.incoming
+            || incoming.unauthenticated.get() >= limits.unauthenticated
+        {
             return None;
         }
-        doors.open.set(doors.open.get() + 1);
-        doors.strangers.set(doors.strangers.get() + 1);
+        incoming.open.set(incoming.open.get() + 1);
+        incoming
+            .unauthenticated
+            .set(incoming.unauthenticated.get() + 1);
         let used = Cell::new(core.clock.now());
-        Some(Rc::new(Visit {
+        Some(Rc::new(IncomingConnection {
             core,
-            is_peer: Cell::new(false),
+            authenticated: Cell::new(false),
             used,
         }))
     }
 
-    fn prove(&self) {
-        let strangers = &self.core.doors.strangers;
-        strangers.set(strangers.get() - 1);
-        self.is_peer.set(true);
+    fn mark_authenticated(&self) {
+        let unauthenticated = &self.core.incoming.unauthenticated;
+        unauthenticated.set(unauthenticated.get() - 1);
+        self.authenticated.set(true);
     }
 
     fn touch(&self) {
@@ -82,138 +86,140 @@
     }
 
     /// Time that the connection may go on without a call.
-    fn allowance(&self) -> Millis {
+    fn idle_timeout(&self) -> Millis {
         let limits = &self.core.settings.limits;
-        if self.is_peer.get() {
-            limits.idle + limits.idle
+        if self.authenticated.get() {
+            limits.idle_timeout + limits.idle_timeout
         } else {
-            limits.handshake
+            limits.handshake_timeout
         }
     }
 }
 
-impl Drop for Visit {
+impl Drop for IncomingConnection {
     fn drop(&mut self) {
-        let doors = &self.core.doors;
-        doors.open.set(doors.open.get() - 1);
-        if !self.is_peer.get() {
-            doors.strangers.set(doors.strangers.get() - 1);
+        let incoming = &self.core.incoming;
+        incoming.open.set(incoming.open.get() - 1);
+        if !self.authenticated.get() {
+            incoming
+                .unauthenticated
+                .set(incoming.unauthenticated.get() - 1);
         }
     }
 }
 
 /// Serves a connection until it ends, or doesn't prove itself in time, or is idle for long.
 pub(crate) fn serve(core: &Rc<Core>, stream: TcpStream) {
-    let Some(visit) = Visit::enter(core.clone()) else {
+    let Some(connection) = IncomingConnection::open(core.clone()) else {
         return;
     };
     let _ = stream.set_nodelay(true);
-    let ending: Rc<RefCell<Option<AbortHandle>>> = Rc::default();
+    let abort_handle: Rc<RefCell<Option<AbortHandle>>> = Rc::default();
     let gate = Gate {
-        visit: Rc::downgrade(&visit),
-        greeting: RefCell::new(None),
-        ending: ending.clone(),
+        connection: Rc::downgrade(&connection),
+        handshake: RefCell::new(None),
+        abort_handle: abort_handle.clone(),
     };
     let gate: gate::Client = capnp_rpc::new_client(gate);
     let network = network(stream, Side::Server, &core.settings.limits);
     let system = RpcSystem::new(network, Some(gate.client));
     let (running, handle) = abortable(system);
-    *ending.borrow_mut() = Some(handle.clone());
-    let (watching, watch) = abortable(close_when_idle(visit.clone(), handle));
+    *abort_handle.borrow_mut() = Some(handle.clone());
+    let (watching, watch) = abortable(close_when_idle(connection.clone(), handle));
     task::spawn_local(watching);
     task::spawn_local(async move {
         let _ = running.await;
         watch.abort();
-        drop(visit);
+        drop(connection);
     });
 }
 
-async fn close_when_idle(visit: Rc<Visit>, handle: AbortHandle) {
+async fn close_when_idle(connection: Rc<IncomingConnection>, handle: AbortHandle) {
     loop {
-        let idle = visit.core.clock.now().since(visit.used.get());
-        let allowance = visit.allowance();
-        if idle >= allowance {
+        let idle = connection.core.clock.now().since(connection.used.get());
+        let idle_timeout = connection.idle_timeout();
+        if idle >= idle_timeout {
             handle.abort();
             return;
         }
-        task::sleep(Duration::from(Millis(allowance.since(idle).0.max(1)))).await;
+        task::sleep(Duration::from(Millis(idle_timeout.since(idle).0.max(1)))).await;
     }
 }
 
 /// What a connection gives before the caller has proved that it holds the key.
 struct Gate {
-    visit: std::rc::Weak<Visit>,
-    greeting: RefCell<Option<Greeting>>,
-    ending: Rc<RefCell<Option<AbortHandle>>>,
+    connection: std::rc::Weak<IncomingConnection>,
+    handshake: RefCell<Option<Handshake>>,
+    abort_handle: Rc<RefCell<Option<AbortHandle>>>,
 }
 
 impl Gate {
     fn refuse(&self, reason: &str) -> capnp::Error {
-        if let Some(handle) = self.ending.borrow().as_ref() {
+        if let Some(handle) = self.abort_handle.borrow().as_ref() {
             handle.abort();
         }
         capnp::Error::failed(reason.into())
     }
 
-    fn visit(&self) -> capnp::Result<Rc<Visit>> {
-        let visit = self.visit.upgrade();
-        visit.ok_or_else(|| capnp::Error::disconnected("closed".into()))
+    fn connection(&self) -> capnp::Result<Rc<IncomingConnection>> {
+        let connection = self.connection.upgrade();
+        connection.ok_or_else(|| capnp::Error::disconnected("closed".into()))
     }
 
-    fn greet(
+    fn negotiate(
         &self,
         params: &gate::HelloParams,
         results: &mut gate::HelloResults,
     ) -> capnp::Result<()> {
-        let visit = self.visit()?;
+        let connection = self.connection()?;
         let hello = params.get()?;
         let theirs = Versions {
             oldest: hello.get_min_version(),
             newest: hello.get_max_version(),
         };
-        let agreed = visit.core.settings.versions.agree(theirs);
+        let agreed = connection.core.settings.versions.agree(theirs);
         let version = agreed.ok_or_else(|| self.refuse("no common version"))?;
-        let answer = challenge(&mut rand::rng());
+        let callee_challenge = random_challenge(&mut rand::rng());
         let mut out = results.get();
         out.set_version(version);
-        out.set_challenge(&answer);
+        out.set_challenge(&callee_challenge);
         let transcript = Transcript {
             version,
-            caller: wire::id_of(hello.get_id()?)?,
-            challenge: challenge_of(hello.get_challenge()?)?,
-            answer,
+            caller: wire::read_id(hello.get_id()?)?,
+            caller_challenge: read_challenge(hello.get_challenge()?)?,
+            callee_challenge,
         };
         let start = hello.get_start();
-        *self.greeting.borrow_mut() = Some(Greeting { transcript, start });
+        *self.handshake.borrow_mut() = Some(Handshake { transcript, start });
         Ok(())
     }
 
-    fn admit(
+    fn authenticate_caller(
         &self,
         params: &gate::AuthenticateParams,
         results: &mut gate::AuthenticateResults,
     ) -> capnp::Result<()> {
-        let visit = self.visit()?;
-        let settings = &visit.core.settings;
+        let connection = self.connection()?;
+        let settings = &connection.core.settings;
         let proof = params.get()?.get_proof()?;
         // One try for each challenge.
-        let greeting = self.greeting.borrow_mut().take();
-        let proved = greeting.filter(|g| g.transcript.verify(&settings.key, Role::Caller, proof));
-        let Some(greeting) = proved else {
-            visit.core.note_stranger();
+        let handshake = self.handshake.borrow_mut().take();
+        let proved = handshake.filter(|g| g.transcript.verify(&settings.key, Role::Caller, proof));
+        let Some(handshake) = proved else {
+            connection.core.count_failed_proof();
             return Err(self.refuse("not admitted"));
         };
-        if !visit.is_peer.get() {
-            visit.prove();
+        if !connection.authenticated.get() {
+            connection.mark_authenticated();
         }
-        let transcript = greeting.transcript;
+        let transcript = handshake.transcript;
         let mut out = results.get();
         out.set_proof(&transcript.proof(&settings.key, Role::Callee));
         out.set_id(settings.me.id.as_str());
         out.set_start(settings.start);
         out.set_session(capnp_rpc::new_client(Session {
-            visit: Rc::downgrade(&visit),
-            member: Member::new(transcript.caller.as_str(), greeting.start),
+            connection: Rc::downgrade(&connection),
+            member: Member::new(transcript.caller.as_str(), handshake.start),
             peer: transcript.caller,
             version: transcript.version,
         }));
@@ -227,7 +233,7 @@
         params: gate::HelloParams,
         mut results: gate::HelloResults,
     ) -> capnp::Result<()> {
-        self.greet(&params, &mut results)
+        self.negotiate(&params, &mut results)
     }
 
     async fn authenticate(
@@ -235,12 +241,12 @@
         params: gate::AuthenticateParams,
         mut results: gate::AuthenticateResults,
     ) -> capnp::Result<()> {
-        self.admit(&params, &mut results)
+        self.authenticate_caller(&params, &mut results)
     }
 }
 
 /// What a stranger said of itself, to be proved.
-struct Greeting {
+struct Handshake {
     transcript: Transcript,
     /// When its process started.
     start: u64,
@@ -248,23 +254,23 @@
 
 /// What a proved peer can call.
 struct Session {
-    visit: std::rc::Weak<Visit>,
+    connection: std::rc::Weak<IncomingConnection>,
     peer: InstanceId,
     member: Member,
     version: u16,
 }
 
 impl Session {
-    fn visit(&self) -> capnp::Result<Rc<Visit>> {
-        let visit = self.visit.upgrade();
-        let visit = visit.ok_or_else(|| capnp::Error::disconnected("closed".into()))?;
-        visit.touch();
-        Ok(visit)
+    fn connection(&self) -> capnp::Result<Rc<IncomingConnection>> {
+        let connection = self.connection.upgrade();
+        let connection = connection.ok_or_else(|| capnp::Error::disconnected("closed".into()))?;
+        connection.touch();
+        Ok(connection)
     }
 
     fn coordinate(&self, request: Request) -> capnp::Result<Response> {
-        let visit = self.visit()?;
-        Ok(visit.core.handler.handle(self.member, request))
+        let connection = self.connection()?;
+        Ok(connection.core.handler.handle(self.member, request))
     }
 }
 
@@ -278,10 +284,10 @@
         params: session::ExchangeParams,
         mut results: session::ExchangeResults,
     ) -> capnp::Result<()> {
-        let visit = self.visit()?;
+        let connection = self.connection()?;
         let message = wire::read(params.get()?.get_message()?)?;
         let event = Event::Message(self.peer.clone(), message);
-        let reply = visit.core.feed(event);
+        let reply = connection.core.feed(event);
         let reply = reply.unwrap_or(Message {
             gossip: Gossip::default(),
             body: Body::None,
@@ -296,7 +302,7 @@
         mut results: session::ClaimResults,
     ) -> capnp::Result<()> {
         let input = params.get()?;
-        let claim = coded::read_claim(input.get_claim()?)?;
+        let claim = codec::read_claim(input.get_claim()?)?;
         let answer = self.coordinate(Request::Claim(ClaimRequest {
             key: claim.key,
             claim: claim.id,
@@ -307,7 +313,7 @@
         let Response::Vote(vote) = answer else {
             return Err(unimplemented());
         };
-        let vote = coded::code_vote(vote);
+        let vote = codec::encode_vote(vote);
         let mut out = results.get();
         out.set_vote(vote.kind);
         out.set_status(vote.status);
@@ -321,13 +327,13 @@
         _results: session::SettleResults,
     ) -> capnp::Result<()> {
         let input = params.get()?;
-        let claim = coded::read_claim(input.get_claim()?)?;
+        let claim = codec::read_claim(input.get_claim()?)?;
         let answer = self.coordinate(Request::Settle(SettleRequest {
             key: claim.key,
             claim: claim.id,
             digest: claim.digest,
             account: claim.account,
-            outcome: coded::read_outcome(input.get_outcome(), input.get_status()),
+            outcome: codec::decode_outcome(input.get_outcome(), input.get_status()),
         }))?;
         done(answer)
     }
@@ -337,7 +343,7 @@
         params: session::TransferParams,
         _results: session::TransferResults,
     ) -> capnp::Result<()> {
-        let request = coded::read_transfer(params.get()?)?;
+        let request = codec::read_transfer(params.get()?)?;
         done(self.coordinate(Request::Transfer(request))?)
     }
 
@@ -380,7 +386,7 @@
         _results: session::SuspectResults,
     ) -> capnp::Result<()> {
         let list = params.get()?.get_suspicions()?;
-        let suspicions = list.iter().map(coded::read_suspicion);
+        let suspicions = list.iter().map(codec::read_suspicion);
         let suspicions = suspicions.collect::<capnp::Result<Vec<_>>>()?;
         done(self.coordinate(Request::Suspect(suspicions))?)
     }
--- a/crates/peers/src/shell/settings.rs
+++ b/crates/peers/src/runtime/settings.rs
@@ -16,49 +16,49 @@
     /// Connections that peers may hold open to this instance.
     pub incoming: usize,
     /// Of these, connections that haven't proved yet that they hold the key.
-    pub strangers: usize,
+    pub unauthenticated: usize,
     /// Connections that this instance holds open to peers.
     pub outgoing: usize,
     /// Time for connecting and for the proofs.
-    pub handshake: Millis,
+    pub handshake_timeout: Millis,
     /// Time for a message of the membership or of the spread and its answer.
-    pub exchange: Millis,
+    pub exchange_timeout: Millis,
     /// Calls to one peer that wait for an answer.
-    pub calls: usize,
+    pub pending_calls: usize,
     /// Largest encoded message, in bytes.
     pub message_bytes: usize,
     /// Deepest nesting of an encoded message.
     pub nesting: i32,
     /// Time without a call after which a connection is closed.
-    pub idle: Millis,
+    pub idle_timeout: Millis,
     /// Failures in a row after which calls to a peer fail at once.
-    pub failures: u32,
+    pub failure_threshold: u32,
     /// First time for which they do; it doubles with each further failure.
-    pub circuit_wait: Millis,
+    pub circuit_backoff: Millis,
     /// Longest such time.
-    pub circuit_ceiling: Millis,
+    pub max_circuit_backoff: Millis,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
             incoming: 512,
-            strangers: 32,
+            unauthenticated: 32,
             outgoing: 512,
-            handshake: Millis(2000),
-            exchange: Millis(1500),
-            calls: 64,
+            handshake_timeout: Millis(2000),
+            exchange_timeout: Millis(1500),
+            pending_calls: 64,
             message_bytes: 512 << 10,
             nesting: 16,
-            idle: Millis::from_secs(60),
-            failures: 3,
-            circuit_wait: Millis(500),
-            circuit_ceiling: Millis::from_secs(8),
+            idle_timeout: Millis::from_secs(60),
+            failure_threshold: 3,
+            circuit_backoff: Millis(500),
+            max_circuit_backoff: Millis::from_secs(8),
         }
     }
 }
 
-/// Protocol versions that are spoken.
+/// Protocol versions that are supported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Versions {
     /// Oldest.
--- a/crates/peers/src/spread/budget.rs
+++ b/crates/peers/src/spread/budget.rs
@@ -8,7 +8,7 @@
 
 /// Longest `Retry-After` that is honoured. A mistaken one of days would leave the instance at its
 /// configuration, and report nothing, until it is restarted; a call a minute is no load.
-const RETRY_CEILING: Millis = Millis::from_secs(60);
+const MAX_RETRY_AFTER: Millis = Millis::from_secs(60);
 
 /// Tokens for platform calls, and the wait after calls that brought nothing.
 #[derive(Debug)]
@@ -24,18 +24,18 @@
 impl Budget {
     pub(super) fn new(settings: &SpreadSettings, now: Millis) -> Budget {
         Budget {
-            rate: settings.own_rate,
-            burst: settings.own_rate.max(1.0),
-            tokens: settings.own_rate.max(1.0),
+            rate: settings.instance_rate,
+            burst: settings.instance_rate.max(1.0),
+            tokens: settings.instance_rate.max(1.0),
             filled: now,
             not_before: Millis::ZERO,
             backoff: Millis::ZERO,
         }
     }
 
-    /// Sets this instance's share: `rate` calls a second among `sharers`.
-    pub(super) fn share(&mut self, rate: f64, sharers: usize) {
-        self.rate = (rate / sharers.max(1) as f64).min(self.burst);
+    /// Sets this instance's share: `rate` calls a second among `instances`.
+    pub(super) fn set_share(&mut self, rate: f64, instances: usize) {
+        self.rate = (rate / instances.max(1) as f64).min(self.burst);
     }
 
     /// Takes a token, if there is one and no wait runs.
@@ -57,7 +57,7 @@
 
     /// A call failed or returned at once without news. The wait doubles: a watch that returns at
     /// once would otherwise be repeated as fast as the network allows, and eat the budget of all.
-    pub(super) fn wasted(
+    pub(super) fn back_off(
         &mut self,
         settings: &SpreadSettings,
         retry_after: Option<Millis>,
@@ -65,10 +65,10 @@
         now: Millis,
     ) {
         let doubled = Millis(self.backoff.0 * 2);
-        self.backoff = doubled.clamp(settings.backoff, settings.backoff_ceiling);
+        self.backoff = doubled.clamp(settings.backoff, settings.max_backoff);
         let jitter = rng.random_range(0..=self.backoff.0 / 4);
         let wait = Millis(self.backoff.0 + jitter);
-        let asked = retry_after.unwrap_or_default().min(RETRY_CEILING);
+        let asked = retry_after.unwrap_or_default().min(MAX_RETRY_AFTER);
         self.not_before = now + wait.max(asked);
     }
 }
--- a/crates/peers/src/spread/fetch.rs
+++ b/crates/peers/src/spread/fetch.rs
@@ -10,10 +10,10 @@
 use crate::spread::store::Part;
 
 /// Bytes of text in one message.
-pub(super) const CHUNK: usize = 128 << 10;
+pub(super) const CHUNK_BYTES: usize = 128 << 10;
 
 /// Answers older than the listing after which a fetch is given up.
-pub(super) const STALE_ANSWERS: u32 = 3;
+pub(super) const MAX_STALE_ANSWERS: u32 = 3;
 
 /// Where a fetch reads.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
 
 /// A part that is wanted; the hash isn't known when the platform listed it.
 #[derive(Clone, Debug)]
-pub(super) struct Want {
+pub(super) struct WantedPart {
     pub(super) team: Arc<str>,
     pub(super) revision: u64,
 }
@@ -45,11 +45,11 @@
     pub(super) listed: Vec<PartRef>,
     pub(super) pieces: Vec<Piece>,
     pub(super) cursor: Arc<str>,
-    pub(super) wants: Vec<Want>,
+    pub(super) wanted: Vec<WantedPart>,
     pub(super) staged: Vec<Part>,
     pub(super) partial: Partial,
-    pub(super) asked: Option<Millis>,
-    pub(super) stale: u32,
+    pub(super) asked_at: Option<Millis>,
+    pub(super) stale_answers: u32,
     pub(super) is_listed: bool,
 }
 
@@ -62,11 +62,11 @@
             listed: Vec::new(),
             pieces: Vec::new(),
             cursor: Arc::from(""),
-            wants: Vec::new(),
+            wanted: Vec::new(),
             staged: Vec::new(),
             partial: Partial::default(),
-            asked: None,
-            stale: 0,
+            asked_at: None,
+            stale_answers: 0,
             is_listed: false,
         }
     }
@@ -85,27 +85,27 @@
     }
 
     /// Goes on with a text of which an earlier fetch brought the first bytes.
-    pub(super) fn resume(&mut self, half: Partial) {
-        let Some(head) = &half.head else {
+    pub(super) fn resume(&mut self, partial: Partial) {
+        let Some(head) = &partial.head else {
             return;
         };
-        let wanted = self.wants.iter().position(|want| want.team == head.team);
+        let wanted = self.wanted.iter().position(|want| want.team == head.team);
         if let Some(at) = wanted {
-            self.wants.swap(0, at);
-            self.partial = half;
+            self.wanted.swap(0, at);
+            self.partial = partial;
         }
     }
 
     /// Passes over a part that is wanted.
-    pub(super) fn pass_over(&mut self, team: &str) {
-        self.wants.retain(|want| *want.team != *team);
+    pub(super) fn skip(&mut self, team: &str) {
+        self.wanted.retain(|want| *want.team != *team);
         self.partial = Partial::default();
-        self.asked = None;
+        self.asked_at = None;
     }
 
     /// Stages the part that was asked for.
     pub(super) fn stage(&mut self, part: Part) {
-        self.pass_over(&part.head.team.clone());
+        self.skip(&part.head.team.clone());
         self.staged.push(part);
     }
 }
--- a/crates/peers/src/spread/mod.rs
+++ b/crates/peers/src/spread/mod.rs
@@ -44,11 +44,11 @@
 pub use store::part_hash;
 
 /// Conflicts that are remembered, so that each is reported once.
-const CONFLICTS: usize = 64;
+const MAX_CONFLICTS: usize = 64;
 
 /// Overdue answers in a row at which the wait for an answer doubles. Fewer, and a few lost messages
 /// are taken for peers that are slow.
-const PATIENT: u32 = 4;
+const LATE_ANSWERS_PER_DOUBLING: u32 = 4;
 
 /// What the embedder must do.
 #[derive(Clone, Debug, PartialEq)]
@@ -101,11 +101,11 @@
 }
 
 /// Failures in a row after which what a peer said counts no more.
-const HOLDER_FAILURES: u32 = 3;
+const MAX_PEER_FAILURES: u32 = 3;
 
 /// What was heard from a peer.
 #[derive(Clone, Copy, Debug, Default)]
-struct Heard {
+struct PeerRevision {
     revision: u64,
     at: Millis,
     /// Messages in a row that it didn't answer since.
@@ -121,18 +121,18 @@
     fetch: Option<Fetch>,
     /// What an abandoned fetch had brought: whole parts, and one of which the first bytes came.
     leftover: Vec<Part>,
-    half: Partial,
+    partial: Partial,
     /// Answers in a row that were overdue.
-    late: u32,
-    heard: BTreeMap<InstanceId, Heard>,
+    late_answers: u32,
+    peer_revisions: BTreeMap<InstanceId, PeerRevision>,
     /// Failed reads in a row of parts, by team.
-    unread: BTreeMap<Arc<str>, u32>,
+    failed_reads: BTreeMap<Arc<str>, u32>,
     peers: usize,
     peers_settled: bool,
     reader: Reader,
     budget: Budget,
     start: Start,
-    compared: Option<Millis>,
+    last_compared: Option<Millis>,
     conflicts: BTreeSet<Conflict>,
     rng: SmallRng,
     actions: Vec<SpreadAction>,
@@ -149,15 +149,15 @@
             settings,
             fetch: None,
             leftover: Vec::new(),
-            half: Partial::default(),
-            late: 0,
-            heard: BTreeMap::new(),
-            unread: BTreeMap::new(),
+            partial: Partial::default(),
+            late_answers: 0,
+            peer_revisions: BTreeMap::new(),
+            failed_reads: BTreeMap::new(),
             peers: 0,
             peers_settled: false,
             reader: Reader::default(),
             start: Start::new(now),
-            compared: None,
+            last_compared: None,
             conflicts: BTreeSet::new(),
             rng: SmallRng::seed_from_u64(seed),
             actions: Vec::new(),
@@ -185,25 +185,31 @@
     }
 
     /// The last revision heard from a peer; zero when it was never heard.
-    pub fn heard(&self, peer: &InstanceId) -> u64 {
-        self.heard.get(peer).map_or(0, |heard| heard.revision)
+    pub fn peer_revision(&self, peer: &InstanceId) -> u64 {
+        self.peer_revisions
+            .get(peer)
+            .map_or(0, |heard| heard.revision)
     }
 
     /// When a peer was last heard; none when it never was, or went on failing.
-    pub fn heard_at(&self, peer: &InstanceId) -> Option<Millis> {
-        self.heard.get(peer).map(|heard| heard.at)
+    pub fn last_heard(&self, peer: &InstanceId) -> Option<Millis> {
+        self.peer_revisions.get(peer).map(|heard| heard.at)
     }
 
     /// The highest revision that the platform or a peer told of, or that is held.
     pub fn newest(&self) -> u64 {
-        let peers = self.heard.values().map(|heard| heard.revision).max();
+        let peers = self
+            .peer_revisions
+            .values()
+            .map(|heard| heard.revision)
+            .max();
         let known = self.held.revision.max(self.reader.listed_revision());
         known.max(peers.unwrap_or(0))
     }
 
     /// Lets time pass.
     pub fn tick(&mut self, now: Millis) -> Vec<SpreadAction> {
-        self.time_out(now);
+        self.expire_fetch(now);
         self.read_platform(now);
         self.advance(now);
         self.finish(now)
@@ -223,7 +229,7 @@
     }
 
     fn report_conflict(&mut self, conflict: Conflict) {
-        if self.conflicts.len() >= CONFLICTS {
+        if self.conflicts.len() >= MAX_CONFLICTS {
             self.conflicts.pop_first();
         }
         if self.conflicts.insert(conflict.clone()) {
@@ -239,10 +245,10 @@
         let Some(fetch) = &self.fetch else {
             return;
         };
-        if fetch.asked.is_some() {
+        if fetch.asked_at.is_some() {
             return;
         }
-        if fetch.is_listed && fetch.wants.is_empty() {
+        if fetch.is_listed && fetch.wanted.is_empty() {
             self.put_in_force();
             return;
         }
@@ -259,8 +265,8 @@
         };
         let staged: usize = fetch.staged.iter().map(|part| part.text.len()).sum();
         let bytes = part.text.len() + staged + self.held.bytes();
-        if bytes > self.settings.total_bytes {
-            self.pass_over(&part.head.team.clone());
+        if bytes > self.settings.max_total_bytes {
+            self.skip(&part.head.team.clone());
             return;
         }
         fetch.stage(part);
@@ -268,9 +274,9 @@
 
     /// Leaves a part that is too large as it is. The fetch goes on: one team's oversize part must
     /// not hold back the changes of the others.
-    fn pass_over(&mut self, team: &Arc<str>) {
+    fn skip(&mut self, team: &Arc<str>) {
         if let Some(fetch) = &mut self.fetch {
-            fetch.pass_over(team);
+            fetch.skip(team);
         }
         self.report(SpreadFinding::TooLarge(team.clone()));
     }
@@ -280,9 +286,9 @@
         let Some(fetch) = self.fetch.take() else {
             return;
         };
-        self.late = 0;
+        self.late_answers = 0;
         self.leftover.clear();
-        self.half = Partial::default();
+        self.partial = Partial::default();
         let before = (self.held.revision, self.digest);
         let conflicts = self.held.merge(fetch.staged, fetch.revision);
         for conflict in conflicts {
@@ -299,14 +305,17 @@
     }
 
     /// Gives the fetch up when an answer is overdue, and remembers that the source doesn't answer.
-    fn time_out(&mut self, now: Millis) {
-        let doubled = Millis(self.settings.answer_wait.0 << (self.late / PATIENT).min(8));
-        let wait = doubled.min(self.settings.answer_ceiling);
-        let overdue = |fetch: &Fetch| fetch.asked.is_some_and(|t| now.since(t) >= wait);
+    fn expire_fetch(&mut self, now: Millis) {
+        let doubled = Millis(
+            self.settings.answer_timeout.0
+                << (self.late_answers / LATE_ANSWERS_PER_DOUBLING).min(8),
+        );
+        let wait = doubled.min(self.settings.max_answer_timeout);
+        let overdue = |fetch: &Fetch| fetch.asked_at.is_some_and(|t| now.since(t) >= wait);
         if !self.fetch.as_ref().is_some_and(overdue) {
             return;
         }
-        self.late += 1;
+        self.late_answers += 1;
         if let Some(Source::Peer(peer)) = self.abandon() {
             self.count_failure(&peer);
         }
@@ -315,11 +324,11 @@
     /// A single lost message says little about a peer, and it may be the only one that holds the
     /// newest revision; one that goes on failing is forgotten.
     fn count_failure(&mut self, peer: &InstanceId) {
-        if let Some(heard) = self.heard.get_mut(peer) {
+        if let Some(heard) = self.peer_revisions.get_mut(peer) {
             heard.failures += 1;
         }
-        self.heard
-            .retain(|_, heard| heard.failures < HOLDER_FAILURES);
+        self.peer_revisions
+            .retain(|_, heard| heard.failures < MAX_PEER_FAILURES);
     }
 
     /// Gives the fetch up, but keeps the parts that came whole: the next fetch takes up from there.
@@ -329,7 +338,7 @@
             self.leftover.retain(|old| old.head.team != part.head.team);
             self.leftover.push(part);
         }
-        self.half = fetch.partial;
+        self.partial = fetch.partial;
         Some(fetch.source)
     }
 
--- a/crates/peers/src/spread/peers.rs
+++ b/crates/peers/src/spread/peers.rs
@@ -10,14 +10,14 @@
 use crate::message::Gossip;
 use crate::message::PartRef;
 use crate::message::Piece;
-use crate::spread::Heard;
+use crate::spread::PeerRevision;
 use crate::spread::Spread;
 use crate::spread::SpreadAction;
 use crate::spread::SpreadFinding;
-use crate::spread::fetch::CHUNK;
+use crate::spread::fetch::CHUNK_BYTES;
 use crate::spread::fetch::Fetch;
 use crate::spread::fetch::Source;
-use crate::spread::fetch::Want;
+use crate::spread::fetch::WantedPart;
 use crate::spread::store;
 use crate::spread::store::Part;
 use crate::spread::store::part_hash;
@@ -31,7 +31,7 @@
         body: &Body,
         now: Millis,
     ) -> Vec<SpreadAction> {
-        self.hear(from, gossip, now);
+        self.observe_sender(from, gossip, now);
         match body {
             Body::Query => self.reply(Body::Announce(self.held.revision)),
             Body::PullIndex {
@@ -68,30 +68,30 @@
 
     /// Forgets peers that left the view.
     pub(crate) fn retain_peers(&mut self, is_live: impl Fn(&InstanceId) -> bool) {
-        self.heard.retain(|peer, _| is_live(peer));
+        self.peer_revisions.retain(|peer, _| is_live(peer));
     }
 
     fn reply(&mut self, body: Body) {
         self.act(SpreadAction::Reply(body));
     }
 
-    fn hear(&mut self, from: &InstanceId, gossip: &Gossip, now: Millis) {
-        let heard = Heard {
+    fn observe_sender(&mut self, from: &InstanceId, gossip: &Gossip, now: Millis) {
+        let heard = PeerRevision {
             revision: gossip.revision,
             at: now,
             failures: 0,
         };
-        self.heard.insert(from.clone(), heard);
+        self.peer_revisions.insert(from.clone(), heard);
         if gossip.revision == self.held.revision && gossip.config_digest != 0 {
-            self.compare(from, gossip.config_digest, now);
+            self.compare_configs(from, gossip.config_digest, now);
         }
-        self.leave_slow_platform(gossip.revision);
+        self.abandon_slow_platform_fetch(gossip.revision);
     }
 
     /// Changes to the peers when they already hold what the platform's budget would give slowly.
-    fn leave_slow_platform(&mut self, revision: u64) {
+    fn abandon_slow_platform_fetch(&mut self, revision: u64) {
         let is_slow = self.fetch.as_ref().is_some_and(|fetch| {
-            fetch.source == Source::Platform && fetch.wants.len() > 1 && revision >= fetch.revision
+            fetch.source == Source::Platform && fetch.wanted.len() > 1 && revision >= fetch.revision
         });
         if is_slow {
             self.abandon();
@@ -99,13 +99,13 @@
     }
 
     /// Two instances at one revision should hold the same parts; when they don't, all are compared.
-    fn compare(&mut self, from: &InstanceId, digest: u64, now: Millis) {
+    fn compare_configs(&mut self, from: &InstanceId, digest: u64, now: Millis) {
         let interval = self.settings.compare_interval;
-        let recent = self.compared.is_some_and(|t| now.since(t) < interval);
+        let recent = self.last_compared.is_some_and(|t| now.since(t) < interval);
         if digest == self.digest || recent || self.fetch.is_some() || self.held.revision == 0 {
             return;
         }
-        self.compared = Some(now);
+        self.last_compared = Some(now);
         self.fetch = Some(Fetch::new(
             Source::Peer(from.clone()),
             self.held.revision,
@@ -117,13 +117,16 @@
     pub(super) fn start_fetch(&mut self) {
         let held = self.held.revision;
         let listed = self.reader.listed_revision();
-        let highest = self.heard.values().map(|h| h.revision).max();
+        let highest = self.peer_revisions.values().map(|h| h.revision).max();
         let highest = highest.unwrap_or_default();
         // Peers spare the platform, but one that can be heard may not answer: its link works one way.
         // Once an answer was overdue, the platform is asked for what it lists.
-        let prefers_peers = highest > listed || (highest == listed && self.late == 0);
+        let prefers_peers = highest > listed || (highest == listed && self.late_answers == 0);
         if highest > held && prefers_peers {
-            let holders = self.heard.iter().filter(|(_, h)| h.revision == highest);
+            let holders = self
+                .peer_revisions
+                .iter()
+                .filter(|(_, h)| h.revision == highest);
             let least = holders.clone().map(|(_, h)| h.failures).min();
             // At random: all would pull from the same peer otherwise.
             let holders = holders.filter(|(_, h)| Some(h.failures) == least);
@@ -139,8 +142,8 @@
         let Some(fetch) = &mut self.fetch else {
             return;
         };
-        fetch.asked = Some(now);
-        let body = match fetch.wants.first() {
+        fetch.asked_at = Some(now);
+        let body = match fetch.wanted.first() {
             Some(want) if fetch.is_listed => Body::PullPart {
                 team: want.team.clone(),
                 revision: want.revision,
@@ -177,7 +180,7 @@
         let part = part.unwrap_or_else(|| Part::removed(team, revision));
         let text = part.text.as_bytes();
         let start = (offset as usize).min(text.len());
-        let end = (start + CHUNK).min(text.len());
+        let end = (start + CHUNK_BYTES).min(text.len());
         self.reply(Body::Chunk {
             offset: start as u32,
             bytes: text[start..end].to_vec(),
@@ -202,7 +205,7 @@
         if !fetch.is_from(from) || fetch.is_listed || fetch.after != *after {
             return;
         }
-        fetch.asked = None;
+        fetch.asked_at = None;
         if !fetch.cursor.is_empty() && *revision != fetch.revision {
             fetch.restart(*revision);
             return;
@@ -231,7 +234,7 @@
             self.plan_part(&mut fetch, head, piece);
         }
         fetch.is_listed = true;
-        fetch.resume(std::mem::take(&mut self.half));
+        fetch.resume(std::mem::take(&mut self.partial));
         self.fetch = Some(fetch);
     }
 
@@ -257,7 +260,7 @@
             fetch.staged.push(part);
             return;
         }
-        fetch.wants.push(Want {
+        fetch.wanted.push(WantedPart {
             team: head.team.clone(),
             revision: head.revision,
         });
@@ -274,26 +277,26 @@
         };
         let text = piece.delta.apply(base)?;
         let part = Part::new(&head.team, head.revision, &text);
-        let allowed = text.len() <= self.settings.part_bytes;
+        let allowed = text.len() <= self.settings.max_part_bytes;
         (allowed && part.head.hash == head.hash).then_some(part)
     }
 
     fn on_chunk(&mut self, from: &InstanceId, part: &PartRef, offset: u32, bytes: &[u8]) {
-        let limit = self.settings.part_bytes;
+        let limit = self.settings.max_part_bytes;
         let Some(fetch) = &mut self.fetch else {
             return;
         };
-        let expected = fetch.wants.first().is_some_and(|w| w.team == part.team);
+        let expected = fetch.wanted.first().is_some_and(|w| w.team == part.team);
         if !fetch.is_from(from) || !expected {
             return;
         }
-        fetch.asked = None;
+        fetch.asked_at = None;
         if part.removed {
             fetch.stage(Part::removed(&part.team, part.revision));
             return;
         }
         if part.bytes as usize > limit {
-            self.pass_over(&part.team);
+            self.skip(&part.team);
             return;
         }
         let partial = &mut fetch.partial;
@@ -328,7 +331,7 @@
     }
 
     fn drop_peer(&mut self, from: &InstanceId) {
-        self.heard.remove(from);
+        self.peer_revisions.remove(from);
         self.abandon();
     }
 }
--- a/crates/peers/src/spread/platform.rs
+++ b/crates/peers/src/spread/platform.rs
@@ -10,16 +10,16 @@
 use crate::spread::SpreadAction;
 use crate::spread::SpreadFinding;
 use crate::spread::fetch::Fetch;
-use crate::spread::fetch::STALE_ANSWERS;
+use crate::spread::fetch::MAX_STALE_ANSWERS;
 use crate::spread::fetch::Source;
-use crate::spread::fetch::Want;
+use crate::spread::fetch::WantedPart;
 use crate::spread::store::Part;
 
 /// A watch that returns sooner than this without news is taken as one that didn't wait.
-const PROMPT: Millis = Millis(1000);
+const IMMEDIATE_RETURN: Millis = Millis(1000);
 
 /// Time after which a read that the embedder never answered counts as failed, beyond its wait.
-const LOST_READ: Millis = Millis::from_secs(10);
+const LOST_READ_TIMEOUT: Millis = Millis::from_secs(10);
 
 /// A part in the platform's index.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -67,7 +67,7 @@
 }
 
 /// Failed reads of a part in a row after which a fetch goes on without it.
-const UNREAD_TRIES: u32 = 2;
+const MAX_READ_ATTEMPTS: u32 = 2;
 
 /// State of the reads.
 #[derive(Debug, Default)]
@@ -78,7 +78,7 @@
     last_read: Option<Millis>,
     /// The index of the highest revision that the platform gave.
     latest: Option<Index>,
-    spread: Millis,
+    jitter: Millis,
     behind: bool,
     down: bool,
     /// When the platform last answered a revision that wasn't older than the one held.
@@ -106,10 +106,10 @@
         if self.reader.is_watcher {
             // A newcomer that sees nobody yet must not take the whole share.
             let known = view.watchers(count).max(listed.min(count * 8));
-            self.budget.share(self.settings.watch_rate, known);
+            self.budget.set_share(self.settings.watch_rate, known);
         } else {
-            let sharers = view.live().max(listed);
-            self.budget.share(self.settings.read_rate, sharers);
+            let instances = view.live().max(listed);
+            self.budget.set_share(self.settings.read_rate, instances);
         }
         self.retain_peers(|peer| view.get(peer).is_some());
     }
@@ -126,7 +126,7 @@
     }
 
     /// Takes the outcome of a read in.
-    pub fn platform(&mut self, read: PlatformRead, now: Millis) -> Vec<SpreadAction> {
+    pub fn platform_read(&mut self, read: PlatformRead, now: Millis) -> Vec<SpreadAction> {
         match read {
             PlatformRead::Index(Ok(index)) => self.on_index(index, now),
             PlatformRead::Index(Err(failed)) => self.on_index_failed(failed, now),
@@ -139,7 +139,7 @@
 
     pub(super) fn read_platform(&mut self, now: Millis) {
         if let Some((began, allowed)) = self.reader.running {
-            if now.since(began) < allowed + LOST_READ {
+            if now.since(began) < allowed + LOST_READ_TIMEOUT {
                 return;
             }
             self.on_index_failed(ReadFailed::default(), now);
@@ -148,12 +148,12 @@
         let due = self
             .reader
             .last_read
-            .is_none_or(|t| now.since(t) >= self.reread_after());
+            .is_none_or(|t| now.since(t) >= self.read_interval());
         if !(watches || due || !self.start.has_platform()) || !self.budget.take(now) {
             return;
         }
         self.reader.last_read = Some(now);
-        let wait = self.settings.watch_wait;
+        let wait = self.settings.watch_timeout;
         if watches {
             self.reader.running = Some((now, wait));
             // Not the revision in force alone: while a listed one is still being fetched, the watch
@@ -166,8 +166,8 @@
         }
     }
 
-    fn reread_after(&self) -> Millis {
-        self.settings.reread + self.reader.spread
+    fn read_interval(&self) -> Millis {
+        self.settings.read_interval + self.reader.jitter
     }
 
     fn on_index(&mut self, index: Index, now: Millis) {
@@ -175,13 +175,14 @@
         let waited = began.map(|(t, allowed)| (now.since(t), allowed));
         let known = self.held.revision.max(self.reader.listed_revision());
         let is_news = index.revision > known;
-        let prompt = waited.is_some_and(|(span, allowed)| span < PROMPT.min(allowed));
+        let prompt = waited.is_some_and(|(span, allowed)| span < IMMEDIATE_RETURN.min(allowed));
         if prompt && !is_news {
-            self.budget.wasted(&self.settings, None, &mut self.rng, now);
+            self.budget
+                .back_off(&self.settings, None, &mut self.rng, now);
         } else {
             self.budget.succeeded();
         }
-        self.draw_reread_spread();
+        self.draw_read_jitter();
         self.reader.down = false;
         self.start.platform_answered(index.revision);
         // A stale replica answers too. Taken for a confirmation, it would hide from the operator that
@@ -189,7 +190,7 @@
         if index.revision >= self.held.revision {
             self.reader.confirmed = Some(now);
         }
-        self.notice_behind(index.revision);
+        self.report_if_behind(index.revision);
         let revision = index.revision;
         self.reader.take_index(index);
         if self.fetch.is_none() && revision >= self.held.revision {
@@ -198,12 +199,12 @@
     }
 
     /// Spreads the reads of many instances that started together.
-    fn draw_reread_spread(&mut self) {
-        let span = self.settings.reread.0 / 4;
-        self.reader.spread = Millis(self.rng.random_range(0..=span));
+    fn draw_read_jitter(&mut self) {
+        let span = self.settings.read_interval.0 / 4;
+        self.reader.jitter = Millis(self.rng.random_range(0..=span));
     }
 
-    fn notice_behind(&mut self, platform: u64) {
+    fn report_if_behind(&mut self, platform: u64) {
         let held = self.held.revision;
         let behind = platform < held;
         if behind && !self.reader.behind {
@@ -216,7 +217,7 @@
         self.reader.running = None;
         self.start.platform_failed();
         self.budget
-            .wasted(&self.settings, failed.retry_after, &mut self.rng, now);
+            .back_off(&self.settings, failed.retry_after, &mut self.rng, now);
         if failed.retry_after.is_none() && !self.reader.down {
             self.reader.down = true;
             self.report(SpreadFinding::PlatformDown);
@@ -241,12 +242,12 @@
                 fetch.staged.push(part.clone());
                 continue;
             }
-            fetch.wants.push(Want {
+            fetch.wanted.push(WantedPart {
                 team: entry.team.clone(),
                 revision: entry.revision,
             });
         }
-        let nothing = fetch.wants.is_empty() && fetch.staged.is_empty();
+        let nothing = fetch.wanted.is_empty() && fetch.staged.is_empty();
         if !nothing || index.revision > self.held.revision {
             self.fetch = Some(fetch);
         }
@@ -259,42 +260,43 @@
         let Some(fetch) = &mut self.fetch else {
             return;
         };
-        let Some(want) = fetch.wants.first() else {
+        let Some(want) = fetch.wanted.first() else {
             return;
         };
-        fetch.asked = Some(now);
+        fetch.asked_at = Some(now);
         let team = want.team.clone();
         self.act(SpreadAction::ReadPart(team));
     }
 
     fn on_part(&mut self, team: &Arc<str>, part: &PartText, now: Millis) {
-        let limit = self.settings.part_bytes;
+        let limit = self.settings.max_part_bytes;
         let Some(fetch) = &mut self.fetch else {
             return;
         };
-        let Some(want) = fetch.wants.iter().find(|want| want.team == *team) else {
+        let Some(want) = fetch.wanted.iter().find(|want| want.team == *team) else {
             return;
         };
         if fetch.source != Source::Platform {
             return;
         }
         if part.text.len() > limit {
-            self.pass_over(team);
+            self.skip(team);
             return;
         }
         if part.revision >= want.revision {
-            self.unread.remove(team);
+            self.failed_reads.remove(team);
             self.stage(Part::new(team, part.revision, &part.text));
             return;
         }
         // The index came from a fresher replica than the text: taking the old text for the new
         // revision would put a reverted part in force.
-        fetch.asked = None;
-        fetch.stale += 1;
-        if fetch.stale >= STALE_ANSWERS {
+        fetch.asked_at = None;
+        fetch.stale_answers += 1;
+        if fetch.stale_answers >= MAX_STALE_ANSWERS {
             self.abandon();
         }
-        self.budget.wasted(&self.settings, None, &mut self.rng, now);
+        self.budget
+            .back_off(&self.settings, None, &mut self.rng, now);
     }
 
     /// Tries a part that can't be read once more; then goes on without it, and asks for it again with
@@ -302,23 +304,23 @@
     /// back the changes of the others.
     fn on_part_failed(&mut self, team: &Arc<str>, failed: ReadFailed, now: Millis) {
         self.budget
-            .wasted(&self.settings, failed.retry_after, &mut self.rng, now);
+            .back_off(&self.settings, failed.retry_after, &mut self.rng, now);
         let Some(fetch) = &mut self.fetch else {
             return;
         };
         if fetch.source != Source::Platform {
             return;
         }
-        let tries = self.unread.entry(team.clone()).or_default();
+        let tries = self.failed_reads.entry(team.clone()).or_default();
         *tries += 1;
         // A fetch that brought nothing is given up: if no part can be read, the platform is at fault,
         // and a newcomer would put an empty configuration in force.
-        let is_last = fetch.staged.is_empty() && fetch.wants.len() <= 1;
-        if failed.retry_after.is_some() || *tries < UNREAD_TRIES || is_last {
+        let is_last = fetch.staged.is_empty() && fetch.wanted.len() <= 1;
+        if failed.retry_after.is_some() || *tries < MAX_READ_ATTEMPTS || is_last {
             self.abandon();
             return;
         }
-        fetch.pass_over(team);
+        fetch.skip(team);
         self.report(SpreadFinding::Unread(team.clone()));
     }
 }
--- a/crates/peers/src/spread/start.rs
+++ b/crates/peers/src/spread/start.rs
@@ -19,7 +19,7 @@
     since: Millis,
     ready: bool,
     platform: PlatformState,
-    queried: Option<Millis>,
+    last_query: Option<Millis>,
 }
 
 impl Start {
@@ -28,7 +28,7 @@
             since: now,
             ready: false,
             platform: PlatformState::Silent,
-            queried: None,
+            last_query: None,
         }
     }
 
@@ -57,17 +57,17 @@
     pub(crate) fn query_peers(&mut self, now: Millis) -> Vec<SpreadAction> {
         let recent = self
             .start
-            .queried
-            .is_some_and(|t| now.since(t) < self.settings.answer_wait);
+            .last_query
+            .is_some_and(|t| now.since(t) < self.settings.answer_timeout);
         if !self.is_ready() && !recent {
-            self.start.queried = Some(now);
+            self.start.last_query = Some(now);
             self.act(SpreadAction::Query(self.settings.join_peers));
         }
         self.finish(now)
     }
 
     /// Tells how many peers can be asked, and whether more may still be found.
-    pub(crate) fn peers_known(&mut self, peers: usize, settled: bool) {
+    pub(crate) fn set_peers(&mut self, peers: usize, settled: bool) {
         self.peers = peers;
         self.peers_settled = settled;
     }
@@ -79,9 +79,9 @@
         if self.is_ready() {
             return;
         }
-        let waited = now.since(self.start.since) >= self.settings.join_wait;
-        let heard_all =
-            self.peers_settled && self.heard.len() >= self.peers.min(self.settings.join_peers);
+        let waited = now.since(self.start.since) >= self.settings.join_timeout;
+        let heard_all = self.peers_settled
+            && self.peer_revisions.len() >= self.peers.min(self.settings.join_peers);
         let platform_known = self.start.platform != PlatformState::Silent;
         let informed = heard_all && platform_known;
         if !(waited || informed) {
@@ -92,15 +92,15 @@
             _ => None,
         };
         let from_peers = self
-            .heard
+            .peer_revisions
             .values()
             .map(|h| h.revision)
             .filter(|r| *r > 0)
             .max();
-        let Some(goal) = from_platform.max(from_peers) else {
+        let Some(target) = from_platform.max(from_peers) else {
             return;
         };
-        if self.held.revision < goal || self.fetch.is_some() {
+        if self.held.revision < target || self.fetch.is_some() {
             return;
         }
         self.start.ready = true;
--- a/crates/peers/src/spread/store.rs
+++ b/crates/peers/src/spread/store.rs
@@ -13,14 +13,14 @@
 use crate::message::Piece;
 
 /// Removals that are remembered.
-const REMOVALS: usize = 256;
+const MAX_REMOVALS: usize = 256;
 
 /// Part references in one message.
-const PAGE: usize = 256;
+const PAGE_ENTRIES: usize = 256;
 
 /// Most bytes of texts that accompany a page of changes, and most of one of them.
-const PAGE_TEXT: usize = 192 << 10;
-const PIECE_TEXT: usize = 16 << 10;
+const PAGE_TEXT_BYTES: usize = 192 << 10;
+const PIECE_TEXT_BYTES: usize = 16 << 10;
 
 /// SHA-256 of a text.
 pub fn part_hash(text: &str) -> PartHash {
@@ -138,28 +138,28 @@
             head.revision > after && &*head.team > cursor
         });
         let mut page: Vec<PartRef> = changed
-            .take(PAGE + 1)
+            .take(PAGE_ENTRIES + 1)
             .map(|part| part.head.clone())
             .collect();
-        if page.len() <= PAGE {
+        if page.len() <= PAGE_ENTRIES {
             return (page, Arc::from(""));
         }
-        page.truncate(PAGE);
-        let next = page[PAGE - 1].team.clone();
+        page.truncate(PAGE_ENTRIES);
+        let next = page[PAGE_ENTRIES - 1].team.clone();
         (page, next)
     }
 
     /// The smaller texts among `parts`, for a peer at revision `after` of the whole.
     pub(crate) fn pieces(&self, after: u64, parts: &[PartRef]) -> Vec<Piece> {
         let mut pieces = Vec::new();
-        let mut room = PAGE_TEXT;
+        let mut room = PAGE_TEXT_BYTES;
         for part in parts.iter().filter_map(|head| self.part(&head.team)) {
             if part.head.removed {
                 continue;
             }
             let piece = part.piece(after);
             let bytes = piece.delta.middle.len();
-            if bytes <= PIECE_TEXT.min(room) {
+            if bytes <= PIECE_TEXT_BYTES.min(room) {
                 room -= bytes;
                 pieces.push(piece);
             }
@@ -208,10 +208,10 @@
 fn forget_removals(held: &mut BTreeMap<Arc<str>, Part>) {
     let removed = held.values().filter(|part| part.head.removed);
     let mut revisions: Vec<u64> = removed.map(|part| part.head.revision).collect();
-    if revisions.len() <= REMOVALS {
+    if revisions.len() <= MAX_REMOVALS {
         return;
     }
     revisions.sort_unstable();
-    let oldest = revisions[revisions.len() - REMOVALS];
+    let oldest = revisions[revisions.len() - MAX_REMOVALS];
     held.retain(|_, part| !part.head.removed || part.head.revision >= oldest);
 }
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -38,10 +38,10 @@
 const PIECES_SINCE: u16 = 2;
 
 /// Longest name of an instance, zone or team, in bytes.
-pub(crate) const NAME_BYTES: usize = 128;
+pub(crate) const MAX_NAME_BYTES: usize = 128;
 
 /// Most entries of a list in a message.
-const LIST_ENTRIES: u32 = 2048;
+const MAX_LIST_ENTRIES: u32 = 2048;
 
 /// Writes a message as the given protocol version does.
 pub(crate) fn write(message: &Message, version: u16, mut out: message::Builder<'_>) {
@@ -204,13 +204,13 @@
     };
     Ok(match body {
         message::None(()) => Body::None,
-        message::Probe(id) => Body::Probe(id_of(id?)?),
-        message::Ack(id) => Body::Ack(id_of(id?)?),
-        message::Indirect(id) => Body::Indirect(id_of(id?)?),
+        message::Probe(id) => Body::Probe(read_id(id?)?),
+        message::Ack(id) => Body::Ack(read_id(id?)?),
+        message::Indirect(id) => Body::Indirect(read_id(id?)?),
         message::Confirm(confirm) => {
             let confirm = confirm?;
             Body::Confirm {
-                target: id_of(confirm.get_target()?)?,
+                target: read_id(confirm.get_target()?)?,
                 alive: confirm.get_alive(),
             }
         }
@@ -222,7 +222,7 @@
             let pull = pull?;
             Body::PullIndex {
                 after: pull.get_after(),
-                cursor: name(pull.get_cursor()?)?,
+                cursor: read_name(pull.get_cursor()?)?,
                 bare: pull.get_bare(),
             }
         }
@@ -233,14 +233,14 @@
                 revision: changes.get_revision(),
                 after: changes.get_after(),
                 parts: parts.iter().map(read_part).collect::<capnp::Result<_>>()?,
-                next: name(changes.get_next()?)?,
+                next: read_name(changes.get_next()?)?,
                 pieces: read_pieces(changes.get_pieces()?)?,
             }
         }
         message::PullPart(pull) => {
             let pull = pull?;
             Body::PullPart {
-                team: name(pull.get_team()?)?,
+                team: read_name(pull.get_team()?)?,
                 revision: pull.get_revision(),
                 offset: pull.get_offset(),
             }
@@ -267,9 +267,9 @@
         let address = address.parse().map_err(|_| malformed("address"))?;
         updates.push(Update {
             instance: Instance {
-                id: id_of(input.get_id()?)?,
+                id: read_id(input.get_id()?)?,
                 address,
-                zone: name(input.get_zone()?)?,
+                zone: read_name(input.get_zone()?)?,
             },
             incarnation: Incarnation {
                 start: input.get_start(),
@@ -286,7 +286,7 @@
     let mut pieces = Vec::new();
     for input in bounded(list)? {
         pieces.push(Piece {
-            team: name(input.get_team()?)?,
+            team: read_name(input.get_team()?)?,
             base: input.get_base(),
             delta: Delta {
                 prefix: input.get_prefix(),
@@ -301,7 +301,7 @@
 fn read_part(input: part_ref::Reader<'_>) -> capnp::Result<PartRef> {
     let hash = input.get_hash()?;
     Ok(PartRef {
-        team: name(input.get_team()?)?,
+        team: read_name(input.get_team()?)?,
         revision: input.get_revision(),
         bytes: input.get_bytes(),
         removed: input.get_removed(),
@@ -313,7 +313,7 @@
 where
     T: capnp::traits::OwnedStruct,
 {
-    if list.len() > LIST_ENTRIES {
+    if list.len() > MAX_LIST_ENTRIES {
         return Err(malformed("list"));
     }
     Ok(list)
@@ -325,8 +325,8 @@
 }
 
 /// Reads an instance's name.
-pub(crate) fn id_of(text: capnp::text::Reader<'_>) -> capnp::Result<InstanceId> {
-    let id = name(text)?;
+pub(crate) fn read_id(text: capnp::text::Reader<'_>) -> capnp::Result<InstanceId> {
+    let id = read_name(text)?;
     if id.is_empty() {
         return Err(malformed("instance"));
     }
@@ -334,9 +334,9 @@
 }
 
 /// Reads a bounded name.
-pub(crate) fn name(text: capnp::text::Reader<'_>) -> capnp::Result<Arc<str>> {
+pub(crate) fn read_name(text: capnp::text::Reader<'_>) -> capnp::Result<Arc<str>> {
     let text = text.to_str()?;
-    if text.len() > NAME_BYTES {
+    if text.len() > MAX_NAME_BYTES {
         return Err(malformed("name"));
     }
     Ok(Arc::from(text))
--- a/crates/peers/tests/auth.rs
+++ b/crates/peers/tests/auth.rs
@@ -15,8 +15,8 @@
     Transcript {
         version: 2,
         caller: InstanceId::new("entry-1"),
-        challenge: [1; 32],
-        answer: [2; 32],
+        caller_challenge: [1; 32],
+        callee_challenge: [2; 32],
     }
 }
 
@@ -46,7 +46,7 @@
     assert!(!here.verify(&key, Role::Caller, &proof[..31]));
     assert!(!here.verify(&key, Role::Caller, &[]));
     let mut there = transcript();
-    there.answer[0] ^= 1;
+    there.callee_challenge[0] ^= 1;
     assert!(!there.verify(&key, Role::Caller, &proof));
 }
 
--- a/crates/peers/tests/membership.rs
+++ b/crates/peers/tests/membership.rs
@@ -369,7 +369,7 @@
         instance: instance(2),
         leaving: false,
     };
-    let mut tries = member.list(std::slice::from_ref(&peer), now).len();
+    let mut tries = member.set_listed(std::slice::from_ref(&peer), now).len();
     for _ in 0..20 {
         for _ in 0..10 {
             tries += member.failed(&peer.instance.id, now).len();
--- a/crates/peers/tests/sockets.rs
+++ b/crates/peers/tests/sockets.rs
@@ -335,7 +335,7 @@
 
 fn with_handshake(span: Millis) -> Settings {
     let limits = Limits {
-        handshake: span,
+        handshake_timeout: span,
         ..Limits::default()
     };
     Settings {
--- a/crates/peers/tests/spread.rs
+++ b/crates/peers/tests/spread.rs
@@ -324,7 +324,7 @@
         spread: SpreadSettings {
             watch_rate: 2.0,
             read_rate: 1.0,
-            own_rate: 2.0,
+            instance_rate: 2.0,
             ..SpreadSettings::default()
         },
         ..NodeSettings::default()
--- a/crates/peers/tests/stranger.rs
+++ b/crates/peers/tests/stranger.rs
@@ -22,7 +22,7 @@
 use crocushold_peers::ListedInstance;
 use crocushold_peers::PeerHandle;
 use crocushold_peers::PeerNode;
-use crocushold_peers::Refuse;
+use crocushold_peers::RefuseAll;
 use crocushold_peers::Request;
 use crocushold_peers::Settings;
 use crocushold_peers::SharedKey;
@@ -44,7 +44,7 @@
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let me = Instance::new("entry-1", address, "stgo-a");
     let settings = Settings::new(me, SharedKey::new(b"key"), 1, 1);
-    let started = PeerNode::start(settings, Arc::new(Refuse));
+    let started = PeerNode::start(settings, Arc::new(RefuseAll));
     started.expect("loopback can be listened on").handle
 }
 
--- a/crates/peers/tests/versions.rs
+++ b/crates/peers/tests/versions.rs
@@ -332,20 +332,20 @@
     let gate: peer_next_capnp::gate::Client = system.bootstrap(Side::Server);
     task::spawn_local(system);
     let mut hello = gate.hello_request();
-    let challenge = [6; 32];
+    let caller_challenge = [6; 32];
     hello.get().set_min_version(1);
     hello.get().set_max_version(3);
     hello.get().set_id("entry-9");
     hello.get().set_start(9);
-    hello.get().set_challenge(&challenge);
+    hello.get().set_challenge(&caller_challenge);
     let answer = hello.send().promise.await?;
     let answer = answer.get()?;
     assert_eq!(answer.get_version(), 2);
     let transcript = Transcript {
         version: 2,
         caller: Instance::new("entry-9", peer.address, "stgo-a").id,
-        challenge,
-        answer: answer.get_challenge()?.try_into().expect("32 bytes"),
+        caller_challenge,
+        callee_challenge: answer.get_challenge()?.try_into().expect("32 bytes"),
     };
     let mut request = gate.authenticate_request();
     let proof = transcript.proof(&SharedKey::new(KEY), Role::Caller);
--- a/crates/peers/tests/versions/program.rs
+++ b/crates/peers/tests/versions/program.rs
@@ -294,8 +294,8 @@
     Ok(Transcript {
         version: VERSION,
         caller: caller.clone(),
-        challenge: CHALLENGE,
-        answer: answer.map_err(|_| capnp::Error::failed("challenge".into()))?,
+        caller_challenge: CHALLENGE,
+        callee_challenge: answer.map_err(|_| capnp::Error::failed("challenge".into()))?,
     })
 }
 
@@ -316,8 +316,8 @@
         // The caller's challenge stands where this end's own stands in an outgoing greeting.
         let theirs = transcript(&caller, hello.get_challenge()?)?;
         *self.greeting.borrow_mut() = Some(Transcript {
-            challenge: theirs.answer,
-            answer: CHALLENGE,
+            caller_challenge: theirs.callee_challenge,
+            callee_challenge: CHALLENGE,
             ..theirs
         });
         results.get().set_version(VERSION);
