--- a/crates/peers/src/auth.rs
+++ b/crates/peers/src/auth.rs
@@ -1,7 +1,8 @@
-//! Mutual proof that both ends hold the shared key.
+//! Mutual authentication of the two ends of a connection by a shared key.
 //!
 //! Each end answers the other's random challenge with an HMAC-SHA256 over both challenges and its
-//! own role, so that a proof can't be sent back to its maker nor used on another connection.
+//! own role, so that a proof can neither be reflected to the end that made it nor replayed on
+//! another connection.
 
 use std::fmt;
 
@@ -11,13 +12,13 @@
 
 use crate::identity::InstanceId;
 
-/// Bytes of a challenge.
+/// Length of a challenge in bytes.
 pub(crate) const CHALLENGE_BYTES: usize = 32;
 
-/// Block size of SHA-256.
+/// Block size of SHA-256 in bytes.
 const BLOCK: usize = 64;
 
-/// Bytes that pad the key in the inner and in the outer hash (RFC 2104).
+/// Bytes that the key is XORed with in the inner and the outer hash (RFC 2104).
 const INNER_PAD: u8 = 0x36;
 const OUTER_PAD: u8 = 0x5c;
 
@@ -27,14 +28,14 @@
 /// A proof: an HMAC-SHA256.
 pub type Proof = [u8; 32];
 
-/// Draws a challenge.
+/// Generates a random challenge.
 pub(crate) fn random_challenge(rng: &mut impl Rng) -> Challenge {
     let mut challenge = Challenge::default();
     rng.fill_bytes(&mut challenge);
     challenge
 }
 
-/// HMAC-SHA256 (RFC 2104). None of the declared libraries offers it over SHA-256.
+/// Computes HMAC-SHA256 (RFC 2104). None of the declared dependencies offers HMAC over SHA-256.
 pub fn hmac_sha256(key: &[u8], message: &[u8]) -> Proof {
     let mut block = [0; BLOCK];
     if key.len() > BLOCK {
@@ -58,13 +59,13 @@
 pub struct SharedKey(Vec<u8>);
 
 impl SharedKey {
-    /// Wraps a key.
+    /// Creates a key from its bytes.
     pub fn new(key: &[u8]) -> SharedKey {
         SharedKey(key.to_vec())
     }
 }
 
-/// Shows nothing of the key, so that no log can.
+/// Hides the key, so that it can't end up in a log.
 impl fmt::Debug for SharedKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("SharedKey(..)")
@@ -76,25 +77,25 @@
 pub enum Role {
     /// The end that connected.
     Caller,
-    /// The end that was connected to.
+    /// The end that accepted the connection.
     Callee,
 }
 
-/// What both ends of a connection have told each other.
+/// The values that both ends of a connection have exchanged during the handshake.
 #[derive(Clone, Debug)]
 pub struct Transcript {
-    /// The agreed protocol version.
+    /// The negotiated protocol version.
     pub version: u16,
     /// The end that connected.
     pub caller: InstanceId,
-    /// Its challenge.
+    /// The challenge of the end that connected.
     pub caller_challenge: Challenge,
-    /// The other end's challenge.
+    /// The challenge of the end that accepted the connection.
     pub callee_challenge: Challenge,
 }
 
 impl Transcript {
-    /// The proof that the end in `role` holds `key`.
+    /// Computes the proof that the end in `role` holds `key`.
     pub fn proof(&self, key: &SharedKey, role: Role) -> Proof {
         let mut message = Vec::from(match role {
             Role::Caller => b"crocushold peer caller\0".as_slice(),
@@ -107,7 +108,8 @@
         hmac_sha256(&key.0, &message)
     }
 
-    /// Checks a proof in constant time, so that its bytes can't be guessed one by one.
+    /// Verifies a proof in constant time, so that its bytes can't be guessed one by one from
+    /// response times.
     pub fn verify(&self, key: &SharedKey, role: Role, proof: &[u8]) -> bool {
         let expected = self.proof(key, role);
         let differing = expected
--- a/crates/peers/src/coordination/mod.rs
+++ b/crates/peers/src/coordination/mod.rs
@@ -1,5 +1,5 @@
-//! Calls by which instances coordinate. They are carried here and answered by the embedder; what
-//! they mean is decided in `crocushold-ownership`.
+//! Coordination calls between instances. This crate transports them and the embedder answers them;
+//! their semantics are defined in `crocushold-ownership`.
 
 pub(crate) mod wire;
 
@@ -18,34 +18,35 @@
 pub enum Request {
     /// Asks for a vote on an idempotency key.
     Claim(ClaimRequest),
-    /// States the outcome of a claimed request.
+    /// Reports the outcome of a claimed request.
     Settle(SettleRequest),
-    /// Hands records of idempotency keys over.
+    /// Transfers records of idempotency keys to their new owner.
     Transfer(TransferRequest),
     /// Asks the owner of an account for a loan of its limits.
     Borrow(BorrowRequest),
-    /// Gives lent slots back.
+    /// Returns borrowed slots.
     Return(ReturnRequest),
-    /// Tells of requests under which servers ended.
+    /// Reports requests during which servers ended.
     Suspect(Vec<Suspicion>),
 }
 
 /// The answer to a [`Request`] of the same kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Response {
-    /// Answer to a claim.
+    /// Answer to a [`Request::Claim`].
     Vote(Vote),
-    /// The statement was taken in.
+    /// The request was accepted; it has no further answer.
     Done,
-    /// Answer to a wish for a loan.
+    /// Answer to a [`Request::Borrow`].
     Lent(BorrowReply),
-    /// The handler can't answer now.
+    /// The handler can't answer at present.
     Refused,
 }
 
-/// Answers the calls of peers. Runs on the thread that serves all peers, so it must not block.
+/// Answers coordination calls of peers. It runs on the thread that serves all peers, so it must not
+/// block.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers a call of a peer that has proved that it holds the key.
+    /// Answers a call of an authenticated peer.
     fn handle(&self, from: Member, request: Request) -> Response;
 }
 
--- a/crates/peers/src/coordination/wire.rs
+++ b/crates/peers/src/coordination/wire.rs
@@ -1,7 +1,7 @@
-//! The wire form of coordination calls.
+//! Encoding of coordination calls.
 //!
-//! Votes, outcomes and states travel as numbers. One that this version doesn't know reads as the
-//! variant that promises least.
+//! Votes, outcomes and states are encoded as numbers. A number that this version doesn't know is
+//! decoded as the variant with the weakest guarantee.
 
 use crocushold_base::Millis;
 use crocushold_ownership::AccountId;
@@ -30,7 +30,7 @@
 use crate::peer_capnp::session;
 use crate::peer_capnp::suspicion;
 
-/// A claim's fields that all messages about it share.
+/// The fields that all messages about a claim have in common.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Claim {
     pub(crate) key: ClaimKey,
@@ -39,7 +39,7 @@
     pub(crate) account: AccountId,
 }
 
-/// A vote or outcome as numbers.
+/// The encoded form of a vote or outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct VoteCode {
     pub(crate) kind: u16,
--- a/crates/peers/src/identity.rs
+++ b/crates/peers/src/identity.rs
@@ -1,20 +1,20 @@
-//! Who an instance is.
+//! Identity of an instance.
 
 use std::fmt;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The platform's name of an instance, such as `entry-1`.
+/// Name that the platform gives to an instance, such as `entry-1`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstanceId(Arc<str>);
 
 impl InstanceId {
-    /// Wraps a name.
+    /// Creates an identifier from a name.
     pub fn new(name: &str) -> InstanceId {
         InstanceId(Arc::from(name))
     }
 
-    /// The name.
+    /// Returns the name.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -26,25 +26,25 @@
     }
 }
 
-/// One life of an instance, ordered.
+/// Version number of an instance's state.
 ///
-/// `start` tells a replacement from its predecessor at the same address; `counter` lets a running
-/// instance overrule what others say about it.
+/// Incarnations are ordered. `start` distinguishes a process from an earlier one at the same
+/// address; `counter` lets a running instance refute what others report about it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation {
-    /// Wall-clock milliseconds at which the process started.
+    /// Wall-clock time at which the process started, in milliseconds.
     pub start: u64,
-    /// How often this life has refuted a report of its death.
+    /// Number of times that this process has refuted a report of its failure.
     pub counter: u32,
 }
 
 impl Incarnation {
-    /// The first incarnation of a process started at `start`.
+    /// Returns the first incarnation of a process started at `start`.
     pub fn starting(start: u64) -> Incarnation {
         Incarnation { start, counter: 0 }
     }
 
-    /// The next incarnation of the same life.
+    /// Returns the next incarnation of the same process.
     #[must_use]
     pub fn next(self) -> Incarnation {
         Incarnation {
@@ -54,10 +54,10 @@
     }
 }
 
-/// An instance and where it can be reached.
+/// An instance and its address.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Instance {
-    /// The platform's name.
+    /// Name given by the platform.
     pub id: InstanceId,
     /// Address of the peer port.
     pub address: SocketAddr,
@@ -66,7 +66,7 @@
 }
 
 impl Instance {
-    /// Makes an instance.
+    /// Creates an instance.
     pub fn new(id: &str, address: SocketAddr, zone: &str) -> Instance {
         Instance {
             id: InstanceId::new(id),
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,22 +1,25 @@
-//! How instances find each other, call each other and spread the configuration between them, with
-//! nothing stored, no leader and no consensus.
+//! Membership, calls between instances, and dissemination of the configuration among them, without
+//! stored state, a leader or consensus.
 //!
-//! The decisions are pure state machines that take an event and the time and return actions:
+//! The protocol logic consists of pure state machines that take an event and the current time and
+//! return actions:
 //!
-//! * [`Member`] tells which instances live: SWIM with Lifeguard's local health over a fixed graph of
-//!   rings, started from the platform's list, which lags. Its result is a [`View`].
-//! * [`Spread`] brings the configuration to all instances and never lets one go back: a few
-//!   instances watch the platform, the others hear of changes and pull the differences.
-//! * [`Node`] joins the two and exchanges [`Message`]s.
+//! * [`Member`] determines which instances are alive. It implements SWIM with Lifeguard's local
+//!   health score over a fixed graph of hash rings, bootstrapped from the platform's instance list,
+//!   which may lag. Its result is a [`View`].
+//! * [`Spread`] disseminates the configuration to all instances and never lets an instance return
+//!   to an earlier revision: a few instances watch the platform, the others learn of changes by
+//!   gossip and pull the differences.
+//! * [`Node`] combines the two and exchanges [`Message`]s.
 //!
-//! [`PeerNode::start`] runs a [`Node`] on a thread of its own, with capnp-rpc over TCP, mutual
-//! proofs of a [`SharedKey`], deadlines and circuit breakers. The rest of the process holds a
-//! [`PeerHandle`]: the view, the configuration in force, notices of changes, and
+//! [`PeerNode::start`] runs a [`Node`] on a dedicated thread, with capnp-rpc over TCP, mutual
+//! authentication by a [`SharedKey`], deadlines and circuit breakers. The rest of the process holds
+//! a [`PeerHandle`], which offers the view, the configuration in force, notices of changes, and
 //! [`PeerHandle::call`] for the coordination calls that a [`Handler`] answers. The embedder reads
-//! the platform when a [`PlatformRequest`] asks for it, and gives the outcome in.
+//! the platform when a [`PlatformRequest`] asks for it, and passes the result to the handle.
 //!
-//! The example `embed` shows all of it in one process. What is promised, and what isn't, stands in
-//! `docs/design/membership.md` and `docs/design/configuration-spread.md`.
+//! The example `embed` shows all of this in one process. The guarantees and their limits are
+//! described in `docs/design/membership.md` and `docs/design/configuration-spread.md`.
 
 mod auth;
 mod coordination;
--- a/crates/peers/src/member/join.rs
+++ b/crates/peers/src/member/join.rs
@@ -1,4 +1,4 @@
-//! Joining, coming back after a pause, and finding those who were lost.
+//! Joining, resuming after a pause of the process, and contacting missing members.
 
 use crocushold_base::Millis;
 use rand::seq::IteratorRandom;
@@ -11,22 +11,22 @@
 use crate::message::Status;
 use crate::message::Update;
 
-/// Wait after all contacts refused at once. Without it a newcomer whose peers aren't up yet would
-/// try them as fast as the network refuses.
+/// Delay after all contacted peers refused the connection at once. Without it, an instance whose
+/// peers aren't up yet would retry as fast as the network refuses.
 const REFUSED_RETRY_DELAY: Millis = Millis(200);
 
-/// How far the instance is.
+/// Progress of joining.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// It started and no peer has answered yet.
+    /// The instance started and no peer has answered yet.
     Joining,
-    /// It woke from a pause and no peer has answered yet.
+    /// The process resumed after a pause and no peer has answered yet.
     Resuming,
-    /// A peer has answered, or the wait is over.
+    /// A peer has answered, or the join timeout has expired.
     Settled,
 }
 
-/// State of joining and of the search for lost members.
+/// State of joining and of the search for missing members.
 #[derive(Debug)]
 pub(super) struct Join {
     stage: Stage,
@@ -51,12 +51,12 @@
         self.stage == Stage::Settled
     }
 
-    /// Whether no peer has answered since the start.
+    /// Returns whether no peer has answered since the start.
     pub(super) fn is_joining(&self) -> bool {
         self.stage == Stage::Joining
     }
 
-    /// Whether others must not be accused yet.
+    /// Returns whether other members must not be suspected yet.
     pub(super) fn is_resuming(&self) -> bool {
         self.stage == Stage::Resuming
     }
@@ -72,9 +72,9 @@
 }
 
 impl Member {
-    /// Suspects an own pause when ticks have a gap: what is known is old, answers were lost, and
-    /// others may have declared this instance dead. Accusing them from that knowledge would take
-    /// healthy members out of the view, so a peer is contacted first.
+    /// Detects a pause of this process by a gap between ticks. Its knowledge is outdated, answers
+    /// were lost, and others may have declared it dead. Suspecting members based on that knowledge
+    /// would remove healthy members from the view, so a peer is contacted first.
     pub(super) fn detect_pause(&mut self, now: Millis) {
         let gap = now.since(self.last_tick.unwrap_or(now));
         if gap < self.settings.pause_threshold || self.left {
@@ -139,7 +139,8 @@
         }
     }
 
-    /// Instances that should live but aren't in the view: listed by the platform, or lost.
+    /// Instances that should be alive but aren't in the live view: listed by the platform, or
+    /// declared dead.
     fn missing_instances(&mut self, count: usize) -> Vec<Instance> {
         let is_out = |id: &InstanceId| {
             let record = self.table.get(id);
@@ -179,21 +180,22 @@
             newer.extend(overruled.map(|record| record.update(origin)));
         }
         self.join.settle();
-        // What the other holds alive is dead here, as after a split: it has to be refuted over
-        // there, or the two halves never agree again.
+        // A member that the peer considers alive is dead here, as after a network partition. The
+        // peer has to hear of it so that the member can refute it; otherwise the two sides never
+        // agree again.
         if !newer.is_empty() {
             self.send(from, Body::Members(newer));
         }
     }
 
-    /// Compares views when both ends should long have heard the same.
+    /// Compares views with a peer whose view has differed for longer than updates take to spread.
     pub(super) fn compare_views(&mut self, from: &InstanceId, digest: u64, now: Millis) {
         if digest == 0 || digest == self.digest() {
             self.mismatch_since.remove(from);
             return;
         }
-        // By peer: one that agrees must not hide another that doesn't, or a newcomer among many that
-        // agree would never be told of them.
+        // Kept for each peer: if a peer that agrees reset the timer of one that doesn't, a new
+        // instance among many peers that agree would never learn of them.
         if self.mismatch_since.len() >= self.settings.max_members {
             self.mismatch_since.clear();
         }
--- a/crates/peers/src/member/merge.rs
+++ b/crates/peers/src/member/merge.rs
@@ -1,4 +1,4 @@
-//! What becomes of statements about members.
+//! Processing of updates about members.
 
 use crocushold_base::Millis;
 
@@ -11,12 +11,12 @@
 use crate::message::Update;
 
 impl Member {
-    /// Takes in what a message says by itself: its sender lives, in the given incarnation.
+    /// Processes what a message itself proves: its sender is alive, in the given incarnation.
     pub(super) fn observe_sender(&mut self, from: &InstanceId, gossip: &Gossip, now: Millis) {
         let Some(record) = self.table.get_mut(from) else {
             return;
         };
-        // Its own word about its incarnation is as good as the update that got lost.
+        // The sender's own incarnation is as good as an update that got lost.
         if gossip.incarnation > record.incarnation {
             let update = Update {
                 instance: record.instance.clone(),
@@ -28,14 +28,14 @@
         } else if let Some(suspicion) = &mut record.suspicion
             && gossip.incarnation == record.incarnation
         {
-            // It lives but hasn't heard of the suspicion yet: the answer tells it, and the
-            // suspicion starts again so that the refutation has time to come.
+            // The sender is alive but hasn't heard of the suspicion yet. The answer tells it, and
+            // the suspicion timeout restarts so that the refutation has time to arrive.
             *suspicion = suspicion.restarted(now);
         }
         self.compare_views(from, gossip.view_digest, now);
     }
 
-    /// Applies another's statement about a member.
+    /// Applies an update about a member that another instance sent.
     pub(super) fn apply(&mut self, update: &Update, now: Millis) {
         if update.instance.id == self.me.id {
             self.apply_to_self(update, now);
@@ -43,8 +43,8 @@
         }
         let mut update = update.clone();
         if update.status == Status::Dead && self.considers_alive(&update) {
-            // Late gossip from the far side of a split would remove a member that answers here.
-            // As a suspicion it leaves the member the time to refute it.
+            // Late gossip from the other side of a network partition would remove a member that
+            // answers here. As a suspicion it leaves the member time to refute it.
             update.status = Status::Suspect;
         }
         if self.merge(&update, now) {
@@ -75,13 +75,13 @@
             MemberFinding::Refuted(update.incarnation)
         };
         self.report(finding);
-        // Being suspected while alive is a sign of being slow oneself.
+        // Being suspected while alive indicates that this instance is slow itself.
         self.raise_health_score();
         self.incarnation = update.incarnation.next();
         self.publish_self(now);
     }
 
-    /// Merges an update and passes it on; returns whether it was news.
+    /// Merges an update and queues it for gossip; returns whether it changed the table.
     pub(super) fn merge(&mut self, update: &Update, now: Millis) -> bool {
         let before = self.table.digest();
         match self.table.merge(update, self.settings.max_members, now) {
@@ -92,7 +92,7 @@
             }
             MergeOutcome::Changed => {}
         }
-        // A newcomer's whole view is news to nobody else.
+        // While joining, all updates are new to this instance but not to others.
         if !self.join.is_joining() || update.instance.id == self.me.id {
             self.queue.push(update.clone(), now);
         }
@@ -103,7 +103,7 @@
         true
     }
 
-    /// A live newcomer at an address proves that an earlier user of the address is gone.
+    /// Declares the former user of an address dead once a newer instance is alive at that address.
     pub(super) fn remove_predecessors(&mut self, update: &Update, now: Millis) {
         if update.status != Status::Alive {
             return;
@@ -119,7 +119,7 @@
         }
     }
 
-    /// States this instance's own finding about a member.
+    /// Records this instance's own observation about a member.
     pub(super) fn declare(&mut self, id: &InstanceId, status: Status, now: Millis) {
         let origin = self.origin();
         let Some(record) = self.table.get(id) else {
--- a/crates/peers/src/member/mod.rs
+++ b/crates/peers/src/member/mod.rs
@@ -1,8 +1,8 @@
-//! Membership: which instances live.
+//! Membership: which instances are alive.
 //!
-//! [`Member`] is a pure state machine in the manner of SWIM with Lifeguard's local health. It sends
-//! no message itself: the caller turns each [`MemberAction`] into a message and adds the updates
-//! that [`Member::updates`] hands out.
+//! [`Member`] is a pure state machine that implements SWIM with Lifeguard's local health score. It
+//! sends no messages itself: the caller turns each [`MemberAction`] into a message and adds the
+//! updates returned by [`Member::updates`].
 
 mod join;
 mod merge;
@@ -38,7 +38,8 @@
 pub use view::MemberState;
 pub use view::View;
 
-/// Members at random that hear from this one itself that it leaves, besides those it probes.
+/// Number of random members that this instance tells directly that it leaves, in addition to those
+/// it probes.
 const LEAVE_CONTACTS: usize = 8;
 
 /// An instance in the platform's list.
@@ -46,37 +47,38 @@
 pub struct ListedInstance {
     /// The instance.
     pub instance: Instance,
-    /// Whether the platform says that it is leaving.
+    /// Whether the platform reports it as leaving.
     pub leaving: bool,
 }
 
-/// What the embedder must do.
+/// An action that the embedder must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberAction {
     /// Send a message.
     Send(Instance, Body),
-    /// Answer the message that is being handled.
+    /// Answer the message that is being processed.
     Reply(Body),
-    /// Report something that an operator should know.
+    /// Report a finding to the operator.
     Report(MemberFinding),
 }
 
-/// Something that an operator should know.
+/// A finding about the membership, reported to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberFinding {
-    /// A member was declared dead by this instance.
+    /// This instance declared a member dead.
     Died(InstanceId),
     /// Others had declared this instance suspect or dead; it refuted that.
     Refuted(Incarnation),
-    /// Another process uses this instance's name, or the clock stood higher in an earlier life.
+    /// Another process uses this instance's name, or the clock was ahead when an earlier process of
+    /// it started.
     NewerSelf(Incarnation),
     /// This process was paused for the given time.
     Paused(Millis),
-    /// The table is full; the named instance isn't taken in.
+    /// The member table is full; the named instance isn't added.
     Full(InstanceId),
 }
 
-/// The membership as one instance sees it.
+/// The membership as seen by one instance.
 #[derive(Debug)]
 pub struct Member {
     settings: MemberSettings,
@@ -98,7 +100,7 @@
 }
 
 impl Member {
-    /// Makes a member that knows only itself; `seed` makes its random choices.
+    /// Creates a member that knows only itself; `seed` seeds its random choices.
     pub fn new(
         settings: MemberSettings,
         me: Instance,
@@ -128,37 +130,37 @@
         member
     }
 
-    /// This instance.
+    /// Returns this instance.
     pub fn me(&self) -> &Instance {
         &self.me
     }
 
-    /// This instance's incarnation.
+    /// Returns this instance's incarnation.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Counts up with each change of the live view.
+    /// Returns a counter that increases with each change of the live view.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Digest of the live view.
+    /// Returns the digest of the live view.
     pub fn digest(&self) -> u64 {
         self.table.digest()
     }
 
-    /// Number of live instances, this one included.
+    /// Returns the number of live instances, including this one.
     pub fn live(&self) -> usize {
         self.table.live_count()
     }
 
-    /// Whether joining, or coming back after an own pause, is over.
+    /// Returns whether joining, or resuming after a pause of this process, is complete.
     pub fn is_settled(&self) -> bool {
         self.join.is_settled()
     }
 
-    /// The live view.
+    /// Returns the live view.
     pub fn view(&self) -> View {
         let instances = self.table.live().map(|r| r.instance.clone());
         let members = self.table.iter().map(|record| MemberState {
@@ -175,13 +177,13 @@
         }
     }
 
-    /// Where a live or listed instance can be reached.
+    /// Looks up a known or listed instance with its address.
     pub fn locate(&self, id: &InstanceId) -> Option<Instance> {
         let known = self.table.get(id).map(|record| &record.instance);
         known.or_else(|| self.listed.get(id)).cloned()
     }
 
-    /// The instances that this one probes.
+    /// Returns the instances that this one probes.
     pub fn targets(&mut self) -> &[InstanceId] {
         if self.targets.is_none() {
             let me = &self.me.id;
@@ -193,7 +195,7 @@
         self.targets.as_deref().unwrap_or_default()
     }
 
-    /// Up to `count` live instances other than this one, at random.
+    /// Returns up to `count` random live instances other than this one.
     pub fn sample(&mut self, count: usize) -> Vec<Instance> {
         let me = &self.me.id;
         let others = self.table.live().filter(|r| r.instance.id != *me);
@@ -201,10 +203,11 @@
         chosen.into_iter().map(|r| r.instance.clone()).collect()
     }
 
-    /// Takes the updates that the next message to `to` carries.
+    /// Takes the updates to piggyback on the next message to `to`.
     pub fn updates(&mut self, to: &InstanceId) -> Vec<Update> {
         let mut updates = Vec::new();
-        // A suspect that never hears of the suspicion can't refute it and dies although it lives.
+        // A suspect that isn't told of the suspicion can't refute it, and would be declared dead
+        // although it is alive.
         if let Some(record) = self.table.get(to)
             && record.status != Status::Alive
         {
@@ -215,7 +218,7 @@
         updates
     }
 
-    /// Takes the platform's list in.
+    /// Applies the platform's instance list.
     pub fn set_listed(&mut self, listed: &[ListedInstance], now: Millis) -> Vec<MemberAction> {
         let seeds = listed
             .iter()
@@ -228,12 +231,12 @@
         self.finish()
     }
 
-    /// Number of instances in the platform's last list that may be reached.
+    /// Returns the number of other instances in the platform's last list that aren't leaving.
     pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
 
-    /// Lets time pass. To be called several times a probe timeout.
+    /// Advances time. Must be called several times per probe timeout.
     pub fn tick(&mut self, now: Millis) -> Vec<MemberAction> {
         self.detect_pause(now);
         self.last_tick = Some(now);
@@ -251,7 +254,8 @@
         self.finish()
     }
 
-    /// Takes a message in. A body that isn't the membership's is ignored, but its gossip counts.
+    /// Processes a message. A body that doesn't belong to the membership protocol is ignored, but
+    /// its gossip is applied.
     pub fn receive(
         &mut self,
         from: &InstanceId,
@@ -275,7 +279,7 @@
         self.finish()
     }
 
-    /// A message to `peer` couldn't be delivered or wasn't answered.
+    /// Handles a message to `peer` that couldn't be delivered or wasn't answered.
     pub fn failed(&mut self, peer: &InstanceId, now: Millis) -> Vec<MemberAction> {
         self.join.failed(peer);
         self.continue_join(now);
@@ -283,14 +287,14 @@
         self.finish()
     }
 
-    /// The instance at the address of `expected` proved to be another one.
+    /// Handles the finding that another instance answers at the address of `expected`.
     pub fn replaced(&mut self, expected: &InstanceId, now: Millis) -> Vec<MemberAction> {
         self.listed.remove(expected);
         self.declare(expected, Status::Dead, now);
         self.finish()
     }
 
-    /// Asks some peers for their views, as gossip may be behind by seconds.
+    /// Requests the views of some peers, as gossip may lag by seconds.
     pub fn refresh(&mut self) -> Vec<MemberAction> {
         for contact in self.sample(self.settings.helpers) {
             self.send_sync(&contact.id);
@@ -298,8 +302,8 @@
         self.finish()
     }
 
-    /// Leaves as planned: tells those nearby, who pass it on. The member answers probes until it is
-    /// dropped, but takes no further part.
+    /// Leaves the membership: tells neighbours and some random members, which pass it on. The
+    /// member still answers probes until it is dropped, but takes no other part.
     pub fn leave(&mut self, now: Millis) -> Vec<MemberAction> {
         let sampled = self.sample(LEAVE_CONTACTS);
         let mut contacts: BTreeSet<InstanceId> = sampled.into_iter().map(|i| i.id).collect();
@@ -335,7 +339,7 @@
         ring::hash_id(0, &self.me.id) as u32
     }
 
-    /// What this instance says of itself to one that may not know it.
+    /// Returns the update that introduces this instance to a peer that may not know it.
     pub(crate) fn introduction(&self) -> Update {
         let status = if self.left {
             Status::Left
@@ -367,7 +371,8 @@
         self.health_score = self.health_score.saturating_sub(1);
     }
 
-    /// Spans grow with the local health score: an instance that is slow itself accuses later.
+    /// Scales a duration by the local health score, so that an instance that is slow itself
+    /// suspects others later.
     fn scaled(&self, span: Millis) -> Millis {
         Millis(span.0 * (self.health_score + 1))
     }
--- a/crates/peers/src/member/probe.rs
+++ b/crates/peers/src/member/probe.rs
@@ -1,4 +1,4 @@
-//! Probes, suspicions and what becomes of them.
+//! Probes and suspicions.
 
 use crocushold_base::Millis;
 
@@ -8,10 +8,10 @@
 use crate::message::Status;
 use crate::message::Update;
 
-/// Probes that are made for others at a time.
+/// Maximum number of concurrent probes on behalf of others.
 const MAX_RELAYED_PROBES: usize = 64;
 
-/// A probe that isn't answered yet.
+/// A probe that hasn't been answered yet.
 #[derive(Debug)]
 struct Pending {
     target: InstanceId,
@@ -20,7 +20,7 @@
     helper_answered: bool,
 }
 
-/// A probe made for another.
+/// A probe on behalf of another member.
 #[derive(Debug)]
 struct RelayedProbe {
     target: InstanceId,
@@ -28,7 +28,7 @@
     deadline: Millis,
 }
 
-/// State of the probing.
+/// State of the failure detector.
 #[derive(Debug, Default)]
 pub(super) struct Prober {
     pending: Option<Pending>,
@@ -38,7 +38,7 @@
 }
 
 impl Prober {
-    /// Drops probes whose answers may have been lost in an own pause.
+    /// Drops probes whose answers may have been lost during a pause of this process.
     pub(super) fn reset(&mut self) {
         self.pending = None;
         self.relayed.clear();
@@ -120,7 +120,7 @@
         let Some(pending) = self.prober.pending.take_if(over) else {
             return;
         };
-        // When not even a helper answered, the fault may well be this instance's own.
+        // If not even a helper answered, this instance itself may well be at fault.
         if !pending.helper_answered {
             self.raise_health_score();
         }
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Counts an independent suspicion, and passes it on the first times.
+    /// Records an independent suspicion, and passes on the first few.
     pub(super) fn confirm_suspicion(&mut self, update: &Update, now: Millis) {
         let most = self.settings.confirmations + 1;
         let Some(record) = self.table.get_mut(&update.instance.id) else {
@@ -158,7 +158,8 @@
         }
     }
 
-    /// Time from suspicion to death: long at first, shorter with each independent suspicion.
+    /// Returns the time from suspicion to death. It starts at its maximum and shrinks with each
+    /// independent suspicion.
     fn suspicion_timeout(&self, suspicions: usize) -> Millis {
         let settings = &self.settings;
         let magnitude = (self.live().max(10) as f64).log10();
@@ -189,8 +190,9 @@
         }
     }
 
-    /// Probes a suspect once more, directly and through helpers. Its refutation may have got lost on the way here alone; a death
-    /// declared then would take a healthy member out of every view.
+    /// Probes a suspect once more, directly and through helpers. Its refutation may have been lost
+    /// only on the way to this instance; declaring it dead would remove a healthy member from every
+    /// view.
     fn send_final_probe(&mut self, id: &InstanceId, now: Millis) {
         let record = self.table.get_mut(id);
         if let Some(suspicion) = record.and_then(|record| record.suspicion.as_mut()) {
@@ -200,7 +202,8 @@
         self.send_indirect_probes(id);
     }
 
-    /// Starts running suspicions again, as refutations may have been lost in an own pause.
+    /// Restarts the timeouts of all suspicions, as refutations may have been lost during a pause of
+    /// this process.
     pub(super) fn restart_suspicions(&mut self, now: Millis) {
         let suspects: Vec<InstanceId> = self
             .table
--- a/crates/peers/src/member/queue.rs
+++ b/crates/peers/src/member/queue.rs
@@ -1,4 +1,4 @@
-//! Updates that still have to be passed on.
+//! Updates that have yet to be gossiped.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +7,18 @@
 use crate::identity::InstanceId;
 use crate::message::Update;
 
-/// Transmissions of an update, as a multiple of the binary logarithm of the number of members.
+/// Number of transmissions of an update, as a multiple of the binary logarithm of the number of
+/// members.
 const TRANSMISSION_FACTOR: u32 = 2;
 
-/// Least logarithm that counts, so that a newcomer who knows nobody yet isn't forgotten.
+/// Lower bound of that logarithm, so that an instance that knows no others yet still gossips its
+/// own arrival.
 const MIN_LOG: u32 = 4;
 
-/// Time after which an update is left to the comparison of views.
+/// Time after which an update is dropped and left to the comparison of views.
 const MAX_AGE: Millis = Millis::from_secs(15);
 
-/// An update and how often it was passed on.
+/// An update with its number of transmissions.
 #[derive(Debug)]
 struct Pending {
     update: Update,
@@ -24,14 +26,14 @@
     since: Millis,
 }
 
-/// The updates that are piggybacked on messages, at most one for each member.
+/// The updates that are piggybacked on messages, at most one per member.
 #[derive(Debug, Default)]
 pub(crate) struct UpdateQueue {
     pending: BTreeMap<InstanceId, Pending>,
 }
 
 impl UpdateQueue {
-    /// Adds an update in place of an older one about the same member.
+    /// Adds an update, replacing an older one about the same member.
     pub(crate) fn push(&mut self, update: Update, now: Millis) {
         let id = update.instance.id.clone();
         let pending = Pending {
@@ -42,7 +44,7 @@
         self.pending.insert(id, pending);
     }
 
-    /// Another member passed the same update on: one transmission less is needed here.
+    /// Counts the receipt of the same update from another member as one transmission.
     pub(crate) fn mark_received(&mut self, update: &Update) {
         if let Some(pending) = self.pending.get_mut(&update.instance.id)
             && pending.update == *update
@@ -51,14 +53,15 @@
         }
     }
 
-    /// Drops what has waited for long. When hundreds of members change at once, the backlog would
-    /// fill each message for minutes after all have compared their views and know.
+    /// Drops updates that have waited too long. When hundreds of members change at once, the
+    /// backlog would otherwise fill each message for minutes after all members have learned the
+    /// changes by comparing views.
     pub(crate) fn expire(&mut self, now: Millis) {
         self.pending
             .retain(|_, pending| now.since(pending.since) < MAX_AGE);
     }
 
-    /// Takes up to `limit` updates, the least often sent first.
+    /// Takes up to `limit` updates, those with the fewest transmissions first.
     pub(crate) fn take(&mut self, limit: usize, members: usize) -> Vec<Update> {
         let most = TRANSMISSION_FACTOR * (members as u32 + 1).ilog2().max(MIN_LOG);
         let mut order: Vec<(u32, InstanceId)> = self
--- a/crates/peers/src/member/settings.rs
+++ b/crates/peers/src/member/settings.rs
@@ -1,38 +1,39 @@
-//! Settings of the membership.
+//! Settings of the membership protocol.
 
 use crocushold_base::Millis;
 
 /// Settings of a [`Member`](crate::Member); the defaults are sized for 400 instances.
 #[derive(Clone, Debug)]
 pub struct MemberSettings {
-    /// Time between two probes.
+    /// Interval between two probes.
     pub probe_interval: Millis,
     /// Time that a probed member has to answer before others are asked to probe it.
     pub probe_timeout: Millis,
-    /// How many others are asked.
+    /// Number of members that are asked to probe it.
     pub helpers: usize,
-    /// Shortest time between suspicion and death, in probe intervals, before it grows with the
-    /// logarithm of the number of members.
+    /// Minimum suspicion timeout in probe intervals, before it is multiplied by the logarithm of
+    /// the number of members.
     pub suspicion_intervals: u64,
-    /// Factor from the shortest to the longest such time.
+    /// Ratio of the maximum to the minimum suspicion timeout.
     pub suspicion_factor: u64,
-    /// Independent suspicions after which the shortest time counts.
+    /// Number of independent suspicions, besides the first, at which the minimum suspicion timeout
+    /// applies.
     pub confirmations: usize,
-    /// Ceiling of the local health score.
+    /// Maximum of the local health score.
     pub max_health_score: u64,
-    /// Updates that one message carries at most.
+    /// Maximum number of updates in a message.
     pub max_updates: usize,
-    /// Members known at most.
+    /// Maximum number of known members.
     pub max_members: usize,
-    /// Time for which the dead are remembered, so that late gossip doesn't bring them back.
+    /// Time for which dead members are remembered, so that late gossip doesn't revive them.
     pub tombstone_ttl: Millis,
-    /// Time between two tries to reach an instance that is listed or lost.
+    /// Interval between attempts to reach a missing instance.
     pub retry_interval: Millis,
-    /// Least time between two comparisons of whole views.
+    /// Minimum interval between two comparisons of whole views.
     pub sync_interval: Millis,
-    /// Gap between two ticks from which the process counts as paused.
+    /// Gap between two ticks at which the process is considered to have been paused.
     pub pause_threshold: Millis,
-    /// Longest wait for a peer while joining.
+    /// Maximum time to wait for a peer while joining.
     pub join_timeout: Millis,
 }
 
--- a/crates/peers/src/member/table.rs
+++ b/crates/peers/src/member/table.rs
@@ -1,4 +1,4 @@
-//! What a member knows about the others.
+//! Table of the known members.
 
 use std::collections::BTreeMap;
 
@@ -14,19 +14,19 @@
 use crate::message::Status;
 use crate::message::Update;
 
-/// A suspicion that runs.
+/// A running suspicion.
 #[derive(Clone, Debug)]
 pub(crate) struct Suspicion {
-    /// When it began.
+    /// When it started.
     pub(crate) since: Millis,
-    /// Those who suspect, by hash.
+    /// Hashes of the instances that reported it.
     pub(crate) origins: Vec<u32>,
-    /// When this instance itself made the last probe before it declares the member dead.
+    /// When this instance sent the final probe before declaring the member dead.
     pub(crate) final_probe: Option<Millis>,
 }
 
 impl Suspicion {
-    /// The suspicion with all its time before it again.
+    /// Returns the suspicion with its timeout restarted at `now`.
     pub(crate) fn restarted(&self, now: Millis) -> Suspicion {
         Suspicion {
             since: now,
@@ -36,7 +36,7 @@
     }
 }
 
-/// What is known about one member.
+/// A known member.
 #[derive(Clone, Debug)]
 pub(crate) struct Record {
     pub(crate) instance: Instance,
@@ -48,7 +48,7 @@
 }
 
 impl Record {
-    /// The record as an update.
+    /// Returns the record as an update.
     pub(crate) fn update(&self, origin: u32) -> Update {
         Update {
             instance: self.instance.clone(),
@@ -59,10 +59,10 @@
     }
 }
 
-/// What merging an update did.
+/// Result of merging an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MergeOutcome {
-    /// The table already knew better.
+    /// The table already has a newer state.
     Stale,
     /// The table changed.
     Changed,
@@ -70,7 +70,7 @@
     Full,
 }
 
-/// The members by name, with digests of those that live.
+/// Members by name, with digests of the live ones.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     records: BTreeMap<InstanceId, Record>,
@@ -91,30 +91,30 @@
         self.records.values()
     }
 
-    /// The live members, in order of their names.
+    /// Returns the live members, ordered by name.
     pub(crate) fn live(&self) -> impl Iterator<Item = &Record> {
         self.iter().filter(|record| record.status.is_live())
     }
 
-    /// Number of live members.
+    /// Returns the number of live members.
     pub(crate) fn live_count(&self) -> usize {
         self.live
     }
 
-    /// The digests of the live members by bucket.
+    /// Returns the digests of the live members by bucket.
     pub(crate) fn digests(&self) -> &[u64; BUCKETS] {
         &self.digests
     }
 
-    /// Digest of all live members; never zero, which means "not known" on the wire.
+    /// Returns the digest of all live members. It is never zero, which means "unknown" on the wire.
     pub(crate) fn digest(&self) -> u64 {
         let bytes: Vec<u8> = self.digests.iter().flat_map(|d| d.to_le_bytes()).collect();
         XxHash3_64::oneshot(&bytes).max(1)
     }
 
-    /// The members of the buckets whose digests differ from `theirs`, the dead among them: whoever
-    /// missed the news of a death, and doesn't probe the dead member itself, would hold it alive for
-    /// ever if only the living were named.
+    /// Returns the members of the buckets whose digests differ from `theirs`, including dead ones.
+    /// An instance that missed a death and doesn't probe the dead member itself would consider it
+    /// alive forever if only live members were returned.
     pub(crate) fn differing(&self, theirs: &[u64]) -> Vec<&Record> {
         let differs: Vec<bool> = (0..BUCKETS)
             .map(|bucket| theirs.get(bucket) != Some(&self.digests[bucket]))
@@ -124,7 +124,7 @@
             .collect()
     }
 
-    /// Takes an update in, if it is newer than what is known; `limit` bounds the table.
+    /// Applies an update if it is newer than what is known; `limit` bounds the table.
     pub(crate) fn merge(&mut self, update: &Update, limit: usize, now: Millis) -> MergeOutcome {
         let Some(known) = self.records.get(&update.instance.id) else {
             return self.insert(update, limit, now);
@@ -145,7 +145,7 @@
         MergeOutcome::Changed
     }
 
-    /// Drops the oldest of the dead to make room.
+    /// Removes the member that has been dead for longest to make room.
     fn evict(&mut self) -> bool {
         let oldest = self
             .iter()
@@ -172,7 +172,7 @@
         self.records.insert(id, record);
     }
 
-    /// Adds a live record to the digests, or takes it out again.
+    /// Adds a live record to the digests, or removes it.
     fn toggle_digest(&mut self, record: &Record, add: bool) {
         if !record.status.is_live() {
             return;
@@ -182,7 +182,7 @@
         self.live = if add { self.live + 1 } else { self.live - 1 };
     }
 
-    /// Forgets those who are dead for longer than `age`.
+    /// Removes members that have been dead for longer than `age`.
     pub(crate) fn expire(&mut self, age: Millis, now: Millis) {
         self.records
             .retain(|_, record| record.status.is_live() || now.since(record.changed) < age);
--- a/crates/peers/src/member/view.rs
+++ b/crates/peers/src/member/view.rs
@@ -1,4 +1,4 @@
-//! The live view that a member offers.
+//! The live view that a member provides.
 
 use std::sync::Arc;
 
@@ -7,57 +7,61 @@
 use crate::member::ring;
 use crate::message::Status;
 
-/// Seed of the hash that chooses watchers.
+/// Seed of the hash by which watchers are chosen.
 const WATCHER_SEED: u64 = 0x77;
 
-/// One life of an instance, and what is known of it.
+/// The state of one process of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberState {
     /// The instance.
     pub id: InstanceId,
-    /// Wall-clock milliseconds at which the process started.
+    /// Wall-clock time at which the process started, in milliseconds.
     pub start: u64,
-    /// What is known of it.
+    /// Its last known status.
     pub status: Status,
 }
 
-/// The live instances as one instance sees them, itself included, in order of their names.
+/// The live instances as seen by one instance, including itself, ordered by name.
 #[derive(Clone, Debug)]
 pub struct View {
     /// The live instances.
     pub instances: Arc<[Instance]>,
-    /// Every instance that is known, with those that left or seem dead, in order of their names.
+    /// All known instances, including those that left or are considered dead, ordered by name.
     pub members: Arc<[MemberState]>,
-    /// Digest of names and lives: equal on two instances exactly when they see the same instances.
+    /// Digest of names and start times: equal on two instances exactly when they see the same live
+    /// processes.
     pub digest: u64,
     /// The instance whose view this is.
     pub me: InstanceId,
-    /// False while joining, and after an own pause until a peer has answered: the view may be old.
+    /// False while joining, and after a pause of this process until a peer has answered: the view
+    /// may be outdated.
     pub settled: bool,
 }
 
 impl View {
-    /// Number of live instances.
+    /// Returns the number of live instances.
     pub fn live(&self) -> usize {
         self.instances.len()
     }
 
-    /// This instance's position among the live instances.
+    /// Returns this instance's position among the live instances.
     pub fn index(&self) -> Option<usize> {
         self.instances
             .binary_search_by(|instance| instance.id.cmp(&self.me))
             .ok()
     }
 
-    /// Looks an instance up.
+    /// Looks up a live instance.
     pub fn get(&self, id: &InstanceId) -> Option<&Instance> {
         let at = self.instances.binary_search_by(|known| known.id.cmp(id));
         at.ok().map(|at| &self.instances[at])
     }
 
-    /// Whether this instance is among the `count` of its zone that hold a watch on the platform.
+    /// Returns whether this instance is among the `count` watchers of its zone, which hold a watch
+    /// on the platform.
     ///
-    /// The choice is by rendezvous hashing, so it moves only where an instance comes or goes.
+    /// Watchers are chosen by rendezvous hashing, so that a joining or leaving instance changes the
+    /// choice as little as possible.
     pub fn is_watcher(&self, count: usize) -> bool {
         let Some(me) = self.get(&self.me) else {
             return true;
@@ -72,7 +76,7 @@
         ahead < count
     }
 
-    /// Number of watchers over all zones.
+    /// Returns the number of watchers over all zones, with up to `count` in each zone.
     pub fn watchers(&self, count: usize) -> usize {
         let mut zones: Vec<&str> = self.instances.iter().map(|i| &*i.zone).collect();
         zones.sort_unstable();
--- a/crates/peers/src/message.rs
+++ b/crates/peers/src/message.rs
@@ -6,52 +6,52 @@
 use crate::identity::Instance;
 use crate::identity::InstanceId;
 
-/// Buckets into which the members are divided for comparison of two views.
+/// Number of buckets into which members are divided to compare two views.
 pub const BUCKETS: usize = 16;
 
-/// What is said about a member; a later variant overrules an earlier one of the same incarnation.
+/// Status of a member. A later variant overrides an earlier one of the same incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Status {
-    /// It answers.
+    /// The member answers.
     Alive,
-    /// It didn't answer a probe, neither directly nor through others.
+    /// The member didn't answer a probe, neither directly nor through others.
     Suspect,
     /// The suspicion wasn't refuted in time.
     Dead,
-    /// It stopped as planned.
+    /// The member left by a planned stop.
     Left,
 }
 
 impl Status {
-    /// Whether a member of this status belongs to the live view.
+    /// Returns whether a member with this status belongs to the live view.
     pub fn is_live(self) -> bool {
         matches!(self, Status::Alive | Status::Suspect)
     }
 }
 
-/// One statement about one member.
+/// An update about a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Update {
     /// The member.
     pub instance: Instance,
-    /// The life of the member that the statement is about.
+    /// The incarnation of the member that the update refers to.
     pub incarnation: Incarnation,
-    /// The statement.
+    /// The status.
     pub status: Status,
-    /// Hash of the instance that first suspected; counts independent suspicions.
+    /// Hash of the instance that raised the suspicion, by which independent suspicions are counted.
     pub origin: u32,
 }
 
-/// What each message carries besides its body.
+/// Data that each message carries in addition to its body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Gossip {
     /// The sender's incarnation.
     pub incarnation: Incarnation,
     /// The revision of the configuration that the sender has in force.
     pub revision: u64,
-    /// Digest of the sender's live view; zero when not known.
+    /// Digest of the sender's live view; zero if unknown.
     pub view_digest: u64,
-    /// Digest of the sender's configuration; zero when not known.
+    /// Digest of the sender's configuration; zero if unknown.
     pub config_digest: u64,
     /// A bounded number of recent updates.
     pub updates: Vec<Update>,
@@ -60,7 +60,7 @@
 /// SHA-256 of a part's text.
 pub type PartHash = [u8; 32];
 
-/// A part of the configuration without its text.
+/// Metadata of a part of the configuration, without its text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartRef {
     /// The team that owns the part.
@@ -69,67 +69,67 @@
     pub revision: u64,
     /// Length of the text.
     pub bytes: u32,
-    /// The part no longer exists.
+    /// Whether the part was removed.
     pub removed: bool,
     /// Hash of the text.
     pub hash: PartHash,
 }
 
-/// How a part's text differs from that of an earlier revision.
+/// Difference of a part's text from that of an earlier revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Piece {
     /// The team.
     pub team: Arc<str>,
-    /// The earlier revision; zero when the middle is the whole text.
+    /// The earlier revision; zero if the difference contains the whole text.
     pub base: u64,
     /// The difference.
     pub delta: Delta,
 }
 
-/// A difference between two texts that have a start and an end in common.
+/// A difference between two texts with a common prefix and suffix.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delta {
-    /// Bytes in common at the start.
+    /// Length of the common prefix in bytes.
     pub prefix: u32,
-    /// Bytes in common at the end.
+    /// Length of the common suffix in bytes.
     pub suffix: u32,
-    /// What stands between them in the new text.
+    /// The bytes between them in the new text.
     pub middle: Vec<u8>,
 }
 
 /// The body of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Body {
-    /// Nothing; also what an unknown body of a newer version reads as.
+    /// Nothing. An unknown body of a newer version is decoded as this variant.
     None,
-    /// Asks the receiver, which should be the named instance, for an [`Body::Ack`].
+    /// Asks the receiver, which should be the named instance, for a [`Body::Ack`].
     Probe(InstanceId),
     /// Answers a probe with the name of the answering instance.
     Ack(InstanceId),
     /// Asks the receiver to probe the named instance.
     Indirect(InstanceId),
-    /// Result of a probe made for another.
+    /// Result of a probe on behalf of another member.
     Confirm {
         /// The probed instance.
         target: InstanceId,
         /// Whether it answered.
         alive: bool,
     },
-    /// The sender's bucket digests; asks for the members of those that differ.
+    /// The sender's bucket digests; asks for the members of the buckets that differ.
     Sync(Vec<u64>),
-    /// Members of the buckets that differed.
+    /// The members of the buckets that differed.
     Members(Vec<Update>),
     /// Asks for the receiver's revision.
     Query,
-    /// The sender has the given revision in force.
+    /// Announces the revision that the sender has in force.
     Announce(u64),
-    /// Asks for the parts that changed after a revision, from the team after `cursor` on.
+    /// Asks for the parts that changed after a revision, starting after the team `cursor`.
     PullIndex {
-        /// The asker's revision.
+        /// The requester's revision.
         after: u64,
         /// The last team of the previous page; empty for the first page.
         cursor: Arc<str>,
-        /// Whether the list alone is wanted, without the texts.
+        /// Whether only the list is wanted, without texts.
         bare: bool,
     },
     /// A page of the parts that changed after a revision.
@@ -140,25 +140,25 @@
         after: u64,
         /// The parts, ordered by team.
         parts: Vec<PartRef>,
-        /// Cursor of the next page; empty at the end.
+        /// Cursor of the next page; empty on the last page.
         next: Arc<str>,
-        /// The smaller texts among them, as differences from what the asker should hold.
+        /// The smaller texts, as differences from the texts that the requester should hold.
         pieces: Vec<Piece>,
     },
-    /// Asks for a piece of a part's text.
+    /// Asks for a chunk of a part's text.
     PullPart {
         /// The team.
         team: Arc<str>,
-        /// The revision wanted.
+        /// The requested revision.
         revision: u64,
-        /// First byte wanted.
+        /// Offset of the first requested byte.
         offset: u32,
     },
-    /// A piece of a part's text, at the revision that the sender has.
+    /// A chunk of a part's text, at the revision that the sender holds.
     Chunk {
-        /// The part; `removed` when the sender doesn't hold it.
+        /// The part; `removed` if the sender doesn't hold it.
         part: PartRef,
-        /// First byte.
+        /// Offset of the first byte.
         offset: u32,
         /// The bytes.
         bytes: Vec<u8>,
@@ -166,7 +166,7 @@
 }
 
 impl Body {
-    /// Whether the receiver answers this body with one of its own.
+    /// Returns whether the receiver answers this body with one of its own.
     pub fn wants_answer(&self) -> bool {
         matches!(
             self,
@@ -182,7 +182,7 @@
 /// A message between two instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Piggybacked knowledge.
+    /// Piggybacked gossip.
     pub gossip: Gossip,
     /// The body.
     pub body: Body,
--- a/crates/peers/src/node.rs
+++ b/crates/peers/src/node.rs
@@ -1,4 +1,5 @@
-//! Membership and spread together, as one state machine that exchanges messages.
+//! Membership and dissemination of the configuration, combined into one state machine that
+//! exchanges messages.
 
 use std::sync::Arc;
 
@@ -30,60 +31,60 @@
 /// Settings of a [`Node`].
 #[derive(Clone, Debug, Default)]
 pub struct NodeSettings {
-    /// The membership's.
+    /// Settings of the membership.
     pub member: MemberSettings,
-    /// The spread's.
+    /// Settings of the dissemination of the configuration.
     pub spread: SpreadSettings,
 }
 
-/// What happens to a [`Node`].
+/// An input of a [`Node`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Time passed. To be given about every 100 ms: a long gap reads as an own pause.
+    /// Time passed. Expected about every 100 ms: a long gap is taken for a pause of the process.
     Tick,
     /// The platform's list of entry instances.
     InstanceList(Vec<ListedInstance>),
     /// The outcome of a read of the platform.
     PlatformRead(PlatformRead),
-    /// A message came, be it a request or an answer.
+    /// A message arrived, either a request or an answer.
     Message(InstanceId, Message),
     /// A message couldn't be delivered or wasn't answered.
     Failed(InstanceId),
     /// Another instance answers at the address of the named one.
     Replaced(InstanceId),
-    /// The embedder is about to act on the view and wants it as new as can be.
+    /// The embedder is about to act on the view and needs it as current as possible.
     Refresh,
-    /// The instance stops as planned.
+    /// The instance leaves by a planned stop.
     Leave,
 }
 
-/// What the embedder of a [`Node`] must do.
+/// An action that the embedder of a [`Node`] must carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Send a message.
     Send(Instance, Message),
-    /// Answer the message that is being handled.
+    /// Answer the message that is being processed.
     Reply(Message),
     /// Read the index of the configuration.
     ReadIndex,
     /// Watch the index of the configuration.
     WatchIndex {
-        /// The revision that is known.
+        /// The known revision.
         after: u64,
-        /// The longest wait.
+        /// The maximum time to wait.
         wait: Millis,
     },
     /// Read a part of the configuration.
     ReadPart(Arc<str>),
     /// The live view changed.
     ViewChanged(View),
-    /// This configuration is in force from now on.
+    /// The configuration in force has changed to this one.
     InForce(Snapshot),
-    /// Report something that an operator should know.
+    /// Report a finding to the operator.
     Report(Finding),
 }
 
-/// Something that an operator should know.
+/// A finding for the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Finding {
     /// About the membership.
@@ -92,18 +93,18 @@
     Spread(SpreadFinding),
 }
 
-/// An instance among its peers: [`Member`] and [`Spread`] with their messages.
+/// An instance of the fleet: [`Member`] and [`Spread`] with their messages.
 #[derive(Debug)]
 pub struct Node {
     member: Member,
     spread: Spread,
     published: Option<(u64, bool)>,
-    /// Who sent the message that is being handled.
+    /// The sender of the message that is being processed.
     requester: Option<InstanceId>,
 }
 
 impl Node {
-    /// Makes a node that knows only itself.
+    /// Creates a node that knows only itself.
     pub fn new(
         settings: NodeSettings,
         me: Instance,
@@ -119,22 +120,22 @@
         }
     }
 
-    /// The membership.
+    /// Returns the membership.
     pub fn member(&self) -> &Member {
         &self.member
     }
 
-    /// The instances that this node probes and announces to.
+    /// Returns the instances that this node probes and announces changes to.
     pub fn neighbours(&mut self) -> Vec<InstanceId> {
         self.member.targets().to_vec()
     }
 
-    /// The spread of the configuration.
+    /// Returns the dissemination state of the configuration.
     pub fn spread(&self) -> &Spread {
         &self.spread
     }
 
-    /// How fresh the configuration is, for an operator.
+    /// Returns how current the configuration is, for the operator.
     pub fn sync_status(&self, now: Millis) -> SyncStatus {
         let view = self.member.view();
         let others = view.instances.iter().filter(|peer| peer.id != view.me);
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Takes an event in.
+    /// Handles an event.
     pub fn handle(&mut self, event: Event, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -256,11 +257,12 @@
         }
     }
 
-    /// Announces over the connections that the probes keep open.
+    /// Announces a revision over the connections that probes keep open.
     fn announce(&mut self, revision: u64, actions: &mut Vec<Action>) {
         let mut behind = self.neighbours();
         behind.retain(|peer| self.spread.peer_revision(peer) < revision);
-        // Taken in turn: always the first ones by name would leave some instances out.
+        // Rotated by revision: always choosing the first ones by name would leave some instances
+        // out.
         let turn = revision as usize % behind.len().max(1);
         behind.rotate_left(turn);
         for peer in behind.iter().take(self.spread.fanout()) {
@@ -282,8 +284,9 @@
 
     fn send(&mut self, to: Instance, body: Body) -> Action {
         let mut updates = self.member.updates(&to.id);
-        // One that asks for a whole view may be unknown to the asked: an instance that started while
-        // the platform is down has no list. Without the address it could only ever answer.
+        // The receiver may not know the instance that asks for its view: an instance that started
+        // while the platform is down isn't on any list. Without its address, the receiver could
+        // answer it but never call it.
         if matches!(body, Body::Sync(_)) {
             updates.push(self.member.introduction());
         }
--- a/crates/peers/src/runtime/calls.rs
+++ b/crates/peers/src/runtime/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of a session, from the caller's side.
+//! The caller's side of a session.
 
 use crocushold_base::Millis;
 use crocushold_ownership::BorrowReply;
@@ -18,7 +18,7 @@
 use crate::runtime::clients::PeerSession;
 use crate::wire;
 
-/// Sends a message and reads the answer.
+/// Sends a message and returns the answer.
 pub(crate) async fn exchange(session: PeerSession, message: Message) -> capnp::Result<Message> {
     let mut request = session.client.exchange_request();
     wire::write(&message, session.version, request.get().init_message());
--- a/crates/peers/src/runtime/circuit.rs
+++ b/crates/peers/src/runtime/circuit.rs
@@ -1,11 +1,12 @@
-//! When a peer is asked at all.
+//! Circuit breaker for calls to a peer.
 
 use crocushold_base::Millis;
 
 use crate::runtime::settings::Limits;
 
-/// A circuit breaker: a frozen peer would make each caller wait for its deadline; after a few such
-/// waits calls to it fail at once, and one call now and then tries whether it is back.
+/// A circuit breaker. Each call to an unresponsive peer would wait for its deadline; after several
+/// consecutive failures, calls fail at once, and an occasional trial call checks whether the peer
+/// has recovered.
 #[derive(Debug, Default)]
 pub(crate) struct CircuitBreaker {
     failures: u32,
@@ -13,7 +14,8 @@
 }
 
 impl CircuitBreaker {
-    /// Whether a call may be made; counts a trial call while the circuit is open.
+    /// Returns whether a call may be made. While the circuit is open, a call that is allowed counts
+    /// as a trial call.
     pub(crate) fn admit(&mut self, limits: &Limits, now: Millis) -> bool {
         if self.failures < limits.failure_threshold {
             return true;
@@ -25,12 +27,12 @@
         true
     }
 
-    /// A call was answered.
+    /// Records an answered call.
     pub(crate) fn succeeded(&mut self) {
         *self = CircuitBreaker::default();
     }
 
-    /// A call wasn't answered.
+    /// Records a call that wasn't answered.
     pub(crate) fn failed(&mut self, limits: &Limits, now: Millis) {
         self.failures = self.failures.saturating_add(1);
         self.retry_at = now + self.backoff(limits);
--- a/crates/peers/src/runtime/clients.rs
+++ b/crates/peers/src/runtime/clients.rs
@@ -1,4 +1,4 @@
-//! Calls to peers: connections, deadlines, circuits.
+//! Calls to peers, with connections, deadlines and circuit breakers.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -21,13 +21,13 @@
 use crate::runtime::error::CallError;
 use crate::runtime::settings::Settings;
 
-/// A session with a peer and the protocol version that was agreed for it.
+/// A session with a peer and its negotiated protocol version.
 pub(crate) struct PeerSession {
     pub(crate) client: session::Client,
     pub(crate) version: u16,
 }
 
-/// What is kept for one peer.
+/// State kept for one peer.
 #[derive(Default)]
 struct Client {
     connection: Mutex<Option<Connection>>,
@@ -36,7 +36,7 @@
     last_used: Cell<Millis>,
 }
 
-/// Counts a pending call for as long as it lives.
+/// Counts a call as pending until it is dropped.
 struct PendingCall<'a>(&'a Cell<usize>);
 
 impl<'a> PendingCall<'a> {
@@ -52,7 +52,7 @@
     }
 }
 
-/// The peers that were called lately.
+/// Clients of the peers that were called recently.
 pub(crate) struct Clients {
     settings: Rc<Settings>,
     clock: Clock,
@@ -68,11 +68,7 @@
         }
     }
 
-    /// Makes a call within `deadline`, connecting first where needed.
-    ///
-    /// # Errors
-    ///
-    /// See [`CallError`].
+    /// Makes a call within `deadline`, connecting first if necessary.
     pub(crate) async fn call<T, F>(
         &self,
         peer: &Instance,
@@ -129,16 +125,17 @@
     fn record_outcome<T>(&self, client: &Client, outcome: &Result<T, CallError>) {
         let now = self.clock.now();
         let mut circuit = client.circuit.borrow_mut();
-        // During an upgrade an older program answers that it doesn't know a call. Were that counted as
-        // a failure, the circuit would keep all other calls and the probes from a peer that is well, and
-        // it would be taken for dead. An answer of any kind shows that the peer and the connection live.
+        // During an upgrade, an older program answers that it doesn't know a call. If that counted
+        // as a failure, the circuit would open for a healthy peer, block other calls and probes,
+        // and the peer would be considered dead. An answer of any kind shows that the peer and the
+        // connection work.
         if outcome.as_ref().err().is_none_or(CallError::is_answer) {
             circuit.succeeded();
             return;
         }
         circuit.failed(&self.settings.limits, now);
-        // The connection of a peer that doesn't answer is given up, so that what it still holds
-        // back isn't kept here, and the next trial starts afresh.
+        // The connection of a peer that doesn't answer is dropped, so that data that it hasn't read
+        // isn't buffered here, and the next trial call opens a new one.
         if let Some(mut slot) = client.connection.try_lock() {
             *slot = None;
         }
@@ -154,7 +151,7 @@
         Ok(client)
     }
 
-    /// Closes connections that weren't used for long.
+    /// Closes connections that have been idle for too long.
     pub(crate) fn close_idle(&self) {
         let now = self.clock.now();
         let idle = self.settings.limits.idle_timeout;
--- a/crates/peers/src/runtime/connect.rs
+++ b/crates/peers/src/runtime/connect.rs
@@ -1,4 +1,4 @@
-//! An authenticated connection to a peer.
+//! Outgoing authenticated connections to peers.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
 use crate::runtime::settings::Settings;
 use crate::wire;
 
-/// Limits on what is read from a connection.
+/// Returns the limits on messages read from a connection.
 pub(crate) fn reader_options(limits: &Limits) -> ReaderOptions {
     let mut options = ReaderOptions::new();
     options
@@ -40,7 +40,7 @@
     options
 }
 
-/// The two-party network of a stream.
+/// Creates the two-party network of a stream.
 pub(crate) fn network(
     stream: TcpStream,
     side: Side,
@@ -55,7 +55,7 @@
     ))
 }
 
-/// A connection over which both ends have proved that they hold the key. Closed when dropped.
+/// A mutually authenticated connection. Closed when dropped.
 pub(crate) struct Connection {
     pub(crate) session: session::Client,
     pub(crate) version: u16,
@@ -65,7 +65,7 @@
 }
 
 impl Connection {
-    /// Whether the connection still stands, as far as is known.
+    /// Returns whether the connection is open, as far as is known.
     pub(crate) fn is_open(&self) -> bool {
         self.open.get()
     }
@@ -88,23 +88,23 @@
     }
 }
 
-/// Connects to a peer and proves both ends, within the handshake's time.
+/// Connects to a peer and authenticates both ends, within the handshake timeout.
 ///
 /// # Errors
 ///
-/// [`CallError::Connect`] when there is no connection or no agreement, [`CallError::Replaced`] when
+/// [`CallError::Connect`] if the connection or the handshake fails, [`CallError::Replaced`] if
 /// another instance answers.
 pub(crate) async fn connect(settings: &Settings, peer: &Instance) -> Result<Connection, CallError> {
     let span = Duration::from(settings.limits.handshake_timeout);
     let opening = open(settings, peer);
     let opened = timeout(span, opening).await;
-    opened.unwrap_or_else(|_| Err(CallError::Connect("no answer in time".into())))
+    opened.unwrap_or_else(|_| Err(CallError::Connect("the handshake timed out".into())))
 }
 
 async fn open(settings: &Settings, peer: &Instance) -> Result<Connection, CallError> {
     let stream = TcpStream::connect(peer.address).await;
     let stream = stream.map_err(|err| CallError::Connect(err.to_string()))?;
-    // Without it the probes wait for the acknowledgement of earlier ones.
+    // With Nagle's algorithm, probes would wait for the acknowledgement of earlier ones.
     let _ = stream.set_nodelay(true);
     let mut system = RpcSystem::new(network(stream, Side::Client, &settings.limits), None);
     let gate: gate::Client = system.bootstrap(Side::Server);
@@ -117,7 +117,7 @@
     });
     let mut guard = AbortGuard(Some(handle));
     let (session, version) = handshake(settings, peer, &gate).await?;
-    let system = guard.0.take().expect("the guard was armed above");
+    let system = guard.0.take().expect("the guard was set above");
     Ok(Connection {
         session,
         version,
@@ -140,7 +140,7 @@
     let answer = response.get().map_err(connect_error)?;
     let proof = answer.get_proof().map_err(connect_error)?;
     if !transcript.verify(&settings.key, Role::Callee, proof) {
-        return Err(CallError::Connect("the peer doesn't hold the key".into()));
+        return Err(CallError::Connect("the peer's proof is invalid".into()));
     }
     let found = wire::read_id(answer.get_id().map_err(connect_error)?).map_err(connect_error)?;
     if found != peer.id {
@@ -181,7 +181,7 @@
     Ok(*bytes)
 }
 
-#[allow(clippy::needless_pass_by_value)] // the shape that map_err wants
+#[allow(clippy::needless_pass_by_value)] // signature required by map_err
 fn connect_error(err: capnp::Error) -> CallError {
     CallError::Connect(err.to_string())
 }
--- a/crates/peers/src/runtime/core.rs
+++ b/crates/peers/src/runtime/core.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the peers' thread share.
+//! State shared by the tasks of the peers' thread.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -35,7 +35,7 @@
 use crate::runtime::settings::Settings;
 use crate::sync_status::SyncStatus;
 
-/// The node and all that surrounds it, on one thread.
+/// The node with its connections and channels, on one thread.
 pub(crate) struct Core {
     pub(crate) settings: Rc<Settings>,
     pub(crate) clock: Clock,
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Gives the node an event and does what it asks for; returns its answer to a message.
+    /// Passes an event to the node and carries out the resulting actions; returns its answer to a
+    /// message.
     pub(crate) fn feed(self: &Rc<Self>, event: Event) -> Option<Message> {
         let now = self.clock.now();
         let actions = self.node.borrow_mut().handle(event, now);
@@ -94,13 +95,13 @@
         reply
     }
 
-    /// How fresh the configuration is, for an operator.
+    /// Returns how current the configuration is, for the operator.
     pub(crate) fn sync_status(&self) -> SyncStatus {
         self.node.borrow().sync_status(self.clock.now())
     }
 
     fn ask_platform(&self, request: PlatformRequest) {
-        // A full channel means that the embedder is behind; the read is repeated later.
+        // If the channel is full, the embedder is behind; the read is requested again later.
         let _ = self.platform.try_send(request);
     }
 
@@ -158,12 +159,12 @@
         self.clients.call(&instance, deadline, make).await
     }
 
-    /// Whether messages are on their way.
+    /// Returns whether messages are being sent.
     pub(crate) fn is_sending(&self) -> bool {
         self.sending.get() > 0
     }
 
-    /// Counts a failed proof, and logs the first and then every hundredth.
+    /// Counts a failed proof, and logs the first one and every hundredth after it.
     pub(crate) fn count_failed_proof(&self) {
         let count = self.failed_proofs.get();
         self.failed_proofs.set(count + 1);
--- a/crates/peers/src/runtime/error.rs
+++ b/crates/peers/src/runtime/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the shell.
+//! Errors of the peer node and of its calls.
 
 use capnp::ErrorKind;
 use quick_error::quick_error;
@@ -6,10 +6,10 @@
 use crate::identity::InstanceId;
 
 quick_error! {
-    /// Why a peer node couldn't start.
+    /// Error of starting a peer node.
     #[derive(Debug)]
     pub enum StartError {
-        /// The address can't be listened on, or the thread can't be started.
+        /// The address can't be bound, or the thread can't be started.
         Io(err: std::io::Error) {
             from()
             display("can't start the peer node: {}", err)
@@ -19,25 +19,25 @@
 }
 
 quick_error! {
-    /// Why a call to a peer has no answer.
+    /// Reason why a call to a peer failed.
     ///
     /// Only [`CallError::NoPeer`], [`CallError::CircuitOpen`], [`CallError::Busy`] and
-    /// [`CallError::Connect`] prove that the peer didn't get the call.
+    /// [`CallError::Connect`] guarantee that the peer didn't receive the call.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum CallError {
         /// The peer isn't known.
         NoPeer {
             display("the peer isn't known")
         }
-        /// The peer failed repeatedly, so that it isn't asked for a while.
+        /// The peer failed repeatedly, so the circuit breaker rejects the call.
         CircuitOpen {
-            display("the peer failed repeatedly and isn't asked for a while")
+            display("the circuit breaker is open after repeated failures")
         }
-        /// Too many calls wait.
+        /// Too many calls are pending.
         Busy {
-            display("too many calls wait")
+            display("too many calls are pending")
         }
-        /// No connection, or no agreement on it.
+        /// Connecting or the handshake failed.
         Connect(reason: String) {
             display("can't connect: {}", reason)
         }
@@ -45,15 +45,15 @@
         Replaced(found: InstanceId) {
             display("{} answers at the peer's address", found)
         }
-        /// The peer runs a program that doesn't know the call, or its embedder refuses it.
+        /// The peer runs a program that doesn't know the call, or its embedder refused it.
         Unsupported {
-            display("the peer doesn't answer this call")
+            display("the peer doesn't support this call")
         }
-        /// The answer didn't come in time.
+        /// The answer didn't arrive before the deadline.
         Deadline {
-            display("the answer didn't come in time")
+            display("the call timed out")
         }
-        /// The connection broke, or the peer answered with an error.
+        /// The connection was lost, or the peer answered with an error.
         Broken(reason: String) {
             display("the call failed: {}", reason)
         }
@@ -65,8 +65,8 @@
 }
 
 impl CallError {
-    /// The meaning of an error in place of an answer.
-    #[allow(clippy::needless_pass_by_value)] // the shape that map_err wants
+    /// Converts an error received in place of an answer.
+    #[allow(clippy::needless_pass_by_value)] // signature required by map_err
     pub(crate) fn from_answer(err: capnp::Error) -> CallError {
         if err.kind == ErrorKind::Unimplemented {
             CallError::Unsupported
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Whether the error shows that the peer answers, so that nothing is wrong with it.
+    /// Returns whether the error is an answer of the peer, so that the peer is healthy.
     pub(crate) fn is_answer(&self) -> bool {
         *self == CallError::Unsupported
     }
--- a/crates/peers/src/runtime/handle.rs
+++ b/crates/peers/src/runtime/handle.rs
@@ -1,4 +1,4 @@
-//! What the rest of the process holds of the peers' thread.
+//! The handle through which the rest of the process uses the peers' thread.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -24,37 +24,38 @@
 use crate::spread::Snapshot;
 use crate::sync_status::SyncStatus;
 
-/// Notices that a subscriber may leave unread before it misses some.
+/// Number of notices buffered for a subscriber; further ones are dropped.
 const NOTICE_BACKLOG: usize = 256;
 
-/// A read of the platform that the embedder should make.
+/// A read of the platform that the embedder must make.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformRequest {
     /// Read the index; answer with [`PlatformRead::Index`].
     ReadIndex,
     /// Watch the index; answer with [`PlatformRead::Index`].
     WatchIndex {
-        /// The revision that is known.
+        /// The known revision.
         after: u64,
-        /// The longest wait.
+        /// The maximum time to wait.
         wait: Millis,
     },
     /// Read a part; answer with [`PlatformRead::Part`].
     ReadPart(Arc<str>),
 }
 
-/// Something changed. A slow subscriber misses notices, never the state that they point to.
+/// A notice of a change. A slow subscriber may miss notices, but never the state that they refer
+/// to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// [`PeerHandle::view`] changed.
     View,
     /// [`PeerHandle::config`] changed.
     Config,
-    /// An operator should know something.
+    /// A finding for the operator.
     Finding(Finding),
 }
 
-/// What the peers' thread is told.
+/// A command to the peers' thread.
 pub(crate) enum Command {
     Event(Event),
     Call {
@@ -76,7 +77,7 @@
     subscribers: Vec<Sender<Notice>>,
 }
 
-/// State that the peers' thread shows to the rest of the process.
+/// State that the peers' thread publishes to the rest of the process.
 #[derive(Debug)]
 pub(crate) struct Shared {
     state: Mutex<State>,
@@ -119,7 +120,7 @@
     }
 }
 
-/// Handle of a running [`PeerNode`](crate::PeerNode). Cheap to clone; can be sent to any thread.
+/// Handle to a running [`PeerNode`](crate::PeerNode). Cheap to clone; can be sent to any thread.
 #[derive(Clone)]
 pub struct PeerHandle {
     pub(crate) me: Instance,
@@ -128,42 +129,42 @@
 }
 
 impl PeerHandle {
-    /// This instance, with the port that was bound.
+    /// Returns this instance, with the port that was bound.
     pub fn me(&self) -> &Instance {
         &self.me
     }
 
-    /// The live view.
+    /// Returns the live view.
     pub fn view(&self) -> View {
         self.shared.state().view.clone()
     }
 
-    /// The configuration in force; none while the instance isn't ready.
+    /// Returns the configuration in force; `None` while the instance isn't ready.
     pub fn config(&self) -> Option<Snapshot> {
         self.shared.state().config.clone()
     }
 
-    /// Notices of changes from now on.
+    /// Subscribes to notices of changes.
     pub fn subscribe(&self) -> Receiver<Notice> {
         let (sender, receiver) = bounded(NOTICE_BACKLOG);
         self.shared.state().subscribers.push(sender);
         receiver
     }
 
-    /// How fresh the configuration is at this moment; none when the thread is overloaded or stopped.
+    /// Returns how current the configuration is; `None` if the thread is overloaded or stopped.
     pub async fn sync_status(&self) -> Option<SyncStatus> {
         let (answer, answered) = oneshot::channel();
         self.commands.try_send(Command::SyncStatus(answer)).ok()?;
         answered.await.ok()
     }
 
-    /// Gives the platform's instance list in. Lost when the thread is overloaded; give it in again
-    /// with the next read.
+    /// Passes the platform's instance list to the node. It is dropped if the thread is overloaded;
+    /// pass it again with the next read.
     pub fn instance_list(&self, listed: Vec<ListedInstance>) {
         self.send_event(Event::InstanceList(listed));
     }
 
-    /// Gives the outcome of a [`PlatformRequest`] in.
+    /// Passes the result of a [`PlatformRequest`] to the node.
     pub fn platform_read(&self, read: PlatformRead) {
         self.send_event(Event::PlatformRead(read));
     }
@@ -172,7 +173,7 @@
     ///
     /// # Errors
     ///
-    /// See [`CallError`], which also says when the peer certainly didn't get the call.
+    /// See [`CallError`], which also states when the peer certainly didn't receive the call.
     pub async fn call(
         &self,
         peer: &InstanceId,
@@ -196,8 +197,9 @@
         answered.await.unwrap_or(Err(CallError::Stopped))
     }
 
-    /// Asks some peers for their views; returns when they have answered, or didn't for a second.
-    /// Gossip may be behind by seconds, and who leaves must know to whom to hand over.
+    /// Requests the views of some peers; returns once they have answered, or after one second.
+    /// Gossip may lag by seconds, and a leaving instance must know which members to hand its state
+    /// over to.
     pub async fn refresh(&self) {
         let (done, answered) = oneshot::channel();
         if self.commands.send(Command::Refresh(done)).await.is_ok() {
@@ -205,8 +207,8 @@
         }
     }
 
-    /// Leaves as planned; returns when the neighbours were told, or couldn't be for a second. The
-    /// node goes on answering until [`PeerHandle::stop`].
+    /// Leaves the membership; returns once the neighbours have been told, or after one second. The
+    /// node keeps answering until [`PeerHandle::stop`].
     pub async fn leave(&self) {
         let (done, left) = oneshot::channel();
         if self.commands.send(Command::Leave(done)).await.is_ok() {
--- a/crates/peers/src/runtime/mod.rs
+++ b/crates/peers/src/runtime/mod.rs
@@ -1,7 +1,7 @@
-//! The thin shell round [`Node`]: sockets, time and one thread of its own.
+//! The runtime of a [`Node`]: sockets, timers and a dedicated thread.
 //!
 //! RPC systems can't move between threads, so all of them run on one thread with a local executor;
-//! the rest of the process talks to it over channels.
+//! the rest of the process communicates with it over channels.
 
 mod calls;
 mod circuit;
@@ -47,36 +47,37 @@
 pub use settings::Settings;
 pub use settings::Versions;
 
-/// Time between two ticks.
+/// Interval between two ticks.
 const TICK: Millis = Millis(100);
 
-/// Time between two looks for idle connections.
+/// Interval between two checks for idle connections.
 const IDLE_CHECK_INTERVAL: Millis = Millis::from_secs(10);
 
-/// Wait after a failed accept, as when the process has no file descriptors left.
+/// Delay after a failed accept, such as when the process has no file descriptors left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Longest wait for the neighbours to hear that this instance leaves, or to answer with their views.
+/// Maximum time to wait for the neighbours to be told that this instance leaves, or to answer with
+/// their views.
 const SEND_TIMEOUT: Millis = Millis::from_secs(1);
 
-/// Commands that wait for the thread.
+/// Capacity of the channel of commands to the thread.
 const COMMAND_BACKLOG: usize = 1024;
 
-/// Reads of the platform that wait for the embedder.
+/// Capacity of the channel of platform reads to the embedder.
 const PLATFORM_REQUEST_BACKLOG: usize = 64;
 
-/// A node among its peers, on a thread of its own.
+/// A node with a dedicated thread.
 pub struct PeerNode;
 
 /// A started [`PeerNode`].
 pub struct Started {
     /// The handle.
     pub handle: PeerHandle,
-    /// Reads of the platform that the embedder should make, and answer through the handle.
+    /// Platform reads that the embedder must make, and answer through the handle.
     pub platform: Receiver<PlatformRequest>,
 }
 
-/// What the thread starts from.
+/// Everything that the thread is started with.
 struct Setup {
     settings: Settings,
     node: Node,
@@ -89,12 +90,12 @@
 }
 
 impl PeerNode {
-    /// Listens and starts the thread. It ends with [`PeerHandle::stop`], or when all handles are
-    /// dropped.
+    /// Binds the address and starts the thread. It runs until [`PeerHandle::stop`] is called or all
+    /// handles are dropped.
     ///
     /// # Errors
     ///
-    /// When the address can't be listened on or the thread can't be started.
+    /// Fails if the address can't be bound or the thread can't be started.
     pub fn start(mut settings: Settings, handler: Arc<dyn Handler>) -> Result<Started, StartError> {
         let listener = StdListener::bind(settings.listen)?;
         if settings.me.address.port() == 0 {
@@ -184,7 +185,7 @@
             Command::Stop => break,
         }
     }
-    // Calls that are still queued would otherwise wait for as long as a handle lives.
+    // Calls that are still queued would otherwise wait as long as a handle exists.
     setup.commands.close();
     while setup.commands.try_recv().is_ok() {}
     for task in tasks {
--- a/crates/peers/src/runtime/server.rs
+++ b/crates/peers/src/runtime/server.rs
@@ -1,4 +1,4 @@
-//! The side of a connection that was connected to.
+//! Incoming connections of peers.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -40,14 +40,14 @@
 use crate::runtime::settings::Versions;
 use crate::wire;
 
-/// Connections that others hold open to this instance.
+/// Counts of the incoming connections.
 #[derive(Default)]
 pub(crate) struct IncomingCounts {
     open: Cell<usize>,
     unauthenticated: Cell<usize>,
 }
 
-/// One connection; counted for as long as it lives.
+/// An incoming connection; counted until it is dropped.
 struct IncomingConnection {
     core: Rc<Core>,
     authenticated: Cell<bool>,
@@ -85,7 +85,7 @@
         self.used.set(self.core.clock.now());
     }
 
-    /// Time that the connection may go on without a call.
+    /// Returns the time after which the connection is closed if no call is made.
     fn idle_timeout(&self) -> Millis {
         let limits = &self.core.settings.limits;
         if self.authenticated.get() {
@@ -108,7 +108,7 @@
     }
 }
 
-/// Serves a connection until it ends, or doesn't prove itself in time, or is idle for long.
+/// Serves a connection until it ends, fails to authenticate in time, or is idle for too long.
 pub(crate) fn serve(core: &Rc<Core>, stream: TcpStream) {
     let Some(connection) = IncomingConnection::open(core.clone()) else {
         return;
@@ -146,7 +146,7 @@
     }
 }
 
-/// What a connection gives before the caller has proved that it holds the key.
+/// The interface offered before the caller has proved that it holds the key.
 struct Gate {
     connection: std::rc::Weak<IncomingConnection>,
     handshake: RefCell<Option<Handshake>>,
@@ -202,7 +202,7 @@
         let connection = self.connection()?;
         let settings = &connection.core.settings;
         let proof = params.get()?.get_proof()?;
-        // One try for each challenge.
+        // A challenge admits only one attempt.
         let handshake = self.handshake.borrow_mut().take();
         let proved = handshake.filter(|g| g.transcript.verify(&settings.key, Role::Caller, proof));
         let Some(handshake) = proved else {
@@ -245,14 +245,14 @@
     }
 }
 
-/// What a stranger said of itself, to be proved.
+/// Claims of an unauthenticated caller, to be proved.
 struct Handshake {
     transcript: Transcript,
-    /// When its process started.
+    /// Wall-clock time at which its process started, in milliseconds.
     start: u64,
 }
 
-/// What a proved peer can call.
+/// The interface offered to an authenticated peer.
 struct Session {
     connection: std::rc::Weak<IncomingConnection>,
     peer: InstanceId,
--- a/crates/peers/src/runtime/settings.rs
+++ b/crates/peers/src/runtime/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the shell.
+//! Settings of the runtime.
 
 use std::net::SocketAddr;
 
@@ -10,32 +10,32 @@
 use crate::wire::NEWEST_VERSION;
 use crate::wire::OLDEST_VERSION;
 
-/// What a peer or a stranger can use up at most.
+/// Limits on the resources that a peer or an unauthenticated caller can use.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Connections that peers may hold open to this instance.
+    /// Maximum number of incoming connections.
     pub incoming: usize,
-    /// Of these, connections that haven't proved yet that they hold the key.
+    /// Maximum number of those that haven't authenticated yet.
     pub unauthenticated: usize,
-    /// Connections that this instance holds open to peers.
+    /// Maximum number of outgoing connections.
     pub outgoing: usize,
-    /// Time for connecting and for the proofs.
+    /// Timeout of connecting and authenticating.
     pub handshake_timeout: Millis,
-    /// Time for a message of the membership or of the spread and its answer.
+    /// Timeout of a message of the membership or of the configuration and its answer.
     pub exchange_timeout: Millis,
-    /// Calls to one peer that wait for an answer.
+    /// Maximum number of pending calls to one peer.
     pub pending_calls: usize,
-    /// Largest encoded message, in bytes.
+    /// Maximum size of an encoded message in bytes.
     pub message_bytes: usize,
-    /// Deepest nesting of an encoded message.
+    /// Maximum nesting depth of an encoded message.
     pub nesting: i32,
     /// Time without a call after which a connection is closed.
     pub idle_timeout: Millis,
-    /// Failures in a row after which calls to a peer fail at once.
+    /// Number of consecutive failures after which calls to a peer fail at once.
     pub failure_threshold: u32,
-    /// First time for which they do; it doubles with each further failure.
+    /// Initial time for which they do; it doubles with each further failure.
     pub circuit_backoff: Millis,
-    /// Longest such time.
+    /// Maximum of that time.
     pub max_circuit_backoff: Millis,
 }
 
@@ -58,12 +58,12 @@
     }
 }
 
-/// Protocol versions that are supported.
+/// Range of supported protocol versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Versions {
-    /// Oldest.
+    /// Oldest supported version.
     pub oldest: u16,
-    /// Newest.
+    /// Newest supported version.
     pub newest: u16,
 }
 
@@ -77,7 +77,7 @@
 }
 
 impl Versions {
-    /// The newest version that both ends speak.
+    /// Returns the newest version that both ends support.
     pub fn agree(self, other: Versions) -> Option<u16> {
         let newest = self.newest.min(other.newest);
         let oldest = self.oldest.max(other.oldest);
@@ -88,26 +88,26 @@
 /// Settings of a [`PeerNode`](crate::PeerNode).
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This instance. When its port is zero, the port that was bound takes its place.
+    /// This instance. If its port is zero, it is replaced by the port that was bound.
     pub me: Instance,
     /// Address to listen on.
     pub listen: SocketAddr,
     /// The key that all instances share.
     pub key: SharedKey,
-    /// Wall-clock milliseconds at which the process started.
+    /// Wall-clock time at which the process started, in milliseconds.
     pub start: u64,
-    /// Seed of random choices.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// Membership and spread.
+    /// Settings of the membership and of the configuration.
     pub node: NodeSettings,
-    /// Limits.
+    /// Resource limits.
     pub limits: Limits,
-    /// Protocol versions.
+    /// Supported protocol versions.
     pub versions: Versions,
 }
 
 impl Settings {
-    /// Settings with the defaults for everything but who this instance is.
+    /// Creates settings with defaults for everything but the instance's identity.
     pub fn new(me: Instance, key: SharedKey, start: u64, seed: u64) -> Settings {
         Settings {
             listen: me.address,
--- a/crates/peers/src/spread/budget.rs
+++ b/crates/peers/src/spread/budget.rs
@@ -6,11 +6,12 @@
 
 use crate::spread::SpreadSettings;
 
-/// Longest `Retry-After` that is honoured. A mistaken one of days would leave the instance at its
-/// configuration, and report nothing, until it is restarted; a call a minute is no load.
+/// Maximum `Retry-After` that is honoured. Without a limit, a mistaken value of days would keep the
+/// instance at its configuration, with nothing reported, until it is restarted; one call a minute
+/// is negligible load.
 const MAX_RETRY_AFTER: Millis = Millis::from_secs(60);
 
-/// Tokens for platform calls, and the wait after calls that brought nothing.
+/// Token bucket for platform calls, with a backoff after calls that brought nothing new.
 #[derive(Debug)]
 pub(super) struct Budget {
     rate: f64,
@@ -33,12 +34,13 @@
         }
     }
 
-    /// Sets this instance's share: `rate` calls a second among `instances`.
+    /// Sets this instance's share of a `rate` in calls per second that `instances` divide among
+    /// them.
     pub(super) fn set_share(&mut self, rate: f64, instances: usize) {
         self.rate = (rate / instances.max(1) as f64).min(self.burst);
     }
 
-    /// Takes a token, if there is one and no wait runs.
+    /// Takes a token if one is available and no backoff is in progress.
     pub(super) fn take(&mut self, now: Millis) -> bool {
         let span = now.since(self.filled).as_secs_f64();
         self.tokens = (self.tokens + span * self.rate).min(self.burst);
@@ -50,13 +52,14 @@
         true
     }
 
-    /// A call brought something, or waited as long as it should.
+    /// Resets the backoff after a call that brought news, or that waited as long as it should.
     pub(super) fn succeeded(&mut self) {
         self.backoff = Millis::ZERO;
     }
 
-    /// A call failed or returned at once without news. The wait doubles: a watch that returns at
-    /// once would otherwise be repeated as fast as the network allows, and eat the budget of all.
+    /// Backs off after a call that failed or returned at once without news. The delay doubles: a
+    /// watch that returns at once would otherwise be repeated as fast as the network allows, and
+    /// use up the budget of all instances.
     pub(super) fn back_off(
         &mut self,
         settings: &SpreadSettings,
--- a/crates/peers/src/spread/delta.rs
+++ b/crates/peers/src/spread/delta.rs
@@ -1,12 +1,12 @@
 //! Differences between two texts.
 //!
-//! Most changes touch a few lines of a part, so what stands between the common start and the common
-//! end is all that has to travel. The receiver checks the hash of the result.
+//! Most changes affect a few lines of a part, so only the bytes between the common prefix and the
+//! common suffix are sent. The receiver verifies the hash of the result.
 
 use crate::message::Delta;
 
 impl Delta {
-    /// The difference from `old` to `new`.
+    /// Computes the difference from `old` to `new`.
     pub fn between(old: &str, new: &str) -> Delta {
         let (old, new) = (old.as_bytes(), new.as_bytes());
         let prefix = common(old.iter().zip(new));
@@ -19,7 +19,7 @@
         }
     }
 
-    /// The new text; none when `old` is too short or the result isn't UTF-8.
+    /// Returns the new text; `None` if `old` is too short or the result isn't UTF-8.
     pub fn apply(&self, old: &str) -> Option<String> {
         let old = old.as_bytes();
         let (prefix, suffix) = (self.prefix as usize, self.suffix as usize);
--- a/crates/peers/src/spread/fetch.rs
+++ b/crates/peers/src/spread/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetching what changed, from the platform or from a peer.
+//! Fetches of changed parts from the platform or from a peer.
 
 use std::sync::Arc;
 
@@ -9,34 +9,35 @@
 use crate::message::Piece;
 use crate::spread::store::Part;
 
-/// Bytes of text in one message.
+/// Maximum number of bytes of text in one message.
 pub(super) const CHUNK_BYTES: usize = 128 << 10;
 
-/// Answers older than the listing after which a fetch is given up.
+/// Number of answers older than the index after which a fetch is abandoned.
 pub(super) const MAX_STALE_ANSWERS: u32 = 3;
 
-/// Where a fetch reads.
+/// Source of a fetch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Source {
     Platform,
     Peer(InstanceId),
 }
 
-/// A part that is wanted; the hash isn't known when the platform listed it.
+/// A part to fetch. Its hash isn't known if the platform listed it.
 #[derive(Clone, Debug)]
 pub(super) struct WantedPart {
     pub(super) team: Arc<str>,
     pub(super) revision: u64,
 }
 
-/// A text of which the first bytes have come.
+/// A partially received text.
 #[derive(Debug, Default)]
 pub(super) struct Partial {
     pub(super) head: Option<PartRef>,
     pub(super) bytes: Vec<u8>,
 }
 
-/// A fetch: the pages of the list first, then the parts one by one, and all is put in force at once.
+/// A fetch. It reads the pages of the list first and then the parts one by one; all of them are put
+/// in force at once.
 #[derive(Debug)]
 pub(super) struct Fetch {
     pub(super) source: Source,
@@ -71,12 +72,12 @@
         }
     }
 
-    /// Whether the fetch reads from `peer`.
+    /// Returns whether the fetch reads from `peer`.
     pub(super) fn is_from(&self, peer: &InstanceId) -> bool {
         matches!(&self.source, Source::Peer(id) if id == peer)
     }
 
-    /// Starts the list again, as the peer moved on between two pages.
+    /// Restarts reading the list, as the peer's revision changed between two pages.
     pub(super) fn restart(&mut self, revision: u64) {
         self.revision = revision;
         self.listed.clear();
@@ -84,7 +85,7 @@
         self.cursor = Arc::from("");
     }
 
-    /// Goes on with a text of which an earlier fetch brought the first bytes.
+    /// Resumes a text that an earlier fetch received partially.
     pub(super) fn resume(&mut self, partial: Partial) {
         let Some(head) = &partial.head else {
             return;
@@ -96,14 +97,14 @@
         }
     }
 
-    /// Passes over a part that is wanted.
+    /// Skips a wanted part.
     pub(super) fn skip(&mut self, team: &str) {
         self.wanted.retain(|want| *want.team != *team);
         self.partial = Partial::default();
         self.asked_at = None;
     }
 
-    /// Stages the part that was asked for.
+    /// Stages the part that was requested.
     pub(super) fn stage(&mut self, part: Part) {
         self.skip(&part.head.team.clone());
         self.staged.push(part);
--- a/crates/peers/src/spread/mod.rs
+++ b/crates/peers/src/spread/mod.rs
@@ -1,8 +1,8 @@
-//! How the configuration comes to all instances.
+//! Dissemination of the configuration to all instances.
 //!
-//! [`Spread`] is a pure state machine. A few instances of each zone watch the platform; what they
-//! learn is announced from peer to peer, and who is behind pulls the changed parts from who is
-//! ahead. Part by part, and as a whole, revisions only grow.
+//! [`Spread`] is a pure state machine. A few instances of each zone watch the platform; changes are
+//! announced from peer to peer, and an instance that is behind pulls the changed parts from one
+//! that is ahead. Revisions only increase, both for each part and for the whole configuration.
 
 mod budget;
 mod delta;
@@ -43,45 +43,45 @@
 pub use store::Snapshot;
 pub use store::part_hash;
 
-/// Conflicts that are remembered, so that each is reported once.
+/// Number of conflicts that are remembered so that each is reported once.
 const MAX_CONFLICTS: usize = 64;
 
-/// Overdue answers in a row at which the wait for an answer doubles. Fewer, and a few lost messages
-/// are taken for peers that are slow.
+/// Number of consecutive late answers after which the answer timeout doubles. With fewer, a few
+/// lost messages would be taken for slow peers.
 const LATE_ANSWERS_PER_DOUBLING: u32 = 4;
 
-/// What the embedder must do.
+/// An action that the embedder must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SpreadAction {
-    /// Send to one peer.
+    /// Send a message to a peer.
     Send(InstanceId, Body),
-    /// Answer the message that is being handled.
+    /// Answer the message that is being processed.
     Reply(Body),
     /// Announce the revision to the neighbours whose revision is lower.
     Announce(u64),
-    /// Ask a number of live peers for their revision.
+    /// Query the revisions of this number of live peers.
     Query(usize),
-    /// Read the configuration's index.
+    /// Read the index of the configuration.
     ReadIndex,
-    /// Read the configuration's index as soon as its revision exceeds `after`, or after `wait`.
+    /// Read the index of the configuration once its revision exceeds `after`, or after `wait`.
     WatchIndex {
-        /// The revision that is known.
+        /// The known revision.
         after: u64,
-        /// The longest wait.
+        /// The maximum time to wait.
         wait: Millis,
     },
     /// Read a part's text.
     ReadPart(Arc<str>),
-    /// This configuration is in force from now on.
+    /// The configuration in force has changed to this one.
     InForce(Snapshot),
-    /// Report something that an operator should know.
+    /// Report a finding to the operator.
     Report(SpreadFinding),
 }
 
-/// Something that an operator should know.
+/// A finding about the configuration, reported to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpreadFinding {
-    /// The platform answers an older revision than the one in force.
+    /// The platform returned an older revision than the one in force.
     PlatformBehind {
         /// The platform's revision.
         platform: u64,
@@ -90,42 +90,43 @@
     },
     /// The platform can't be read.
     PlatformDown,
-    /// Two texts with the same team and revision; the one in force stays.
+    /// Two different texts have the same team and revision; the one in force stays.
     Conflict(Conflict),
     /// A peer sent a text that doesn't match its hash.
     Corrupt(InstanceId),
-    /// A part or the whole exceeds the limits and isn't taken in.
+    /// A part or the whole configuration exceeds the size limit and isn't applied.
     TooLarge(Arc<str>),
-    /// The platform lists a part but doesn't give it; the others are in force without it.
+    /// The platform lists a part but doesn't return its text; the others are put in force without
+    /// it.
     Unread(Arc<str>),
 }
 
-/// Failures in a row after which what a peer said counts no more.
+/// Number of consecutive failures after which a peer's announced revision is ignored.
 const MAX_PEER_FAILURES: u32 = 3;
 
-/// What was heard from a peer.
+/// The revision last received from a peer.
 #[derive(Clone, Copy, Debug, Default)]
 struct PeerRevision {
     revision: u64,
     at: Millis,
-    /// Messages in a row that it didn't answer since.
+    /// Number of consecutive messages that the peer hasn't answered since.
     failures: u32,
 }
 
-/// The spread of the configuration as one instance takes part in it.
+/// The dissemination of the configuration as seen by one instance.
 #[derive(Debug)]
 pub struct Spread {
     settings: SpreadSettings,
     held: Snapshot,
     digest: u64,
     fetch: Option<Fetch>,
-    /// What an abandoned fetch had brought: whole parts, and one of which the first bytes came.
+    /// Results of an abandoned fetch: complete parts, and one partially received text.
     leftover: Vec<Part>,
     partial: Partial,
-    /// Answers in a row that were overdue.
+    /// Number of consecutive late answers.
     late_answers: u32,
     peer_revisions: BTreeMap<InstanceId, PeerRevision>,
-    /// Failed reads in a row of parts, by team.
+    /// Number of consecutive failed reads of parts, by team.
     failed_reads: BTreeMap<Arc<str>, u32>,
     peers: usize,
     peers_settled: bool,
@@ -139,7 +140,7 @@
 }
 
 impl Spread {
-    /// Makes an instance that holds nothing; `seed` makes its random choices.
+    /// Creates an instance that holds no configuration; `seed` seeds its random choices.
     pub fn new(settings: SpreadSettings, seed: u64, now: Millis) -> Spread {
         let held = Snapshot::default();
         Spread {
@@ -164,39 +165,41 @@
         }
     }
 
-    /// What this instance holds; in force once [`Spread::is_ready`].
+    /// Returns the configuration that this instance holds. It is in force once
+    /// [`Spread::is_ready`].
     pub fn held(&self) -> &Snapshot {
         &self.held
     }
 
-    /// Digest of what this instance holds.
+    /// Returns the digest of the configuration that this instance holds.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Neighbours to which a change is announced.
+    /// Returns the number of neighbours to which a change is announced.
     pub fn fanout(&self) -> usize {
         self.settings.fanout
     }
 
-    /// Whether a configuration is in force.
+    /// Returns whether a configuration is in force.
     pub fn is_ready(&self) -> bool {
         self.start.is_ready()
     }
 
-    /// The last revision heard from a peer; zero when it was never heard.
+    /// Returns the last revision received from a peer; zero if none was.
     pub fn peer_revision(&self, peer: &InstanceId) -> u64 {
         self.peer_revisions
             .get(peer)
             .map_or(0, |heard| heard.revision)
     }
 
-    /// When a peer was last heard; none when it never was, or went on failing.
+    /// Returns when a message of a peer was last received; `None` if none was, or if the peer
+    /// failed repeatedly since.
     pub fn last_heard(&self, peer: &InstanceId) -> Option<Millis> {
         self.peer_revisions.get(peer).map(|heard| heard.at)
     }
 
-    /// The highest revision that the platform or a peer told of, or that is held.
+    /// Returns the highest revision that is held or was reported by the platform or a peer.
     pub fn newest(&self) -> u64 {
         let peers = self
             .peer_revisions
@@ -207,7 +210,7 @@
         known.max(peers.unwrap_or(0))
     }
 
-    /// Lets time pass.
+    /// Advances time.
     pub fn tick(&mut self, now: Millis) -> Vec<SpreadAction> {
         self.expire_fetch(now);
         self.read_platform(now);
@@ -237,7 +240,7 @@
         }
     }
 
-    /// Takes the next step of the fetch, or starts one towards the highest revision heard.
+    /// Takes the next step of the current fetch, or starts one towards the highest known revision.
     fn advance(&mut self, now: Millis) {
         if self.fetch.is_none() {
             self.start_fetch();
@@ -258,7 +261,7 @@
         }
     }
 
-    /// Stages a part, unless all texts together would become too large.
+    /// Stages a part, unless the total size of all texts would become too large.
     fn stage(&mut self, part: Part) {
         let Some(fetch) = &mut self.fetch else {
             return;
@@ -272,8 +275,8 @@
         fetch.stage(part);
     }
 
-    /// Leaves a part that is too large as it is. The fetch goes on: one team's oversize part must
-    /// not hold back the changes of the others.
+    /// Skips a part that is too large. The fetch continues: one team's oversized part must not
+    /// delay the changes of other teams.
     fn skip(&mut self, team: &Arc<str>) {
         if let Some(fetch) = &mut self.fetch {
             fetch.skip(team);
@@ -281,7 +284,7 @@
         self.report(SpreadFinding::TooLarge(team.clone()));
     }
 
-    /// Puts all that was fetched in force at once.
+    /// Puts everything that was fetched in force at once.
     fn put_in_force(&mut self) {
         let Some(fetch) = self.fetch.take() else {
             return;
@@ -304,7 +307,7 @@
         self.act(SpreadAction::Announce(self.held.revision));
     }
 
-    /// Gives the fetch up when an answer is overdue, and remembers that the source doesn't answer.
+    /// Abandons the fetch if an answer is overdue, and records the failure of its source.
     fn expire_fetch(&mut self, now: Millis) {
         let doubled = Millis(
             self.settings.answer_timeout.0
@@ -321,8 +324,8 @@
         }
     }
 
-    /// A single lost message says little about a peer, and it may be the only one that holds the
-    /// newest revision; one that goes on failing is forgotten.
+    /// Counts a failure of a peer. A single lost message says little about it, and it may be the
+    /// only one that holds the newest revision; a peer that fails repeatedly is forgotten.
     fn count_failure(&mut self, peer: &InstanceId) {
         if let Some(heard) = self.peer_revisions.get_mut(peer) {
             heard.failures += 1;
@@ -331,7 +334,7 @@
             .retain(|_, heard| heard.failures < MAX_PEER_FAILURES);
     }
 
-    /// Gives the fetch up, but keeps the parts that came whole: the next fetch takes up from there.
+    /// Abandons the fetch, but keeps its complete parts and its partial text for the next fetch.
     fn abandon(&mut self) -> Option<Source> {
         let fetch = self.fetch.take()?;
         for part in fetch.staged {
@@ -342,7 +345,7 @@
         Some(fetch.source)
     }
 
-    /// A part left over from an earlier fetch.
+    /// Returns a part that an earlier fetch received completely.
     fn leftover(&self, team: &str, revision: u64) -> Option<&Part> {
         let mut parts = self.leftover.iter().filter(|part| !part.head.removed);
         parts.find(|part| *part.head.team == *team && part.head.revision == revision)
--- a/crates/peers/src/spread/peers.rs
+++ b/crates/peers/src/spread/peers.rs
@@ -1,4 +1,4 @@
-//! The exchange with peers.
+//! Exchange of the configuration with peers.
 
 use std::sync::Arc;
 
@@ -23,7 +23,8 @@
 use crate::spread::store::part_hash;
 
 impl Spread {
-    /// Takes a message in. A body that isn't the spread's is ignored, but its gossip counts.
+    /// Processes a message. A body that doesn't concern the configuration is ignored, but its
+    /// gossip is applied.
     pub fn receive(
         &mut self,
         from: &InstanceId,
@@ -56,17 +57,18 @@
         self.finish(now)
     }
 
-    /// A message to `peer` couldn't be delivered or wasn't answered.
+    /// Handles a message to `peer` that couldn't be delivered or wasn't answered.
     pub fn failed(&mut self, peer: &InstanceId, now: Millis) -> Vec<SpreadAction> {
         self.count_failure(peer);
         if self.fetch.as_ref().is_some_and(|fetch| fetch.is_from(peer)) {
             self.abandon();
         }
-        // The next try waits for the next tick: a peer that fails at once would be asked in a loop.
+        // The next attempt waits for the next tick: a peer that fails at once would be asked in a
+        // loop.
         self.finish(now)
     }
 
-    /// Forgets peers that left the view.
+    /// Forgets peers that are no longer in the view.
     pub(crate) fn retain_peers(&mut self, is_live: impl Fn(&InstanceId) -> bool) {
         self.peer_revisions.retain(|peer, _| is_live(peer));
     }
@@ -88,7 +90,8 @@
         self.abandon_slow_platform_fetch(gossip.revision);
     }
 
-    /// Changes to the peers when they already hold what the platform's budget would give slowly.
+    /// Abandons a fetch from the platform when a peer already holds the revision, as the platform's
+    /// read budget makes it slower.
     fn abandon_slow_platform_fetch(&mut self, revision: u64) {
         let is_slow = self.fetch.as_ref().is_some_and(|fetch| {
             fetch.source == Source::Platform && fetch.wanted.len() > 1 && revision >= fetch.revision
@@ -98,7 +101,8 @@
         }
     }
 
-    /// Two instances at one revision should hold the same parts; when they don't, all are compared.
+    /// Compares all parts with a peer at the same revision if the digests differ, as two instances
+    /// at one revision should hold the same parts.
     fn compare_configs(&mut self, from: &InstanceId, digest: u64, now: Millis) {
         let interval = self.settings.compare_interval;
         let recent = self.last_compared.is_some_and(|t| now.since(t) < interval);
@@ -113,14 +117,15 @@
         ));
     }
 
-    /// Starts a fetch towards the highest revision heard, if it is ahead.
+    /// Starts a fetch towards the highest known revision if it is newer than the one held.
     pub(super) fn start_fetch(&mut self) {
         let held = self.held.revision;
         let listed = self.reader.listed_revision();
         let highest = self.peer_revisions.values().map(|h| h.revision).max();
         let highest = highest.unwrap_or_default();
-        // Peers spare the platform, but one that can be heard may not answer: its link works one way.
-        // Once an answer was overdue, the platform is asked for what it lists.
+        // Fetching from peers saves platform calls, but a peer whose messages arrive may still not
+        // answer if the network drops packets in one direction. Once an answer was overdue, the
+        // platform is asked for what it lists.
         let prefers_peers = highest > listed || (highest == listed && self.late_answers == 0);
         if highest > held && prefers_peers {
             let holders = self
@@ -128,7 +133,7 @@
                 .iter()
                 .filter(|(_, h)| h.revision == highest);
             let least = holders.clone().map(|(_, h)| h.failures).min();
-            // At random: all would pull from the same peer otherwise.
+            // Chosen at random: otherwise all instances would pull from the same peer.
             let holders = holders.filter(|(_, h)| Some(h.failures) == least);
             let holder = holders.choose(&mut self.rng).map(|(peer, _)| peer.clone());
             let source = holder.map(Source::Peer);
@@ -152,7 +157,7 @@
             _ => Body::PullIndex {
                 after: fetch.after,
                 cursor: fetch.cursor.clone(),
-                // A comparison is about revisions and hashes; the texts are mostly the same.
+                // A comparison needs only revisions and hashes; most texts are the same.
                 bare: fetch.after == 0 && self.held.revision > 0,
             },
         };
@@ -219,16 +224,16 @@
         }
     }
 
-    /// Works out from the complete list which texts are wanted.
+    /// Determines from the complete list which texts to fetch.
     fn plan(&mut self) {
         let Some(mut fetch) = self.fetch.take() else {
             return;
         };
         let listed = std::mem::take(&mut fetch.listed);
         let pieces = std::mem::take(&mut fetch.pieces);
-        // A part that the peer doesn't list wasn't removed: removals are listed. The peer may have gone
-        // on without one that the platform doesn't give it, and taking that for a removal would undo
-        // the part here.
+        // A part that the peer doesn't list wasn't removed: removals are listed. The peer may have
+        // skipped a part that the platform doesn't return to it; taking that for a removal would
+        // remove the part here.
         for head in &listed {
             let piece = pieces.iter().find(|piece| piece.team == head.team);
             self.plan_part(&mut fetch, head, piece);
@@ -266,8 +271,8 @@
         });
     }
 
-    /// Puts a text together from a difference; none when this instance holds another base than the
-    /// peer supposed, so that the whole text has to be pulled.
+    /// Applies a difference; returns `None` if this instance holds another base than the peer
+    /// assumed, so that the whole text has to be pulled.
     fn assemble(&self, head: &PartRef, piece: &Piece) -> Option<Part> {
         let known = self.held.part(&head.team);
         let base = match known {
@@ -301,7 +306,7 @@
         }
         let partial = &mut fetch.partial;
         if partial.head.as_ref() != Some(part) {
-            // The part changed between two pieces: what has come belongs to another text.
+            // The part changed between two chunks: the received bytes belong to another text.
             partial.bytes.clear();
             partial.head = Some(part.clone());
         }
--- a/crates/peers/src/spread/platform.rs
+++ b/crates/peers/src/spread/platform.rs
@@ -1,4 +1,4 @@
-//! Reading the platform.
+//! Reads of the platform.
 
 use std::sync::Arc;
 
@@ -15,10 +15,11 @@
 use crate::spread::fetch::WantedPart;
 use crate::spread::store::Part;
 
-/// A watch that returns sooner than this without news is taken as one that didn't wait.
+/// Time below which a watch that returns without news is considered not to have waited.
 const IMMEDIATE_RETURN: Millis = Millis(1000);
 
-/// Time after which a read that the embedder never answered counts as failed, beyond its wait.
+/// Time, in addition to its wait, after which a read that the embedder never answered is considered
+/// failed.
 const LOST_READ_TIMEOUT: Millis = Millis::from_secs(10);
 
 /// A part in the platform's index.
@@ -33,13 +34,13 @@
 /// The platform's index of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Index {
-    /// Revision of the whole.
+    /// Revision of the whole configuration.
     pub revision: u64,
-    /// The parts that exist.
+    /// The existing parts.
     pub parts: Vec<IndexEntry>,
 }
 
-/// The text of a part as the platform gave it.
+/// The text of a part as returned by the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartText {
     /// The team.
@@ -50,14 +51,14 @@
     pub text: Arc<str>,
 }
 
-/// A read that failed.
+/// A failed read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReadFailed {
-    /// The platform's wish, when the read exceeded the budget.
+    /// The delay that the platform asked for if the read exceeded the budget.
     pub retry_after: Option<Millis>,
 }
 
-/// The outcome of a read of the platform.
+/// The result of a platform read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformRead {
     /// Answer to a read or watch of the index.
@@ -66,27 +67,27 @@
     Part(Arc<str>, Result<PartText, ReadFailed>),
 }
 
-/// Failed reads of a part in a row after which a fetch goes on without it.
+/// Number of consecutive failed reads of a part after which a fetch continues without it.
 const MAX_READ_ATTEMPTS: u32 = 2;
 
-/// State of the reads.
+/// State of the platform reads.
 #[derive(Debug, Default)]
 pub(super) struct Reader {
     is_watcher: bool,
-    /// When the running index read began, and how long it may take.
+    /// When the current read of the index started, and how long it may wait.
     running: Option<(Millis, Millis)>,
     last_read: Option<Millis>,
-    /// The index of the highest revision that the platform gave.
+    /// The index of the highest revision that the platform returned.
     latest: Option<Index>,
     jitter: Millis,
     behind: bool,
     down: bool,
-    /// When the platform last answered a revision that wasn't older than the one held.
+    /// When the platform last returned a revision that wasn't older than the one held.
     confirmed: Option<Millis>,
 }
 
 impl Reader {
-    /// The highest revision that the platform gave.
+    /// Returns the highest revision that the platform returned.
     pub(super) fn listed_revision(&self) -> u64 {
         self.latest.as_ref().map_or(0, |index| index.revision)
     }
@@ -99,12 +100,13 @@
 }
 
 impl Spread {
-    /// Takes a changed live view in: who watches, and how the read budget is shared.
+    /// Applies a changed live view, which determines the watchers and how the read budget is
+    /// shared.
     pub fn view_changed(&mut self, view: &View, listed: usize) {
         let count = self.settings.watchers;
         self.reader.is_watcher = view.is_watcher(count);
         if self.reader.is_watcher {
-            // A newcomer that sees nobody yet must not take the whole share.
+            // A new instance that doesn't know any others yet must not use the whole budget.
             let known = view.watchers(count).max(listed.min(count * 8));
             self.budget.set_share(self.settings.watch_rate, known);
         } else {
@@ -114,18 +116,18 @@
         self.retain_peers(|peer| view.get(peer).is_some());
     }
 
-    /// Whether this instance holds a watch.
+    /// Returns whether this instance holds a watch.
     pub fn is_watcher(&self) -> bool {
         self.reader.is_watcher
     }
 
-    /// When the platform last answered with a revision that wasn't older than the one held; none when
-    /// it never did.
+    /// Returns when the platform last returned a revision that wasn't older than the one held;
+    /// `None` if it never did.
     pub fn confirmed_at(&self) -> Option<Millis> {
         self.reader.confirmed
     }
 
-    /// Takes the outcome of a read in.
+    /// Processes the result of a platform read.
     pub fn platform_read(&mut self, read: PlatformRead, now: Millis) -> Vec<SpreadAction> {
         match read {
             PlatformRead::Index(Ok(index)) => self.on_index(index, now),
@@ -156,8 +158,8 @@
         let wait = self.settings.watch_timeout;
         if watches {
             self.reader.running = Some((now, wait));
-            // Not the revision in force alone: while a listed one is still being fetched, the watch
-            // would return at once again and again.
+            // Not only the revision in force: while a listed revision is still being fetched, the
+            // watch would return at once repeatedly.
             let after = self.held.revision.max(self.reader.listed_revision());
             self.act(SpreadAction::WatchIndex { after, wait });
         } else {
@@ -185,8 +187,8 @@
         self.draw_read_jitter();
         self.reader.down = false;
         self.start.platform_answered(index.revision);
-        // A stale replica answers too. Taken for a confirmation, it would hide from the operator that
-        // changes don't come through.
+        // A stale replica answers as well. Counting its answer as a confirmation would hide from
+        // the operator that changes aren't received.
         if index.revision >= self.held.revision {
             self.reader.confirmed = Some(now);
         }
@@ -198,7 +200,7 @@
         }
     }
 
-    /// Spreads the reads of many instances that started together.
+    /// Randomizes the read interval, to spread the reads of many instances that started together.
     fn draw_read_jitter(&mut self) {
         let span = self.settings.read_interval.0 / 4;
         self.reader.jitter = Millis(self.rng.random_range(0..=span));
@@ -224,7 +226,7 @@
         }
     }
 
-    /// Starts a fetch of what the platform listed last and this instance doesn't hold.
+    /// Starts a fetch of the parts in the platform's latest index that this instance doesn't hold.
     pub(super) fn fetch_from_platform(&mut self) {
         let Some(index) = &self.reader.latest else {
             return;
@@ -288,7 +290,7 @@
             self.stage(Part::new(team, part.revision, &part.text));
             return;
         }
-        // The index came from a fresher replica than the text: taking the old text for the new
+        // The index came from a newer replica than the text: storing the old text under the new
         // revision would put a reverted part in force.
         fetch.asked_at = None;
         fetch.stale_answers += 1;
@@ -299,9 +301,9 @@
             .back_off(&self.settings, None, &mut self.rng, now);
     }
 
-    /// Tries a part that can't be read once more; then goes on without it, and asks for it again with
-    /// the next answer about the index. One team's part that the platform can't deliver must not hold
-    /// back the changes of the others.
+    /// Retries a part that can't be read once, then continues without it and requests it again
+    /// after the next index read. A part that the platform can't return must not delay the changes
+    /// of other teams.
     fn on_part_failed(&mut self, team: &Arc<str>, failed: ReadFailed, now: Millis) {
         self.budget
             .back_off(&self.settings, failed.retry_after, &mut self.rng, now);
@@ -313,8 +315,8 @@
         }
         let tries = self.failed_reads.entry(team.clone()).or_default();
         *tries += 1;
-        // A fetch that brought nothing is given up: if no part can be read, the platform is at fault,
-        // and a newcomer would put an empty configuration in force.
+        // A fetch that received nothing is abandoned: if no part can be read, the platform is at
+        // fault, and a new instance would put an empty configuration in force.
         let is_last = fetch.staged.is_empty() && fetch.wanted.len() <= 1;
         if failed.retry_after.is_some() || *tries < MAX_READ_ATTEMPTS || is_last {
             self.abandon();
--- a/crates/peers/src/spread/settings.rs
+++ b/crates/peers/src/spread/settings.rs
@@ -1,44 +1,46 @@
-//! Settings of the spread of the configuration.
+//! Settings of the dissemination of the configuration.
 
 use crocushold_base::Millis;
 
 /// Settings of a [`Spread`](crate::Spread); the defaults are sized for 400 instances.
 #[derive(Clone, Debug)]
 pub struct SpreadSettings {
-    /// Instances of a zone that hold a watch on the platform.
+    /// Number of instances in each zone that hold a watch on the platform.
     pub watchers: usize,
-    /// Platform calls a second that all watchers together may make.
+    /// Maximum rate of platform calls of all watchers together, in calls per second.
     pub watch_rate: f64,
-    /// Platform calls a second that all other instances together may make.
+    /// Maximum rate of platform calls of all other instances together, in calls per second.
     pub read_rate: f64,
-    /// Platform calls a second that one instance may make at most; also its burst.
+    /// Maximum rate of platform calls of one instance, in calls per second; also its burst.
     pub instance_rate: f64,
-    /// How long a watch waits on the platform. Short, since a connection that died without a sign is
-    /// noticed at the end of the wait only, and a change is to be in force within 5 s.
+    /// Time that a watch waits on the platform. Short, since a silently lost connection is only
+    /// noticed when the wait ends, and a change is to be in force within 5 s.
     pub watch_timeout: Millis,
-    /// Time between two reads by an instance that holds no watch, up to a quarter more at random. An
-    /// instance that the platform reaches and its peers don't has a change in force within 5 s by it.
+    /// Interval between two reads by an instance that holds no watch, extended by up to a quarter
+    /// at random. It lets an instance that reaches the platform but no peers put a change in force
+    /// within 5 s.
     pub read_interval: Millis,
-    /// First wait after a failed read, or after a watch that returned at once without news.
+    /// Initial backoff after a failed read, or after a watch that returned at once without news.
     pub backoff: Millis,
-    /// Longest such wait.
+    /// Maximum backoff.
     pub max_backoff: Millis,
-    /// Time that a peer or the platform has to answer before another is asked; it doubles with each
-    /// fourth time in a row that it was too short.
+    /// Time that a peer or the platform has to answer before another source is asked; it doubles
+    /// with each fourth consecutive timeout.
     pub answer_timeout: Millis,
-    /// Longest such time.
+    /// Maximum of that time.
     pub max_answer_timeout: Millis,
-    /// Longest wait for peers and for the platform while joining.
+    /// Maximum time to wait for peers and for the platform while joining.
     pub join_timeout: Millis,
-    /// Peers whose revision is asked for while joining.
+    /// Number of peers whose revision is queried while joining.
     pub join_peers: usize,
-    /// Neighbours to which a change is announced at once; the others hear of it with a probe.
+    /// Number of neighbours to which a change is announced at once; the others learn of it with a
+    /// probe.
     pub fanout: usize,
-    /// Least time between two comparisons of all parts with a peer at the same revision.
+    /// Minimum interval between two comparisons of all parts with a peer at the same revision.
     pub compare_interval: Millis,
-    /// Largest text of a part, in bytes.
+    /// Maximum size of a part's text in bytes.
     pub max_part_bytes: usize,
-    /// Largest sum of all texts, in bytes.
+    /// Maximum total size of all texts in bytes.
     pub max_total_bytes: usize,
 }
 
--- a/crates/peers/src/spread/start.rs
+++ b/crates/peers/src/spread/start.rs
@@ -1,11 +1,11 @@
-//! When a newcomer puts its first configuration in force.
+//! Choice of the first configuration that a new instance puts in force.
 
 use crocushold_base::Millis;
 
 use crate::spread::Spread;
 use crate::spread::SpreadAction;
 
-/// What the platform said since the start.
+/// Answers of the platform since the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PlatformState {
     Silent,
@@ -36,7 +36,7 @@
         self.ready
     }
 
-    /// Whether the platform has ever answered.
+    /// Returns whether the platform has ever answered.
     pub(super) fn has_platform(&self) -> bool {
         matches!(self.platform, PlatformState::Answered(_))
     }
@@ -53,7 +53,8 @@
 }
 
 impl Spread {
-    /// Asks peers for their revision; to be called while the start goes on and peers are known.
+    /// Queries peers for their revisions; to be called until a configuration is in force, once
+    /// peers are known.
     pub(crate) fn query_peers(&mut self, now: Millis) -> Vec<SpreadAction> {
         let recent = self
             .start
@@ -66,15 +67,16 @@
         self.finish(now)
     }
 
-    /// Tells how many peers can be asked, and whether more may still be found.
+    /// Sets how many peers can be asked, and whether joining is complete, so that no more are
+    /// expected.
     pub(crate) fn set_peers(&mut self, peers: usize, settled: bool) {
         self.peers = peers;
         self.peers_settled = settled;
     }
 
-    /// Puts the first configuration in force: never an old one while a newer one is remembered by
-    /// a peer or the platform within reach. A fresh instance that trusted a stale platform alone
-    /// would undo a change that its peers already follow.
+    /// Puts the first configuration in force once no reachable peer or platform is known to hold a
+    /// newer one. A new instance that relied on a stale platform alone would undo a change that its
+    /// peers already follow.
     pub(super) fn try_start(&mut self, now: Millis) {
         if self.is_ready() {
             return;
--- a/crates/peers/src/spread/store.rs
+++ b/crates/peers/src/spread/store.rs
@@ -1,4 +1,4 @@
-//! The parts that an instance holds.
+//! Store of the parts that an instance holds.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,17 +12,17 @@
 use crate::message::PartRef;
 use crate::message::Piece;
 
-/// Removals that are remembered.
+/// Maximum number of removals that are remembered.
 const MAX_REMOVALS: usize = 256;
 
-/// Part references in one message.
+/// Maximum number of part references in one message.
 const PAGE_ENTRIES: usize = 256;
 
-/// Most bytes of texts that accompany a page of changes, and most of one of them.
+/// Maximum number of bytes of all texts that accompany a page of changes, and of a single one.
 const PAGE_TEXT_BYTES: usize = 192 << 10;
 const PIECE_TEXT_BYTES: usize = 16 << 10;
 
-/// SHA-256 of a text.
+/// Computes the SHA-256 of a text.
 pub fn part_hash(text: &str) -> PartHash {
     Sha256::digest(text.as_bytes()).into()
 }
@@ -30,11 +30,11 @@
 /// A part of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Team, revision and hash.
+    /// Team, revision, size and hash.
     pub head: PartRef,
-    /// The text; empty when the part was removed.
+    /// The text; empty if the part was removed.
     pub text: Arc<str>,
-    /// The text before, so that only the difference has to travel.
+    /// The previous text, so that only the difference has to be sent.
     previous: Option<Previous>,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Part {
-    /// Makes a part from its text.
+    /// Creates a part from its text.
     pub fn new(team: &Arc<str>, revision: u64, text: &str) -> Part {
         let head = PartRef {
             team: team.clone(),
@@ -61,7 +61,8 @@
         }
     }
 
-    /// The text as a difference from what a peer at revision `after` of the whole holds.
+    /// Returns the text as a difference from the text of a peer whose configuration is at revision
+    /// `after`.
     fn piece(&self, after: u64) -> Piece {
         let previous = self.previous.as_ref().filter(|p| p.revision <= after);
         let (base, text) = previous.map_or((0, ""), |p| (p.revision, &*p.text));
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The mark of a part that no longer exists at `revision`.
+    /// Creates a tombstone of a part that was removed at `revision`.
     pub fn removed(team: &Arc<str>, revision: u64) -> Part {
         let mut part = Part::new(team, revision, "");
         part.head.removed = true;
@@ -83,12 +84,12 @@
 /// The configuration at a revision. Cheap to clone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Revision of the whole.
+    /// Revision of the whole configuration.
     pub revision: u64,
     parts: Arc<BTreeMap<Arc<str>, Part>>,
 }
 
-/// A text that contradicts another of the same team and revision.
+/// A text that differs from another with the same team and revision.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Conflict {
     /// The team.
@@ -98,17 +99,17 @@
 }
 
 impl Snapshot {
-    /// The parts that exist, ordered by team.
+    /// Returns the existing parts, ordered by team.
     pub fn parts(&self) -> impl Iterator<Item = &Part> {
         self.parts.values().filter(|part| !part.head.removed)
     }
 
-    /// A part by its team, also when it was removed.
+    /// Looks up the part of a team, including a removed one.
     pub fn part(&self, team: &str) -> Option<&Part> {
         self.parts.get(team)
     }
 
-    /// Digest over team, revision and hash of the existing parts; never zero.
+    /// Returns the digest of team, revision and hash of the existing parts; never zero.
     pub fn digest(&self) -> u64 {
         let mut digest = 0;
         for part in self.parts() {
@@ -118,12 +119,12 @@
         digest.max(1)
     }
 
-    /// Bytes of all texts.
+    /// Returns the total size of all texts in bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.parts.values().map(|part| part.text.len()).sum()
     }
 
-    /// Teams whose part exists here, but not in a whole listing of `revision`.
+    /// Returns tombstones of the parts that exist here but not in a complete list of `revision`.
     pub(crate) fn missing(&self, listed: &[&Arc<str>], revision: u64) -> Vec<Part> {
         self.parts()
             .filter(|part| part.head.revision <= revision && !listed.contains(&&part.head.team))
@@ -131,7 +132,8 @@
             .collect()
     }
 
-    /// A page of the parts that changed after `after`, from the team behind `cursor` on.
+    /// Returns a page of the parts that changed after revision `after`, starting after the team
+    /// `cursor`, with the cursor of the next page.
     pub(crate) fn changes(&self, after: u64, cursor: &str) -> (Vec<PartRef>, Arc<str>) {
         let changed = self.parts.values().filter(|part| {
             let head = &part.head;
@@ -149,7 +151,8 @@
         (page, next)
     }
 
-    /// The smaller texts among `parts`, for a peer at revision `after` of the whole.
+    /// Returns the smaller texts among `parts` for a peer whose configuration is at revision
+    /// `after`.
     pub(crate) fn pieces(&self, after: u64, parts: &[PartRef]) -> Vec<Piece> {
         let mut pieces = Vec::new();
         let mut room = PAGE_TEXT_BYTES;
@@ -167,8 +170,9 @@
         pieces
     }
 
-    /// Takes parts in. A part only ever moves to a higher revision; of two texts with the same
-    /// revision the one that is held stays, so that no two instances push theirs to and fro.
+    /// Merges parts. A part only ever moves to a higher revision; of two texts with the same
+    /// revision the one that is held stays, so that two instances can't keep overwriting each
+    /// other's text.
     pub(crate) fn merge(&mut self, parts: Vec<Part>, revision: u64) -> Vec<Conflict> {
         let mut conflicts = Vec::new();
         let held = Arc::make_mut(&mut self.parts);
@@ -195,7 +199,7 @@
     }
 }
 
-/// Whether two references contradict each other.
+/// Returns the conflict between two references, if they contradict each other.
 pub(crate) fn conflict(known: &PartRef, other: &PartRef) -> Option<Conflict> {
     let differs = known.revision == other.revision && known.hash != other.hash;
     let both = !known.removed && !other.removed;
--- a/crates/peers/src/spread/tests.rs
+++ b/crates/peers/src/spread/tests.rs
@@ -1,4 +1,4 @@
-//! Merging of parts.
+//! Tests of merging parts.
 
 use std::sync::Arc;
 
--- a/crates/peers/src/sync_status.rs
+++ b/crates/peers/src/sync_status.rs
@@ -1,33 +1,34 @@
-//! What an operator is shown of an instance's knowledge of the configuration.
+//! Sync status of the configuration, shown to the operator.
 
 use crocushold_base::Millis;
 
 use crate::identity::InstanceId;
 use crate::message::Status;
 
-/// How fresh the configuration in force is, as one instance knows it.
+/// How current the configuration in force is, as known by one instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SyncStatus {
-    /// The highest revision that the platform or a peer told of.
+    /// The highest revision reported by the platform or a peer.
     pub newest_revision: u64,
-    /// Since the platform last answered with a revision that isn't older than the one held; none
-    /// when it never did.
+    /// Time since the platform last returned a revision that wasn't older than the one held; `None`
+    /// if it never did.
     pub confirmed_age: Option<Millis>,
-    /// The live peers, in order of their names.
+    /// The live peers, ordered by name.
     pub peers: Vec<PeerSyncStatus>,
 }
 
-/// What is known of a live peer.
+/// Sync status of a live peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerSyncStatus {
     /// The peer.
     pub id: InstanceId,
     /// Its availability zone.
     pub zone: String,
-    /// Whether it is suspected.
+    /// Its status, alive or suspect.
     pub status: Status,
-    /// The revision that it told last; 0 when none was heard.
+    /// The last revision that it reported; 0 if none.
     pub revision: u64,
-    /// Since it was last heard by this instance itself; none when it never was, or doesn't answer.
+    /// Time since this instance itself last received a message of it; `None` if it never did, or if
+    /// the peer doesn't answer.
     pub heard_age: Option<Millis>,
 }
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -1,4 +1,4 @@
-//! Translation between [`Message`] and its encoding.
+//! Conversion between [`Message`] and its Cap'n Proto encoding.
 
 use std::sync::Arc;
 
@@ -25,25 +25,25 @@
 use crate::peer_capnp::piece;
 use crate::peer_capnp::update;
 
-/// Oldest protocol version that is spoken.
+/// Oldest supported protocol version.
 pub const OLDEST_VERSION: u16 = 1;
 
-/// Newest protocol version that is spoken.
+/// Newest supported protocol version.
 pub const NEWEST_VERSION: u16 = 2;
 
-/// The version since which messages carry digests.
+/// First protocol version whose messages carry digests.
 const DIGESTS_SINCE: u16 = 2;
 
-/// The version since which changes carry the smaller texts.
+/// First protocol version whose changes carry the smaller texts.
 const PIECES_SINCE: u16 = 2;
 
-/// Longest name of an instance, zone or team, in bytes.
+/// Maximum length of the name of an instance, zone or team, in bytes.
 pub(crate) const MAX_NAME_BYTES: usize = 128;
 
-/// Most entries of a list in a message.
+/// Maximum number of entries of a list in a message.
 const MAX_LIST_ENTRIES: u32 = 2048;
 
-/// Writes a message as the given protocol version does.
+/// Writes a message in the encoding of the given protocol version.
 pub(crate) fn write(message: &Message, version: u16, mut out: message::Builder<'_>) {
     let carried = &message.gossip;
     let mut gossip = out.reborrow().init_gossip();
@@ -176,8 +176,8 @@
 ///
 /// # Errors
 ///
-/// When the encoding is malformed or exceeds a limit. A body that this version doesn't know is no
-/// error: it reads as [`Body::None`].
+/// Fails if the encoding is malformed or exceeds a limit. A body that this version doesn't know
+/// isn't an error: it is read as [`Body::None`].
 pub(crate) fn read(input: message::Reader<'_>) -> capnp::Result<Message> {
     Ok(Message {
         gossip: read_gossip(input.get_gossip()?)?,
@@ -259,7 +259,7 @@
 fn read_updates(list: struct_list::Reader<'_, update::Owned>) -> capnp::Result<Vec<Update>> {
     let mut updates = Vec::new();
     for input in bounded(list)? {
-        // A status that a newer version added can't be judged here: the update is passed over.
+        // A status that a newer version added can't be interpreted: the update is skipped.
         let Some(status) = status(input.get_status()) else {
             continue;
         };
@@ -333,7 +333,7 @@
     Ok(InstanceId::new(&id))
 }
 
-/// Reads a bounded name.
+/// Reads a name of limited length.
 pub(crate) fn read_name(text: capnp::text::Reader<'_>) -> capnp::Result<Arc<str>> {
     let text = text.to_str()?;
     if text.len() > MAX_NAME_BYTES {
@@ -342,7 +342,7 @@
     Ok(Arc::from(text))
 }
 
-/// The error of a field that can't be what it should.
+/// Creates the error for a field with an invalid value.
 pub(crate) fn malformed(field: &str) -> capnp::Error {
     capnp::Error::failed(format!("malformed {field}"))
 }
@@ -353,23 +353,23 @@
     builder
 }
 
-/// Length of a message's encoding in bytes, without the envelope of a call.
+/// Returns the length of a message's encoding in bytes, without the envelope of a call.
 pub fn encoded_bytes(message: &Message, version: u16) -> usize {
     let builder = build(message, version);
     let segments = builder.get_segments_for_output();
     segments.iter().map(|segment| segment.len()).sum()
 }
 
-/// Encodes a message by itself, as the given protocol version does.
+/// Encodes a standalone message in the encoding of the given protocol version.
 pub fn encode(message: &Message, version: u16) -> Vec<u8> {
     capnp::serialize::write_message_to_words(&build(message, version))
 }
 
-/// Decodes a message that stands by itself.
+/// Decodes a standalone message.
 ///
 /// # Errors
 ///
-/// When the encoding is malformed or exceeds a limit.
+/// Fails if the encoding is malformed or exceeds a limit.
 pub fn decode(mut bytes: &[u8]) -> capnp::Result<Message> {
     let options = ReaderOptions::new();
     let reader = capnp::serialize::read_message(&mut bytes, options)?;
