--- a/crates/peers/examples/embed.rs
+++ b/crates/peers/examples/embed.rs
@@ -1,5 +1,5 @@
-//! Four nodes on loopback in one process: they find each other, one part of the configuration
-//! changes, all have it in force, one node leaves, and the others notice.
+//! Four nodes on loopback in one process: they find each other, a part of the configuration changes
+//! and is put in force on all of them, one node leaves, and the others notice.
 //!
 //! `cargo run -p crocushold-peers --example embed`
 
@@ -25,8 +25,8 @@
 use crocushold_peers::SharedKey;
 use crocushold_peers::Started;
 
-/// How long a step may take before the example gives up.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum duration of a step before the example fails.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The platform's configuration: one part.
 #[derive(Debug)]
@@ -75,7 +75,7 @@
     Ok(PeerNode::start(settings, Arc::new(RefuseAll))?)
 }
 
-/// Answers a node's reads of the platform, as the embedder's HTTP client would.
+/// Serves a node's platform reads, as the embedder's HTTP client would.
 async fn serve_platform(started: Started, platform: Arc<Mutex<Platform>>) {
     while let Ok(request) = started.platform.recv().await {
         let handle = started.handle.clone();
@@ -161,8 +161,8 @@
 ) -> Result<(), Box<dyn Error>> {
     let began = Instant::now();
     while !handles.iter().all(&holds) {
-        if began.elapsed() > PATIENCE {
-            return Err(format!("not in time: {what}").into());
+        if began.elapsed() > TIMEOUT {
+            return Err(format!("timed out: {what}").into());
         }
         task::sleep(Duration::from_millis(5)).await;
     }
--- a/crates/peers/examples/scale.rs
+++ b/crates/peers/examples/scale.rs
@@ -1,9 +1,10 @@
-//! Costs of the state machines at several sizes, all nodes in one process on one core.
+//! Costs of the state machines at several sizes, with all nodes in one process on one core.
 //!
 //! `cargo run --release -p crocushold-peers --example scale -- 8 50 200 400`
 //!
-//! Bytes are the encoded messages, sent and received, plus for each exchange what the `wire`
-//! example measures beyond them: the envelopes of call, return and finish, and TCP/IP headers.
+//! Traffic is the size of the encoded messages, sent and received, plus the overhead of each
+//! exchange as measured by the `wire` example: the envelopes of call, return and finish, and TCP/IP
+//! headers.
 
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
@@ -16,13 +17,13 @@
 use fleet::Faults;
 use fleet::Fleet;
 
-/// Bytes of an exchange besides its two encoded messages.
+/// Overhead of an exchange in bytes, in addition to its two encoded messages.
 const ENVELOPE: f64 = 356.0;
 
-/// Longest wait for the fleet to agree.
+/// Maximum time for the fleet to agree.
 const LIMIT: Millis = Millis::from_secs(180);
 
-/// Changes of the configuration that are averaged.
+/// Number of configuration changes that are averaged.
 const CHANGES: u64 = 10;
 
 fn main() {
@@ -44,7 +45,7 @@
     println!("== {size} nodes, {} zones", zones(size));
     let before = resident();
     let mut fleet = Fleet::new(size as u64);
-    fleet.faults.most = 75;
+    fleet.faults.max_delay = 75;
     for team in 0..50 {
         let text = format!("{}\n", "line of a part\n".repeat(270));
         fleet.platform.publish(&format!("team-{team}"), &text);
@@ -54,7 +55,7 @@
     }
     fleet.list();
     let revision = fleet.platform.revision();
-    let joined = fleet.run_until(LIMIT, |f| f.agrees() && f.in_force(revision));
+    let joined = fleet.run_until(LIMIT, |f| f.views_agree() && f.in_force(revision));
     report("cold start of all until all agree", &fleet, joined);
     fleet.run(Millis::from_secs(60));
     println!(
@@ -66,7 +67,7 @@
     fleet.faults.loss = 50;
     changes(&mut fleet, "a change until in force on all, 5% lost");
     fleet.faults = Faults {
-        most: 75,
+        max_delay: 75,
         ..Faults::default()
     };
     fleet.run(Millis::from_secs(30));
@@ -89,7 +90,7 @@
     });
 }
 
-/// Bytes and exchanges of all living nodes since the counters were cleared.
+/// Returns the traffic in bytes of each live node since the counters were cleared.
 fn traffic(fleet: &Fleet) -> Vec<f64> {
     let alive = fleet.alive();
     let bytes = alive.map(|s| s.traffic.bytes as f64 + s.traffic.exchanges as f64 * ENVELOPE);
@@ -164,8 +165,8 @@
     let followed = fleet.run_until(LIMIT, |f| f.in_force(revision));
     let followed = followed.map_or(f64::INFINITY, Millis::as_secs_f64);
     println!("{what}: the configuration is in force on all after {followed:.2} s");
-    fleet.run_until(LIMIT, Fleet::agrees);
-    let took = fleet.agrees().then(|| fleet.now.since(began));
+    fleet.run_until(LIMIT, Fleet::views_agree);
+    let took = fleet.views_agree().then(|| fleet.now.since(began));
     report(what, fleet, took);
     fleet.run(Millis::from_secs(60).since(fleet.now.since(began)));
     let (mean, most) = mean_and_most(&traffic(fleet));
@@ -190,7 +191,7 @@
     }
 }
 
-/// Resident memory of this process in KiB.
+/// Returns the resident memory of this process in KiB.
 fn resident() -> f64 {
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split(' ').nth(1).and_then(|p| p.parse().ok());
--- a/crates/peers/examples/wire.rs
+++ b/crates/peers/examples/wire.rs
@@ -1,4 +1,4 @@
-//! Bytes on the wire of an idle pair of nodes: each listens behind a forwarder that counts.
+//! Network traffic of an idle pair of nodes, each listening behind a forwarder that counts bytes.
 //!
 //! `cargo run --release -p crocushold-peers --example wire`
 
@@ -27,10 +27,10 @@
 use crocushold_peers::Settings;
 use crocushold_peers::SharedKey;
 
-/// Time that is measured.
+/// Duration of the measurement.
 const SPAN: Duration = Duration::from_secs(20);
 
-/// IP and TCP header with time stamps.
+/// Size of the IP and TCP headers with timestamps, in bytes.
 const HEADERS: u64 = 52;
 
 #[derive(Default)]
@@ -51,7 +51,7 @@
         .collect();
     for node in &nodes {
         node.instance_list(listed.clone());
-        // An empty configuration makes the node ready; until then it would go on asking its peers.
+        // An empty configuration makes the node ready; otherwise it would keep querying its peers.
         let empty = Index {
             revision: 0,
             parts: Vec::new(),
@@ -70,7 +70,7 @@
     );
     let bytes = read(&counter.bytes) - before.0;
     let segments = read(&counter.segments) - before.1;
-    // Each node probes once a second; a pure acknowledgement is assumed for each second segment.
+    // Each node probes once a second; one pure acknowledgement is assumed for every second segment.
     let exchanges = 2 * SPAN.as_secs();
     let payload = bytes / exchanges;
     let packets = segments as f64 * 1.5 / exchanges as f64;
@@ -87,7 +87,7 @@
     Ok(())
 }
 
-/// Processor time of all threads, in seconds.
+/// Returns the processor time of all threads in seconds.
 fn processor_time() -> f64 {
     let tasks = fs::read_dir("/proc/self/task").into_iter().flatten();
     let spent = tasks.flatten().filter_map(|task| {
--- a/crates/peers/src/coordination/wire.rs
+++ b/crates/peers/src/coordination/wire.rs
@@ -41,7 +41,7 @@
 
 /// The encoded form of a vote or outcome.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct VoteCode {
+pub(crate) struct ResultCode {
     pub(crate) kind: u16,
     pub(crate) status: u16,
     pub(crate) retry: Millis,
@@ -81,24 +81,24 @@
     })
 }
 
-pub(crate) fn encode_vote(vote: Vote) -> VoteCode {
-    let plain = |kind| VoteCode {
+pub(crate) fn encode_vote(vote: Vote) -> ResultCode {
+    let plain = |kind| ResultCode {
         kind,
-        ..VoteCode::default()
+        ..ResultCode::default()
     };
-    let later = |kind, retry| VoteCode {
+    let later = |kind, retry| ResultCode {
         kind,
         retry,
-        ..VoteCode::default()
+        ..ResultCode::default()
     };
     match vote {
         Vote::Unknown => plain(0),
         Vote::Granted => plain(1),
         Vote::InProgress { retry_after } => later(2, retry_after),
-        Vote::Done { status } => VoteCode {
+        Vote::Done { status } => ResultCode {
             kind: 3,
             status,
-            ..VoteCode::default()
+            ..ResultCode::default()
         },
         Vote::Mismatch => plain(4),
         Vote::Full { retry_after } => later(5, retry_after),
@@ -107,7 +107,7 @@
     }
 }
 
-pub(crate) fn decode_vote(code: VoteCode) -> Vote {
+pub(crate) fn decode_vote(code: ResultCode) -> Vote {
     let retry_after = code.retry;
     match code.kind {
         1 => Vote::Granted,
@@ -123,16 +123,16 @@
     }
 }
 
-pub(crate) fn encode_outcome(outcome: Outcome) -> VoteCode {
+pub(crate) fn encode_outcome(outcome: Outcome) -> ResultCode {
     let (kind, status) = match outcome {
         Outcome::Unknown => (0, 0),
         Outcome::Completed { status } => (1, status),
         Outcome::NotRun => (2, 0),
     };
-    VoteCode {
+    ResultCode {
         kind,
         status,
-        ..VoteCode::default()
+        ..ResultCode::default()
     }
 }
 
--- a/crates/peers/src/member/join.rs
+++ b/crates/peers/src/member/join.rs
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub(super) struct Join {
     stage: Stage,
-    since: Millis,
+    started: Millis,
     contacted: Vec<InstanceId>,
     last_attempt: Option<Millis>,
     last_sync: Option<Millis>,
@@ -40,7 +40,7 @@
     pub(super) fn new(now: Millis) -> Join {
         Join {
             stage: Stage::Joining,
-            since: now,
+            started: now,
             contacted: Vec::new(),
             last_attempt: None,
             last_sync: None,
@@ -98,7 +98,7 @@
         if self.left {
             return;
         }
-        if !self.join.is_settled() && now.since(self.join.since) >= self.settings.join_timeout {
+        if !self.join.is_settled() && now.since(self.join.started) >= self.settings.join_timeout {
             self.join.settle();
             self.restart_suspicions(now);
         }
--- a/crates/peers/src/member/probe.rs
+++ b/crates/peers/src/member/probe.rs
@@ -34,7 +34,7 @@
     pending: Option<Pending>,
     relayed: Vec<RelayedProbe>,
     next_target: usize,
-    last: Option<Millis>,
+    last_probe: Option<Millis>,
 }
 
 impl Prober {
@@ -54,7 +54,10 @@
 
     fn start_probe(&mut self, now: Millis) {
         let interval = self.scaled(self.settings.probe_interval);
-        let waits = self.prober.last.is_some_and(|t| now.since(t) < interval);
+        let waits = self
+            .prober
+            .last_probe
+            .is_some_and(|t| now.since(t) < interval);
         if waits || self.prober.pending.is_some() {
             return;
         }
@@ -65,7 +68,7 @@
         }
         let target = targets[next_target % targets.len()].clone();
         self.prober.next_target = next_target.wrapping_add(1);
-        self.prober.last = Some(now);
+        self.prober.last_probe = Some(now);
         self.prober.pending = Some(Pending {
             target: target.clone(),
             sent: now,
--- a/crates/peers/src/runtime/calls.rs
+++ b/crates/peers/src/runtime/calls.rs
@@ -13,7 +13,7 @@
 use crate::coordination::Response;
 use crate::coordination::wire as codec;
 use crate::coordination::wire::Claim;
-use crate::coordination::wire::VoteCode;
+use crate::coordination::wire::ResultCode;
 use crate::message::Message;
 use crate::runtime::clients::PeerSession;
 use crate::wire;
@@ -51,7 +51,7 @@
     codec::write_claim(&claim, params.init_claim());
     let response = call.send().promise.await?;
     let answer = response.get()?;
-    let vote = codec::decode_vote(VoteCode {
+    let vote = codec::decode_vote(ResultCode {
         kind: answer.get_vote(),
         status: answer.get_status(),
         retry: Millis(answer.get_retry_ms()),
--- a/crates/peers/src/runtime/core.rs
+++ b/crates/peers/src/runtime/core.rs
@@ -45,7 +45,7 @@
     node: RefCell<Node>,
     shared: Arc<Shared>,
     platform: Sender<PlatformRequest>,
-    sending: Cell<usize>,
+    in_flight: Cell<usize>,
     failed_proofs: Cell<u64>,
 }
 
@@ -67,7 +67,7 @@
             node: RefCell::new(node),
             shared,
             platform,
-            sending: Cell::new(0),
+            in_flight: Cell::new(0),
             failed_proofs: Cell::new(0),
         }
     }
@@ -113,10 +113,10 @@
 
     fn send(self: &Rc<Self>, to: Instance, message: Message) {
         let core = self.clone();
-        self.sending.set(self.sending.get() + 1);
+        self.in_flight.set(self.in_flight.get() + 1);
         task::spawn_local(async move {
             core.exchange(to, message).await;
-            core.sending.set(core.sending.get() - 1);
+            core.in_flight.set(core.in_flight.get() - 1);
         });
     }
 
@@ -161,7 +161,7 @@
 
     /// Returns whether messages are being sent.
     pub(crate) fn is_sending(&self) -> bool {
-        self.sending.get() > 0
+        self.in_flight.get() > 0
     }
 
     /// Counts a failed proof, and logs the first one and every hundredth after it.
--- a/crates/peers/src/spread/budget.rs
+++ b/crates/peers/src/spread/budget.rs
@@ -17,7 +17,7 @@
     rate: f64,
     burst: f64,
     tokens: f64,
-    filled: Millis,
+    refilled_at: Millis,
     not_before: Millis,
     backoff: Millis,
 }
@@ -28,7 +28,7 @@
             rate: settings.instance_rate,
             burst: settings.instance_rate.max(1.0),
             tokens: settings.instance_rate.max(1.0),
-            filled: now,
+            refilled_at: now,
             not_before: Millis::ZERO,
             backoff: Millis::ZERO,
         }
@@ -42,9 +42,9 @@
 
     /// Takes a token if one is available and no backoff is in progress.
     pub(super) fn take(&mut self, now: Millis) -> bool {
-        let span = now.since(self.filled).as_secs_f64();
+        let span = now.since(self.refilled_at).as_secs_f64();
         self.tokens = (self.tokens + span * self.rate).min(self.burst);
-        self.filled = now;
+        self.refilled_at = now;
         if now < self.not_before || self.tokens < 1.0 {
             return false;
         }
--- a/crates/peers/src/spread/fetch.rs
+++ b/crates/peers/src/spread/fetch.rs
@@ -51,7 +51,7 @@
     pub(super) partial: Partial,
     pub(super) asked_at: Option<Millis>,
     pub(super) stale_answers: u32,
-    pub(super) is_listed: bool,
+    pub(super) list_complete: bool,
 }
 
 impl Fetch {
@@ -68,7 +68,7 @@
             partial: Partial::default(),
             asked_at: None,
             stale_answers: 0,
-            is_listed: false,
+            list_complete: false,
         }
     }
 
--- a/crates/peers/src/spread/mod.rs
+++ b/crates/peers/src/spread/mod.rs
@@ -29,7 +29,7 @@
 use crate::spread::fetch::Fetch;
 use crate::spread::fetch::Partial;
 use crate::spread::fetch::Source;
-use crate::spread::platform::Reader;
+use crate::spread::platform::IndexReader;
 use crate::spread::start::Start;
 
 pub use platform::Index;
@@ -121,7 +121,7 @@
     digest: u64,
     fetch: Option<Fetch>,
     /// Results of an abandoned fetch: complete parts, and one partially received text.
-    leftover: Vec<Part>,
+    saved_parts: Vec<Part>,
     partial: Partial,
     /// Number of consecutive late answers.
     late_answers: u32,
@@ -130,7 +130,7 @@
     failed_reads: BTreeMap<Arc<str>, u32>,
     peers: usize,
     peers_settled: bool,
-    reader: Reader,
+    reader: IndexReader,
     budget: Budget,
     start: Start,
     last_compared: Option<Millis>,
@@ -149,14 +149,14 @@
             held,
             settings,
             fetch: None,
-            leftover: Vec::new(),
+            saved_parts: Vec::new(),
             partial: Partial::default(),
             late_answers: 0,
             peer_revisions: BTreeMap::new(),
             failed_reads: BTreeMap::new(),
             peers: 0,
             peers_settled: false,
-            reader: Reader::default(),
+            reader: IndexReader::default(),
             start: Start::new(now),
             last_compared: None,
             conflicts: BTreeSet::new(),
@@ -251,7 +251,7 @@
         if fetch.asked_at.is_some() {
             return;
         }
-        if fetch.is_listed && fetch.wanted.is_empty() {
+        if fetch.list_complete && fetch.wanted.is_empty() {
             self.put_in_force();
             return;
         }
@@ -290,7 +290,7 @@
             return;
         };
         self.late_answers = 0;
-        self.leftover.clear();
+        self.saved_parts.clear();
         self.partial = Partial::default();
         let before = (self.held.revision, self.digest);
         let conflicts = self.held.merge(fetch.staged, fetch.revision);
@@ -338,16 +338,17 @@
     fn abandon(&mut self) -> Option<Source> {
         let fetch = self.fetch.take()?;
         for part in fetch.staged {
-            self.leftover.retain(|old| old.head.team != part.head.team);
-            self.leftover.push(part);
+            self.saved_parts
+                .retain(|old| old.head.team != part.head.team);
+            self.saved_parts.push(part);
         }
         self.partial = fetch.partial;
         Some(fetch.source)
     }
 
     /// Returns a part that an earlier fetch received completely.
-    fn leftover(&self, team: &str, revision: u64) -> Option<&Part> {
-        let mut parts = self.leftover.iter().filter(|part| !part.head.removed);
+    fn saved_part(&self, team: &str, revision: u64) -> Option<&Part> {
+        let mut parts = self.saved_parts.iter().filter(|part| !part.head.removed);
         parts.find(|part| *part.head.team == *team && part.head.revision == revision)
     }
 }
--- a/crates/peers/src/spread/peers.rs
+++ b/crates/peers/src/spread/peers.rs
@@ -149,7 +149,7 @@
         };
         fetch.asked_at = Some(now);
         let body = match fetch.wanted.first() {
-            Some(want) if fetch.is_listed => Body::PullPart {
+            Some(want) if fetch.list_complete => Body::PullPart {
                 team: want.team.clone(),
                 revision: want.revision,
                 offset: fetch.partial.bytes.len() as u32,
@@ -207,7 +207,7 @@
         let Some(fetch) = &mut self.fetch else {
             return;
         };
-        if !fetch.is_from(from) || fetch.is_listed || fetch.after != *after {
+        if !fetch.is_from(from) || fetch.list_complete || fetch.after != *after {
             return;
         }
         fetch.asked_at = None;
@@ -238,7 +238,7 @@
             let piece = pieces.iter().find(|piece| piece.team == head.team);
             self.plan_part(&mut fetch, head, piece);
         }
-        fetch.is_listed = true;
+        fetch.list_complete = true;
         fetch.resume(std::mem::take(&mut self.partial));
         self.fetch = Some(fetch);
     }
@@ -256,8 +256,8 @@
             fetch.staged.push(Part::removed(&head.team, head.revision));
             return;
         }
-        let leftover = self.leftover(&head.team, head.revision);
-        if let Some(part) = leftover.filter(|part| part.head.hash == head.hash) {
+        let saved = self.saved_part(&head.team, head.revision);
+        if let Some(part) = saved.filter(|part| part.head.hash == head.hash) {
             fetch.staged.push(part.clone());
             return;
         }
--- a/crates/peers/src/spread/platform.rs
+++ b/crates/peers/src/spread/platform.rs
@@ -72,29 +72,29 @@
 
 /// State of the platform reads.
 #[derive(Debug, Default)]
-pub(super) struct Reader {
+pub(super) struct IndexReader {
     is_watcher: bool,
     /// When the current read of the index started, and how long it may wait.
-    running: Option<(Millis, Millis)>,
+    pending_read: Option<(Millis, Millis)>,
     last_read: Option<Millis>,
     /// The index of the highest revision that the platform returned.
-    latest: Option<Index>,
+    latest_index: Option<Index>,
     jitter: Millis,
     behind: bool,
     down: bool,
     /// When the platform last returned a revision that wasn't older than the one held.
-    confirmed: Option<Millis>,
+    confirmed_at: Option<Millis>,
 }
 
-impl Reader {
+impl IndexReader {
     /// Returns the highest revision that the platform returned.
     pub(super) fn listed_revision(&self) -> u64 {
-        self.latest.as_ref().map_or(0, |index| index.revision)
+        self.latest_index.as_ref().map_or(0, |index| index.revision)
     }
 
     fn take_index(&mut self, index: Index) {
         if index.revision >= self.listed_revision() {
-            self.latest = Some(index);
+            self.latest_index = Some(index);
         }
     }
 }
@@ -124,7 +124,7 @@
     /// Returns when the platform last returned a revision that wasn't older than the one held;
     /// `None` if it never did.
     pub fn confirmed_at(&self) -> Option<Millis> {
-        self.reader.confirmed
+        self.reader.confirmed_at
     }
 
     /// Processes the result of a platform read.
@@ -140,7 +140,7 @@
     }
 
     pub(super) fn read_platform(&mut self, now: Millis) {
-        if let Some((began, allowed)) = self.reader.running {
+        if let Some((began, allowed)) = self.reader.pending_read {
             if now.since(began) < allowed + LOST_READ_TIMEOUT {
                 return;
             }
@@ -157,13 +157,13 @@
         self.reader.last_read = Some(now);
         let wait = self.settings.watch_timeout;
         if watches {
-            self.reader.running = Some((now, wait));
+            self.reader.pending_read = Some((now, wait));
             // Not only the revision in force: while a listed revision is still being fetched, the
             // watch would return at once repeatedly.
             let after = self.held.revision.max(self.reader.listed_revision());
             self.act(SpreadAction::WatchIndex { after, wait });
         } else {
-            self.reader.running = Some((now, Millis::ZERO));
+            self.reader.pending_read = Some((now, Millis::ZERO));
             self.act(SpreadAction::ReadIndex);
         }
     }
@@ -173,7 +173,7 @@
     }
 
     fn on_index(&mut self, index: Index, now: Millis) {
-        let began = self.reader.running.take();
+        let began = self.reader.pending_read.take();
         let waited = began.map(|(t, allowed)| (now.since(t), allowed));
         let known = self.held.revision.max(self.reader.listed_revision());
         let is_news = index.revision > known;
@@ -190,7 +190,7 @@
         // A stale replica answers as well. Counting its answer as a confirmation would hide from
         // the operator that changes aren't received.
         if index.revision >= self.held.revision {
-            self.reader.confirmed = Some(now);
+            self.reader.confirmed_at = Some(now);
         }
         self.report_if_behind(index.revision);
         let revision = index.revision;
@@ -216,7 +216,7 @@
     }
 
     fn on_index_failed(&mut self, failed: ReadFailed, now: Millis) {
-        self.reader.running = None;
+        self.reader.pending_read = None;
         self.start.platform_failed();
         self.budget
             .back_off(&self.settings, failed.retry_after, &mut self.rng, now);
@@ -228,19 +228,19 @@
 
     /// Starts a fetch of the parts in the platform's latest index that this instance doesn't hold.
     pub(super) fn fetch_from_platform(&mut self) {
-        let Some(index) = &self.reader.latest else {
+        let Some(index) = &self.reader.latest_index else {
             return;
         };
         let teams: Vec<&Arc<str>> = index.parts.iter().map(|entry| &entry.team).collect();
         let mut fetch = Fetch::new(Source::Platform, index.revision, 0);
-        fetch.is_listed = true;
+        fetch.list_complete = true;
         fetch.staged = self.held.missing(&teams, index.revision);
         for entry in &index.parts {
             let known = self.held.part(&entry.team);
             if known.is_some_and(|part| part.head.revision >= entry.revision) {
                 continue;
             }
-            if let Some(part) = self.leftover(&entry.team, entry.revision) {
+            if let Some(part) = self.saved_part(&entry.team, entry.revision) {
                 fetch.staged.push(part.clone());
                 continue;
             }
--- a/crates/peers/src/spread/start.rs
+++ b/crates/peers/src/spread/start.rs
@@ -8,7 +8,7 @@
 /// Answers of the platform since the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PlatformState {
-    Silent,
+    Unknown,
     Failed,
     Answered(u64),
 }
@@ -27,7 +27,7 @@
         Start {
             since: now,
             ready: false,
-            platform: PlatformState::Silent,
+            platform: PlatformState::Unknown,
             last_query: None,
         }
     }
@@ -46,7 +46,7 @@
     }
 
     pub(super) fn platform_failed(&mut self) {
-        if self.platform == PlatformState::Silent {
+        if self.platform == PlatformState::Unknown {
             self.platform = PlatformState::Failed;
         }
     }
@@ -84,7 +84,7 @@
         let waited = now.since(self.start.since) >= self.settings.join_timeout;
         let heard_all = self.peers_settled
             && self.peer_revisions.len() >= self.peers.min(self.settings.join_peers);
-        let platform_known = self.start.platform != PlatformState::Silent;
+        let platform_known = self.start.platform != PlatformState::Unknown;
         let informed = heard_all && platform_known;
         if !(waited || informed) {
             return;
--- a/crates/peers/tests/auth.rs
+++ b/crates/peers/tests/auth.rs
@@ -1,4 +1,4 @@
-//! The proofs that both ends hold the key.
+//! Tests of mutual authentication.
 
 use crocushold_peers::InstanceId;
 use crocushold_peers::Role;
@@ -34,7 +34,7 @@
     assert_eq!(hex(&hmac_sha256(key, message)), expected);
 }
 
-/// A stranger who connects back and returns each proof to its maker must not be admitted.
+/// A caller that reflects each proof back to the end that made it must not be authenticated.
 #[test]
 fn a_proof_holds_for_one_role_key_and_pair_of_challenges() {
     let key = SharedKey::new(b"key");
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn no_output_shows_the_key() {
+fn debug_output_hides_the_key() {
     let key = SharedKey::new(b"secret");
     assert!(!format!("{key:?}").contains("secret"));
 }
--- a/crates/peers/tests/fleet/mod.rs
+++ b/crates/peers/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of pure nodes that exchange messages through a network which loses, delays, repeats and
-//! reorders them, beside a platform that can be stale or down. Time is a number.
+//! Simulation of a fleet: nodes exchange messages over a network that loses, delays, duplicates and
+//! reorders them, beside a platform that can be stale or down. Time is simulated.
 
 #![allow(dead_code)]
 
@@ -32,55 +32,55 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Time between two ticks of a node.
+/// Interval between two ticks of a node.
 pub(crate) const TICK: Millis = Millis(100);
 
-/// Time after which the shell gives a message up.
-const GIVE_UP: Millis = Millis(1500);
+/// Time after which the runtime gives up on a message.
+const EXCHANGE_TIMEOUT: Millis = Millis(1500);
 
-/// What the network does to a message.
+/// Faults of the network.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Faults {
-    /// Share of messages lost, in thousandths.
+    /// Share of lost messages, in thousandths.
     pub(crate) loss: u32,
     /// Share of messages delivered twice, in thousandths.
-    pub(crate) repeat: u32,
-    /// Shortest delay.
-    pub(crate) least: u64,
-    /// Longest delay.
-    pub(crate) most: u64,
+    pub(crate) duplicate: u32,
+    /// Minimum delay in milliseconds.
+    pub(crate) min_delay: u64,
+    /// Maximum delay in milliseconds.
+    pub(crate) max_delay: u64,
 }
 
 impl Default for Faults {
     fn default() -> Faults {
         Faults {
             loss: 0,
-            repeat: 0,
-            least: 1,
-            most: 40,
+            duplicate: 0,
+            min_delay: 1,
+            max_delay: 40,
         }
     }
 }
 
-/// What the platform does.
+/// State of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PlatformState {
     Up,
     Down,
-    /// It answers what it held at this revision.
+    /// Answers with the configuration of this revision.
     Stale(u64),
-    /// It answers a watch at once.
-    Hasty,
-    /// It takes calls and never answers.
+    /// Answers a watch at once.
+    ReturnsAtOnce,
+    /// Accepts calls and never answers.
     Frozen,
-    /// It refuses each call and asks for this wait.
+    /// Rejects each call and asks for this delay.
     Throttled(Millis),
 }
 
-/// A call of the platform.
+/// A call to the platform.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PlatformCall {
-    /// The node that made it.
+    /// The calling node.
     pub(crate) caller: usize,
     pub(crate) at: Millis,
 }
@@ -92,10 +92,10 @@
 pub(crate) struct Platform {
     pub(crate) state: PlatformState,
     pub(crate) calls: u64,
-    /// The same calls one by one.
+    /// The same calls, individually.
     pub(crate) log: Vec<PlatformCall>,
     /// The team whose part can't be read.
-    pub(crate) unreadable: Option<&'static str>,
+    pub(crate) unreadable_team: Option<&'static str>,
     history: Vec<Texts>,
 }
 
@@ -111,7 +111,7 @@
         &self.history[self.revision() as usize]
     }
 
-    /// Changes a part; an empty text removes it.
+    /// Publishes a part; an empty text removes it.
     pub(crate) fn publish(&mut self, team: &str, text: &str) -> u64 {
         let mut parts = self.history.last().cloned().unwrap_or_default();
         let revision = self.history.len() as u64;
@@ -124,14 +124,14 @@
         revision
     }
 
-    /// Replaces a text without a new revision, as two platforms that disagree would.
+    /// Replaces a text without a new revision, as if two platforms disagreed.
     pub(crate) fn rewrite(&mut self, team: &str, text: &str) {
         let last = self.history.last_mut().expect("never empty");
         let revision = last[team].0;
         last.insert(Arc::from(team), (revision, Arc::from(text)));
     }
 
-    /// Why the platform gives no answer, if it gives none.
+    /// Returns the error with which the platform rejects a read, if it does.
     fn refusal(&self) -> Option<ReadFailed> {
         match self.state {
             PlatformState::Down => Some(ReadFailed::default()),
@@ -160,7 +160,7 @@
         if let Some(failed) = self.refusal() {
             return PlatformRead::Part(team.clone(), Err(failed));
         }
-        if self.unreadable == Some(team) {
+        if self.unreadable_team == Some(team) {
             return PlatformRead::Part(team.clone(), Err(ReadFailed::default()));
         }
         let read = self.parts().get(team).map(|(revision, text)| PartText {
@@ -173,7 +173,7 @@
 }
 
 #[derive(Debug)]
-enum Item {
+enum Scheduled {
     Tick(usize),
     Deliver(usize, usize, Message),
     Failed(usize, usize),
@@ -181,18 +181,18 @@
     Watch(usize, u64, Millis),
 }
 
-/// Traffic of a node.
+/// Message counts of a node.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Traffic {
     pub(crate) sent: u64,
     pub(crate) received: u64,
     /// Encoded bytes, sent and received.
     pub(crate) bytes: u64,
-    /// Exchanges begun or answered.
+    /// Number of exchanges that it started or answered.
     pub(crate) exchanges: u64,
 }
 
-/// A node and what surrounds it.
+/// A node and its observed state.
 pub(crate) struct Slot {
     pub(crate) node: Node,
     pub(crate) instance: Instance,
@@ -203,23 +203,23 @@
     pub(crate) revisions: Vec<u64>,
     pub(crate) findings: Vec<(Millis, Finding)>,
     pub(crate) traffic: Traffic,
-    /// When the view last changed, and the configuration.
-    pub(crate) view_at: Millis,
-    pub(crate) config_at: Millis,
-    held_back: Vec<Item>,
+    /// Times of the last change of the view and of the configuration.
+    pub(crate) view_changed_at: Millis,
+    pub(crate) config_changed_at: Millis,
+    deferred: Vec<Scheduled>,
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub(crate) struct Fleet {
     pub(crate) slots: Vec<Slot>,
     pub(crate) now: Millis,
     pub(crate) faults: Faults,
     pub(crate) platform: Platform,
-    /// Group of each node; nodes of different groups don't reach each other.
+    /// Network partition of each node; nodes of different partitions can't reach each other.
     pub(crate) groups: Vec<u8>,
     pub(crate) settings: NodeSettings,
     queue: BinaryHeap<Reverse<(Millis, u64, usize)>>,
-    items: BTreeMap<u64, Item>,
+    items: BTreeMap<u64, Scheduled>,
     index: BTreeMap<InstanceId, usize>,
     next: u64,
     rng: SmallRng,
@@ -235,7 +235,7 @@
                 state: PlatformState::Up,
                 calls: 0,
                 log: Vec::new(),
-                unreadable: None,
+                unreadable_team: None,
                 history: vec![BTreeMap::new()],
             },
             groups: Vec::new(),
@@ -248,7 +248,7 @@
         }
     }
 
-    /// A fleet of `count` nodes over `zones` zones that were listed and have run for a while.
+    /// Creates a fleet of `count` nodes in `zones` zones that were listed and have run for a while.
     pub(crate) fn settled(seed: u64, count: usize, zones: usize) -> Fleet {
         let mut fleet = Fleet::new(seed);
         fleet.platform.publish("clara", "[service chat]");
@@ -260,7 +260,7 @@
         fleet
     }
 
-    /// Adds a node, or replaces the one of this number by a new life of it.
+    /// Adds a node, or replaces the node with this number by a restarted one.
     pub(crate) fn add(&mut self, number: usize, zone: usize) {
         let port = 1024 + number as u16;
         let address = SocketAddr::from(([10, 0, 0, 1], port));
@@ -283,9 +283,9 @@
             revisions: Vec::new(),
             findings: Vec::new(),
             traffic: Traffic::default(),
-            view_at: self.now,
-            config_at: self.now,
-            held_back: Vec::new(),
+            view_changed_at: self.now,
+            config_changed_at: self.now,
+            deferred: Vec::new(),
         };
         if number < self.slots.len() {
             self.index.retain(|_, at| *at != number);
@@ -294,12 +294,12 @@
             self.slots.push(slot);
             self.groups.push(0);
             let offset = self.rng.random_range(0..TICK.0);
-            self.schedule(Millis(offset), Item::Tick(number));
+            self.schedule(Millis(offset), Scheduled::Tick(number));
         }
         self.index.insert(instance.id, number);
     }
 
-    /// The platform's list as it should be now.
+    /// Returns the instance list that an up-to-date platform would return.
     pub(crate) fn listing(&self) -> Vec<ListedInstance> {
         let alive = self.slots.iter().filter(|slot| slot.alive);
         let listed = alive.map(|slot| ListedInstance {
@@ -309,7 +309,7 @@
         listed.collect()
     }
 
-    /// Gives all nodes the platform's list.
+    /// Passes the platform's list to all nodes.
     pub(crate) fn list(&mut self) {
         let listed = self.listing();
         for at in 0..self.slots.len() {
@@ -329,7 +329,7 @@
         self.feed(at, event);
     }
 
-    /// Lets time pass.
+    /// Advances time.
     pub(crate) fn run(&mut self, span: Millis) {
         let end = self.now + span;
         while let Some(Reverse((due, key, _))) = self.queue.peek().copied() {
@@ -345,7 +345,7 @@
         self.now = end;
     }
 
-    /// Lets time pass until `holds`, and returns how long it took; none after `limit`.
+    /// Advances time until `holds`, and returns how long that took; `None` after `limit`.
     pub(crate) fn run_until(
         &mut self,
         limit: Millis,
@@ -365,8 +365,8 @@
         self.slots.iter().filter(|slot| slot.alive)
     }
 
-    /// Whether all living nodes of a group see exactly each other.
-    pub(crate) fn agrees(&self) -> bool {
+    /// Returns whether all live nodes of each partition see exactly each other.
+    pub(crate) fn views_agree(&self) -> bool {
         let mut groups: BTreeMap<u8, BTreeSet<u64>> = BTreeMap::new();
         let mut sizes: BTreeMap<u8, usize> = BTreeMap::new();
         for (slot, group) in self.slots.iter().zip(&self.groups) {
@@ -386,7 +386,7 @@
         sized && groups.values().all(|digests| digests.len() == 1)
     }
 
-    /// Whether all living nodes have this revision in force.
+    /// Returns whether all live nodes have this revision in force.
     pub(crate) fn in_force(&self, revision: u64) -> bool {
         self.alive().all(|slot| {
             slot.in_force
@@ -395,53 +395,53 @@
         })
     }
 
-    fn schedule(&mut self, delay: Millis, item: Item) {
+    fn schedule(&mut self, delay: Millis, item: Scheduled) {
         let key = self.next;
         self.next += 1;
         self.items.insert(key, item);
         self.queue.push(Reverse((self.now + delay, key, 0)));
     }
 
-    fn take(&mut self, item: Item) {
-        let (Item::Tick(at)
-        | Item::Deliver(_, at, _)
-        | Item::Failed(at, _)
-        | Item::Read(at, _)
-        | Item::Watch(at, _, _)) = item;
-        if let Item::Tick(_) = item {
-            self.schedule(TICK, Item::Tick(at));
+    fn take(&mut self, item: Scheduled) {
+        let (Scheduled::Tick(at)
+        | Scheduled::Deliver(_, at, _)
+        | Scheduled::Failed(at, _)
+        | Scheduled::Read(at, _)
+        | Scheduled::Watch(at, _, _)) = item;
+        if let Scheduled::Tick(_) = item {
+            self.schedule(TICK, Scheduled::Tick(at));
         }
         if !self.slots[at].alive {
             return;
         }
         if self.slots[at].paused_until > self.now {
-            if !matches!(item, Item::Tick(_)) {
-                self.slots[at].held_back.push(item);
+            if !matches!(item, Scheduled::Tick(_)) {
+                self.slots[at].deferred.push(item);
             }
             return;
         }
-        // What came during a pause is read before the clock is looked at.
-        for late in std::mem::take(&mut self.slots[at].held_back) {
+        // Messages that arrived during a pause are processed before the next tick.
+        for late in std::mem::take(&mut self.slots[at].deferred) {
             self.perform(late);
         }
         self.perform(item);
     }
 
-    fn perform(&mut self, item: Item) {
+    fn perform(&mut self, item: Scheduled) {
         match item {
-            Item::Tick(at) => self.feed(at, Event::Tick),
-            Item::Deliver(from, to, message) => {
+            Scheduled::Tick(at) => self.feed(at, Event::Tick),
+            Scheduled::Deliver(from, to, message) => {
                 let id = self.slots[from].instance.id.clone();
                 self.slots[to].traffic.received += 1;
                 self.slots[to].traffic.bytes += encoded_bytes(&message, 2) as u64;
                 self.feed_from(to, from, Event::Message(id, message));
             }
-            Item::Failed(at, peer) => {
+            Scheduled::Failed(at, peer) => {
                 let id = self.slots[peer].instance.id.clone();
                 self.feed(at, Event::Failed(id));
             }
-            Item::Read(at, read) => self.feed(at, Event::PlatformRead(read)),
-            Item::Watch(at, after, until) => self.watch(at, after, until),
+            Scheduled::Read(at, read) => self.feed(at, Event::PlatformRead(read)),
+            Scheduled::Watch(at, after, until) => self.watch(at, after, until),
         }
     }
 
@@ -449,7 +449,7 @@
         let state = self.platform.state;
         let waits = matches!(state, PlatformState::Up | PlatformState::Stale(_));
         if waits && self.platform.revision() <= after && self.now < until {
-            self.schedule(Millis(20), Item::Watch(at, after, until));
+            self.schedule(Millis(20), Scheduled::Watch(at, after, until));
             return;
         }
         let read = self.platform.index();
@@ -464,7 +464,7 @@
 
     fn answer(&mut self, at: usize, read: PlatformRead) {
         if self.platform.state != PlatformState::Frozen {
-            self.schedule(Millis(3), Item::Read(at, read));
+            self.schedule(Millis(3), Scheduled::Read(at, read));
         }
     }
 
@@ -472,7 +472,7 @@
         self.feed_from(at, at, event);
     }
 
-    fn feed_from(&mut self, at: usize, asker: usize, event: Event) {
+    fn feed_from(&mut self, at: usize, requester: usize, event: Event) {
         let now = self.now;
         let actions = self.slots[at].node.handle(event, now);
         for action in actions {
@@ -484,7 +484,7 @@
                         self.transmit(at, to, &message, true);
                     }
                 }
-                Action::Reply(message) => self.transmit(at, asker, &message, false),
+                Action::Reply(message) => self.transmit(at, requester, &message, false),
                 Action::ReadIndex => {
                     self.count_call(at);
                     let read = self.platform.index();
@@ -499,11 +499,11 @@
                     let read = self.platform.part(&team);
                     self.answer(at, read);
                 }
-                Action::ViewChanged(_) => self.slots[at].view_at = now,
+                Action::ViewChanged(_) => self.slots[at].view_changed_at = now,
                 Action::InForce(snapshot) => {
                     self.slots[at].revisions.push(snapshot.revision);
                     self.slots[at].in_force = Some(snapshot);
-                    self.slots[at].config_at = now;
+                    self.slots[at].config_changed_at = now;
                 }
                 Action::Report(finding) => self.slots[at].findings.push((now, finding)),
             }
@@ -517,13 +517,13 @@
         let reaches = self.slots[to].alive && self.groups[from] == self.groups[to];
         if !reaches || self.rng.random_range(0..1000) < faults.loss {
             let waiting = if is_request { (from, to) } else { (to, from) };
-            self.schedule(GIVE_UP, Item::Failed(waiting.0, waiting.1));
+            self.schedule(EXCHANGE_TIMEOUT, Scheduled::Failed(waiting.0, waiting.1));
             return;
         }
-        let copies = 1 + u32::from(self.rng.random_range(0..1000) < faults.repeat);
+        let copies = 1 + u32::from(self.rng.random_range(0..1000) < faults.duplicate);
         for _ in 0..copies {
-            let delay = Millis(self.rng.random_range(faults.least..=faults.most));
-            self.schedule(delay, Item::Deliver(from, to, message.clone()));
+            let delay = Millis(self.rng.random_range(faults.min_delay..=faults.max_delay));
+            self.schedule(delay, Scheduled::Deliver(from, to, message.clone()));
         }
     }
 }
--- a/crates/peers/tests/newcomer.rs
+++ b/crates/peers/tests/join_without_list.rs
@@ -1,4 +1,4 @@
-//! An instance that starts while the platform can't tell it who its peers are.
+//! An instance that starts while the platform can't provide the instance list.
 
 use std::collections::VecDeque;
 
@@ -12,7 +12,7 @@
 use crocushold_peers::NodeSettings;
 use test_case::test_case;
 
-/// Time between two ticks.
+/// Interval between two ticks.
 const TICK: Millis = Millis(100);
 
 fn instance(number: usize) -> Instance {
@@ -21,18 +21,24 @@
 }
 
 fn node(number: usize, start: u64, now: Millis) -> Node {
-    let life = Incarnation::starting(start);
-    Node::new(NodeSettings::default(), instance(number), life, start, now)
+    let incarnation = Incarnation::starting(start);
+    Node::new(
+        NodeSettings::default(),
+        instance(number),
+        incarnation,
+        start,
+        now,
+    )
 }
 
-/// Some nodes and the messages between them, which arrive at once.
+/// Nodes whose messages are delivered at once.
 struct Group {
     nodes: Vec<Node>,
     now: Millis,
 }
 
 impl Group {
-    /// Nodes that have met by the platform's list.
+    /// Creates nodes that know each other by the platform's list.
     fn met(count: usize) -> Group {
         let now = Millis::from_secs(1);
         let nodes = (0..count).map(|number| node(number, 10, now));
@@ -62,10 +68,10 @@
         }
     }
 
-    /// Gives an event to a node, and carries its messages until all are answered.
+    /// Passes an event to a node, and delivers the resulting messages until none are left.
     fn feed(&mut self, at: usize, event: Event) {
         let mut events = VecDeque::from([(at, None, event)]);
-        while let Some((at, asker, event)) = events.pop_front() {
+        while let Some((at, requester, event)) = events.pop_front() {
             for action in self.nodes[at].handle(event, self.now) {
                 let from = instance(at).id;
                 match action {
@@ -75,8 +81,8 @@
                         events.push_back((number, Some(at), Event::Message(from, message)));
                     }
                     Action::Reply(message) => {
-                        let asker = asker.expect("only a message is answered");
-                        events.push_back((asker, None, Event::Message(from, message)));
+                        let requester = requester.expect("only a message is answered");
+                        events.push_back((requester, None, Event::Message(from, message)));
                     }
                     _ => {}
                 }
@@ -85,14 +91,14 @@
     }
 }
 
-/// An instance is replaced at its old address while the platform is down. The newcomer has no list;
-/// its peers still have one, and call. If no call said where its sender can be reached, or if the one
-/// peer that agrees with another kept both from comparing views with the newcomer, it would answer
-/// probes for ever and never learn the configuration.
+/// An instance is replaced at its address while the platform is down. The new instance has no list;
+/// its peers still have one, and call it. If no message contained the sender's address, or if a
+/// peer that agrees with another kept both from comparing views with the new instance, it would
+/// answer probes forever and never learn the configuration.
 #[test_case(2; "one peer")]
 #[test_case(3; "two peers that agree")]
 #[test_case(8; "seven peers that agree")]
-fn a_newcomer_without_a_list_learns_from_the_peers_that_call_it(count: usize) {
+fn a_new_instance_without_a_list_learns_from_the_peers_that_call_it(count: usize) {
     let mut group = Group::met(count);
     for node in &group.nodes {
         assert_eq!(node.member().view().live(), count);
--- a/crates/peers/tests/membership.rs
+++ b/crates/peers/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership under faults: who is taken for live, and when all agree.
+//! Tests of membership under faults: which members are considered alive, and when all views agree.
 
 mod fleet;
 
@@ -37,7 +37,7 @@
 #[test]
 fn instances_find_each_other_from_the_list() {
     let fleet = Fleet::settled(1, 8, 3);
-    assert!(fleet.agrees());
+    assert!(fleet.views_agree());
     assert!(
         fleet
             .slots
@@ -46,8 +46,8 @@
     );
 }
 
-/// One instance's list names a single other instance, everyone else's list is empty. The newcomer
-/// asks that one and hears of all; the others hear of the newcomer by gossip.
+/// The list of a new instance names a single other instance. It asks that one and learns of all
+/// others, which learn of the new instance by gossip.
 #[test]
 fn a_lagging_list_is_enough_when_it_names_one_live_instance() {
     let mut fleet = Fleet::settled(2, 12, 3);
@@ -56,7 +56,7 @@
     fleet.feed_event(12, Event::InstanceList(vec![known]));
     assert!(
         fleet
-            .run_until(Millis::from_secs(10), Fleet::agrees)
+            .run_until(Millis::from_secs(10), Fleet::views_agree)
             .is_some()
     );
 }
@@ -65,8 +65,8 @@
 fn a_dead_instance_leaves_every_view_in_bounded_time() {
     let mut fleet = Fleet::settled(3, 20, 4);
     fleet.kill(7);
-    let took = fleet.run_until(Millis::from_secs(20), Fleet::agrees);
-    assert!(took.is_some(), "not agreed after 20 s");
+    let took = fleet.run_until(Millis::from_secs(20), Fleet::views_agree);
+    assert!(took.is_some(), "views differ after 20 s");
 }
 
 #[test]
@@ -74,16 +74,17 @@
     let mut fleet = Fleet::settled(4, 20, 4);
     fleet.feed_event(3, Event::Leave);
     fleet.kill(3);
-    let took = fleet.run_until(Millis::from_secs(4), Fleet::agrees);
-    assert!(took.is_some(), "not agreed after 4 s");
+    let took = fleet.run_until(Millis::from_secs(4), Fleet::views_agree);
+    assert!(took.is_some(), "views differ after 4 s");
     assert_eq!(deaths(&fleet), 0);
 }
 
-/// An instance that stops as planned hands over to the members that it knows. One joined just before and
-/// gossip hasn't come round: it would be left out and count the leaver as lost. Others know it already,
-/// so the leaver asks them first and has the newcomer in its view within a round trip.
+/// An instance that leaves hands its state over to the members that it knows. If one joined just
+/// before and gossip hasn't reached the leaving instance, it would be left out and would count the
+/// leaving instance as lost. Other members know it already, so the leaving instance asks them first
+/// and sees the new instance within a round trip.
 #[test]
-fn a_refreshed_view_names_a_newcomer_at_once() {
+fn a_refreshed_view_includes_a_new_instance_at_once() {
     for seed in 0..10 {
         let mut fleet = Fleet::settled(seed, 20, 3);
         fleet.add(20, 0);
@@ -105,33 +106,36 @@
     }
 }
 
-/// An instance sleeps for longer than any suspicion lasts and wakes with a view in which everyone
-/// else looks silent. Were it to trust its own clock, it would declare healthy instances dead, and
-/// their requests would move to others. It must ask first.
+/// An instance is paused for longer than any suspicion lasts and resumes with a view in which all
+/// others look silent. If it relied on its own clock, it would declare healthy instances dead, and
+/// their requests would move to others. It must contact a peer first.
 #[test]
-fn an_instance_that_slept_accuses_nobody() {
+fn a_paused_instance_declares_nobody_dead() {
     for seed in 0..10 {
         let mut fleet = Fleet::settled(seed, 9, 3);
         fleet.pause(4, Millis::from_secs(40));
         fleet.run(Millis::from_secs(40));
         let before = fleet.slots[4].findings.len();
         fleet.run(Millis::from_secs(30));
-        let accused = fleet.slots[4].findings[before..]
+        let declared = fleet.slots[4].findings[before..]
             .iter()
             .any(|(_, f)| matches!(f, Finding::Member(MemberFinding::Died(_))));
         assert!(
-            !accused,
-            "seed {seed}: the woken instance declared someone dead"
+            !declared,
+            "seed {seed}: the resumed instance declared a member dead"
+        );
+        assert!(
+            fleet.views_agree(),
+            "seed {seed}: views differ after the pause"
         );
-        assert!(fleet.agrees(), "seed {seed}: views differ after the wake");
     }
 }
 
-/// As above, but the network wakes later still: for three seconds after the jump of the clock no
-/// answer comes. Suspicions from before the pause must not run out in that time.
+/// As above, but the network resumes later than the process: no answer arrives for three seconds
+/// after the clock jumped. Suspicions from before the pause must not expire in that time.
 #[test]
-fn old_suspicions_do_not_run_out_while_nobody_answered_after_a_pause() {
-    let mut member = lonely_member();
+fn old_suspicions_do_not_expire_after_a_pause_until_a_peer_answers() {
+    let mut member = member_with_silent_peer();
     let mut now = Millis(1000);
     let mut suspects = 0;
     while suspects == 0 {
@@ -150,12 +154,12 @@
     assert_eq!(member.live(), 2);
 }
 
-/// A probe was on its way when the process fell asleep, so its answer is long gone. The member that
-/// was probed must not be suspected for that, and until a peer has answered the view counts as old:
-/// whoever acts on it would act on knowledge from before the pause.
+/// A probe was in flight when the process was paused, so its answer is lost. The probed member must
+/// not be suspected for that, and the view counts as outdated until a peer has answered: acting on
+/// it would mean acting on knowledge from before the pause.
 #[test]
-fn a_probe_from_before_a_pause_accuses_nobody() {
-    let mut member = lonely_member();
+fn a_probe_from_before_a_pause_raises_no_suspicion() {
+    let mut member = member_with_silent_peer();
     let mut now = Millis(1000);
     let is_probe = |a: &MemberAction| matches!(a, MemberAction::Send(_, Body::Probe(_)));
     while !member.tick(now).iter().any(is_probe) {
@@ -176,8 +180,8 @@
 }
 
 #[test]
-fn a_newcomer_at_an_address_takes_its_predecessors_place_at_once() {
-    let mut member = lonely_member();
+fn a_new_instance_at_an_address_replaces_its_predecessor_at_once() {
+    let mut member = member_with_silent_peer();
     let mut newcomer = alive(instance(2));
     newcomer.instance.id = InstanceId::new("entry-9");
     newcomer.incarnation = Incarnation::starting(6);
@@ -189,11 +193,11 @@
     assert!(view.get(&from).is_some());
 }
 
-/// The update that refutes a suspicion got lost, but a later message of the suspect states the
-/// higher incarnation. Without taking its word the suspicion would run on.
+/// The update that refutes a suspicion was lost, but a later message of the suspect carries the
+/// higher incarnation. If it were ignored, the suspicion would continue.
 #[test]
-fn a_messages_own_incarnation_refutes() {
-    let mut member = lonely_member();
+fn the_incarnation_of_a_message_refutes_a_suspicion() {
+    let mut member = member_with_silent_peer();
     let mut now = Millis(1000);
     while suspected(&mut member) == 0 {
         now += fleet::TICK;
@@ -205,27 +209,28 @@
     };
     let suspect = InstanceId::new("entry-2");
     member.receive(&suspect, &gossip, &Body::None, now);
-    let accusations = member.updates(&suspect);
-    assert!(accusations.iter().all(|u| u.status != Status::Suspect));
+    let updates = member.updates(&suspect);
+    assert!(updates.iter().all(|u| u.status != Status::Suspect));
 }
 
-/// A suspicion heard of runs out here, as its refutation got lost on this way alone. This instance
-/// doesn't probe the suspect otherwise; before it declares the death it does, and gives it time.
+/// A suspicion received from another member expires, as its refutation was lost only on the way to
+/// this instance, which doesn't probe the suspect otherwise. It must probe it and allow time for an
+/// answer before declaring it dead.
 #[test]
-fn nobody_is_declared_dead_without_a_last_probe() {
-    let mut member = lonely_member();
+fn nobody_is_declared_dead_without_a_final_probe() {
+    let mut member = member_with_silent_peer();
     let mut now = Millis(1000);
     let from = InstanceId::new("entry-2");
-    let crowd: Vec<Update> = (2..20).map(|n| alive(instance(n))).collect();
-    member.receive(&from, &Gossip::default(), &Body::Members(crowd), now);
+    let members: Vec<Update> = (2..20).map(|n| alive(instance(n))).collect();
+    member.receive(&from, &Gossip::default(), &Body::Members(members), now);
     let targets = member.targets().to_vec();
-    let stranger = (2..20).map(instance).find(|i| !targets.contains(&i.id));
-    let suspect = stranger.expect("more members than targets");
-    let accusation = Update {
+    let unprobed = (2..20).map(instance).find(|i| !targets.contains(&i.id));
+    let suspect = unprobed.expect("more members than targets");
+    let suspicion = Update {
         status: Status::Suspect,
         ..alive(suspect.clone())
     };
-    let body = Body::Members(vec![accusation]);
+    let body = Body::Members(vec![suspicion]);
     member.receive(&from, &Gossip::default(), &body, now);
     let died = MemberAction::Report(MemberFinding::Died(suspect.id.clone()));
     let probe = MemberAction::Send(suspect.clone(), Body::Probe(suspect.id.clone()));
@@ -247,10 +252,11 @@
     );
 }
 
-/// Late gossip from the far side of a split says that a member which answers here is dead.
+/// Late gossip from the other side of a network partition reports that a member which answers here
+/// is dead.
 #[test]
-fn a_death_heard_of_a_living_member_is_a_suspicion_first() {
-    let mut member = lonely_member();
+fn a_reported_death_of_a_live_member_becomes_a_suspicion() {
+    let mut member = member_with_silent_peer();
     let dead = Update {
         status: Status::Dead,
         ..alive(instance(2))
@@ -266,11 +272,11 @@
     assert_eq!(suspected(&mut member), 1);
 }
 
-/// After a split each side holds the other's members dead. Told that one of them lives, a member
-/// answers that it holds it dead, so that it can be refuted over there.
+/// After a network partition, each side considers the other's members dead. Told that one of them
+/// is alive, a member answers that it considers it dead, so that the suspect can refute that.
 #[test]
-fn who_holds_a_living_member_dead_says_so() {
-    let mut member = lonely_member();
+fn a_member_reports_whom_it_considers_dead() {
+    let mut member = member_with_silent_peer();
     let mut now = Millis(1000);
     while member.live() == 2 {
         now += fleet::TICK;
@@ -284,14 +290,14 @@
     let from = InstanceId::new("entry-2");
     let body = Body::Members(vec![alive]);
     let actions = member.receive(&from, &Gossip::default(), &body, now);
-    let says_so = |a: &MemberAction| matches!(a, MemberAction::Send(_, Body::Members(_)));
-    assert!(actions.iter().any(says_so));
+    let is_members = |a: &MemberAction| matches!(a, MemberAction::Send(_, Body::Members(_)));
+    assert!(actions.iter().any(is_members));
 }
 
-/// Some update never arrived here, and the queues of the others no longer hold it.
+/// An update never arrived here, and the queues of the other members no longer contain it.
 #[test]
 fn views_that_differ_for_long_are_compared() {
-    let mut member = lonely_member();
+    let mut member = member_with_silent_peer();
     let from = InstanceId::new("entry-2");
     let mut now = Millis(1000);
     let gossip = Gossip {
@@ -323,13 +329,13 @@
     }
 }
 
-/// A member that has heard of one other, which never answers.
-fn lonely_member() -> Member {
-    let life = Incarnation::starting(5);
+/// Creates a member that knows one other member, which never answers.
+fn member_with_silent_peer() -> Member {
+    let initial = Incarnation::starting(5);
     let settings = MemberSettings::default();
-    let mut member = Member::new(settings, instance(1), life, 1, Millis(1000));
+    let mut member = Member::new(settings, instance(1), initial, 1, Millis(1000));
     let gossip = Gossip {
-        incarnation: life,
+        incarnation: initial,
         ..Gossip::default()
     };
     let body = Body::Members(vec![alive(instance(2))]);
@@ -337,34 +343,34 @@
     member
 }
 
-/// Number of suspicions in the updates that would go to another instance.
+/// Returns the number of suspicions in the updates for another instance.
 fn suspected(member: &mut Member) -> usize {
     let updates = member.updates(&InstanceId::new("entry-3"));
     let suspects = updates.iter().filter(|u| u.status == Status::Suspect);
     suspects.count()
 }
 
-/// A pause shorter than the suspicion: others suspect the sleeper, it wakes, refutes, and nobody
-/// ever takes it for dead.
+/// The pause is shorter than the suspicion timeout: others suspect the paused instance, it resumes
+/// and refutes that, and nobody declares it dead.
 #[test]
-fn a_short_pause_kills_nobody() {
+fn a_short_pause_causes_no_death() {
     for seed in 0..10 {
         let mut fleet = Fleet::settled(seed, 9, 3);
         fleet.pause(4, Millis(2500));
         fleet.run(Millis::from_secs(30));
         assert_eq!(deaths(&fleet), 0, "seed {seed}");
-        assert!(fleet.agrees(), "seed {seed}");
+        assert!(fleet.views_agree(), "seed {seed}");
     }
 }
 
-/// The newcomer is the first to start: each connection is refused at once. It must not try again
-/// as fast as it is refused.
+/// The instance is the first one to start, and each connection is refused at once. It must not
+/// retry as fast as it is refused.
 #[test]
-fn a_newcomer_whose_peers_refuse_does_not_hammer_them() {
+fn a_new_instance_whose_peers_refuse_limits_its_attempts() {
     let settings = MemberSettings::default();
-    let life = Incarnation::starting(5);
+    let incarnation = Incarnation::starting(5);
     let mut now = Millis(1000);
-    let mut member = Member::new(settings, instance(1), life, 1, now);
+    let mut member = Member::new(settings, instance(1), incarnation, 1, now);
     let peer = ListedInstance {
         instance: instance(2),
         leaving: false,
@@ -380,104 +386,108 @@
     assert!(tries <= 11, "{tries} tries in two seconds");
 }
 
-/// An instance sleeps while another dies, and the news of the death is no longer passed on when it
-/// wakes. It doesn't probe the dead one itself; the comparison of views has to tell it.
+/// An instance is paused while another dies, and the death is no longer gossiped when it resumes.
+/// It doesn't probe the dead instance itself, so it must learn of the death by comparing views.
 #[test]
-fn a_death_that_was_slept_through_is_heard_of() {
+fn a_death_during_a_pause_is_learned_later() {
     let mut fleet = Fleet::settled(2_369_943_555_841_071_428, 9, 3);
     fleet.faults = Faults {
         loss: 98,
-        repeat: 2,
-        least: 1,
-        most: 623,
+        duplicate: 2,
+        min_delay: 1,
+        max_delay: 623,
     };
     fleet.pause(4, Millis(18_041));
     fleet.run(Millis::from_secs(10));
     fleet.kill(8);
     fleet.run(Millis::from_secs(20));
     fleet.faults = Faults::default();
-    let agreed = fleet.run_until(Millis::from_secs(60), Fleet::agrees);
+    let agreed = fleet.run_until(Millis::from_secs(60), Fleet::views_agree);
     assert!(agreed.is_some(), "views differ a minute after the faults");
 }
 
-/// The process at an address is replaced at once by a new one of the same name. Whoever takes the
-/// newcomer for its predecessor would believe that it still knows which requests it ran.
+/// The process at an address is replaced at once by a new one with the same name. If the new one
+/// were taken for its predecessor, peers would believe that it still knows which requests it ran.
 #[test]
-fn a_replaced_instance_is_a_new_life() {
+fn a_restarted_instance_changes_the_view_digest() {
     let mut fleet = Fleet::settled(6, 8, 3);
     let old = fleet.slots[0].node.member().digest();
     fleet.add(2, 2);
     fleet.list();
     let took = fleet.run_until(Millis::from_secs(10), |fleet| {
-        fleet.agrees() && fleet.slots[0].node.member().digest() != old
+        fleet.views_agree() && fleet.slots[0].node.member().digest() != old
     });
-    assert!(took.is_some(), "the view digest doesn't show the new life");
+    assert!(
+        took.is_some(),
+        "the view digest doesn't show the new incarnation"
+    );
 }
 
-/// The platform gives the address of a dead instance to a new one with another name.
+/// The platform assigns the address of a dead instance to a new one with another name.
 #[test]
-fn a_new_name_at_an_address_buries_the_old_one() {
+fn a_new_name_at_an_address_replaces_the_old_one() {
     let mut fleet = Fleet::settled(7, 8, 3);
     let address = fleet.slots[2].instance.address;
     fleet.add_as(2, Instance::new("entry-new", address, "zone-2"));
     fleet.list();
     assert!(
         fleet
-            .run_until(Millis::from_secs(10), Fleet::agrees)
+            .run_until(Millis::from_secs(10), Fleet::views_agree)
             .is_some()
     );
 }
 
-/// The links between five and three of eight instances are cut for a minute. Each side takes the
-/// other for dead; both go on. When the links return both sides find each other by themselves.
+/// The links between five and three of eight instances are cut for a minute. Each side considers
+/// the other dead and continues. When the links are restored, both sides must find each other
+/// without help.
 #[test]
-fn both_sides_of_a_split_agree_and_find_each_other_again() {
+fn both_sides_of_a_partition_agree_and_merge_again() {
     let mut fleet = Fleet::settled(8, 8, 2);
     fleet.groups = vec![0, 0, 0, 0, 0, 1, 1, 1];
     assert!(
         fleet
-            .run_until(Millis::from_secs(40), Fleet::agrees)
+            .run_until(Millis::from_secs(40), Fleet::views_agree)
             .is_some()
     );
     fleet.run(Millis::from_secs(60));
     fleet.groups = vec![0; 8];
-    let healed = fleet.run_until(Millis::from_secs(30), Fleet::agrees);
+    let healed = fleet.run_until(Millis::from_secs(30), Fleet::views_agree);
     assert!(healed.is_some(), "the sides don't find each other");
     fleet.run(Millis::from_secs(30));
-    assert!(fleet.agrees());
+    assert!(fleet.views_agree());
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(16))]
 
-    /// Messages are lost, late, doubled and out of order, some instances sleep and some die. Once
-    /// the faults end, all living instances agree on who lives.
+    /// Messages are lost, delayed, duplicated and reordered, an instance is paused and another
+    /// dies. Once the faults end, all live instances must agree on the view.
     #[test]
     fn views_agree_after_any_faults(
         seed in any::<u64>(),
         loss in 0_u32..300,
-        repeat in 0_u32..200,
-        most in 1_u64..1500,
-        victim in 0_usize..9,
-        sleeper in 0_usize..9,
-        nap in 0_u64..20_000,
+        duplicate in 0_u32..200,
+        max_delay in 1_u64..1500,
+        killed in 0_usize..9,
+        paused in 0_usize..9,
+        pause_ms in 0_u64..20_000,
     ) {
         let mut fleet = Fleet::settled(seed, 9, 3);
-        fleet.faults = Faults { loss, repeat, least: 1, most };
-        fleet.pause(sleeper, Millis(nap));
+        fleet.faults = Faults { loss, duplicate, min_delay: 1, max_delay };
+        fleet.pause(paused, Millis(pause_ms));
         fleet.run(Millis::from_secs(10));
-        if victim != sleeper {
-            fleet.kill(victim);
+        if killed != paused {
+            fleet.kill(killed);
         }
         fleet.run(Millis::from_secs(20));
         fleet.faults = Faults::default();
-        let agreed = fleet.run_until(Millis::from_secs(60), Fleet::agrees);
+        let agreed = fleet.run_until(Millis::from_secs(60), Fleet::views_agree);
         prop_assert!(agreed.is_some(), "views differ a minute after the faults");
     }
 
-    /// Up to a tenth of the messages lost kills no healthy instance.
+    /// Losing up to a tenth of the messages must not cause a healthy instance to be declared dead.
     #[test]
-    fn lost_messages_alone_kill_nobody(seed in any::<u64>(), loss in 0_u32..100) {
+    fn message_loss_alone_causes_no_death(seed in any::<u64>(), loss in 0_u32..100) {
         let mut fleet = Fleet::settled(seed, 9, 3);
         fleet.faults = Faults { loss, ..Faults::default() };
         fleet.run(Millis::from_secs(120));
--- a/crates/peers/tests/sockets.rs
+++ b/crates/peers/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! Real nodes on loopback: freezing, strangers, oversize messages, versions, calls.
+//! Tests of nodes on loopback sockets: frozen peers, authentication, oversized messages, protocol
+//! versions, calls.
 
 use std::io::ErrorKind;
 use std::io::Read;
@@ -53,13 +54,13 @@
 use crocushold_peers::Started;
 use crocushold_peers::Versions;
 
-/// How long a test waits for what must happen.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum time that a test waits for an expected state.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Deadline of calls in these tests.
+/// Deadline of the calls in these tests.
 const DEADLINE: Millis = Millis(400);
 
-/// Grants every claim and lends half of what is wanted; remembers what it was asked.
+/// Answers every claim and lends half of the requested units; records the requests.
 #[derive(Default)]
 struct Recorder(Mutex<Vec<Request>>);
 
@@ -94,7 +95,8 @@
     (handle, recorder)
 }
 
-/// The platform holds one part at revision 1 for `entry-1`, and is down for all others.
+/// Serves platform reads: for `entry-1` one part at revision 1; for all others the platform is
+/// down.
 async fn answer(started: Started) {
     let reads = started.handle.me().id.as_str() == "entry-1";
     while let Ok(request) = started.platform.recv().await {
@@ -145,13 +147,10 @@
             notices.recv().await.expect("the node runs");
         }
     };
-    assert!(
-        timeout(PATIENCE, waiting).await.is_ok(),
-        "not in time: {what}"
-    );
+    assert!(timeout(TIMEOUT, waiting).await.is_ok(), "timed out: {what}");
 }
 
-/// An answer with a number in it, so that a lost field shows.
+/// An answer that contains a number, so that a lost field is noticed.
 fn granted() -> Response {
     Response::Vote(Vote::InProgress {
         retry_after: Millis(7),
@@ -185,7 +184,7 @@
     })
 }
 
-/// One record in each state, and a mark in which no field has its default.
+/// A transfer with one record in each state, and a mark in which no field has its default.
 fn transfer() -> Request {
     let states = [
         ClaimState::NotRun,
@@ -264,8 +263,9 @@
     });
 }
 
-/// One of four instances accepts connections but never answers. A caller of it waits for its
-/// deadline a few times; then calls to it fail at once, and calls to the others were never slower.
+/// One of four instances accepts connections but never answers. A caller waits for its deadline a
+/// few times; then calls to that instance must fail at once, and calls to the others must never be
+/// slower.
 #[test]
 fn a_frozen_peer_costs_its_callers_little() {
     task::block_on(async {
@@ -291,41 +291,42 @@
     });
 }
 
-/// A stranger with another key lists the fleet, is listed by it, and calls it. Neither side takes
-/// the other in, no call reaches a handler, and no configuration goes out.
+/// An instance with another key lists the fleet, is listed by it, and calls it. Neither side may
+/// add the other to its view, no call may reach a handler, and the configuration must not be
+/// disclosed.
 #[test]
-fn a_stranger_with_another_key_gets_nothing_in_or_out() {
+fn an_instance_with_another_key_is_isolated() {
     task::block_on(async {
         let (one, recorder) = start(settings(1, b"key"));
         let (two, _) = start(settings(2, b"key"));
-        let (stranger, strange) = start(settings(3, b"another key"));
-        introduce(&[&one, &two, &stranger], &[]);
+        let (outsider, outsider_recorder) = start(settings(3, b"another key"));
+        introduce(&[&one, &two, &outsider], &[]);
         wait_for(&one, "two see each other", |h| h.view().live() == 2).await;
         wait_for(&two, "the configuration", |h| h.config().is_some()).await;
-        // An open circuit means that earlier attempts of the memberships were refused.
+        // An open circuit means that earlier connection attempts of the membership were rejected.
         let is_refused = |outcome: &Result<Response, CallError>| {
             matches!(outcome, Err(CallError::Connect(_) | CallError::CircuitOpen))
         };
         for peer in [&one, &two] {
-            let outcome = stranger.call(&peer.me().id, claim(), DEADLINE).await;
+            let outcome = outsider.call(&peer.me().id, claim(), DEADLINE).await;
             assert!(is_refused(&outcome), "{outcome:?}");
-            let outcome = peer.call(&stranger.me().id, claim(), DEADLINE).await;
+            let outcome = peer.call(&outsider.me().id, claim(), DEADLINE).await;
             assert!(is_refused(&outcome), "{outcome:?}");
         }
         assert!(recorder.0.lock().unwrap().is_empty());
-        assert!(strange.0.lock().unwrap().is_empty());
-        assert_eq!(stranger.view().live(), 1);
-        assert!(stranger.config().is_none());
+        assert!(outsider_recorder.0.lock().unwrap().is_empty());
+        assert_eq!(outsider.view().live(), 1);
+        assert!(outsider.config().is_none());
         assert_eq!(one.view().live(), 2);
     });
 }
 
-/// Reads until the connection is closed, and checks that nothing worth knowing came.
+/// Reads until the connection is closed, and checks that nothing was disclosed.
 fn assert_closed(stream: &mut TcpStream) {
-    let timeout = stream.set_read_timeout(Some(PATIENCE));
+    let timeout = stream.set_read_timeout(Some(TIMEOUT));
     timeout.expect("not zero");
     let mut answer = Vec::new();
-    // A reset is a close, too; silence isn't.
+    // A reset counts as closed; a timeout doesn't.
     if let Err(err) = stream.read_to_end(&mut answer) {
         assert_eq!(err.kind(), ErrorKind::ConnectionReset);
     }
@@ -344,32 +345,32 @@
     }
 }
 
-/// A stranger connects and says nothing, to use up the connections of the instance.
+/// A client connects and sends nothing, to use up the instance's connections.
 #[test]
 fn silent_connections_are_closed() {
     let (one, _) = start(with_handshake(Millis(300)));
-    let mut stranger = TcpStream::connect(one.me().address).unwrap();
-    assert_closed(&mut stranger);
+    let mut outsider = TcpStream::connect(one.me().address).unwrap();
+    assert_closed(&mut outsider);
 }
 
-/// A stranger announces a message of a gigabyte, to use up the memory of the instance. The
-/// connection is closed at once, not only when the time for the proofs is over.
+/// A client announces a message of a gigabyte, to use up the instance's memory. The connection must
+/// be closed at once, not only when the handshake times out.
 #[test]
-fn oversize_messages_close_the_connection() {
+fn oversized_messages_close_the_connection() {
     let (one, _) = start(with_handshake(Millis::from_secs(600)));
-    let mut stranger = TcpStream::connect(one.me().address).unwrap();
+    let mut outsider = TcpStream::connect(one.me().address).unwrap();
     let words: u32 = 1 << 27;
-    stranger.write_all(&0_u32.to_le_bytes()).unwrap();
-    stranger.write_all(&words.to_le_bytes()).unwrap();
-    assert_closed(&mut stranger);
+    outsider.write_all(&0_u32.to_le_bytes()).unwrap();
+    outsider.write_all(&words.to_le_bytes()).unwrap();
+    assert_closed(&mut outsider);
     task::block_on(async {
         let (two, _) = start(settings(2, b"key"));
         meet(&[&one, &two]).await;
     });
 }
 
-/// During an upgrade a program of the first version and one of the newest run side by side: they
-/// see each other, share the configuration and call each other.
+/// During an upgrade, a program of the first version and one of the newest run side by side: they
+/// must see each other, share the configuration and call each other.
 #[test]
 fn an_old_and_a_new_version_work_side_by_side() {
     task::block_on(async {
@@ -408,7 +409,7 @@
     });
 }
 
-/// Another instance took over the address in the list.
+/// Another instance took over the listed address.
 #[test]
 fn a_call_never_reaches_another_instance_at_the_same_address() {
     task::block_on(async {
@@ -441,6 +442,6 @@
                 task::yield_now().await;
             }
         };
-        assert!(timeout(PATIENCE, stopped).await.is_ok());
+        assert!(timeout(TIMEOUT, stopped).await.is_ok());
     });
 }
--- a/crates/peers/tests/spread.rs
+++ b/crates/peers/tests/spread.rs
@@ -1,4 +1,5 @@
-//! The configuration under faults: in force everywhere in time, and never back.
+//! Tests of the dissemination of the configuration under faults: a change is in force everywhere in
+//! time, and no instance returns to an earlier revision.
 
 mod fleet;
 
@@ -23,8 +24,8 @@
 use fleet::Fleet;
 use fleet::PlatformState;
 
-/// Longest time for a change to be in force everywhere.
-const IN_FORCE: Millis = Millis::from_secs(5);
+/// Maximum time for a change to be in force everywhere.
+const CHANGE_TIMEOUT: Millis = Millis::from_secs(5);
 
 fn reports(fleet: &Fleet, at: usize, wanted: impl Fn(&SpreadFinding) -> bool) -> bool {
     let findings = fleet.slots[at].findings.iter();
@@ -36,7 +37,8 @@
         .any(wanted)
 }
 
-/// Runs the fleet and checks at every step that no part of any instance goes back.
+/// Runs the fleet and checks at each step that no part of any instance returns to an earlier
+/// revision.
 fn run_without_going_back(fleet: &mut Fleet, span: Millis) -> bool {
     let mut seen: Vec<BTreeMap<Arc<str>, u64>> = vec![BTreeMap::new(); fleet.slots.len()];
     let mut whole = vec![0; fleet.slots.len()];
@@ -69,11 +71,11 @@
     let revision = fleet
         .platform
         .publish("clara", "[service chat]\npriority = 2");
-    let took = fleet.run_until(IN_FORCE, |fleet| fleet.in_force(revision));
+    let took = fleet.run_until(CHANGE_TIMEOUT, |fleet| fleet.in_force(revision));
     assert!(took.is_some());
 }
 
-/// The oldest and the youngest confirmation that any instance knows of.
+/// Returns the ages of the oldest and the newest confirmation among all instances.
 fn confirmed(fleet: &Fleet) -> (Millis, Millis) {
     let ages = fleet.alive().map(|slot| {
         let status = slot.node.sync_status(fleet.now);
@@ -84,9 +86,10 @@
     (*oldest.expect("some live"), *youngest.expect("some live"))
 }
 
-/// The platform hangs, is gone, or answers what was before the last change. Everybody is served on, so
-/// an operator sees it by one sign alone: the age of the last confirmation grows on every instance, and
-/// falls when it is over. A stale answer that counted as a confirmation would hide the fault.
+/// The platform hangs, is down, or returns the state before the last change. Requests are still
+/// served, so the only sign for the operator is the age of the last confirmation, which must grow
+/// on every instance and fall when the fault ends. Counting a stale answer as a confirmation would
+/// hide the fault.
 #[test_case(PlatformState::Frozen; "frozen")]
 #[test_case(PlatformState::Down; "down")]
 #[test_case(PlatformState::Stale(0); "stale")]
@@ -113,22 +116,22 @@
     }
 }
 
-/// The platform can't deliver one team's part. The other teams' changes must not wait for it, and it
-/// must still be asked for: once it can be read again, it is in force as well.
+/// The platform can't return one team's part. The other teams' changes must not wait for it, and it
+/// must still be requested: once it can be read again, it must be put in force as well.
 #[test]
-fn an_unreadable_part_holds_up_no_other() {
+fn an_unreadable_part_delays_no_other() {
     let mut fleet = Fleet::settled(9, 8, 3);
-    fleet.platform.unreadable = Some("bad");
+    fleet.platform.unreadable_team = Some("bad");
     fleet.platform.publish("bad", "x");
     let revision = fleet.platform.publish("two", "y");
-    let took = fleet.run_until(IN_FORCE, |fleet| fleet.in_force(revision));
+    let took = fleet.run_until(CHANGE_TIMEOUT, |fleet| fleet.in_force(revision));
     assert!(took.is_some(), "the other team's change is held up");
     for slot in &fleet.slots {
         let snapshot = slot.in_force.as_ref().unwrap();
         assert!(snapshot.part("two").is_some());
         assert!(snapshot.part("bad").is_none());
     }
-    fleet.platform.unreadable = None;
+    fleet.platform.unreadable_team = None;
     let everywhere = |fleet: &Fleet| {
         let mut slots = fleet.slots.iter();
         slots.all(|slot| slot.in_force.as_ref().unwrap().part("bad").is_some())
@@ -137,22 +140,22 @@
     assert!(took.is_some(), "the part is never asked for again");
 }
 
-/// No part can be read, though the index can. A newcomer that put the empty rest in force would turn
-/// every caller away.
+/// No part can be read, though the index can. A new instance that put the empty configuration in
+/// force would reject every caller.
 #[test]
-fn a_newcomer_that_can_read_no_part_is_not_ready() {
+fn a_new_instance_that_can_read_no_part_is_not_ready() {
     let mut fleet = Fleet::new(10);
     fleet.add(0, 0);
     fleet.list();
     fleet.platform.publish("bad", "x");
-    fleet.platform.unreadable = Some("bad");
+    fleet.platform.unreadable_team = Some("bad");
     fleet.run(Millis::from_secs(60));
     assert!(fleet.slots[0].in_force.is_none());
 }
 
-/// A tenth of all messages is lost while three teams change their parts and one removes its own.
+/// A tenth of all messages is lost while three teams change their parts and one removes its part.
 #[test]
-fn changes_arrive_in_time_although_messages_are_lost() {
+fn changes_arrive_in_time_despite_message_loss() {
     let mut fleet = Fleet::settled(2, 40, 5);
     fleet.faults = Faults {
         loss: 100,
@@ -162,7 +165,9 @@
     fleet.platform.publish("two", &"b".repeat(300_000));
     fleet.platform.publish("clara", "");
     let revision = fleet.platform.publish("three", "c");
-    let took = fleet.run_until(IN_FORCE + IN_FORCE, |fleet| fleet.in_force(revision));
+    let took = fleet.run_until(CHANGE_TIMEOUT + CHANGE_TIMEOUT, |fleet| {
+        fleet.in_force(revision)
+    });
     assert!(took.is_some());
     for slot in &fleet.slots {
         let snapshot = slot.in_force.as_ref().unwrap();
@@ -171,10 +176,10 @@
     }
 }
 
-/// Twelve parts of 20 kB each, and a third of all messages lost: a fetch that began from nothing
-/// with each lost answer would hardly ever end.
+/// Twelve parts of 20 kB each, and a fifth of all messages lost, so that a third of all exchanges
+/// fail: a fetch that restarted from nothing with each lost answer would hardly ever complete.
 #[test]
-fn a_fetch_takes_up_where_the_last_one_ended() {
+fn a_fetch_resumes_where_the_last_one_ended() {
     let mut fleet = Fleet::settled(12, 8, 2);
     fleet.faults = Faults {
         loss: 200,
@@ -189,30 +194,32 @@
     assert!(took.is_some());
 }
 
-/// One team's part is larger than any instance takes; the other team's change must come into force.
+/// One team's part is larger than any instance accepts; the other team's change must still be put
+/// in force.
 #[test]
-fn an_oversize_part_holds_nobody_else_back() {
+fn an_oversized_part_delays_no_other_team() {
     let mut fleet = Fleet::settled(13, 4, 2);
     fleet.platform.publish("clara", &"x".repeat(2 << 20));
     let revision = fleet.platform.publish("two", "b");
-    fleet.run(IN_FORCE);
+    fleet.run(CHANGE_TIMEOUT);
     assert!(fleet.in_force(revision));
     let snapshot = fleet.slots[0].in_force.as_ref().unwrap();
     assert_eq!(&*snapshot.part("clara").unwrap().text, "[service chat]");
     assert_eq!(&*snapshot.part("two").unwrap().text, "b");
-    let told = |f: &SpreadFinding| matches!(f, SpreadFinding::TooLarge(_));
-    assert!((0..4).any(|at| reports(&fleet, at, told)));
+    let reported = |f: &SpreadFinding| matches!(f, SpreadFinding::TooLarge(_));
+    assert!((0..4).any(|at| reports(&fleet, at, reported)));
 }
 
-/// The platform falls back to revision 1 while the fleet follows revision 4, and new instances
-/// start. A newcomer that believed the platform would run requests by an undone configuration.
+/// The platform goes back to revision 1 while the fleet is at revision 4, and new instances start.
+/// A new instance that relied on the platform would process requests by a configuration that was
+/// replaced.
 #[test]
-fn a_newcomer_follows_its_peers_when_the_platform_went_back() {
+fn a_new_instance_follows_its_peers_when_the_platform_went_back() {
     let mut fleet = Fleet::settled(3, 8, 3);
     for text in ["x", "y", "z"] {
         fleet.platform.publish("clara", text);
     }
-    fleet.run(IN_FORCE);
+    fleet.run(CHANGE_TIMEOUT);
     fleet.platform.state = PlatformState::Stale(1);
     for at in [0, 3, 5] {
         fleet.add(at, at % 3);
@@ -223,12 +230,12 @@
     for at in [0, 3, 5] {
         assert_eq!(fleet.slots[at].revisions, [4], "an older one was in force");
     }
-    let told = |f: &SpreadFinding| matches!(f, SpreadFinding::PlatformBehind { .. });
-    assert!((0..8).any(|at| reports(&fleet, at, told)));
+    let reported = |f: &SpreadFinding| matches!(f, SpreadFinding::PlatformBehind { .. });
+    assert!((0..8).any(|at| reports(&fleet, at, reported)));
 }
 
 #[test]
-fn a_newcomer_starts_from_its_peers_while_the_platform_is_down() {
+fn a_new_instance_starts_from_its_peers_while_the_platform_is_down() {
     let mut fleet = Fleet::settled(4, 8, 3);
     fleet.platform.state = PlatformState::Down;
     fleet.add(2, 2);
@@ -237,13 +244,13 @@
     assert!(ready.is_some());
 }
 
-/// All instances are replaced while the platform answers an old revision: what only the old ones
-/// knew is lost, the newcomers follow the platform, and go forward once it has caught up.
+/// All instances are replaced while the platform returns an old revision: what only the old
+/// instances knew is lost. The new ones follow the platform, and advance once it has caught up.
 #[test]
 fn replacing_all_instances_while_the_platform_is_stale_loses_the_newer_revisions() {
     let mut fleet = Fleet::settled(5, 6, 3);
     let newest = fleet.platform.publish("clara", "new");
-    fleet.run(IN_FORCE);
+    fleet.run(CHANGE_TIMEOUT);
     fleet.platform.state = PlatformState::Stale(1);
     for at in 0..6 {
         fleet.add(at, at % 3);
@@ -256,7 +263,7 @@
     assert!(took.is_some());
 }
 
-/// An instance that reaches neither the platform nor a peer must not answer as if it were ready.
+/// An instance that reaches neither the platform nor a peer must not report itself ready.
 #[test]
 fn an_instance_without_any_source_is_not_ready() {
     let mut fleet = Fleet::settled(6, 3, 3);
@@ -271,8 +278,8 @@
     assert!(ready.is_some());
 }
 
-/// The smaller half of a split reaches the platform and the larger doesn't, or the other way round;
-/// after the split all have the highest revision.
+/// During a network partition either the smaller or the larger side reaches the platform; after it
+/// all instances must have the highest revision.
 #[test_case(&[0, 0, 0, 0, 0, 1, 1, 1])]
 #[test_case(&[1, 1, 1, 0, 0, 0, 0, 0])]
 fn a_split_delays_changes_but_undoes_none(groups: &[u8]) {
@@ -286,17 +293,17 @@
     assert!(fleet.in_force(revision));
 }
 
-/// A watch that returns at once without news, from a platform or proxy that doesn't wait, must not
-/// eat the read budget that all share.
+/// A watch that returns at once without news, because the platform or a proxy doesn't wait, must
+/// not use up the read budget that all instances share.
 #[test]
 fn a_watch_that_returns_at_once_is_not_repeated_in_a_loop() {
     let mut fleet = Fleet::settled(8, 8, 2);
-    fleet.platform.state = PlatformState::Hasty;
+    fleet.platform.state = PlatformState::ReturnsAtOnce;
     fleet.run(Millis::from_secs(60));
     fleet.platform.calls = 0;
     fleet.run(Millis::from_secs(60));
     let calls = fleet.platform.calls;
-    // Four watchers by their longest wait, and four others by the time between two reads.
+    // Four watchers at their maximum backoff, and four other instances at the read interval.
     let allowed = 4 * 4 + 4 * (60 / 3);
     assert!(calls <= allowed, "{calls} calls a minute from 8 instances");
 }
@@ -309,14 +316,14 @@
     fleet.platform.calls = 0;
     fleet.run(Millis::from_secs(60));
     let calls = fleet.platform.calls;
-    // Four watchers by their longest wait, and four others by the time between two reads.
+    // Four watchers at their maximum backoff, and four other instances at the read interval.
     let allowed = 4 * 4 + 4 * (60 / 3);
     assert!(calls <= allowed, "{calls} calls a minute from 8 instances");
 }
 
-/// A change every half second, and a platform that comes and goes. The budget is shared with readers
-/// that these instances don't know of: no instance may exceed its own share in any span of time, nor
-/// all together theirs, however much there is to read.
+/// A change every half second, and a platform that fails now and then. The budget is shared with
+/// readers unknown to these instances: however much there is to read, no instance may exceed its
+/// own share in any period, nor all of them theirs.
 #[test]
 fn the_read_budget_is_never_exceeded() {
     let mut fleet = Fleet::new(15);
@@ -338,7 +345,7 @@
     for step in 0..240 {
         fleet.platform.state = match step % 40 {
             0..30 => PlatformState::Up,
-            30..35 => PlatformState::Hasty,
+            30..35 => PlatformState::ReturnsAtOnce,
             _ => PlatformState::Down,
         };
         fleet.platform.publish("clara", &step.to_string());
@@ -350,14 +357,14 @@
     assert_rate(&calls_of(&fleet, None), 8 * 2, 3);
 }
 
-/// When the platform was called, by one node or by all.
+/// Returns the times of the platform calls of one node, or of all.
 fn calls_of(fleet: &Fleet, caller: Option<usize>) -> Vec<Millis> {
     let calls = fleet.platform.log.iter();
     let calls = calls.filter(|call| caller.is_none_or(|caller| call.caller == caller));
     calls.map(|call| call.at).collect()
 }
 
-/// No span of time holds more calls than the burst and the rate a second allow.
+/// Asserts that no period contains more calls than the burst and the rate per second allow.
 fn assert_rate(calls: &[Millis], burst: u64, rate: u64) {
     assert!(!calls.is_empty());
     for (first, from) in calls.iter().enumerate() {
@@ -369,9 +376,9 @@
     }
 }
 
-/// The platform takes calls and never answers, for two minutes, with no error to notice. A watch
-/// that was waited on for ever would leave the instance at an old configuration for good; each call
-/// is given up, and the change is in force once the platform answers again.
+/// The platform accepts calls and never answers for two minutes, without an error. Waiting forever
+/// for a watch would leave the instance at an old configuration; each call must be given up, and
+/// the change must be in force once the platform answers again.
 #[test]
 fn calls_of_a_frozen_platform_are_given_up() {
     let mut fleet = Fleet::settled(16, 8, 2);
@@ -381,17 +388,18 @@
     fleet.run(Millis::from_secs(120));
     assert!(fleet.in_force(1), "what was in force stays");
     let calls = fleet.platform.log.len();
-    // Ten seconds each until it is given up, then waits of 1, 2, 4, 8 and 16 s: six from each.
+    // Each call is given up after ten seconds, followed by backoffs of 1, 2, 4, 8 and 16 s: at most
+    // six calls per instance.
     assert!((4..=8 * 6).contains(&calls), "{calls} calls in two minutes");
-    let told = |f: &SpreadFinding| *f == SpreadFinding::PlatformDown;
-    assert!((0..8).any(|at| reports(&fleet, at, told)));
+    let reported = |f: &SpreadFinding| *f == SpreadFinding::PlatformDown;
+    assert!((0..8).any(|at| reports(&fleet, at, reported)));
     fleet.platform.state = PlatformState::Up;
     let took = fleet.run_until(Millis::from_secs(75), |fleet| fleet.in_force(revision));
     assert!(took.is_some());
 }
 
-/// A 429 with `Retry-After: 50`, longer than any pause of the instance's own: a call before that
-/// would be refused again and counts against what the other readers get.
+/// A 429 with `Retry-After: 50`, longer than any backoff of the instance: an earlier call would be
+/// rejected again and count against the budget of the other readers.
 #[test]
 fn retry_after_is_honoured() {
     let wait = Millis::from_secs(50);
@@ -402,8 +410,8 @@
     assert!(next.since(throttled) >= wait, "called again at {next}");
 }
 
-/// A mistaken `Retry-After` of a year. Without a bound the instance would not read the configuration
-/// again until it is restarted; with it the next call comes after a minute.
+/// A mistaken `Retry-After` of a year. Without a limit, the instance would not read the
+/// configuration again until it is restarted; with it, the next call follows after a minute.
 #[test]
 fn an_absurd_retry_after_is_bounded() {
     let mut fleet = Fleet::settled(18, 1, 1);
@@ -415,7 +423,7 @@
     assert!(fleet.in_force(revision));
 }
 
-/// Lets the platform refuse the watch that waits, and returns when.
+/// Makes the platform reject the pending watch, and returns when.
 fn throttled_once(fleet: &mut Fleet, wait: Millis) -> Millis {
     let throttled = fleet.now;
     fleet.platform.state = PlatformState::Throttled(wait);
@@ -430,8 +438,8 @@
     calls.find(|call| call.at > after).map(|call| call.at)
 }
 
-/// Two platforms give two texts for one revision. Each instance keeps what it has in force and
-/// reports the conflict; the next revision settles it.
+/// Two platforms return different texts for one revision. Each instance must keep the one it has in
+/// force and report the conflict; the next revision resolves it.
 #[test]
 fn two_texts_of_one_revision_are_reported_and_not_swapped() {
     let mut fleet = Fleet::settled(10, 6, 2);
@@ -446,8 +454,8 @@
     fleet.run(Millis::from_secs(10));
     fleet.groups = vec![0; 6];
     fleet.run(Millis::from_secs(90));
-    let told = |f: &SpreadFinding| matches!(f, SpreadFinding::Conflict(_));
-    assert!((0..6).any(|at| reports(&fleet, at, told)));
+    let reported = |f: &SpreadFinding| matches!(f, SpreadFinding::Conflict(_));
+    assert!((0..6).any(|at| reports(&fleet, at, reported)));
     for (at, slot) in fleet.slots.iter().enumerate() {
         let text = &slot.in_force.as_ref().unwrap().part("clara").unwrap().text;
         assert_eq!(&**text, if at < 3 { "left" } else { "right" });
@@ -457,8 +465,8 @@
     assert!(fleet.in_force(revision));
 }
 
-/// A part read from a slower replica of the platform than the index: its old text must not be put
-/// in force under the new revision.
+/// A part is read from a replica of the platform that lags behind the one that returned the index:
+/// its old text must not be put in force under the new revision.
 #[test]
 fn an_old_text_under_a_new_index_is_refused() {
     use crocushold_peers::Index;
@@ -489,19 +497,19 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(16))]
 
-    /// Messages are lost, late, doubled and out of order, the platform changes, goes back and fails,
-    /// instances sleep and are replaced. No instance ever goes back, and once the faults end all
-    /// have the highest revision.
+    /// Messages are lost, delayed, duplicated and reordered, the platform changes, goes back and
+    /// fails, instances are paused and cut off. No instance may ever return to an earlier revision,
+    /// and once the faults end, all must have the highest one.
     #[test]
     fn no_instance_goes_back_and_all_arrive(
         seed in any::<u64>(),
         loss in 0_u32..300,
-        repeat in 0_u32..300,
-        most in 1_u64..1200,
+        duplicate in 0_u32..300,
+        max_delay in 1_u64..1200,
         steps in proptest::collection::vec((0_u8..6, 0_usize..7, 0_u64..6000), 1..12),
     ) {
         let mut fleet = Fleet::settled(seed, 7, 3);
-        fleet.faults = Faults { loss, repeat, least: 1, most };
+        fleet.faults = Faults { loss, duplicate, min_delay: 1, max_delay };
         for (step, at, span) in steps {
             match step {
                 0 | 1 => {
@@ -523,7 +531,7 @@
         prop_assert!(fleet.in_force(revision));
     }
 
-    /// A difference applied to the old text gives the new one, whatever the texts.
+    /// A difference applied to the old text must yield the new one, whatever the texts.
     #[test]
     fn differences_restore_the_text(old in ".{0,40}", new in ".{0,40}") {
         let delta = Delta::between(&old, &new);
--- a/crates/peers/tests/stranger.rs
+++ b/crates/peers/tests/unauthenticated.rs
@@ -1,4 +1,4 @@
-//! A stranger who speaks the protocol but doesn't hold the key, as caller and as callee.
+//! A program that speaks the protocol but doesn't hold the key, as caller and as callee.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -37,8 +37,8 @@
 use peer_capnp::gate;
 use peer_capnp::session;
 
-/// How long a test waits for what must happen.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum time that a test waits for an expected state.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn start() -> PeerHandle {
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -53,7 +53,7 @@
     Box::new(VatNetwork::new(input, output, side, ReaderOptions::new()))
 }
 
-async fn knock(address: SocketAddr) -> gate::Client {
+async fn connect(address: SocketAddr) -> gate::Client {
     let stream = TcpStream::connect(address).await.expect("it listens");
     let mut system = RpcSystem::new(network(stream, Side::Client), None);
     let gate = system.bootstrap(Side::Server);
@@ -61,15 +61,15 @@
     gate
 }
 
-/// The stranger says hello, sends proofs that it can't know, and asks without saying hello at all.
-/// It is given no session, and neither the name nor a proof of the instance.
+/// The caller sends a hello and invalid proofs, and also tries to authenticate without a hello. It
+/// must receive no session, and neither the name nor a proof of the instance.
 #[test]
 fn a_caller_without_the_key_gets_no_session() {
     task::block_on(async {
         let node = start();
         for says_hello in [true, false] {
             for proof in [[0_u8; 32].as_slice(), &[]] {
-                let gate = knock(node.me().address).await;
+                let gate = connect(node.me().address).await;
                 if says_hello {
                     let mut hello = gate.hello_request();
                     hello.get().set_min_version(1);
@@ -81,19 +81,19 @@
                 }
                 let mut request = gate.authenticate_request();
                 request.get().set_proof(proof);
-                let answer = timeout(PATIENCE, request.send().promise).await;
-                assert!(matches!(answer, Ok(Err(_))), "the stranger was answered");
+                let answer = timeout(TIMEOUT, request.send().promise).await;
+                assert!(matches!(answer, Ok(Err(_))), "the caller was authenticated");
             }
         }
     });
 }
 
-/// Admits everyone, proves nothing, and counts the calls that it is given.
-struct Trap {
+/// A server without the key that accepts every caller and counts the calls that it receives.
+struct RogueServer {
     calls: Rc<Cell<usize>>,
 }
 
-impl gate::Server for Trap {
+impl gate::Server for RogueServer {
     async fn hello(
         self: Rc<Self>,
         _params: gate::HelloParams,
@@ -109,18 +109,18 @@
         params: gate::AuthenticateParams,
         mut results: gate::AuthenticateResults,
     ) -> capnp::Result<()> {
-        // The caller's own proof, sent back.
+        // Reflects the caller's own proof.
         results.get().set_proof(params.get()?.get_proof()?);
         results.get().set_id("entry-2");
         let calls = self.calls.clone();
         results
             .get()
-            .set_session(capnp_rpc::new_client(Trap { calls }));
+            .set_session(capnp_rpc::new_client(RogueServer { calls }));
         Ok(())
     }
 }
 
-impl session::Server for Trap {
+impl session::Server for RogueServer {
     async fn settle(
         self: Rc<Self>,
         _params: session::SettleParams,
@@ -131,14 +131,14 @@
     }
 }
 
-/// The stranger took over a listed address, admits everyone and returns the caller's own proof. The
-/// caller must not send it anything.
+/// A program without the key took over a listed address, accepts every caller and reflects the
+/// caller's own proof. The caller must not send it any call.
 #[test]
 fn a_callee_without_the_key_gets_no_call() {
     task::block_on(async {
         let node = start();
-        let trap = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
-        let address = trap.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
+        let address = listener.local_addr().expect("bound");
         let listed = ListedInstance {
             instance: Instance::new("entry-2", address, "stgo-a"),
             leaving: false,
@@ -146,9 +146,9 @@
         let calls = Rc::new(Cell::new(0));
         let counted = calls.clone();
         task::spawn_local(async move {
-            while let Ok((stream, _)) = trap.accept().await {
+            while let Ok((stream, _)) = listener.accept().await {
                 let calls = counted.clone();
-                let gate: gate::Client = capnp_rpc::new_client(Trap { calls });
+                let gate: gate::Client = capnp_rpc::new_client(RogueServer { calls });
                 let network = network(stream, Side::Server);
                 task::spawn_local(RpcSystem::new(network, Some(gate.client)));
             }
--- a/crates/peers/tests/versions.rs
+++ b/crates/peers/tests/versions.rs
@@ -1,7 +1,7 @@
-//! Programs of different schemas side by side, over real sockets.
+//! Interoperability of programs with different schemas, over real sockets.
 //!
-//! The older one is a program with the schema of version 1, and the later one a caller with a schema
-//! that has more than the present one. Both schemas stand in `versions/`.
+//! The older one is a program with the schema of version 1, and the newer one a caller whose schema
+//! extends the current one. Both schemas are in `versions/`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -66,19 +66,19 @@
 #[path = "versions/wire.rs"]
 mod wire;
 
-/// How long a test waits for what must happen.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum time that a test waits for an expected state.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between two looks at the programs.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which the state of the programs is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Deadline of calls in these tests.
+/// Deadline of the calls in these tests.
 const DEADLINE: Millis = Millis(1000);
 
-/// More calls in a row than open the circuit of a peer that fails.
+/// More consecutive calls than open the circuit of a failing peer.
 const MANY_CALLS: usize = 8;
 
-/// The number of [`Vote::Granted`] on the wire.
+/// The encoding of [`Vote::Granted`].
 const GRANTED: u16 = 1;
 
 const KEY: &[u8] = b"the key of both programs";
@@ -88,7 +88,7 @@
     Box::new(VatNetwork::new(input, output, side, ReaderOptions::new()))
 }
 
-/// Grants every claim and remembers its account.
+/// Grants every claim and records its account.
 #[derive(Default)]
 struct Recorder(Mutex<Vec<AccountId>>);
 
@@ -102,7 +102,7 @@
     }
 }
 
-/// Starts a present program whose platform answers one part, or is down.
+/// Starts a current program whose platform returns one part, or is down.
 fn start(name: &str, start: u64, platform: Option<PartText>) -> (PeerHandle, Arc<Recorder>) {
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let me = Instance::new(name, address, "stgo-a");
@@ -132,7 +132,7 @@
     }
 }
 
-/// A program of either age.
+/// A program of either version.
 #[derive(Clone)]
 enum Program {
     Old(OldProgram),
@@ -173,15 +173,15 @@
     }
 }
 
-/// The running programs, and what each instance has shown so far.
+/// The running programs, and the highest revision that each instance has had in force.
 #[derive(Default)]
 struct Programs {
     programs: Vec<Program>,
-    shown: BTreeMap<String, u64>,
+    highest: BTreeMap<String, u64>,
 }
 
 impl Programs {
-    /// Adds a program, in place of one of the same name, and tells all of the instance list.
+    /// Adds a program, replacing one with the same name, and passes the instance list to all.
     fn add(&mut self, program: Program) {
         let id = program.me().id.clone();
         self.programs.retain(|other| other.me().id != id);
@@ -200,39 +200,40 @@
         }
     }
 
-    /// Waits for a state of all programs. Until then no instance goes back to an earlier revision,
-    /// not even one whose program is replaced, and all that `stay` see each other.
-    async fn wait(&mut self, what: &str, stay: &[&str], holds: impl Fn(&Program) -> bool) {
+    /// Waits until `holds` for all programs. Meanwhile no instance may return to an earlier
+    /// revision, not even one whose program is replaced, and all instances in `stable` must see
+    /// each other.
+    async fn wait(&mut self, what: &str, stable: &[&str], holds: impl Fn(&Program) -> bool) {
         let began = Instant::now();
         loop {
-            self.check(stay);
+            self.check(stable);
             if self.programs.iter().all(&holds) {
                 return;
             }
-            assert!(began.elapsed() < PATIENCE, "not in time: {what}");
-            task::sleep(LOOK).await;
+            assert!(began.elapsed() < TIMEOUT, "timed out: {what}");
+            task::sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn check(&mut self, stay: &[&str]) {
+    fn check(&mut self, stable: &[&str]) {
         for program in &self.programs {
             let name = program.me().id.as_str();
             let revision = program.revision();
-            let shown = self.shown.entry(name.to_owned()).or_default();
-            // A program that starts has nothing in force yet.
-            assert!(revision == 0 || revision >= *shown, "{name} went back");
-            *shown = revision.max(*shown);
-            if stay.contains(&name) {
+            let highest = self.highest.entry(name.to_owned()).or_default();
+            // A program that has just started has no configuration in force yet.
+            assert!(revision == 0 || revision >= *highest, "{name} went back");
+            *highest = revision.max(*highest);
+            if stable.contains(&name) {
                 let live = program.live();
-                let all = stay.iter().all(|other| live.iter().any(|id| id == other));
+                let all = stable.iter().all(|other| live.iter().any(|id| id == other));
                 assert!(all, "{name} sees {live:?}");
             }
         }
     }
 
-    async fn wait_agreed(&mut self, live: usize, revision: u64, stay: &[&str]) {
+    async fn wait_agreed(&mut self, live: usize, revision: u64, stable: &[&str]) {
         let what = format!("{live} live at revision {revision}");
-        self.wait(&what, stay, |program| {
+        self.wait(&what, stable, |program| {
             program.live().len() == live && program.revision() == revision
         })
         .await;
@@ -259,11 +260,11 @@
     })
 }
 
-/// Three instances run, two of them still the older program, and the older ones are replaced one
-/// after the other. First a change of the text reaches the present program only through an older one,
-/// whose answers lack what was added since; then the platform goes back to its first text, and the
-/// replacements, one after a planned stop and one after a crash, read that. No instance goes back to
-/// it, and those that aren't being replaced see each other all the time.
+/// Of three instances two still run the older program, and these are replaced one after the other.
+/// First a change reaches the current program only through an older one, whose answers lack the
+/// newer fields; then the platform goes back to its first text, which the replacements read, one
+/// after a planned stop and one after a crash. No instance may return to that text, and the
+/// instances that aren't being replaced must see each other all the time.
 #[test]
 fn an_upgrade_keeps_the_members_and_the_revision() {
     task::block_on(async {
@@ -299,9 +300,10 @@
     });
 }
 
-/// A present program calls an older one by a method that came later, more often than a failing peer
-/// is asked. Each time it hears that the peer doesn't know the call; the calls that both know, the
-/// probes among them, go on. The older one's claim has no account, which reads as no account.
+/// A current program calls an older one by a newer method, more often than a failing peer is
+/// called. Each time it must learn that the peer doesn't support the call, while calls that both
+/// support, including probes, keep working. The older program's claim contains no account, which is
+/// read as the default account.
 #[test]
 fn a_call_that_an_older_program_lacks_does_not_cut_it_off() {
     task::block_on(async {
@@ -325,7 +327,7 @@
     });
 }
 
-/// A connection of a later program, which has proved that it holds the key.
+/// Opens an authenticated session as a newer program.
 async fn later_session(peer: &Instance) -> capnp::Result<peer_next_capnp::session::Client> {
     let stream = TcpStream::connect(peer.address).await.expect("it listens");
     let mut system = RpcSystem::new(network(stream, Side::Client), None);
@@ -354,12 +356,12 @@
     answer.get()?.get_session()
 }
 
-/// What a later program says of itself, with fields that the present one doesn't know.
+/// Writes a newer program's gossip, with fields that the current one doesn't know.
 fn write_gossip(mut gossip: peer_next_capnp::gossip::Builder<'_>) {
     gossip.set_start(9);
     gossip.set_load(77);
     gossip.reborrow().init_notes(1).set(0, "a note");
-    // An instance in a state that was added later: nothing can be said of it.
+    // An instance with a status that was added later and can't be interpreted.
     let mut update = gossip.init_updates(1).get(0);
     update.set_id("entry-8");
     update.set_address("127.0.0.1:9");
@@ -367,9 +369,9 @@
     update.set_status(9);
 }
 
-/// A later program sends fields, a body, a state of a member and a call that the present one doesn't
-/// know. The body is answered by none, the call by "unimplemented"; the connection stays, and a probe
-/// that follows on it is answered.
+/// A newer program sends fields, a body, a member's status and a call that the current one doesn't
+/// know. The body must be answered with none and the call with "unimplemented"; the connection must
+/// stay open, and a probe that follows on it must be answered.
 #[test]
 fn what_a_later_program_adds_does_not_cut_it_off() {
     task::block_on(async {
--- a/crates/peers/tests/versions/program.rs
+++ b/crates/peers/tests/versions/program.rs
@@ -1,4 +1,5 @@
-//! An entry instance as a program of version 1: its own schema on the wire, the node behind it.
+//! An entry instance that runs a program of version 1: the current node behind the schema of that
+//! version.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -55,7 +56,7 @@
     key: SharedKey,
     clock: Clock,
     node: RefCell<Node>,
-    /// What it reads at the platform; nothing while it is down.
+    /// The part that its platform returns; `None` while the platform is down.
     platform: RefCell<Option<PartText>>,
     in_force: Cell<u64>,
     claims: Cell<usize>,
@@ -100,30 +101,30 @@
         self.0.feed(event);
     }
 
-    /// Live instances as it sees them.
+    /// Returns the live instances in its view.
     pub(crate) fn live(&self) -> Vec<String> {
         let view = self.0.node.borrow().member().view();
         let names = view.instances.iter().map(|i| i.id.as_str().to_owned());
         names.collect()
     }
 
-    /// The revision in force; zero for none.
+    /// Returns the revision in force; zero if none.
     pub(crate) fn revision(&self) -> u64 {
         self.0.in_force.get()
     }
 
-    /// Claims that it was asked to vote on.
+    /// Returns the number of claims that it was asked to vote on.
     pub(crate) fn claims(&self) -> usize {
         self.0.claims.get()
     }
 
-    /// The platform publishes a part, and this program is the only one that reads it.
+    /// Publishes a part on the platform, which only this program reads.
     pub(crate) fn publish(&self, part: PartText) {
         *self.0.platform.borrow_mut() = Some(part);
         self.0.feed(Event::PlatformRead(self.0.read_index()));
     }
 
-    /// Asks another instance for a vote; the number of the vote.
+    /// Requests a vote from another instance, and returns its encoding.
     pub(crate) async fn claim(&self, peer: &Instance) -> capnp::Result<u16> {
         let session = self.0.session(peer).await?;
         let mut call = session.claim_request();
@@ -134,7 +135,7 @@
         Ok(response.get()?.get_vote())
     }
 
-    /// Leaves as planned, and then ends.
+    /// Leaves the membership and stops.
     pub(crate) async fn leave(self) {
         self.0.feed(Event::Leave);
         while self.0.sending.get() > 0 {
@@ -143,7 +144,7 @@
         self.kill();
     }
 
-    /// Ends at once, with all its connections.
+    /// Stops at once and closes all its connections.
     pub(crate) fn kill(self) {
         for task in self.0.tasks.borrow_mut().drain(..) {
             task.abort();
@@ -156,7 +157,7 @@
     while let Ok((stream, _)) = listener.accept().await {
         let gate: gate::Client = capnp_rpc::new_client(Gate {
             core: core.clone(),
-            greeting: RefCell::default(),
+            handshake: RefCell::default(),
         });
         let system = RpcSystem::new(network(stream, Side::Server), Some(gate.client));
         core.spawn(async move {
@@ -186,7 +187,7 @@
             match action {
                 Action::Send(to, message) => self.send(to, message),
                 Action::Reply(message) => reply = Some(message),
-                Action::InForce(snapshot) => self.put_in_force(snapshot.revision),
+                Action::InForce(snapshot) => self.set_in_force(snapshot.revision),
                 Action::ReadIndex => self.answer(self.read_index()),
                 Action::ReadPart(team) => {
                     let part = self.platform.borrow().clone();
@@ -199,7 +200,7 @@
         reply
     }
 
-    fn put_in_force(&self, revision: u64) {
+    fn set_in_force(&self, revision: u64) {
         let former = self.in_force.replace(revision);
         assert!(revision >= former, "{revision} after {former}");
     }
@@ -301,7 +302,7 @@
 
 struct Gate {
     core: Rc<Core>,
-    greeting: RefCell<Option<Transcript>>,
+    handshake: RefCell<Option<Transcript>>,
 }
 
 impl gate::Server for Gate {
@@ -313,9 +314,9 @@
         let hello = params.get()?;
         assert!((hello.get_min_version()..=hello.get_max_version()).contains(&VERSION));
         let caller = InstanceId::new(hello.get_id()?.to_str()?);
-        // The caller's challenge stands where this end's own stands in an outgoing greeting.
+        // This end is the callee, so the caller's challenge goes first.
         let theirs = transcript(&caller, hello.get_challenge()?)?;
-        *self.greeting.borrow_mut() = Some(Transcript {
+        *self.handshake.borrow_mut() = Some(Transcript {
             caller_challenge: theirs.callee_challenge,
             callee_challenge: CHALLENGE,
             ..theirs
@@ -331,8 +332,8 @@
         mut results: gate::AuthenticateResults,
     ) -> capnp::Result<()> {
         let core = &self.core;
-        let greeting = self.greeting.borrow_mut().take();
-        let transcript = greeting.expect("a greeting came first");
+        let handshake = self.handshake.borrow_mut().take();
+        let transcript = handshake.expect("a handshake came first");
         let proof = params.get()?.get_proof()?;
         if !transcript.verify(&core.key, Role::Caller, proof) {
             return Err(capnp::Error::failed("not admitted".into()));
--- a/crates/peers/tests/versions/wire.rs
+++ b/crates/peers/tests/versions/wire.rs
@@ -1,4 +1,4 @@
-//! Messages as a program of version 1 writes and reads them, with its own schema.
+//! Encoding of messages by a program of version 1, with its own schema.
 
 use std::sync::Arc;
 
--- a/crates/peers/tests/wire.rs
+++ b/crates/peers/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The encoding: what one version writes another reads.
+//! Tests of the encoding between protocol versions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 use proptest::proptest;
 use test_case::test_case;
 
-/// Offset of the body's discriminant: behind the segment table and the root pointer.
+/// Offset of the body's discriminant, after the segment table and the root pointer.
 const DISCRIMINANT: usize = 16;
 
 fn update(status: Status) -> Update {
@@ -96,14 +96,14 @@
     assert_eq!(read.gossip.view_digest, 0);
     assert_eq!(read.gossip.config_digest, 0);
     let Body::Changes { parts, pieces, .. } = read.body else {
-        panic!("another body");
+        panic!("unexpected body");
     };
     assert_eq!(parts, vec![part()]);
     assert!(pieces.is_empty());
 }
 
-/// A newer program sends a body that this one doesn't know. What is known of the message counts,
-/// and the rest is passed over; an error would cut the connection during an upgrade.
+/// A newer program sends a body that this one doesn't know. The known fields of the message are
+/// used and the body is ignored; an error would close the connection during an upgrade.
 #[test]
 fn an_unknown_body_reads_as_none() {
     let mut bytes = encode(&message(Body::Query), NEWEST_VERSION);
