--- a/crates/peers/src/member/table.rs
+++ b/crates/peers/src/member/table.rs
@@ -106,7 +106,8 @@
         &self.digests
     }
 
-    /// Returns the digest of all live members. It is never zero, which means "unknown" on the wire.
+    /// Returns the digest of all live members. It is never zero, as zero means "unknown" on the
+    /// wire.
     pub(crate) fn digest(&self) -> u64 {
         let bytes: Vec<u8> = self.digests.iter().flat_map(|d| d.to_le_bytes()).collect();
         XxHash3_64::oneshot(&bytes).max(1)
--- a/crates/peers/src/message.rs
+++ b/crates/peers/src/message.rs
@@ -38,7 +38,8 @@
     pub incarnation: Incarnation,
     /// The status.
     pub status: Status,
-    /// Hash of the instance that raised the suspicion, by which independent suspicions are counted.
+    /// Hash of the instance that first raised the suspicion, by which independent suspicions are
+    /// counted.
     pub origin: u32,
 }
 
--- a/crates/peers/src/runtime/clients.rs
+++ b/crates/peers/src/runtime/clients.rs
@@ -69,6 +69,10 @@
     }
 
     /// Makes a call within `deadline`, connecting first if necessary.
+    ///
+    /// # Errors
+    ///
+    /// See [`CallError`].
     pub(crate) async fn call<T, F>(
         &self,
         peer: &Instance,
@@ -134,8 +138,8 @@
             return;
         }
         circuit.failed(&self.settings.limits, now);
-        // The connection of a peer that doesn't answer is dropped, so that data that it hasn't read
-        // isn't buffered here, and the next trial call opens a new one.
+        // The connection of a peer that doesn't answer is dropped, so that no state for its
+        // outstanding answers is kept here, and the next trial call opens a new one.
         if let Some(mut slot) = client.connection.try_lock() {
             *slot = None;
         }
--- a/crates/peers/src/spread/platform.rs
+++ b/crates/peers/src/spread/platform.rs
@@ -301,9 +301,9 @@
             .back_off(&self.settings, None, &mut self.rng, now);
     }
 
-    /// Retries a part that can't be read once, then continues without it and requests it again
-    /// after the next index read. A part that the platform can't return must not delay the changes
-    /// of other teams.
+    /// Retries a part that can't be read one more time, then continues without it and requests it
+    /// again after the next index read. A part that the platform can't return must not delay the
+    /// changes of other teams.
     fn on_part_failed(&mut self, team: &Arc<str>, failed: ReadFailed, now: Millis) {
         self.budget
             .back_off(&self.settings, failed.retry_after, &mut self.rng, now);
--- a/crates/peers/tests/fleet/mod.rs
+++ b/crates/peers/tests/fleet/mod.rs
@@ -181,7 +181,7 @@
     Watch(usize, u64, Millis),
 }
 
-/// Message counts of a node.
+/// Traffic counters of a node.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Traffic {
     pub(crate) sent: u64,
--- a/crates/peers/tests/membership.rs
+++ b/crates/peers/tests/membership.rs
@@ -46,8 +46,9 @@
     );
 }
 
-/// The list of a new instance names a single other instance. It asks that one and learns of all
-/// others, which learn of the new instance by gossip.
+/// The list of a new instance names a single other instance, and the lists of the others don't name
+/// the new one. It asks that instance and learns of all others, which learn of the new instance by
+/// gossip.
 #[test]
 fn a_lagging_list_is_enough_when_it_names_one_live_instance() {
     let mut fleet = Fleet::settled(2, 12, 3);
--- a/crates/peers/tests/spread.rs
+++ b/crates/peers/tests/spread.rs
@@ -39,7 +39,7 @@
 
 /// Runs the fleet and checks at each step that no part of any instance returns to an earlier
 /// revision.
-fn run_without_going_back(fleet: &mut Fleet, span: Millis) -> bool {
+fn run_checking_revisions(fleet: &mut Fleet, span: Millis) -> bool {
     let mut seen: Vec<BTreeMap<Arc<str>, u64>> = vec![BTreeMap::new(); fleet.slots.len()];
     let mut whole = vec![0; fleet.slots.len()];
     let end = fleet.now + span;
@@ -225,7 +225,7 @@
         fleet.add(at, at % 3);
     }
     fleet.list();
-    assert!(run_without_going_back(&mut fleet, Millis::from_secs(60)));
+    assert!(run_checking_revisions(&mut fleet, Millis::from_secs(60)));
     assert!(fleet.in_force(4));
     for at in [0, 3, 5] {
         assert_eq!(fleet.slots[at].revisions, [4], "an older one was in force");
@@ -286,10 +286,10 @@
     let mut fleet = Fleet::settled(7, 8, 2);
     fleet.groups = groups.to_vec();
     fleet.platform.publish("clara", "during the split");
-    assert!(run_without_going_back(&mut fleet, Millis::from_secs(60)));
+    assert!(run_checking_revisions(&mut fleet, Millis::from_secs(60)));
     let revision = fleet.platform.publish("clara", "at its end");
     fleet.groups = vec![0; 8];
-    assert!(run_without_going_back(&mut fleet, Millis::from_secs(40)));
+    assert!(run_checking_revisions(&mut fleet, Millis::from_secs(40)));
     assert!(fleet.in_force(revision));
 }
 
@@ -501,7 +501,7 @@
     /// fails, instances are paused and cut off. No instance may ever return to an earlier revision,
     /// and once the faults end, all must have the highest one.
     #[test]
-    fn no_instance_goes_back_and_all_arrive(
+    fn no_revision_decreases_and_all_instances_catch_up(
         seed in any::<u64>(),
         loss in 0_u32..300,
         duplicate in 0_u32..300,
@@ -521,13 +521,13 @@
                 4 => fleet.pause(at, Millis(span * 2)),
                 _ => fleet.groups[at] ^= 1,
             }
-            prop_assert!(run_without_going_back(&mut fleet, Millis(span)));
+            prop_assert!(run_checking_revisions(&mut fleet, Millis(span)));
         }
         fleet.faults = Faults::default();
         fleet.groups = vec![0; 7];
         fleet.platform.state = PlatformState::Up;
         let revision = fleet.platform.publish("clara", "last");
-        prop_assert!(run_without_going_back(&mut fleet, Millis::from_secs(60)));
+        prop_assert!(run_checking_revisions(&mut fleet, Millis::from_secs(60)));
         prop_assert!(fleet.in_force(revision));
     }
 
--- a/crates/peers/tests/versions.rs
+++ b/crates/peers/tests/versions.rs
@@ -136,21 +136,21 @@
 #[derive(Clone)]
 enum Program {
     Old(OldProgram),
-    Present(PeerHandle),
+    Current(PeerHandle),
 }
 
 impl Program {
     fn me(&self) -> &Instance {
         match self {
             Program::Old(old) => old.me(),
-            Program::Present(handle) => handle.me(),
+            Program::Current(handle) => handle.me(),
         }
     }
 
     fn live(&self) -> Vec<String> {
         match self {
             Program::Old(old) => old.live(),
-            Program::Present(handle) => {
+            Program::Current(handle) => {
                 let view = handle.view();
                 let names = view.instances.iter().map(|i| i.id.as_str().to_owned());
                 names.collect()
@@ -161,14 +161,14 @@
     fn revision(&self) -> u64 {
         match self {
             Program::Old(old) => old.revision(),
-            Program::Present(handle) => handle.config().map_or(0, |config| config.revision),
+            Program::Current(handle) => handle.config().map_or(0, |config| config.revision),
         }
     }
 
     fn list(&self, listed: Vec<ListedInstance>) {
         match self {
             Program::Old(old) => old.feed(Event::InstanceList(listed)),
-            Program::Present(handle) => handle.instance_list(listed),
+            Program::Current(handle) => handle.instance_list(listed),
         }
     }
 }
@@ -270,11 +270,11 @@
     task::block_on(async {
         let key = SharedKey::new(KEY);
         let first = part(1, "[service chat]");
-        let (present, _) = start("entry-1", 1, Some(first.clone()));
+        let (current, _) = start("entry-1", 1, Some(first.clone()));
         let two = OldProgram::start("entry-2", 2, key.clone()).await;
         let three = OldProgram::start("entry-3", 3, key).await;
         let mut programs = Programs::default();
-        programs.add(Program::Present(present.clone()));
+        programs.add(Program::Current(current.clone()));
         programs.add(Program::Old(two.clone()));
         programs.add(Program::Old(three.clone()));
         programs.wait_agreed(3, 1, &[]).await;
@@ -284,7 +284,7 @@
 
         two.leave().await;
         let (second, _) = start("entry-2", 12, Some(first.clone()));
-        programs.add(Program::Present(second.clone()));
+        programs.add(Program::Current(second.clone()));
         programs.wait_agreed(3, 2, &["entry-1", "entry-3"]).await;
         let vote = second.call(&three.me().id, claim(12), DEADLINE).await;
         assert_eq!(vote, Ok(Response::Vote(Vote::Granted)));
@@ -292,9 +292,9 @@
 
         three.kill();
         let (third, recorder) = start("entry-3", 13, Some(first));
-        programs.add(Program::Present(third.clone()));
+        programs.add(Program::Current(third.clone()));
         programs.wait_agreed(3, 2, &["entry-1", "entry-2"]).await;
-        let vote = present.call(&third.me().id, claim(12), DEADLINE).await;
+        let vote = current.call(&third.me().id, claim(12), DEADLINE).await;
         assert_eq!(vote, Ok(Response::Vote(Vote::Granted)));
         assert_eq!(*recorder.0.lock().unwrap(), [AccountId(12)]);
     });
@@ -305,30 +305,30 @@
 /// support, including probes, keep working. The older program's claim contains no account, which is
 /// read as the default account.
 #[test]
-fn a_call_that_an_older_program_lacks_does_not_cut_it_off() {
+fn a_call_that_an_older_program_lacks_does_not_open_its_circuit() {
     task::block_on(async {
-        let (present, recorder) = start("entry-1", 1, None);
+        let (current, recorder) = start("entry-1", 1, None);
         let old = OldProgram::start("entry-2", 2, SharedKey::new(KEY)).await;
         let mut programs = Programs::default();
-        programs.add(Program::Present(present.clone()));
+        programs.add(Program::Current(current.clone()));
         programs.add(Program::Old(old.clone()));
         let both = |program: &Program| program.live().len() == 2;
         programs.wait("both see each other", &[], both).await;
         let id = &old.me().id;
         for _ in 0..MANY_CALLS {
-            let outcome = present.call(id, give_back(), DEADLINE).await;
+            let outcome = current.call(id, give_back(), DEADLINE).await;
             assert_eq!(outcome, Err(CallError::Unsupported));
         }
-        let vote = present.call(id, claim(12), DEADLINE).await;
+        let vote = current.call(id, claim(12), DEADLINE).await;
         assert_eq!(vote, Ok(Response::Vote(Vote::Granted)));
-        assert_eq!(old.claim(present.me()).await.unwrap(), GRANTED);
+        assert_eq!(old.claim(current.me()).await.unwrap(), GRANTED);
         assert_eq!(*recorder.0.lock().unwrap(), [AccountId::default()]);
         programs.check(&["entry-1", "entry-2"]);
     });
 }
 
 /// Opens an authenticated session as a newer program.
-async fn later_session(peer: &Instance) -> capnp::Result<peer_next_capnp::session::Client> {
+async fn newer_session(peer: &Instance) -> capnp::Result<peer_next_capnp::session::Client> {
     let stream = TcpStream::connect(peer.address).await.expect("it listens");
     let mut system = RpcSystem::new(network(stream, Side::Client), None);
     let gate: peer_next_capnp::gate::Client = system.bootstrap(Side::Server);
@@ -373,10 +373,10 @@
 /// know. The body must be answered with none and the call with "unimplemented"; the connection must
 /// stay open, and a probe that follows on it must be answered.
 #[test]
-fn what_a_later_program_adds_does_not_cut_it_off() {
+fn what_a_newer_program_adds_does_not_disconnect_it() {
     task::block_on(async {
-        let (present, _) = start("entry-1", 1, None);
-        let session = later_session(present.me()).await.unwrap();
+        let (current, _) = start("entry-1", 1, None);
+        let session = newer_session(current.me()).await.unwrap();
         let mut request = session.exchange_request();
         let mut message = request.get().init_message();
         write_gossip(message.reborrow().init_gossip());
@@ -401,7 +401,7 @@
         assert_eq!(answer.get_gossip().unwrap().get_start(), 1);
         let body = answer.which().unwrap();
         assert!(matches!(body, peer_next_capnp::message::Ack(_)));
-        let live = Program::Present(present).live();
+        let live = Program::Current(current).live();
         assert!(!live.contains(&"entry-8".to_owned()), "{live:?}");
     });
 }
