--- a/crates/measure/examples/spread_cost.rs
+++ b/crates/measure/examples/spread_cost.rs
@@ -53,7 +53,7 @@
 
 fn measure(size: usize) {
     let mut fleet = Fleet::new(size as u64);
-    fleet.faults.most = 75;
+    fleet.faults.max_delay = 75;
     for team in 0..TEAMS {
         fleet.platform.publish(&name(team), &text(0));
     }
@@ -63,7 +63,7 @@
     fleet.list();
     let revision = fleet.platform.revision();
     let start = Instant::now();
-    let took = fleet.run_until(LIMIT, |f| f.agrees() && f.in_force(revision));
+    let took = fleet.run_until(LIMIT, |f| f.views_agree() && f.in_force(revision));
     let span = took.unwrap_or(LIMIT);
     print(
         &fleet,
@@ -149,7 +149,7 @@
     let began = fleet.now;
     let revision = fleet.platform.revision();
     act(fleet);
-    let took = fleet.run_until(LIMIT, |f| f.agrees() && f.in_force(revision));
+    let took = fleet.run_until(LIMIT, |f| f.views_agree() && f.in_force(revision));
     fleet.run((began + MINUTE).since(fleet.now));
     let span = fleet.now.since(began);
     print(
