--- a/crates/entry/src/coordination/members.rs
+++ b/crates/entry/src/coordination/members.rs
@@ -38,7 +38,7 @@
 
     /// Updates the members from the peer node's view.
     pub(crate) fn on_view(&mut self, view: &crocushold_peers::View) -> View {
-        for incarnation in view.lives.iter() {
+        for incarnation in view.members.iter() {
             let known = KnownMember {
                 start: incarnation.start,
                 status: incarnation.status,
--- a/crates/entry/src/coordination/transport.rs
+++ b/crates/entry/src/coordination/transport.rs
@@ -36,8 +36,8 @@
 
     /// Updates the names of the known incarnations.
     pub(crate) fn update_names(&self, view: &View) {
-        let lives = view.lives.iter();
-        let names = lives.map(|incarnation| {
+        let members = view.members.iter();
+        let names = members.map(|incarnation| {
             (
                 Member::new(incarnation.id.as_str(), incarnation.start),
                 incarnation.id.clone(),
--- a/crates/peers/examples/embed.rs
+++ b/crates/peers/examples/embed.rs
@@ -1,5 +1,5 @@
-//! Four nodes on loopback in one process: they find each other, one part of the configuration
-//! changes, all have it in force, one node leaves, and the others notice.
+//! Four nodes on loopback in one process: they find each other, a part of the configuration changes
+//! and is put in force on all of them, one node leaves, and the others notice.
 //!
 //! `cargo run -p crocushold-peers --example embed`
 
@@ -14,19 +14,19 @@
 use crocushold_peers::Index;
 use crocushold_peers::IndexEntry;
 use crocushold_peers::Instance;
-use crocushold_peers::Listed;
+use crocushold_peers::ListedInstance;
 use crocushold_peers::PartText;
 use crocushold_peers::PeerHandle;
 use crocushold_peers::PeerNode;
 use crocushold_peers::PlatformRead;
 use crocushold_peers::PlatformRequest;
-use crocushold_peers::Refuse;
+use crocushold_peers::RefuseAll;
 use crocushold_peers::Settings;
 use crocushold_peers::SharedKey;
 use crocushold_peers::Started;
 
-/// How long a step may take before the example gives up.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum duration of a step before the example fails.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The platform's configuration: one part.
 #[derive(Debug)]
@@ -72,10 +72,10 @@
     let me = Instance::new(&format!("entry-{number}"), address, zone);
     let key = SharedKey::new(b"an example's key");
     let settings = Settings::new(me, key, number, number);
-    Ok(PeerNode::start(settings, Arc::new(Refuse))?)
+    Ok(PeerNode::start(settings, Arc::new(RefuseAll))?)
 }
 
-/// Answers a node's reads of the platform, as the embedder's HTTP client would.
+/// Serves a node's platform reads, as the embedder's HTTP client would.
 async fn serve_platform(started: Started, platform: Arc<Mutex<Platform>>) {
     while let Ok(request) = started.platform.recv().await {
         let handle = started.handle.clone();
@@ -114,9 +114,9 @@
 }
 
 async fn show(handles: &[PeerHandle], platform: &Mutex<Platform>) -> Result<(), Box<dyn Error>> {
-    let listed: Vec<Listed> = handles
+    let listed: Vec<ListedInstance> = handles
         .iter()
-        .map(|handle| Listed {
+        .map(|handle| ListedInstance {
             instance: handle.me().clone(),
             leaving: false,
         })
@@ -161,8 +161,8 @@
 ) -> Result<(), Box<dyn Error>> {
     let began = Instant::now();
     while !handles.iter().all(&holds) {
-        if began.elapsed() > PATIENCE {
-            return Err(format!("not in time: {what}").into());
+        if began.elapsed() > TIMEOUT {
+            return Err(format!("timed out: {what}").into());
         }
         task::sleep(Duration::from_millis(5)).await;
     }
--- a/crates/peers/examples/wire.rs
+++ b/crates/peers/examples/wire.rs
@@ -1,4 +1,4 @@
-//! Bytes on the wire of an idle pair of nodes: each listens behind a forwarder that counts.
+//! Network traffic of an idle pair of nodes, each listening behind a forwarder that counts bytes.
 //!
 //! `cargo run --release -p crocushold-peers --example wire`
 
@@ -19,18 +19,18 @@
 use async_std::task;
 use crocushold_peers::Index;
 use crocushold_peers::Instance;
-use crocushold_peers::Listed;
+use crocushold_peers::ListedInstance;
 use crocushold_peers::PeerHandle;
 use crocushold_peers::PeerNode;
 use crocushold_peers::PlatformRead;
-use crocushold_peers::Refuse;
+use crocushold_peers::RefuseAll;
 use crocushold_peers::Settings;
 use crocushold_peers::SharedKey;
 
-/// Time that is measured.
+/// Duration of the measurement.
 const SPAN: Duration = Duration::from_secs(20);
 
-/// IP and TCP header with time stamps.
+/// Size of the IP and TCP headers with timestamps, in bytes.
 const HEADERS: u64 = 52;
 
 #[derive(Default)]
@@ -42,16 +42,16 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let counter = Arc::new(Counter::default());
     let nodes = [start(1, &counter)?, start(2, &counter)?];
-    let listed: Vec<Listed> = nodes
+    let listed: Vec<ListedInstance> = nodes
         .iter()
-        .map(|node| Listed {
+        .map(|node| ListedInstance {
             instance: node.me().clone(),
             leaving: false,
         })
         .collect();
     for node in &nodes {
         node.instance_list(listed.clone());
-        // An empty configuration makes the node ready; until then it would go on asking its peers.
+        // An empty configuration makes the node ready; otherwise it would keep querying its peers.
         let empty = Index {
             revision: 0,
             parts: Vec::new(),
@@ -70,7 +70,7 @@
     );
     let bytes = read(&counter.bytes) - before.0;
     let segments = read(&counter.segments) - before.1;
-    // Each node probes once a second; a pure acknowledgement is assumed for each second segment.
+    // Each node probes once a second; one pure acknowledgement is assumed for every second segment.
     let exchanges = 2 * SPAN.as_secs();
     let payload = bytes / exchanges;
     let packets = segments as f64 * 1.5 / exchanges as f64;
@@ -87,7 +87,7 @@
     Ok(())
 }
 
-/// Processor time of all threads, in seconds.
+/// Returns the processor time of all threads in seconds.
 fn processor_time() -> f64 {
     let tasks = fs::read_dir("/proc/self/task").into_iter().flatten();
     let spent = tasks.flatten().filter_map(|task| {
@@ -114,7 +114,7 @@
     };
     let counter = counter.clone();
     thread::spawn(move || forward_all(&front, listen, &counter));
-    let started = PeerNode::start(settings, Arc::new(Refuse))?;
+    let started = PeerNode::start(settings, Arc::new(RefuseAll))?;
     Ok(started.handle)
 }
 
--- a/crates/peers/src/coordination/wire.rs
+++ b/crates/peers/src/coordination/wire.rs
@@ -1,7 +1,7 @@
-//! The wire form of coordination calls.
+//! Encoding of coordination calls.
 //!
-//! Votes, outcomes and states travel as numbers. One that this version doesn't know reads as the
-//! variant that promises least.
+//! Votes, outcomes and states are encoded as numbers. A number that this version doesn't know is
+//! decoded as the variant with the weakest guarantee.
 
 use crocushold_base::Millis;
 use crocushold_ownership::AccountId;
@@ -30,7 +30,7 @@
 use crate::peer_capnp::session;
 use crate::peer_capnp::suspicion;
 
-/// A claim's fields that all messages about it share.
+/// The fields that all messages about a claim have in common.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Claim {
     pub(crate) key: ClaimKey,
@@ -39,9 +39,9 @@
     pub(crate) account: AccountId,
 }
 
-/// A vote or outcome as numbers.
+/// The encoded form of a vote or outcome.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Coded {
+pub(crate) struct ResultCode {
     pub(crate) kind: u16,
     pub(crate) status: u16,
     pub(crate) retry: Millis,
@@ -81,24 +81,24 @@
     })
 }
 
-pub(crate) fn code_vote(vote: Vote) -> Coded {
-    let plain = |kind| Coded {
+pub(crate) fn encode_vote(vote: Vote) -> ResultCode {
+    let plain = |kind| ResultCode {
         kind,
-        ..Coded::default()
+        ..ResultCode::default()
     };
-    let later = |kind, retry| Coded {
+    let later = |kind, retry| ResultCode {
         kind,
         retry,
-        ..Coded::default()
+        ..ResultCode::default()
     };
     match vote {
         Vote::Unknown => plain(0),
         Vote::Granted => plain(1),
         Vote::InProgress { retry_after } => later(2, retry_after),
-        Vote::Done { status } => Coded {
+        Vote::Done { status } => ResultCode {
             kind: 3,
             status,
-            ..Coded::default()
+            ..ResultCode::default()
         },
         Vote::KeyReused => plain(4),
         Vote::Full { retry_after } => later(5, retry_after),
@@ -107,13 +107,13 @@
     }
 }
 
-pub(crate) fn read_vote(coded: Coded) -> Vote {
-    let retry_after = coded.retry;
-    match coded.kind {
+pub(crate) fn decode_vote(code: ResultCode) -> Vote {
+    let retry_after = code.retry;
+    match code.kind {
         1 => Vote::Granted,
         2 => Vote::InProgress { retry_after },
         3 => Vote::Done {
-            status: coded.status,
+            status: code.status,
         },
         4 => Vote::KeyReused,
         5 => Vote::Full { retry_after },
@@ -123,20 +123,20 @@
     }
 }
 
-pub(crate) fn code_outcome(outcome: Outcome) -> Coded {
+pub(crate) fn encode_outcome(outcome: Outcome) -> ResultCode {
     let (kind, status) = match outcome {
         Outcome::Unknown => (0, 0),
         Outcome::Completed { status } => (1, status),
         Outcome::NotRun => (2, 0),
     };
-    Coded {
+    ResultCode {
         kind,
         status,
-        ..Coded::default()
+        ..ResultCode::default()
     }
 }
 
-pub(crate) fn read_outcome(kind: u16, status: u16) -> Outcome {
+pub(crate) fn decode_outcome(kind: u16, status: u16) -> Outcome {
     match kind {
         1 => Outcome::Completed { status },
         2 => Outcome::NotRun,
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,22 +1,25 @@
-//! How instances find each other, call each other and spread the configuration between them, with
-//! nothing stored, no leader and no consensus.
+//! Membership, calls between instances, and dissemination of the configuration among them, without
+//! stored state, a leader or consensus.
 //!
-//! The decisions are pure state machines that take an event and the time and return actions:
+//! The protocol logic consists of pure state machines that take an event and the current time and
+//! return actions:
 //!
-//! * [`Member`] tells which instances live: SWIM with Lifeguard's local health over a fixed graph of
-//!   rings, started from the platform's list, which lags. Its result is a [`View`].
-//! * [`Spread`] brings the configuration to all instances and never lets one go back: a few
-//!   instances watch the platform, the others hear of changes and pull the differences.
-//! * [`Node`] joins the two and exchanges [`Message`]s.
+//! * [`Member`] determines which instances are alive. It implements SWIM with Lifeguard's local
+//!   health score over a fixed graph of hash rings, bootstrapped from the platform's instance list,
+//!   which may lag. Its result is a [`View`].
+//! * [`Spread`] disseminates the configuration to all instances and never lets an instance return
+//!   to an earlier revision: a few instances watch the platform, the others learn of changes by
+//!   gossip and pull the differences.
+//! * [`Node`] combines the two and exchanges [`Message`]s.
 //!
-//! [`PeerNode::start`] runs a [`Node`] on a thread of its own, with capnp-rpc over TCP, mutual
-//! proofs of a [`SharedKey`], deadlines and circuit breakers. The rest of the process holds a
-//! [`PeerHandle`]: the view, the configuration in force, notices of changes, and
+//! [`PeerNode::start`] runs a [`Node`] on a dedicated thread, with capnp-rpc over TCP, mutual
+//! authentication by a [`SharedKey`], deadlines and circuit breakers. The rest of the process holds
+//! a [`PeerHandle`], which offers the view, the configuration in force, notices of changes, and
 //! [`PeerHandle::call`] for the coordination calls that a [`Handler`] answers. The embedder reads
-//! the platform when a [`PlatformRequest`] asks for it, and gives the outcome in.
+//! the platform when a [`PlatformRequest`] asks for it, and passes the result to the handle.
 //!
-//! The example `embed` shows all of it in one process. What is promised, and what isn't, stands in
-//! `docs/design/membership.md` and `docs/design/configuration-spread.md`.
+//! The example `embed` shows all of this in one process. The guarantees and their limits are
+//! described in `docs/design/membership.md` and `docs/design/configuration-spread.md`.
 
 mod auth;
 mod coordination;
@@ -24,9 +27,9 @@
 mod member;
 mod message;
 mod node;
-mod shell;
+mod runtime;
 mod spread;
-mod standing;
+mod sync_status;
 mod wire;
 
 #[allow(
@@ -49,18 +52,18 @@
 pub use auth::Transcript;
 pub use auth::hmac_sha256;
 pub use coordination::Handler;
-pub use coordination::Refuse;
+pub use coordination::RefuseAll;
 pub use coordination::Request;
 pub use coordination::Response;
 pub use identity::Incarnation;
 pub use identity::Instance;
 pub use identity::InstanceId;
-pub use member::Life;
-pub use member::Listed;
+pub use member::ListedInstance;
 pub use member::Member;
 pub use member::MemberAction;
 pub use member::MemberFinding;
 pub use member::MemberSettings;
+pub use member::MemberState;
 pub use member::RINGS;
 pub use member::View;
 pub use message::BUCKETS;
@@ -78,16 +81,16 @@
 pub use node::Finding;
 pub use node::Node;
 pub use node::NodeSettings;
-pub use shell::CallError;
-pub use shell::Limits;
-pub use shell::Notice;
-pub use shell::PeerHandle;
-pub use shell::PeerNode;
-pub use shell::PlatformRequest;
-pub use shell::Settings;
-pub use shell::StartError;
-pub use shell::Started;
-pub use shell::Versions;
+pub use runtime::CallError;
+pub use runtime::Limits;
+pub use runtime::Notice;
+pub use runtime::PeerHandle;
+pub use runtime::PeerNode;
+pub use runtime::PlatformRequest;
+pub use runtime::Settings;
+pub use runtime::StartError;
+pub use runtime::Started;
+pub use runtime::Versions;
 pub use spread::Conflict;
 pub use spread::Index;
 pub use spread::IndexEntry;
@@ -101,8 +104,8 @@
 pub use spread::SpreadFinding;
 pub use spread::SpreadSettings;
 pub use spread::part_hash;
-pub use standing::PeerStanding;
-pub use standing::Standing;
+pub use sync_status::PeerSyncStatus;
+pub use sync_status::SyncStatus;
 pub use wire::NEWEST_VERSION;
 pub use wire::OLDEST_VERSION;
 pub use wire::decode;
--- a/crates/peers/src/member/ring.rs
+++ b/crates/peers/src/member/ring.rs
@@ -1,8 +1,8 @@
-//! Which members a member probes.
+//! Choice of the members that a member probes.
 //!
-//! Members are ordered by hash on several independent rings, and each probes its successor on each.
-//! The graph is an expander: updates reach all in a logarithmic number of rounds, while a member
-//! needs only a fixed number of connections, which last.
+//! Members are ordered by hash on several independent rings, and each member probes its successor
+//! on each ring. The graph is an expander: updates reach all members in a logarithmic number of
+//! rounds, while each member needs only a fixed number of long-lived connections.
 
 use std::collections::BTreeSet;
 
@@ -10,26 +10,26 @@
 
 use crate::identity::InstanceId;
 
-/// Number of rings; also the number of members that a member probes.
+/// Number of rings, which is the maximum number of members that a member probes.
 pub const RINGS: usize = 4;
 
-/// Places of a member on the rings.
-pub(crate) type Places = [u64; RINGS];
+/// Positions of a member on the rings.
+pub(crate) type Positions = [u64; RINGS];
 
-/// Hash of an instance's name under `seed`.
-pub(crate) fn place(seed: u64, id: &InstanceId) -> u64 {
+/// Hashes an instance's name with `seed`.
+pub(crate) fn hash_id(seed: u64, id: &InstanceId) -> u64 {
     XxHash3_64::oneshot_with_seed(seed, id.as_str().as_bytes())
 }
 
-/// The places of an instance.
-pub(crate) fn places(id: &InstanceId) -> Places {
-    std::array::from_fn(|ring| place(ring as u64 + 1, id))
+/// Returns the positions of an instance.
+pub(crate) fn positions(id: &InstanceId) -> Positions {
+    std::array::from_fn(|ring| hash_id(ring as u64 + 1, id))
 }
 
-/// The successors of the member at `mine` among `others`, without doubles.
+/// Returns the distinct successors of the member at `mine` among `others`.
 pub(crate) fn successors<'a>(
-    mine: &Places,
-    others: impl Iterator<Item = (&'a InstanceId, &'a Places)>,
+    mine: &Positions,
+    others: impl Iterator<Item = (&'a InstanceId, &'a Positions)>,
 ) -> Vec<InstanceId> {
     let mut nearest: [Option<(u64, &InstanceId)>; RINGS] = [None; RINGS];
     for (id, theirs) in others {
--- a/crates/peers/src/member/settings.rs
+++ b/crates/peers/src/member/settings.rs
@@ -1,39 +1,40 @@
-//! Settings of the membership.
+//! Settings of the membership protocol.
 
 use crocushold_base::Millis;
 
 /// Settings of a [`Member`](crate::Member); the defaults are sized for 400 instances.
 #[derive(Clone, Debug)]
 pub struct MemberSettings {
-    /// Time between two probes.
+    /// Interval between two probes.
     pub probe_interval: Millis,
     /// Time that a probed member has to answer before others are asked to probe it.
     pub probe_timeout: Millis,
-    /// How many others are asked.
+    /// Number of members that are asked to probe it.
     pub helpers: usize,
-    /// Shortest time between suspicion and death, in probe intervals, before it grows with the
-    /// logarithm of the number of members.
+    /// Minimum suspicion timeout in probe intervals, before it is multiplied by the logarithm of
+    /// the number of members.
     pub suspicion_intervals: u64,
-    /// Factor from the shortest to the longest such time.
+    /// Ratio of the maximum to the minimum suspicion timeout.
     pub suspicion_factor: u64,
-    /// Independent suspicions after which the shortest time counts.
+    /// Number of independent suspicions, besides the first, at which the minimum suspicion timeout
+    /// applies.
     pub confirmations: usize,
-    /// Ceiling of the local health score.
-    pub health_ceiling: u64,
-    /// Updates that one message carries at most.
-    pub updates: usize,
-    /// Members known at most.
-    pub members: usize,
-    /// Time for which the dead are remembered, so that late gossip doesn't bring them back.
-    pub tombstone: Millis,
-    /// Time between two tries to reach an instance that is listed or lost.
+    /// Maximum of the local health score.
+    pub max_health_score: u64,
+    /// Maximum number of updates in a message.
+    pub max_updates: usize,
+    /// Maximum number of known members.
+    pub max_members: usize,
+    /// Time for which dead members are remembered, so that late gossip doesn't revive them.
+    pub tombstone_ttl: Millis,
+    /// Interval between attempts to reach a missing instance.
     pub retry_interval: Millis,
-    /// Least time between two comparisons of whole views.
+    /// Minimum interval between two comparisons of whole views.
     pub sync_interval: Millis,
-    /// Gap between two ticks from which the process counts as paused.
-    pub pause: Millis,
-    /// Longest wait for a peer while joining.
-    pub join_wait: Millis,
+    /// Gap between two ticks at which the process is considered to have been paused.
+    pub pause_threshold: Millis,
+    /// Maximum time to wait for a peer while joining.
+    pub join_timeout: Millis,
 }
 
 impl Default for MemberSettings {
@@ -45,14 +46,14 @@
             suspicion_intervals: 3,
             suspicion_factor: 2,
             confirmations: 2,
-            health_ceiling: 4,
-            updates: 8,
-            members: 1024,
-            tombstone: Millis::from_secs(3600),
+            max_health_score: 4,
+            max_updates: 8,
+            max_members: 1024,
+            tombstone_ttl: Millis::from_secs(3600),
             retry_interval: Millis::from_secs(5),
             sync_interval: Millis::from_secs(5),
-            pause: Millis(1500),
-            join_wait: Millis::from_secs(3),
+            pause_threshold: Millis(1500),
+            join_timeout: Millis::from_secs(3),
         }
     }
 }
--- a/crates/peers/src/node.rs
+++ b/crates/peers/src/node.rs
@@ -1,4 +1,5 @@
-//! Membership and spread together, as one state machine that exchanges messages.
+//! Membership and dissemination of the configuration, combined into one state machine that
+//! exchanges messages.
 
 use std::sync::Arc;
 
@@ -7,7 +8,7 @@
 use crate::identity::Incarnation;
 use crate::identity::Instance;
 use crate::identity::InstanceId;
-use crate::member::Listed;
+use crate::member::ListedInstance;
 use crate::member::Member;
 use crate::member::MemberAction;
 use crate::member::MemberFinding;
@@ -24,66 +25,66 @@
 use crate::spread::SpreadAction;
 use crate::spread::SpreadFinding;
 use crate::spread::SpreadSettings;
-use crate::standing::PeerStanding;
-use crate::standing::Standing;
+use crate::sync_status::PeerSyncStatus;
+use crate::sync_status::SyncStatus;
 
 /// Settings of a [`Node`].
 #[derive(Clone, Debug, Default)]
 pub struct NodeSettings {
-    /// The membership's.
+    /// Settings of the membership.
     pub member: MemberSettings,
-    /// The spread's.
+    /// Settings of the dissemination of the configuration.
     pub spread: SpreadSettings,
 }
 
-/// What happens to a [`Node`].
+/// An input of a [`Node`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Time passed. To be given about every 100 ms: a long gap reads as an own pause.
+    /// Time passed. Expected about every 100 ms: a long gap is taken for a pause of the process.
     Tick,
     /// The platform's list of entry instances.
-    InstanceList(Vec<Listed>),
+    InstanceList(Vec<ListedInstance>),
     /// The outcome of a read of the platform.
     PlatformRead(PlatformRead),
-    /// A message came, be it a request or an answer.
+    /// A message arrived, either a request or an answer.
     Message(InstanceId, Message),
     /// A message couldn't be delivered or wasn't answered.
     Failed(InstanceId),
     /// Another instance answers at the address of the named one.
     Replaced(InstanceId),
-    /// The embedder is about to act on the view and wants it as new as can be.
+    /// The embedder is about to act on the view and needs it as current as possible.
     Refresh,
-    /// The instance stops as planned.
+    /// The instance leaves by a planned stop.
     Leave,
 }
 
-/// What the embedder of a [`Node`] must do.
+/// An action that the embedder of a [`Node`] must carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Send a message.
     Send(Instance, Message),
-    /// Answer the message that is being handled.
+    /// Answer the message that is being processed.
     Reply(Message),
     /// Read the index of the configuration.
     ReadIndex,
     /// Watch the index of the configuration.
     WatchIndex {
-        /// The revision that is known.
+        /// The known revision.
         after: u64,
-        /// The longest wait.
+        /// The maximum time to wait.
         wait: Millis,
     },
     /// Read a part of the configuration.
     ReadPart(Arc<str>),
     /// The live view changed.
     ViewChanged(View),
-    /// This configuration is in force from now on.
+    /// The configuration in force has changed to this one.
     InForce(Snapshot),
-    /// Report something that an operator should know.
+    /// Report a finding to the operator.
     Report(Finding),
 }
 
-/// Something that an operator should know.
+/// A finding for the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Finding {
     /// About the membership.
@@ -92,18 +93,18 @@
     Spread(SpreadFinding),
 }
 
-/// An instance among its peers: [`Member`] and [`Spread`] with their messages.
+/// An instance of the fleet: [`Member`] and [`Spread`] with their messages.
 #[derive(Debug)]
 pub struct Node {
     member: Member,
     spread: Spread,
-    shown: Option<(u64, bool)>,
-    /// Who sent the message that is being handled.
-    asker: Option<InstanceId>,
+    published: Option<(u64, bool)>,
+    /// The sender of the message that is being processed.
+    requester: Option<InstanceId>,
 }
 
 impl Node {
-    /// Makes a node that knows only itself.
+    /// Creates a node that knows only itself.
     pub fn new(
         settings: NodeSettings,
         me: Instance,
@@ -114,60 +115,60 @@
         Node {
             member: Member::new(settings.member, me, incarnation, seed, now),
             spread: Spread::new(settings.spread, seed ^ 1, now),
-            shown: None,
-            asker: None,
+            published: None,
+            requester: None,
         }
     }
 
-    /// The membership.
+    /// Returns the membership.
     pub fn member(&self) -> &Member {
         &self.member
     }
 
-    /// The instances that this node probes and announces to.
+    /// Returns the instances that this node probes and announces changes to.
     pub fn neighbours(&mut self) -> Vec<InstanceId> {
         self.member.targets().to_vec()
     }
 
-    /// The spread of the configuration.
+    /// Returns the dissemination state of the configuration.
     pub fn spread(&self) -> &Spread {
         &self.spread
     }
 
-    /// How fresh the configuration is, for an operator.
-    pub fn standing(&self, now: Millis) -> Standing {
+    /// Returns how current the configuration is, for the operator.
+    pub fn sync_status(&self, now: Millis) -> SyncStatus {
         let view = self.member.view();
         let others = view.instances.iter().filter(|peer| peer.id != view.me);
         let peers = others.map(|peer| {
-            let mut lives = view.lives.iter().filter(|life| life.id == peer.id);
-            let live = lives.find(|life| life.status.is_live());
-            PeerStanding {
+            let mut states = view.members.iter().filter(|state| state.id == peer.id);
+            let live = states.find(|state| state.status.is_live());
+            PeerSyncStatus {
                 id: peer.id.clone(),
                 zone: peer.zone.to_string(),
-                status: live.map_or(Status::Alive, |life| life.status),
-                revision: self.spread.heard(&peer.id),
-                heard: self.spread.heard_at(&peer.id).map(|at| now.since(at)),
+                status: live.map_or(Status::Alive, |state| state.status),
+                revision: self.spread.peer_revision(&peer.id),
+                heard_age: self.spread.last_heard(&peer.id).map(|at| now.since(at)),
             }
         });
-        Standing {
-            newest: self.spread.newest(),
-            confirmed: self.spread.confirmed_at().map(|at| now.since(at)),
+        SyncStatus {
+            newest_revision: self.spread.newest(),
+            confirmed_age: self.spread.confirmed_at().map(|at| now.since(at)),
             peers: peers.collect(),
         }
     }
 
-    /// Takes an event in.
+    /// Handles an event.
     pub fn handle(&mut self, event: Event, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
             Event::Tick => self.tick(now, &mut actions),
             Event::InstanceList(listed) => {
-                let done = self.member.list(&listed, now);
-                self.show_listed();
+                let done = self.member.set_listed(&listed, now);
+                self.update_spread_view();
                 self.member_actions(done, &mut actions);
             }
             Event::PlatformRead(read) => {
-                let done = self.spread.platform(read, now);
+                let done = self.spread.platform_read(read, now);
                 self.spread_actions(done, &mut actions);
             }
             Event::Message(from, message) => self.receive(&from, &message, now, &mut actions),
@@ -186,7 +187,7 @@
                 self.member_actions(done, &mut actions);
             }
         }
-        self.show_view(&mut actions);
+        self.publish_view(&mut actions);
         actions
     }
 
@@ -194,7 +195,7 @@
         let done = self.member.tick(now);
         self.member_actions(done, actions);
         let peers = self.member.live().saturating_sub(1);
-        self.spread.peers_known(peers, self.member.is_settled());
+        self.spread.set_peers(peers, self.member.is_settled());
         if peers > 0 {
             let done = self.spread.query_peers(now);
             self.spread_actions(done, actions);
@@ -211,12 +212,12 @@
         actions: &mut Vec<Action>,
     ) {
         let Message { gossip, body } = message;
-        self.asker = Some(from.clone());
+        self.requester = Some(from.clone());
         let done = self.member.receive(from, gossip, body, now);
         self.member_actions(done, actions);
         let done = self.spread.receive(from, gossip, body, now);
         self.spread_actions(done, actions);
-        self.asker = None;
+        self.requester = None;
     }
 
     fn failed(&mut self, peer: &InstanceId, now: Millis, actions: &mut Vec<Action>) {
@@ -256,11 +257,12 @@
         }
     }
 
-    /// Announces over the connections that the probes keep open.
+    /// Announces a revision over the connections that probes keep open.
     fn announce(&mut self, revision: u64, actions: &mut Vec<Action>) {
         let mut behind = self.neighbours();
-        behind.retain(|peer| self.spread.heard(peer) < revision);
-        // Taken in turn: always the first ones by name would leave some instances out.
+        behind.retain(|peer| self.spread.peer_revision(peer) < revision);
+        // Rotated by revision: always choosing the first ones by name would leave some instances
+        // out.
         let turn = revision as usize % behind.len().max(1);
         behind.rotate_left(turn);
         for peer in behind.iter().take(self.spread.fanout()) {
@@ -282,8 +284,9 @@
 
     fn send(&mut self, to: Instance, body: Body) -> Action {
         let mut updates = self.member.updates(&to.id);
-        // One that asks for a whole view may be unknown to the asked: an instance that started while
-        // the platform is down has no list. Without the address it could only ever answer.
+        // The receiver may not know the instance that asks for its view: an instance that started
+        // while the platform is down isn't on any list. Without its address, the receiver could
+        // answer it but never call it.
         if matches!(body, Body::Sync(_)) {
             updates.push(self.member.introduction());
         }
@@ -292,8 +295,8 @@
     }
 
     fn reply(&mut self, body: Body) -> Action {
-        let asker = self.asker.as_ref();
-        let updates = asker.map(|id| self.member.updates(id));
+        let requester = self.requester.as_ref();
+        let updates = requester.map(|id| self.member.updates(id));
         let gossip = self.gossip(updates.unwrap_or_default());
         Action::Reply(Message { gossip, body })
     }
@@ -308,19 +311,19 @@
         }
     }
 
-    fn show_listed(&mut self) {
+    fn update_spread_view(&mut self) {
         let view = self.member.view();
-        self.spread.view_changed(&view, self.member.listed());
+        self.spread.view_changed(&view, self.member.listed_count());
     }
 
-    fn show_view(&mut self, actions: &mut Vec<Action>) {
-        let shown = Some((self.member.version(), self.member.is_settled()));
-        if self.shown == shown {
+    fn publish_view(&mut self, actions: &mut Vec<Action>) {
+        let published = Some((self.member.version(), self.member.is_settled()));
+        if self.published == published {
             return;
         }
-        self.shown = shown;
+        self.published = published;
         let view = self.member.view();
-        self.spread.view_changed(&view, self.member.listed());
+        self.spread.view_changed(&view, self.member.listed_count());
         actions.push(Action::ViewChanged(view));
     }
 }
--- a/crates/peers/src/shell/core.rs
+++ b/crates/peers/src/runtime/core.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the peers' thread share.
+//! State shared by the tasks of the peers' thread.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -25,28 +25,28 @@
 use crate::node::Event;
 use crate::node::Finding;
 use crate::node::Node;
-use crate::shell::calls;
-use crate::shell::clients::Clients;
-use crate::shell::error::CallError;
-use crate::shell::handle::Notice;
-use crate::shell::handle::PlatformRequest;
-use crate::shell::handle::Shared;
-use crate::shell::server::Doors;
-use crate::shell::settings::Settings;
-use crate::standing::Standing;
+use crate::runtime::calls;
+use crate::runtime::clients::Clients;
+use crate::runtime::error::CallError;
+use crate::runtime::handle::Notice;
+use crate::runtime::handle::PlatformRequest;
+use crate::runtime::handle::Shared;
+use crate::runtime::server::IncomingCounts;
+use crate::runtime::settings::Settings;
+use crate::sync_status::SyncStatus;
 
-/// The node and all that surrounds it, on one thread.
+/// The node with its connections and channels, on one thread.
 pub(crate) struct Core {
     pub(crate) settings: Rc<Settings>,
     pub(crate) clock: Clock,
     pub(crate) handler: Arc<dyn Handler>,
-    pub(crate) doors: Doors,
+    pub(crate) incoming: IncomingCounts,
     pub(crate) clients: Clients,
     node: RefCell<Node>,
     shared: Arc<Shared>,
     platform: Sender<PlatformRequest>,
-    sending: Cell<usize>,
-    strangers: Cell<u64>,
+    in_flight: Cell<usize>,
+    failed_proofs: Cell<u64>,
 }
 
 impl Core {
@@ -63,16 +63,17 @@
             settings,
             clock,
             handler,
-            doors: Doors::default(),
+            incoming: IncomingCounts::default(),
             node: RefCell::new(node),
             shared,
             platform,
-            sending: Cell::new(0),
-            strangers: Cell::new(0),
+            in_flight: Cell::new(0),
+            failed_proofs: Cell::new(0),
         }
     }
 
-    /// Gives the node an event and does what it asks for; returns its answer to a message.
+    /// Passes an event to the node and carries out the resulting actions; returns its answer to a
+    /// message.
     pub(crate) fn feed(self: &Rc<Self>, event: Event) -> Option<Message> {
         let now = self.clock.now();
         let actions = self.node.borrow_mut().handle(event, now);
@@ -86,21 +87,21 @@
                     self.ask_platform(PlatformRequest::WatchIndex { after, wait });
                 }
                 Action::ReadPart(team) => self.ask_platform(PlatformRequest::ReadPart(team)),
-                Action::ViewChanged(view) => self.shared.show_view(view),
-                Action::InForce(snapshot) => self.shared.show_config(snapshot),
+                Action::ViewChanged(view) => self.shared.set_view(view),
+                Action::InForce(snapshot) => self.shared.set_config(snapshot),
                 Action::Report(finding) => self.report(finding),
             }
         }
         reply
     }
 
-    /// How fresh the configuration is, for an operator.
-    pub(crate) fn standing(&self) -> Standing {
-        self.node.borrow().standing(self.clock.now())
+    /// Returns how current the configuration is, for the operator.
+    pub(crate) fn sync_status(&self) -> SyncStatus {
+        self.node.borrow().sync_status(self.clock.now())
     }
 
     fn ask_platform(&self, request: PlatformRequest) {
-        // A full channel means that the embedder is behind; the read is repeated later.
+        // If the channel is full, the embedder is behind; the read is requested again later.
         let _ = self.platform.try_send(request);
     }
 
@@ -112,16 +113,16 @@
 
     fn send(self: &Rc<Self>, to: Instance, message: Message) {
         let core = self.clone();
-        self.sending.set(self.sending.get() + 1);
+        self.in_flight.set(self.in_flight.get() + 1);
         task::spawn_local(async move {
             core.exchange(to, message).await;
-            core.sending.set(core.sending.get() - 1);
+            core.in_flight.set(core.in_flight.get() - 1);
         });
     }
 
     async fn exchange(self: &Rc<Self>, to: Instance, message: Message) {
-        let deadline = self.settings.limits.exchange;
-        let make = |line| calls::exchange(line, message);
+        let deadline = self.settings.limits.exchange_timeout;
+        let make = |session| calls::exchange(session, message);
         let outcome = self.clients.call(&to, deadline, make).await;
         match outcome {
             Ok(answer) if answer.body == Body::None => {}
@@ -154,19 +155,19 @@
         }
         let known = self.node.borrow().member().locate(&peer);
         let instance = known.ok_or(CallError::NoPeer)?;
-        let make = |line| calls::coordinate(line, request);
+        let make = |session| calls::coordinate(session, request);
         self.clients.call(&instance, deadline, make).await
     }
 
-    /// Whether messages are on their way.
+    /// Returns whether messages are being sent.
     pub(crate) fn is_sending(&self) -> bool {
-        self.sending.get() > 0
+        self.in_flight.get() > 0
     }
 
-    /// Counts a failed proof, and logs the first and then every hundredth.
-    pub(crate) fn note_stranger(&self) {
-        let count = self.strangers.get();
-        self.strangers.set(count + 1);
+    /// Counts a failed proof, and logs the first one and every hundredth after it.
+    pub(crate) fn count_failed_proof(&self) {
+        let count = self.failed_proofs.get();
+        self.failed_proofs.set(count + 1);
         if count.is_multiple_of(100) {
             let record = Record::new("peer-not-admitted").with("count", count + 1);
             warn!("{record}");
--- a/crates/peers/src/spread/budget.rs
+++ b/crates/peers/src/spread/budget.rs
@@ -6,17 +6,18 @@
 
 use crate::spread::SpreadSettings;
 
-/// Longest `Retry-After` that is honoured. A mistaken one of days would leave the instance at its
-/// configuration, and report nothing, until it is restarted; a call a minute is no load.
-const RETRY_CEILING: Millis = Millis::from_secs(60);
+/// Maximum `Retry-After` that is honoured. Without a limit, a mistaken value of days would keep the
+/// instance at its configuration, with nothing reported, until it is restarted; one call a minute
+/// is negligible load.
+const MAX_RETRY_AFTER: Millis = Millis::from_secs(60);
 
-/// Tokens for platform calls, and the wait after calls that brought nothing.
+/// Token bucket for platform calls, with a backoff after calls that brought nothing new.
 #[derive(Debug)]
 pub(super) struct Budget {
     rate: f64,
     burst: f64,
     tokens: f64,
-    filled: Millis,
+    refilled_at: Millis,
     not_before: Millis,
     backoff: Millis,
 }
@@ -24,25 +25,26 @@
 impl Budget {
     pub(super) fn new(settings: &SpreadSettings, now: Millis) -> Budget {
         Budget {
-            rate: settings.own_rate,
-            burst: settings.own_rate.max(1.0),
-            tokens: settings.own_rate.max(1.0),
-            filled: now,
+            rate: settings.instance_rate,
+            burst: settings.instance_rate.max(1.0),
+            tokens: settings.instance_rate.max(1.0),
+            refilled_at: now,
             not_before: Millis::ZERO,
             backoff: Millis::ZERO,
         }
     }
 
-    /// Sets this instance's share: `rate` calls a second among `sharers`.
-    pub(super) fn share(&mut self, rate: f64, sharers: usize) {
-        self.rate = (rate / sharers.max(1) as f64).min(self.burst);
+    /// Sets this instance's share of a `rate` in calls per second that `instances` divide among
+    /// them.
+    pub(super) fn set_share(&mut self, rate: f64, instances: usize) {
+        self.rate = (rate / instances.max(1) as f64).min(self.burst);
     }
 
-    /// Takes a token, if there is one and no wait runs.
+    /// Takes a token if one is available and no backoff is in progress.
     pub(super) fn take(&mut self, now: Millis) -> bool {
-        let span = now.since(self.filled).as_secs_f64();
+        let span = now.since(self.refilled_at).as_secs_f64();
         self.tokens = (self.tokens + span * self.rate).min(self.burst);
-        self.filled = now;
+        self.refilled_at = now;
         if now < self.not_before || self.tokens < 1.0 {
             return false;
         }
@@ -50,14 +52,15 @@
         true
     }
 
-    /// A call brought something, or waited as long as it should.
+    /// Resets the backoff after a call that brought news, or that waited as long as it should.
     pub(super) fn succeeded(&mut self) {
         self.backoff = Millis::ZERO;
     }
 
-    /// A call failed or returned at once without news. The wait doubles: a watch that returns at
-    /// once would otherwise be repeated as fast as the network allows, and eat the budget of all.
-    pub(super) fn wasted(
+    /// Backs off after a call that failed or returned at once without news. The delay doubles: a
+    /// watch that returns at once would otherwise be repeated as fast as the network allows, and
+    /// use up the budget of all instances.
+    pub(super) fn back_off(
         &mut self,
         settings: &SpreadSettings,
         retry_after: Option<Millis>,
@@ -65,10 +68,10 @@
         now: Millis,
     ) {
         let doubled = Millis(self.backoff.0 * 2);
-        self.backoff = doubled.clamp(settings.backoff, settings.backoff_ceiling);
+        self.backoff = doubled.clamp(settings.backoff, settings.max_backoff);
         let jitter = rng.random_range(0..=self.backoff.0 / 4);
         let wait = Millis(self.backoff.0 + jitter);
-        let asked = retry_after.unwrap_or_default().min(RETRY_CEILING);
+        let asked = retry_after.unwrap_or_default().min(MAX_RETRY_AFTER);
         self.not_before = now + wait.max(asked);
     }
 }
--- a/crates/peers/src/spread/fetch.rs
+++ b/crates/peers/src/spread/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetching what changed, from the platform or from a peer.
+//! Fetches of changed parts from the platform or from a peer.
 
 use std::sync::Arc;
 
@@ -9,34 +9,35 @@
 use crate::message::Piece;
 use crate::spread::store::Part;
 
-/// Bytes of text in one message.
-pub(super) const CHUNK: usize = 128 << 10;
+/// Maximum number of bytes of text in one message.
+pub(super) const CHUNK_BYTES: usize = 128 << 10;
 
-/// Answers older than the listing after which a fetch is given up.
-pub(super) const STALE_ANSWERS: u32 = 3;
+/// Number of answers older than the index after which a fetch is abandoned.
+pub(super) const MAX_STALE_ANSWERS: u32 = 3;
 
-/// Where a fetch reads.
+/// Source of a fetch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Source {
     Platform,
     Peer(InstanceId),
 }
 
-/// A part that is wanted; the hash isn't known when the platform listed it.
+/// A part to fetch. Its hash isn't known if the platform listed it.
 #[derive(Clone, Debug)]
-pub(super) struct Want {
+pub(super) struct WantedPart {
     pub(super) team: Arc<str>,
     pub(super) revision: u64,
 }
 
-/// A text of which the first bytes have come.
+/// A partially received text.
 #[derive(Debug, Default)]
 pub(super) struct Partial {
     pub(super) head: Option<PartRef>,
     pub(super) bytes: Vec<u8>,
 }
 
-/// A fetch: the pages of the list first, then the parts one by one, and all is put in force at once.
+/// A fetch. It reads the pages of the list first and then the parts one by one; all of them are put
+/// in force at once.
 #[derive(Debug)]
 pub(super) struct Fetch {
     pub(super) source: Source,
@@ -45,12 +46,12 @@
     pub(super) listed: Vec<PartRef>,
     pub(super) pieces: Vec<Piece>,
     pub(super) cursor: Arc<str>,
-    pub(super) wants: Vec<Want>,
+    pub(super) wanted: Vec<WantedPart>,
     pub(super) staged: Vec<Part>,
     pub(super) partial: Partial,
-    pub(super) asked: Option<Millis>,
-    pub(super) stale: u32,
-    pub(super) is_listed: bool,
+    pub(super) asked_at: Option<Millis>,
+    pub(super) stale_answers: u32,
+    pub(super) list_complete: bool,
 }
 
 impl Fetch {
@@ -62,21 +63,21 @@
             listed: Vec::new(),
             pieces: Vec::new(),
             cursor: Arc::from(""),
-            wants: Vec::new(),
+            wanted: Vec::new(),
             staged: Vec::new(),
             partial: Partial::default(),
-            asked: None,
-            stale: 0,
-            is_listed: false,
+            asked_at: None,
+            stale_answers: 0,
+            list_complete: false,
         }
     }
 
-    /// Whether the fetch reads from `peer`.
+    /// Returns whether the fetch reads from `peer`.
     pub(super) fn is_from(&self, peer: &InstanceId) -> bool {
         matches!(&self.source, Source::Peer(id) if id == peer)
     }
 
-    /// Starts the list again, as the peer moved on between two pages.
+    /// Restarts reading the list, as the peer's revision changed between two pages.
     pub(super) fn restart(&mut self, revision: u64) {
         self.revision = revision;
         self.listed.clear();
@@ -84,28 +85,28 @@
         self.cursor = Arc::from("");
     }
 
-    /// Goes on with a text of which an earlier fetch brought the first bytes.
-    pub(super) fn resume(&mut self, half: Partial) {
-        let Some(head) = &half.head else {
+    /// Resumes a text that an earlier fetch received partially.
+    pub(super) fn resume(&mut self, partial: Partial) {
+        let Some(head) = &partial.head else {
             return;
         };
-        let wanted = self.wants.iter().position(|want| want.team == head.team);
+        let wanted = self.wanted.iter().position(|want| want.team == head.team);
         if let Some(at) = wanted {
-            self.wants.swap(0, at);
-            self.partial = half;
+            self.wanted.swap(0, at);
+            self.partial = partial;
         }
     }
 
-    /// Passes over a part that is wanted.
-    pub(super) fn pass_over(&mut self, team: &str) {
-        self.wants.retain(|want| *want.team != *team);
+    /// Skips a wanted part.
+    pub(super) fn skip(&mut self, team: &str) {
+        self.wanted.retain(|want| *want.team != *team);
         self.partial = Partial::default();
-        self.asked = None;
+        self.asked_at = None;
     }
 
-    /// Stages the part that was asked for.
+    /// Stages the part that was requested.
     pub(super) fn stage(&mut self, part: Part) {
-        self.pass_over(&part.head.team.clone());
+        self.skip(&part.head.team.clone());
         self.staged.push(part);
     }
 }
--- a/crates/peers/src/spread/peers.rs
+++ b/crates/peers/src/spread/peers.rs
@@ -1,4 +1,4 @@
-//! The exchange with peers.
+//! Exchange of the configuration with peers.
 
 use std::sync::Arc;
 
@@ -10,20 +10,21 @@
 use crate::message::Gossip;
 use crate::message::PartRef;
 use crate::message::Piece;
-use crate::spread::Heard;
+use crate::spread::PeerRevision;
 use crate::spread::Spread;
 use crate::spread::SpreadAction;
 use crate::spread::SpreadFinding;
-use crate::spread::fetch::CHUNK;
+use crate::spread::fetch::CHUNK_BYTES;
 use crate::spread::fetch::Fetch;
 use crate::spread::fetch::Source;
-use crate::spread::fetch::Want;
+use crate::spread::fetch::WantedPart;
 use crate::spread::store;
 use crate::spread::store::Part;
 use crate::spread::store::part_hash;
 
 impl Spread {
-    /// Takes a message in. A body that isn't the spread's is ignored, but its gossip counts.
+    /// Processes a message. A body that doesn't concern the configuration is ignored, but its
+    /// gossip is applied.
     pub fn receive(
         &mut self,
         from: &InstanceId,
@@ -31,7 +32,7 @@
         body: &Body,
         now: Millis,
     ) -> Vec<SpreadAction> {
-        self.hear(from, gossip, now);
+        self.observe_sender(from, gossip, now);
         match body {
             Body::Query => self.reply(Body::Announce(self.held.revision)),
             Body::PullIndex {
@@ -56,56 +57,59 @@
         self.finish(now)
     }
 
-    /// A message to `peer` couldn't be delivered or wasn't answered.
+    /// Handles a message to `peer` that couldn't be delivered or wasn't answered.
     pub fn failed(&mut self, peer: &InstanceId, now: Millis) -> Vec<SpreadAction> {
         self.count_failure(peer);
         if self.fetch.as_ref().is_some_and(|fetch| fetch.is_from(peer)) {
             self.abandon();
         }
-        // The next try waits for the next tick: a peer that fails at once would be asked in a loop.
+        // The next attempt waits for the next tick: a peer that fails at once would be asked in a
+        // loop.
         self.finish(now)
     }
 
-    /// Forgets peers that left the view.
+    /// Forgets peers that are no longer in the view.
     pub(crate) fn retain_peers(&mut self, is_live: impl Fn(&InstanceId) -> bool) {
-        self.heard.retain(|peer, _| is_live(peer));
+        self.peer_revisions.retain(|peer, _| is_live(peer));
     }
 
     fn reply(&mut self, body: Body) {
         self.act(SpreadAction::Reply(body));
     }
 
-    fn hear(&mut self, from: &InstanceId, gossip: &Gossip, now: Millis) {
-        let heard = Heard {
+    fn observe_sender(&mut self, from: &InstanceId, gossip: &Gossip, now: Millis) {
+        let heard = PeerRevision {
             revision: gossip.revision,
             at: now,
             failures: 0,
         };
-        self.heard.insert(from.clone(), heard);
+        self.peer_revisions.insert(from.clone(), heard);
         if gossip.revision == self.held.revision && gossip.config_digest != 0 {
-            self.compare(from, gossip.config_digest, now);
+            self.compare_configs(from, gossip.config_digest, now);
         }
-        self.leave_slow_platform(gossip.revision);
+        self.abandon_slow_platform_fetch(gossip.revision);
     }
 
-    /// Changes to the peers when they already hold what the platform's budget would give slowly.
-    fn leave_slow_platform(&mut self, revision: u64) {
+    /// Abandons a fetch from the platform when a peer already holds the revision, as the platform's
+    /// read budget makes it slower.
+    fn abandon_slow_platform_fetch(&mut self, revision: u64) {
         let is_slow = self.fetch.as_ref().is_some_and(|fetch| {
-            fetch.source == Source::Platform && fetch.wants.len() > 1 && revision >= fetch.revision
+            fetch.source == Source::Platform && fetch.wanted.len() > 1 && revision >= fetch.revision
         });
         if is_slow {
             self.abandon();
         }
     }
 
-    /// Two instances at one revision should hold the same parts; when they don't, all are compared.
-    fn compare(&mut self, from: &InstanceId, digest: u64, now: Millis) {
+    /// Compares all parts with a peer at the same revision if the digests differ, as two instances
+    /// at one revision should hold the same parts.
+    fn compare_configs(&mut self, from: &InstanceId, digest: u64, now: Millis) {
         let interval = self.settings.compare_interval;
-        let recent = self.compared.is_some_and(|t| now.since(t) < interval);
+        let recent = self.last_compared.is_some_and(|t| now.since(t) < interval);
         if digest == self.digest || recent || self.fetch.is_some() || self.held.revision == 0 {
             return;
         }
-        self.compared = Some(now);
+        self.last_compared = Some(now);
         self.fetch = Some(Fetch::new(
             Source::Peer(from.clone()),
             self.held.revision,
@@ -113,19 +117,23 @@
         ));
     }
 
-    /// Starts a fetch towards the highest revision heard, if it is ahead.
+    /// Starts a fetch towards the highest known revision if it is newer than the one held.
     pub(super) fn start_fetch(&mut self) {
         let held = self.held.revision;
         let listed = self.reader.listed_revision();
-        let highest = self.heard.values().map(|h| h.revision).max();
+        let highest = self.peer_revisions.values().map(|h| h.revision).max();
         let highest = highest.unwrap_or_default();
-        // Peers spare the platform, but one that can be heard may not answer: its link works one way.
-        // Once an answer was overdue, the platform is asked for what it lists.
-        let prefers_peers = highest > listed || (highest == listed && self.late == 0);
+        // Fetching from peers saves platform calls, but a peer whose messages arrive may still not
+        // answer if the network drops packets in one direction. Once an answer was overdue, the
+        // platform is asked for what it lists.
+        let prefers_peers = highest > listed || (highest == listed && self.late_answers == 0);
         if highest > held && prefers_peers {
-            let holders = self.heard.iter().filter(|(_, h)| h.revision == highest);
+            let holders = self
+                .peer_revisions
+                .iter()
+                .filter(|(_, h)| h.revision == highest);
             let least = holders.clone().map(|(_, h)| h.failures).min();
-            // At random: all would pull from the same peer otherwise.
+            // Chosen at random: otherwise all instances would pull from the same peer.
             let holders = holders.filter(|(_, h)| Some(h.failures) == least);
             let holder = holders.choose(&mut self.rng).map(|(peer, _)| peer.clone());
             let source = holder.map(Source::Peer);
@@ -139,9 +147,9 @@
         let Some(fetch) = &mut self.fetch else {
             return;
         };
-        fetch.asked = Some(now);
-        let body = match fetch.wants.first() {
-            Some(want) if fetch.is_listed => Body::PullPart {
+        fetch.asked_at = Some(now);
+        let body = match fetch.wanted.first() {
+            Some(want) if fetch.list_complete => Body::PullPart {
                 team: want.team.clone(),
                 revision: want.revision,
                 offset: fetch.partial.bytes.len() as u32,
@@ -149,7 +157,7 @@
             _ => Body::PullIndex {
                 after: fetch.after,
                 cursor: fetch.cursor.clone(),
-                // A comparison is about revisions and hashes; the texts are mostly the same.
+                // A comparison needs only revisions and hashes; most texts are the same.
                 bare: fetch.after == 0 && self.held.revision > 0,
             },
         };
@@ -177,7 +185,7 @@
         let part = part.unwrap_or_else(|| Part::removed(team, revision));
         let text = part.text.as_bytes();
         let start = (offset as usize).min(text.len());
-        let end = (start + CHUNK).min(text.len());
+        let end = (start + CHUNK_BYTES).min(text.len());
         self.reply(Body::Chunk {
             offset: start as u32,
             bytes: text[start..end].to_vec(),
@@ -199,10 +207,10 @@
         let Some(fetch) = &mut self.fetch else {
             return;
         };
-        if !fetch.is_from(from) || fetch.is_listed || fetch.after != *after {
+        if !fetch.is_from(from) || fetch.list_complete || fetch.after != *after {
             return;
         }
-        fetch.asked = None;
+        fetch.asked_at = None;
         if !fetch.cursor.is_empty() && *revision != fetch.revision {
             fetch.restart(*revision);
             return;
@@ -216,22 +224,22 @@
         }
     }
 
-    /// Works out from the complete list which texts are wanted.
+    /// Determines from the complete list which texts to fetch.
     fn plan(&mut self) {
         let Some(mut fetch) = self.fetch.take() else {
             return;
         };
         let listed = std::mem::take(&mut fetch.listed);
         let pieces = std::mem::take(&mut fetch.pieces);
-        // A part that the peer doesn't list wasn't removed: removals are listed. The peer may have gone
-        // on without one that the platform doesn't give it, and taking that for a removal would undo
-        // the part here.
+        // A part that the peer doesn't list wasn't removed: removals are listed. The peer may have
+        // skipped a part that the platform doesn't return to it; taking that for a removal would
+        // remove the part here.
         for head in &listed {
             let piece = pieces.iter().find(|piece| piece.team == head.team);
             self.plan_part(&mut fetch, head, piece);
         }
-        fetch.is_listed = true;
-        fetch.resume(std::mem::take(&mut self.half));
+        fetch.list_complete = true;
+        fetch.resume(std::mem::take(&mut self.partial));
         self.fetch = Some(fetch);
     }
 
@@ -248,8 +256,8 @@
             fetch.staged.push(Part::removed(&head.team, head.revision));
             return;
         }
-        let leftover = self.leftover(&head.team, head.revision);
-        if let Some(part) = leftover.filter(|part| part.head.hash == head.hash) {
+        let saved = self.saved_part(&head.team, head.revision);
+        if let Some(part) = saved.filter(|part| part.head.hash == head.hash) {
             fetch.staged.push(part.clone());
             return;
         }
@@ -257,14 +265,14 @@
             fetch.staged.push(part);
             return;
         }
-        fetch.wants.push(Want {
+        fetch.wanted.push(WantedPart {
             team: head.team.clone(),
             revision: head.revision,
         });
     }
 
-    /// Puts a text together from a difference; none when this instance holds another base than the
-    /// peer supposed, so that the whole text has to be pulled.
+    /// Applies a difference; returns `None` if this instance holds another base than the peer
+    /// assumed, so that the whole text has to be pulled.
     fn assemble(&self, head: &PartRef, piece: &Piece) -> Option<Part> {
         let known = self.held.part(&head.team);
         let base = match known {
@@ -274,31 +282,31 @@
         };
         let text = piece.delta.apply(base)?;
         let part = Part::new(&head.team, head.revision, &text);
-        let allowed = text.len() <= self.settings.part_bytes;
+        let allowed = text.len() <= self.settings.max_part_bytes;
         (allowed && part.head.hash == head.hash).then_some(part)
     }
 
     fn on_chunk(&mut self, from: &InstanceId, part: &PartRef, offset: u32, bytes: &[u8]) {
-        let limit = self.settings.part_bytes;
+        let limit = self.settings.max_part_bytes;
         let Some(fetch) = &mut self.fetch else {
             return;
         };
-        let expected = fetch.wants.first().is_some_and(|w| w.team == part.team);
+        let expected = fetch.wanted.first().is_some_and(|w| w.team == part.team);
         if !fetch.is_from(from) || !expected {
             return;
         }
-        fetch.asked = None;
+        fetch.asked_at = None;
         if part.removed {
             fetch.stage(Part::removed(&part.team, part.revision));
             return;
         }
         if part.bytes as usize > limit {
-            self.pass_over(&part.team);
+            self.skip(&part.team);
             return;
         }
         let partial = &mut fetch.partial;
         if partial.head.as_ref() != Some(part) {
-            // The part changed between two pieces: what has come belongs to another text.
+            // The part changed between two chunks: the received bytes belong to another text.
             partial.bytes.clear();
             partial.head = Some(part.clone());
         }
@@ -328,7 +336,7 @@
     }
 
     fn drop_peer(&mut self, from: &InstanceId) {
-        self.heard.remove(from);
+        self.peer_revisions.remove(from);
         self.abandon();
     }
 }
--- a/crates/peers/src/spread/platform.rs
+++ b/crates/peers/src/spread/platform.rs
@@ -1,4 +1,4 @@
-//! Reading the platform.
+//! Reads of the platform.
 
 use std::sync::Arc;
 
@@ -10,16 +10,17 @@
 use crate::spread::SpreadAction;
 use crate::spread::SpreadFinding;
 use crate::spread::fetch::Fetch;
-use crate::spread::fetch::STALE_ANSWERS;
+use crate::spread::fetch::MAX_STALE_ANSWERS;
 use crate::spread::fetch::Source;
-use crate::spread::fetch::Want;
+use crate::spread::fetch::WantedPart;
 use crate::spread::store::Part;
 
-/// A watch that returns sooner than this without news is taken as one that didn't wait.
-const PROMPT: Millis = Millis(1000);
+/// Time below which a watch that returns without news is considered not to have waited.
+const IMMEDIATE_RETURN: Millis = Millis(1000);
 
-/// Time after which a read that the embedder never answered counts as failed, beyond its wait.
-const LOST_READ: Millis = Millis::from_secs(10);
+/// Time, in addition to its wait, after which a read that the embedder never answered is considered
+/// failed.
+const LOST_READ_TIMEOUT: Millis = Millis::from_secs(10);
 
 /// A part in the platform's index.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -33,13 +34,13 @@
 /// The platform's index of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Index {
-    /// Revision of the whole.
+    /// Revision of the whole configuration.
     pub revision: u64,
-    /// The parts that exist.
+    /// The existing parts.
     pub parts: Vec<IndexEntry>,
 }
 
-/// The text of a part as the platform gave it.
+/// The text of a part as returned by the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartText {
     /// The team.
@@ -50,14 +51,14 @@
     pub text: Arc<str>,
 }
 
-/// A read that failed.
+/// A failed read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReadFailed {
-    /// The platform's wish, when the read exceeded the budget.
+    /// The delay that the platform asked for if the read exceeded the budget.
     pub retry_after: Option<Millis>,
 }
 
-/// The outcome of a read of the platform.
+/// The result of a platform read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformRead {
     /// Answer to a read or watch of the index.
@@ -66,67 +67,68 @@
     Part(Arc<str>, Result<PartText, ReadFailed>),
 }
 
-/// Failed reads of a part in a row after which a fetch goes on without it.
-const UNREAD_TRIES: u32 = 2;
+/// Number of consecutive failed reads of a part after which a fetch continues without it.
+const MAX_READ_ATTEMPTS: u32 = 2;
 
-/// State of the reads.
+/// State of the platform reads.
 #[derive(Debug, Default)]
-pub(super) struct Reader {
+pub(super) struct IndexReader {
     is_watcher: bool,
-    /// When the running index read began, and how long it may take.
-    running: Option<(Millis, Millis)>,
+    /// When the current read of the index started, and how long it may wait.
+    pending_read: Option<(Millis, Millis)>,
     last_read: Option<Millis>,
-    /// The index of the highest revision that the platform gave.
-    latest: Option<Index>,
-    spread: Millis,
+    /// The index of the highest revision that the platform returned.
+    latest_index: Option<Index>,
+    jitter: Millis,
     behind: bool,
     down: bool,
-    /// When the platform last answered a revision that wasn't older than the one held.
-    confirmed: Option<Millis>,
+    /// When the platform last returned a revision that wasn't older than the one held.
+    confirmed_at: Option<Millis>,
 }
 
-impl Reader {
-    /// The highest revision that the platform gave.
+impl IndexReader {
+    /// Returns the highest revision that the platform returned.
     pub(super) fn listed_revision(&self) -> u64 {
-        self.latest.as_ref().map_or(0, |index| index.revision)
+        self.latest_index.as_ref().map_or(0, |index| index.revision)
     }
 
     fn take_index(&mut self, index: Index) {
         if index.revision >= self.listed_revision() {
-            self.latest = Some(index);
+            self.latest_index = Some(index);
         }
     }
 }
 
 impl Spread {
-    /// Takes a changed live view in: who watches, and how the read budget is shared.
+    /// Applies a changed live view, which determines the watchers and how the read budget is
+    /// shared.
     pub fn view_changed(&mut self, view: &View, listed: usize) {
         let count = self.settings.watchers;
         self.reader.is_watcher = view.is_watcher(count);
         if self.reader.is_watcher {
-            // A newcomer that sees nobody yet must not take the whole share.
+            // A new instance that doesn't know any others yet must not use the whole budget.
             let known = view.watchers(count).max(listed.min(count * 8));
-            self.budget.share(self.settings.watch_rate, known);
+            self.budget.set_share(self.settings.watch_rate, known);
         } else {
-            let sharers = view.live().max(listed);
-            self.budget.share(self.settings.read_rate, sharers);
+            let instances = view.live().max(listed);
+            self.budget.set_share(self.settings.read_rate, instances);
         }
         self.retain_peers(|peer| view.get(peer).is_some());
     }
 
-    /// Whether this instance holds a watch.
+    /// Returns whether this instance holds a watch.
     pub fn is_watcher(&self) -> bool {
         self.reader.is_watcher
     }
 
-    /// When the platform last answered with a revision that wasn't older than the one held; none when
-    /// it never did.
+    /// Returns when the platform last returned a revision that wasn't older than the one held;
+    /// `None` if it never did.
     pub fn confirmed_at(&self) -> Option<Millis> {
-        self.reader.confirmed
+        self.reader.confirmed_at
     }
 
-    /// Takes the outcome of a read in.
-    pub fn platform(&mut self, read: PlatformRead, now: Millis) -> Vec<SpreadAction> {
+    /// Processes the result of a platform read.
+    pub fn platform_read(&mut self, read: PlatformRead, now: Millis) -> Vec<SpreadAction> {
         match read {
             PlatformRead::Index(Ok(index)) => self.on_index(index, now),
             PlatformRead::Index(Err(failed)) => self.on_index_failed(failed, now),
@@ -138,8 +140,8 @@
     }
 
     pub(super) fn read_platform(&mut self, now: Millis) {
-        if let Some((began, allowed)) = self.reader.running {
-            if now.since(began) < allowed + LOST_READ {
+        if let Some((began, allowed)) = self.reader.pending_read {
+            if now.since(began) < allowed + LOST_READ_TIMEOUT {
                 return;
             }
             self.on_index_failed(ReadFailed::default(), now);
@@ -148,48 +150,49 @@
         let due = self
             .reader
             .last_read
-            .is_none_or(|t| now.since(t) >= self.reread_after());
+            .is_none_or(|t| now.since(t) >= self.read_interval());
         if !(watches || due || !self.start.has_platform()) || !self.budget.take(now) {
             return;
         }
         self.reader.last_read = Some(now);
-        let wait = self.settings.watch_wait;
+        let wait = self.settings.watch_timeout;
         if watches {
-            self.reader.running = Some((now, wait));
-            // Not the revision in force alone: while a listed one is still being fetched, the watch
-            // would return at once again and again.
+            self.reader.pending_read = Some((now, wait));
+            // Not only the revision in force: while a listed revision is still being fetched, the
+            // watch would return at once repeatedly.
             let after = self.held.revision.max(self.reader.listed_revision());
             self.act(SpreadAction::WatchIndex { after, wait });
         } else {
-            self.reader.running = Some((now, Millis::ZERO));
+            self.reader.pending_read = Some((now, Millis::ZERO));
             self.act(SpreadAction::ReadIndex);
         }
     }
 
-    fn reread_after(&self) -> Millis {
-        self.settings.reread + self.reader.spread
+    fn read_interval(&self) -> Millis {
+        self.settings.read_interval + self.reader.jitter
     }
 
     fn on_index(&mut self, index: Index, now: Millis) {
-        let began = self.reader.running.take();
+        let began = self.reader.pending_read.take();
         let waited = began.map(|(t, allowed)| (now.since(t), allowed));
         let known = self.held.revision.max(self.reader.listed_revision());
         let is_news = index.revision > known;
-        let prompt = waited.is_some_and(|(span, allowed)| span < PROMPT.min(allowed));
+        let prompt = waited.is_some_and(|(span, allowed)| span < IMMEDIATE_RETURN.min(allowed));
         if prompt && !is_news {
-            self.budget.wasted(&self.settings, None, &mut self.rng, now);
+            self.budget
+                .back_off(&self.settings, None, &mut self.rng, now);
         } else {
             self.budget.succeeded();
         }
-        self.draw_reread_spread();
+        self.draw_read_jitter();
         self.reader.down = false;
         self.start.platform_answered(index.revision);
-        // A stale replica answers too. Taken for a confirmation, it would hide from the operator that
-        // changes don't come through.
+        // A stale replica answers as well. Counting its answer as a confirmation would hide from
+        // the operator that changes aren't received.
         if index.revision >= self.held.revision {
-            self.reader.confirmed = Some(now);
+            self.reader.confirmed_at = Some(now);
         }
-        self.notice_behind(index.revision);
+        self.report_if_behind(index.revision);
         let revision = index.revision;
         self.reader.take_index(index);
         if self.fetch.is_none() && revision >= self.held.revision {
@@ -197,13 +200,13 @@
         }
     }
 
-    /// Spreads the reads of many instances that started together.
-    fn draw_reread_spread(&mut self) {
-        let span = self.settings.reread.0 / 4;
-        self.reader.spread = Millis(self.rng.random_range(0..=span));
+    /// Randomizes the read interval, to spread the reads of many instances that started together.
+    fn draw_read_jitter(&mut self) {
+        let span = self.settings.read_interval.0 / 4;
+        self.reader.jitter = Millis(self.rng.random_range(0..=span));
     }
 
-    fn notice_behind(&mut self, platform: u64) {
+    fn report_if_behind(&mut self, platform: u64) {
         let held = self.held.revision;
         let behind = platform < held;
         if behind && !self.reader.behind {
@@ -213,40 +216,40 @@
     }
 
     fn on_index_failed(&mut self, failed: ReadFailed, now: Millis) {
-        self.reader.running = None;
+        self.reader.pending_read = None;
         self.start.platform_failed();
         self.budget
-            .wasted(&self.settings, failed.retry_after, &mut self.rng, now);
+            .back_off(&self.settings, failed.retry_after, &mut self.rng, now);
         if failed.retry_after.is_none() && !self.reader.down {
             self.reader.down = true;
             self.report(SpreadFinding::PlatformDown);
         }
     }
 
-    /// Starts a fetch of what the platform listed last and this instance doesn't hold.
+    /// Starts a fetch of the parts in the platform's latest index that this instance doesn't hold.
     pub(super) fn fetch_from_platform(&mut self) {
-        let Some(index) = &self.reader.latest else {
+        let Some(index) = &self.reader.latest_index else {
             return;
         };
         let teams: Vec<&Arc<str>> = index.parts.iter().map(|entry| &entry.team).collect();
         let mut fetch = Fetch::new(Source::Platform, index.revision, 0);
-        fetch.is_listed = true;
+        fetch.list_complete = true;
         fetch.staged = self.held.missing(&teams, index.revision);
         for entry in &index.parts {
             let known = self.held.part(&entry.team);
             if known.is_some_and(|part| part.head.revision >= entry.revision) {
                 continue;
             }
-            if let Some(part) = self.leftover(&entry.team, entry.revision) {
+            if let Some(part) = self.saved_part(&entry.team, entry.revision) {
                 fetch.staged.push(part.clone());
                 continue;
             }
-            fetch.wants.push(Want {
+            fetch.wanted.push(WantedPart {
                 team: entry.team.clone(),
                 revision: entry.revision,
             });
         }
-        let nothing = fetch.wants.is_empty() && fetch.staged.is_empty();
+        let nothing = fetch.wanted.is_empty() && fetch.staged.is_empty();
         if !nothing || index.revision > self.held.revision {
             self.fetch = Some(fetch);
         }
@@ -259,66 +262,67 @@
         let Some(fetch) = &mut self.fetch else {
             return;
         };
-        let Some(want) = fetch.wants.first() else {
+        let Some(want) = fetch.wanted.first() else {
             return;
         };
-        fetch.asked = Some(now);
+        fetch.asked_at = Some(now);
         let team = want.team.clone();
         self.act(SpreadAction::ReadPart(team));
     }
 
     fn on_part(&mut self, team: &Arc<str>, part: &PartText, now: Millis) {
-        let limit = self.settings.part_bytes;
+        let limit = self.settings.max_part_bytes;
         let Some(fetch) = &mut self.fetch else {
             return;
         };
-        let Some(want) = fetch.wants.iter().find(|want| want.team == *team) else {
+        let Some(want) = fetch.wanted.iter().find(|want| want.team == *team) else {
             return;
         };
         if fetch.source != Source::Platform {
             return;
         }
         if part.text.len() > limit {
-            self.pass_over(team);
+            self.skip(team);
             return;
         }
         if part.revision >= want.revision {
-            self.unread.remove(team);
+            self.failed_reads.remove(team);
             self.stage(Part::new(team, part.revision, &part.text));
             return;
         }
-        // The index came from a fresher replica than the text: taking the old text for the new
+        // The index came from a newer replica than the text: storing the old text under the new
         // revision would put a reverted part in force.
-        fetch.asked = None;
-        fetch.stale += 1;
-        if fetch.stale >= STALE_ANSWERS {
+        fetch.asked_at = None;
+        fetch.stale_answers += 1;
+        if fetch.stale_answers >= MAX_STALE_ANSWERS {
             self.abandon();
         }
-        self.budget.wasted(&self.settings, None, &mut self.rng, now);
+        self.budget
+            .back_off(&self.settings, None, &mut self.rng, now);
     }
 
-    /// Tries a part that can't be read once more; then goes on without it, and asks for it again with
-    /// the next answer about the index. One team's part that the platform can't deliver must not hold
-    /// back the changes of the others.
+    /// Retries a part that can't be read one more time, then continues without it and requests it
+    /// again after the next index read. A part that the platform can't return must not delay the
+    /// changes of other teams.
     fn on_part_failed(&mut self, team: &Arc<str>, failed: ReadFailed, now: Millis) {
         self.budget
-            .wasted(&self.settings, failed.retry_after, &mut self.rng, now);
+            .back_off(&self.settings, failed.retry_after, &mut self.rng, now);
         let Some(fetch) = &mut self.fetch else {
             return;
         };
         if fetch.source != Source::Platform {
             return;
         }
-        let tries = self.unread.entry(team.clone()).or_default();
+        let tries = self.failed_reads.entry(team.clone()).or_default();
         *tries += 1;
-        // A fetch that brought nothing is given up: if no part can be read, the platform is at fault,
-        // and a newcomer would put an empty configuration in force.
-        let is_last = fetch.staged.is_empty() && fetch.wants.len() <= 1;
-        if failed.retry_after.is_some() || *tries < UNREAD_TRIES || is_last {
+        // A fetch that received nothing is abandoned: if no part can be read, the platform is at
+        // fault, and a new instance would put an empty configuration in force.
+        let is_last = fetch.staged.is_empty() && fetch.wanted.len() <= 1;
+        if failed.retry_after.is_some() || *tries < MAX_READ_ATTEMPTS || is_last {
             self.abandon();
             return;
         }
-        fetch.pass_over(team);
+        fetch.skip(team);
         self.report(SpreadFinding::Unread(team.clone()));
     }
 }
--- a/crates/peers/src/spread/start.rs
+++ b/crates/peers/src/spread/start.rs
@@ -1,14 +1,14 @@
-//! When a newcomer puts its first configuration in force.
+//! Choice of the first configuration that a new instance puts in force.
 
 use crocushold_base::Millis;
 
 use crate::spread::Spread;
 use crate::spread::SpreadAction;
 
-/// What the platform said since the start.
+/// Answers of the platform since the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PlatformState {
-    Silent,
+    Unknown,
     Failed,
     Answered(u64),
 }
@@ -19,7 +19,7 @@
     since: Millis,
     ready: bool,
     platform: PlatformState,
-    queried: Option<Millis>,
+    last_query: Option<Millis>,
 }
 
 impl Start {
@@ -27,8 +27,8 @@
         Start {
             since: now,
             ready: false,
-            platform: PlatformState::Silent,
-            queried: None,
+            platform: PlatformState::Unknown,
+            last_query: None,
         }
     }
 
@@ -36,7 +36,7 @@
         self.ready
     }
 
-    /// Whether the platform has ever answered.
+    /// Returns whether the platform has ever answered.
     pub(super) fn has_platform(&self) -> bool {
         matches!(self.platform, PlatformState::Answered(_))
     }
@@ -46,43 +46,45 @@
     }
 
     pub(super) fn platform_failed(&mut self) {
-        if self.platform == PlatformState::Silent {
+        if self.platform == PlatformState::Unknown {
             self.platform = PlatformState::Failed;
         }
     }
 }
 
 impl Spread {
-    /// Asks peers for their revision; to be called while the start goes on and peers are known.
+    /// Queries peers for their revisions; to be called until a configuration is in force, once
+    /// peers are known.
     pub(crate) fn query_peers(&mut self, now: Millis) -> Vec<SpreadAction> {
         let recent = self
             .start
-            .queried
-            .is_some_and(|t| now.since(t) < self.settings.answer_wait);
+            .last_query
+            .is_some_and(|t| now.since(t) < self.settings.answer_timeout);
         if !self.is_ready() && !recent {
-            self.start.queried = Some(now);
+            self.start.last_query = Some(now);
             self.act(SpreadAction::Query(self.settings.join_peers));
         }
         self.finish(now)
     }
 
-    /// Tells how many peers can be asked, and whether more may still be found.
-    pub(crate) fn peers_known(&mut self, peers: usize, settled: bool) {
+    /// Sets how many peers can be asked, and whether joining is complete, so that no more are
+    /// expected.
+    pub(crate) fn set_peers(&mut self, peers: usize, settled: bool) {
         self.peers = peers;
         self.peers_settled = settled;
     }
 
-    /// Puts the first configuration in force: never an old one while a newer one is remembered by
-    /// a peer or the platform within reach. A fresh instance that trusted a stale platform alone
-    /// would undo a change that its peers already follow.
+    /// Puts the first configuration in force once no reachable peer or platform is known to hold a
+    /// newer one. A new instance that relied on a stale platform alone would undo a change that its
+    /// peers already follow.
     pub(super) fn try_start(&mut self, now: Millis) {
         if self.is_ready() {
             return;
         }
-        let waited = now.since(self.start.since) >= self.settings.join_wait;
-        let heard_all =
-            self.peers_settled && self.heard.len() >= self.peers.min(self.settings.join_peers);
-        let platform_known = self.start.platform != PlatformState::Silent;
+        let waited = now.since(self.start.since) >= self.settings.join_timeout;
+        let heard_all = self.peers_settled
+            && self.peer_revisions.len() >= self.peers.min(self.settings.join_peers);
+        let platform_known = self.start.platform != PlatformState::Unknown;
         let informed = heard_all && platform_known;
         if !(waited || informed) {
             return;
@@ -92,15 +94,15 @@
             _ => None,
         };
         let from_peers = self
-            .heard
+            .peer_revisions
             .values()
             .map(|h| h.revision)
             .filter(|r| *r > 0)
             .max();
-        let Some(goal) = from_platform.max(from_peers) else {
+        let Some(target) = from_platform.max(from_peers) else {
             return;
         };
-        if self.held.revision < goal || self.fetch.is_some() {
+        if self.held.revision < target || self.fetch.is_some() {
             return;
         }
         self.start.ready = true;
--- a/crates/peers/tests/auth.rs
+++ b/crates/peers/tests/auth.rs
@@ -1,4 +1,4 @@
-//! The proofs that both ends hold the key.
+//! Tests of mutual authentication.
 
 use crocushold_peers::InstanceId;
 use crocushold_peers::Role;
@@ -15,8 +15,8 @@
     Transcript {
         version: 2,
         caller: InstanceId::new("entry-1"),
-        challenge: [1; 32],
-        answer: [2; 32],
+        caller_challenge: [1; 32],
+        callee_challenge: [2; 32],
     }
 }
 
@@ -34,7 +34,7 @@
     assert_eq!(hex(&hmac_sha256(key, message)), expected);
 }
 
-/// A stranger who connects back and returns each proof to its maker must not be admitted.
+/// A caller that reflects each proof back to the end that made it must not be authenticated.
 #[test]
 fn a_proof_holds_for_one_role_key_and_pair_of_challenges() {
     let key = SharedKey::new(b"key");
@@ -46,12 +46,12 @@
     assert!(!here.verify(&key, Role::Caller, &proof[..31]));
     assert!(!here.verify(&key, Role::Caller, &[]));
     let mut there = transcript();
-    there.answer[0] ^= 1;
+    there.callee_challenge[0] ^= 1;
     assert!(!there.verify(&key, Role::Caller, &proof));
 }
 
 #[test]
-fn no_output_shows_the_key() {
+fn debug_output_hides_the_key() {
     let key = SharedKey::new(b"secret");
     assert!(!format!("{key:?}").contains("secret"));
 }
--- a/crates/peers/tests/versions.rs
+++ b/crates/peers/tests/versions.rs
@@ -1,7 +1,7 @@
-//! Programs of different schemas side by side, over real sockets.
+//! Interoperability of programs with different schemas, over real sockets.
 //!
-//! The older one is a program with the schema of version 1, and the later one a caller with a schema
-//! that has more than the present one. Both schemas stand in `versions/`.
+//! The older one is a program with the schema of version 1, and the newer one a caller whose schema
+//! extends the current one. Both schemas are in `versions/`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
 use crocushold_peers::Index;
 use crocushold_peers::IndexEntry;
 use crocushold_peers::Instance;
-use crocushold_peers::Listed;
+use crocushold_peers::ListedInstance;
 use crocushold_peers::PartText;
 use crocushold_peers::PeerHandle;
 use crocushold_peers::PeerNode;
@@ -66,19 +66,19 @@
 #[path = "versions/wire.rs"]
 mod wire;
 
-/// How long a test waits for what must happen.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum time that a test waits for an expected state.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between two looks at the programs.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which the state of the programs is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Deadline of calls in these tests.
+/// Deadline of the calls in these tests.
 const DEADLINE: Millis = Millis(1000);
 
-/// More calls in a row than open the circuit of a peer that fails.
+/// More consecutive calls than open the circuit of a failing peer.
 const MANY_CALLS: usize = 8;
 
-/// The number of [`Vote::Granted`] on the wire.
+/// The encoding of [`Vote::Granted`].
 const GRANTED: u16 = 1;
 
 const KEY: &[u8] = b"the key of both programs";
@@ -88,7 +88,7 @@
     Box::new(VatNetwork::new(input, output, side, ReaderOptions::new()))
 }
 
-/// Grants every claim and remembers its account.
+/// Grants every claim and records its account.
 #[derive(Default)]
 struct Recorder(Mutex<Vec<AccountId>>);
 
@@ -102,7 +102,7 @@
     }
 }
 
-/// Starts a present program whose platform answers one part, or is down.
+/// Starts a current program whose platform returns one part, or is down.
 fn start(name: &str, start: u64, platform: Option<PartText>) -> (PeerHandle, Arc<Recorder>) {
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let me = Instance::new(name, address, "stgo-a");
@@ -132,25 +132,25 @@
     }
 }
 
-/// A program of either age.
+/// A program of either version.
 #[derive(Clone)]
 enum Program {
     Old(OldProgram),
-    Present(PeerHandle),
+    Current(PeerHandle),
 }
 
 impl Program {
     fn me(&self) -> &Instance {
         match self {
             Program::Old(old) => old.me(),
-            Program::Present(handle) => handle.me(),
+            Program::Current(handle) => handle.me(),
         }
     }
 
     fn live(&self) -> Vec<String> {
         match self {
             Program::Old(old) => old.live(),
-            Program::Present(handle) => {
+            Program::Current(handle) => {
                 let view = handle.view();
                 let names = view.instances.iter().map(|i| i.id.as_str().to_owned());
                 names.collect()
@@ -161,27 +161,27 @@
     fn revision(&self) -> u64 {
         match self {
             Program::Old(old) => old.revision(),
-            Program::Present(handle) => handle.config().map_or(0, |config| config.revision),
+            Program::Current(handle) => handle.config().map_or(0, |config| config.revision),
         }
     }
 
-    fn list(&self, listed: Vec<Listed>) {
+    fn list(&self, listed: Vec<ListedInstance>) {
         match self {
             Program::Old(old) => old.feed(Event::InstanceList(listed)),
-            Program::Present(handle) => handle.instance_list(listed),
+            Program::Current(handle) => handle.instance_list(listed),
         }
     }
 }
 
-/// The running programs, and what each instance has shown so far.
+/// The running programs, and the highest revision that each instance has had in force.
 #[derive(Default)]
 struct Programs {
     programs: Vec<Program>,
-    shown: BTreeMap<String, u64>,
+    highest: BTreeMap<String, u64>,
 }
 
 impl Programs {
-    /// Adds a program, in place of one of the same name, and tells all of the instance list.
+    /// Adds a program, replacing one with the same name, and passes the instance list to all.
     fn add(&mut self, program: Program) {
         let id = program.me().id.clone();
         self.programs.retain(|other| other.me().id != id);
@@ -190,49 +190,50 @@
     }
 
     fn introduce(&self) {
-        let listed = self.programs.iter().map(|program| Listed {
+        let listed = self.programs.iter().map(|program| ListedInstance {
             instance: program.me().clone(),
             leaving: false,
         });
-        let listed: Vec<Listed> = listed.collect();
+        let listed: Vec<ListedInstance> = listed.collect();
         for program in &self.programs {
             program.list(listed.clone());
         }
     }
 
-    /// Waits for a state of all programs. Until then no instance goes back to an earlier revision,
-    /// not even one whose program is replaced, and all that `stay` see each other.
-    async fn wait(&mut self, what: &str, stay: &[&str], holds: impl Fn(&Program) -> bool) {
+    /// Waits until `holds` for all programs. Meanwhile no instance may return to an earlier
+    /// revision, not even one whose program is replaced, and all instances in `stable` must see
+    /// each other.
+    async fn wait(&mut self, what: &str, stable: &[&str], holds: impl Fn(&Program) -> bool) {
         let began = Instant::now();
         loop {
-            self.check(stay);
+            self.check(stable);
             if self.programs.iter().all(&holds) {
                 return;
             }
-            assert!(began.elapsed() < PATIENCE, "not in time: {what}");
-            task::sleep(LOOK).await;
+            assert!(began.elapsed() < TIMEOUT, "timed out: {what}");
+            task::sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn check(&mut self, stay: &[&str]) {
+    fn check(&mut self, stable: &[&str]) {
         for program in &self.programs {
             let name = program.me().id.as_str();
             let revision = program.revision();
-            let shown = self.shown.entry(name.to_owned()).or_default();
-            // A program that starts has nothing in force yet.
-            assert!(revision == 0 || revision >= *shown, "{name} went back");
-            *shown = revision.max(*shown);
-            if stay.contains(&name) {
+            let highest = self.highest.entry(name.to_owned()).or_default();
+            // A program that has just started has no configuration in force yet.
+            assert!(revision == 0 || revision >= *highest, "{name} went back");
+            *highest = revision.max(*highest);
+            if stable.contains(&name) {
                 let live = program.live();
-                let all = stay.iter().all(|other| live.iter().any(|id| id == other));
+                let all = stable.iter().all(|other| live.iter().any(|id| id == other));
                 assert!(all, "{name} sees {live:?}");
             }
         }
     }
 
-    async fn wait_agreed(&mut self, live: usize, revision: u64, stay: &[&str]) {
+    async fn wait_agreed(&mut self, live: usize, revision: u64, stable: &[&str]) {
         let what = format!("{live} live at revision {revision}");
-        self.wait(&what, stay, |program| {
+        self.wait(&what, stable, |program| {
             program.live().len() == live && program.revision() == revision
         })
         .await;
@@ -259,21 +260,21 @@
     })
 }
 
-/// Three instances run, two of them still the older program, and the older ones are replaced one
-/// after the other. First a change of the text reaches the present program only through an older one,
-/// whose answers lack what was added since; then the platform goes back to its first text, and the
-/// replacements, one after a planned stop and one after a crash, read that. No instance goes back to
-/// it, and those that aren't being replaced see each other all the time.
+/// Of three instances two still run the older program, and these are replaced one after the other.
+/// First a change reaches the current program only through an older one, whose answers lack the
+/// newer fields; then the platform goes back to its first text, which the replacements read, one
+/// after a planned stop and one after a crash. No instance may return to that text, and the
+/// instances that aren't being replaced must see each other all the time.
 #[test]
 fn an_upgrade_keeps_the_members_and_the_revision() {
     task::block_on(async {
         let key = SharedKey::new(KEY);
         let first = part(1, "[service chat]");
-        let (present, _) = start("entry-1", 1, Some(first.clone()));
+        let (current, _) = start("entry-1", 1, Some(first.clone()));
         let two = OldProgram::start("entry-2", 2, key.clone()).await;
         let three = OldProgram::start("entry-3", 3, key).await;
         let mut programs = Programs::default();
-        programs.add(Program::Present(present.clone()));
+        programs.add(Program::Current(current.clone()));
         programs.add(Program::Old(two.clone()));
         programs.add(Program::Old(three.clone()));
         programs.wait_agreed(3, 1, &[]).await;
@@ -283,7 +284,7 @@
 
         two.leave().await;
         let (second, _) = start("entry-2", 12, Some(first.clone()));
-        programs.add(Program::Present(second.clone()));
+        programs.add(Program::Current(second.clone()));
         programs.wait_agreed(3, 2, &["entry-1", "entry-3"]).await;
         let vote = second.call(&three.me().id, claim(12), DEADLINE).await;
         assert_eq!(vote, Ok(Response::Vote(Vote::Granted)));
@@ -291,61 +292,62 @@
 
         three.kill();
         let (third, recorder) = start("entry-3", 13, Some(first));
-        programs.add(Program::Present(third.clone()));
+        programs.add(Program::Current(third.clone()));
         programs.wait_agreed(3, 2, &["entry-1", "entry-2"]).await;
-        let vote = present.call(&third.me().id, claim(12), DEADLINE).await;
+        let vote = current.call(&third.me().id, claim(12), DEADLINE).await;
         assert_eq!(vote, Ok(Response::Vote(Vote::Granted)));
         assert_eq!(*recorder.0.lock().unwrap(), [AccountId(12)]);
     });
 }
 
-/// A present program calls an older one by a method that came later, more often than a failing peer
-/// is asked. Each time it hears that the peer doesn't know the call; the calls that both know, the
-/// probes among them, go on. The older one's claim has no account, which reads as no account.
+/// A current program calls an older one by a newer method, more often than a failing peer is
+/// called. Each time it must learn that the peer doesn't support the call, while calls that both
+/// support, including probes, keep working. The older program's claim contains no account, which is
+/// read as the default account.
 #[test]
-fn a_call_that_an_older_program_lacks_does_not_cut_it_off() {
+fn a_call_that_an_older_program_lacks_does_not_open_its_circuit() {
     task::block_on(async {
-        let (present, recorder) = start("entry-1", 1, None);
+        let (current, recorder) = start("entry-1", 1, None);
         let old = OldProgram::start("entry-2", 2, SharedKey::new(KEY)).await;
         let mut programs = Programs::default();
-        programs.add(Program::Present(present.clone()));
+        programs.add(Program::Current(current.clone()));
         programs.add(Program::Old(old.clone()));
         let both = |program: &Program| program.live().len() == 2;
         programs.wait("both see each other", &[], both).await;
         let id = &old.me().id;
         for _ in 0..MANY_CALLS {
-            let outcome = present.call(id, give_back(), DEADLINE).await;
+            let outcome = current.call(id, give_back(), DEADLINE).await;
             assert_eq!(outcome, Err(CallError::Unsupported));
         }
-        let vote = present.call(id, claim(12), DEADLINE).await;
+        let vote = current.call(id, claim(12), DEADLINE).await;
         assert_eq!(vote, Ok(Response::Vote(Vote::Granted)));
-        assert_eq!(old.claim(present.me()).await.unwrap(), GRANTED);
+        assert_eq!(old.claim(current.me()).await.unwrap(), GRANTED);
         assert_eq!(*recorder.0.lock().unwrap(), [AccountId::default()]);
         programs.check(&["entry-1", "entry-2"]);
     });
 }
 
-/// A connection of a later program, which has proved that it holds the key.
-async fn later_session(peer: &Instance) -> capnp::Result<peer_next_capnp::session::Client> {
+/// Opens an authenticated session as a newer program.
+async fn newer_session(peer: &Instance) -> capnp::Result<peer_next_capnp::session::Client> {
     let stream = TcpStream::connect(peer.address).await.expect("it listens");
     let mut system = RpcSystem::new(network(stream, Side::Client), None);
     let gate: peer_next_capnp::gate::Client = system.bootstrap(Side::Server);
     task::spawn_local(system);
     let mut hello = gate.hello_request();
-    let challenge = [6; 32];
+    let caller_challenge = [6; 32];
     hello.get().set_min_version(1);
     hello.get().set_max_version(3);
     hello.get().set_id("entry-9");
     hello.get().set_start(9);
-    hello.get().set_challenge(&challenge);
+    hello.get().set_challenge(&caller_challenge);
     let answer = hello.send().promise.await?;
     let answer = answer.get()?;
     assert_eq!(answer.get_version(), 2);
     let transcript = Transcript {
         version: 2,
         caller: Instance::new("entry-9", peer.address, "stgo-a").id,
-        challenge,
-        answer: answer.get_challenge()?.try_into().expect("32 bytes"),
+        caller_challenge,
+        callee_challenge: answer.get_challenge()?.try_into().expect("32 bytes"),
     };
     let mut request = gate.authenticate_request();
     let proof = transcript.proof(&SharedKey::new(KEY), Role::Caller);
@@ -354,12 +356,12 @@
     answer.get()?.get_session()
 }
 
-/// What a later program says of itself, with fields that the present one doesn't know.
+/// Writes a newer program's gossip, with fields that the current one doesn't know.
 fn write_gossip(mut gossip: peer_next_capnp::gossip::Builder<'_>) {
     gossip.set_start(9);
     gossip.set_load(77);
     gossip.reborrow().init_notes(1).set(0, "a note");
-    // An instance in a state that was added later: nothing can be said of it.
+    // An instance with a status that was added later and can't be interpreted.
     let mut update = gossip.init_updates(1).get(0);
     update.set_id("entry-8");
     update.set_address("127.0.0.1:9");
@@ -367,14 +369,14 @@
     update.set_status(9);
 }
 
-/// A later program sends fields, a body, a state of a member and a call that the present one doesn't
-/// know. The body is answered by none, the call by "unimplemented"; the connection stays, and a probe
-/// that follows on it is answered.
+/// A newer program sends fields, a body, a member's status and a call that the current one doesn't
+/// know. The body must be answered with none and the call with "unimplemented"; the connection must
+/// stay open, and a probe that follows on it must be answered.
 #[test]
-fn what_a_later_program_adds_does_not_cut_it_off() {
+fn what_a_newer_program_adds_does_not_disconnect_it() {
     task::block_on(async {
-        let (present, _) = start("entry-1", 1, None);
-        let session = later_session(present.me()).await.unwrap();
+        let (current, _) = start("entry-1", 1, None);
+        let session = newer_session(current.me()).await.unwrap();
         let mut request = session.exchange_request();
         let mut message = request.get().init_message();
         write_gossip(message.reborrow().init_gossip());
@@ -399,7 +401,7 @@
         assert_eq!(answer.get_gossip().unwrap().get_start(), 1);
         let body = answer.which().unwrap();
         assert!(matches!(body, peer_next_capnp::message::Ack(_)));
-        let live = Program::Present(present).live();
+        let live = Program::Current(current).live();
         assert!(!live.contains(&"entry-8".to_owned()), "{live:?}");
     });
 }
