--- a/crates/config/examples/measure.rs
+++ b/crates/config/examples/measure.rs
@@ -8,9 +8,9 @@
 use std::time::Instant;
 
 use crocushold_config::Catalog;
+use crocushold_config::ConfigText;
 use crocushold_config::Credential;
 use crocushold_config::Target;
-use crocushold_config::Text;
 use crocushold_config::resolve;
 
 const TEAMS: usize = 23;
@@ -99,8 +99,8 @@
     println!("{name}: median {median:.2} ms, worst {worst:.2} ms");
 }
 
-fn parse_all(parts: &[(String, String)]) -> Text {
-    let mut text = Text::default();
+fn parse_all(parts: &[(String, String)]) -> ConfigText {
+    let mut text = ConfigText::default();
     for (team, part) in parts {
         text.set_part(team, part);
     }
--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -26,11 +26,11 @@
 use crate::model::Model;
 use crate::model::Server;
 use crate::model::Service;
-use crate::text::Text;
+use crate::text::ConfigText;
 
 impl Catalog {
     /// A catalog of everything in force in a text.
-    pub fn new(text: &Text) -> Catalog {
+    pub fn new(text: &ConfigText) -> Catalog {
         let mut catalog = Catalog::default();
         catalog.apply(text);
         catalog
@@ -40,7 +40,7 @@
     ///
     /// What is in force afterwards depends on the text alone, not on what the catalog held before;
     /// only the keys' values do.
-    pub fn apply(&mut self, text: &Text) -> Changes {
+    pub fn apply(&mut self, text: &ConfigText) -> Changes {
         let linked = link(text);
         let before = self.services.clone();
         let mut changes = Changes {
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -12,9 +12,9 @@
 use crate::decl::ServiceDecl;
 use crate::finding::Findings;
 use crate::graph::Graph;
-use crate::model::Call;
-use crate::model::Kind;
+use crate::model::CallPattern;
 use crate::model::Role;
+use crate::model::ServiceKind;
 use crate::model::Share;
 use crate::model::short_name;
 use crate::model::team_name;
@@ -97,7 +97,7 @@
         }
         for model in &declared.models {
             let service = self.services.get(model.service.as_str());
-            if service.is_some_and(|s| s.kind != Kind::Model) {
+            if service.is_some_and(|s| s.kind != ServiceKind::Model) {
                 let message = "a plain service serves no models; write kind = model there, \
                                or leave this section out";
                 self.error(&model.place, "", message);
@@ -110,13 +110,17 @@
         let declared = self.declared;
         for server in &declared.servers {
             let service = self.services.get(server.service.as_str());
-            let plain = service.is_some_and(|s| s.kind != Kind::Model);
+            let plain = service.is_some_and(|s| s.kind != ServiceKind::Model);
             if plain && server.role.is_some() {
                 let message = "a plain service has no roles; leave it out";
                 self.error(&server.place, "role", message);
             }
         }
-        for service in declared.services.iter().filter(|s| s.kind == Kind::Model) {
+        for service in declared
+            .services
+            .iter()
+            .filter(|s| s.kind == ServiceKind::Model)
+        {
             self.service_roles(service);
         }
     }
@@ -167,7 +171,7 @@
     fn prefixes(&mut self) {
         let mut seen: BTreeMap<&str, &str> = BTreeMap::new();
         for service in &self.declared.services {
-            let Kind::Plain { prefix } = &service.kind else {
+            let ServiceKind::Plain { prefix } = &service.kind else {
                 continue;
             };
             if let Some(first) = seen.insert(prefix, &service.name) {
@@ -239,15 +243,15 @@
 
     /// Only the team that owns a plain service binds its calls to classes.
     fn calls(&mut self) {
-        let mut seen: HashMap<(&str, &Call), &str> = HashMap::new();
+        let mut seen: HashMap<(&str, &CallPattern), &str> = HashMap::new();
         for class in self.declared.classes.iter() {
             if class.calls.is_empty() {
                 continue;
             }
             let service = self.services.get(class.service.as_str()).copied();
             let prefix = service.and_then(|s| match &s.kind {
-                Kind::Plain { prefix } => Some(prefix),
-                Kind::Model => None,
+                ServiceKind::Plain { prefix } => Some(prefix),
+                ServiceKind::Model => None,
             });
             let Some(prefix) = prefix else {
                 let broken = self.is_broken("service", &class.service);
--- a/crates/config/src/decl.rs
+++ b/crates/config/src/decl.rs
@@ -6,11 +6,11 @@
 use crate::digest::KeyDigest;
 use crate::finding::Finding;
 use crate::finding::Severity;
-use crate::model::Call;
-use crate::model::Kind;
+use crate::model::CallPattern;
 use crate::model::Limits;
 use crate::model::Priority;
 use crate::model::Role;
+use crate::model::ServiceKind;
 use crate::model::Share;
 use crate::model::Targets;
 use crate::source::Section;
@@ -68,7 +68,7 @@
 pub(crate) struct ServiceDecl {
     pub(crate) place: Place,
     pub(crate) name: String,
-    pub(crate) kind: Kind,
+    pub(crate) kind: ServiceKind,
     pub(crate) depends: Vec<String>,
     pub(crate) grants: Vec<Grant>,
     pub(crate) weight_loads: u32,
@@ -114,7 +114,7 @@
     pub(crate) retries: u32,
     pub(crate) queue: u32,
     pub(crate) objective: Share,
-    pub(crate) calls: Vec<Call>,
+    pub(crate) calls: Vec<CallPattern>,
     /// Other teams whose accounts may use the class.
     pub(crate) teams: Vec<String>,
 }
--- a/crates/config/src/explain.rs
+++ b/crates/config/src/explain.rs
@@ -19,21 +19,21 @@
 
 /// Why a request is in its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum ClassReason {
     /// The first class that the account lists on the service.
     Default,
     /// The service's owner binds the call to the class.
     BoundCall,
     /// The caller asked for it.
-    Wanted,
+    Requested,
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for ClassReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Reason::Default => "the first class that the account lists on this service",
-            Reason::BoundCall => "the service binds this call to it",
-            Reason::Wanted => "the caller asked for it by x-class",
+            ClassReason::Default => "the first class that the account lists on this service",
+            ClassReason::BoundCall => "the service binds this call to it",
+            ClassReason::Requested => "the caller asked for it by x-class",
         })
     }
 }
@@ -63,7 +63,7 @@
     /// The class's full name.
     pub class: String,
     /// Why the request is in that class.
-    pub reason: Reason,
+    pub reason: ClassReason,
     /// The class's tier.
     pub priority: Priority,
     /// The class's targets.
@@ -110,9 +110,9 @@
     resolved: &Resolved,
     unasked: &Resolved,
     target: Target<'_>,
-) -> Reason {
+) -> ClassReason {
     if resolved.class != unasked.class {
-        return Reason::Wanted;
+        return ClassReason::Requested;
     }
     let account = &catalog.accounts[resolved.account];
     let classes = account.classes.iter().copied();
@@ -120,13 +120,13 @@
     let default = on_service.next();
     let bound = matches!(target, Target::Path { .. }) && default != Some(resolved.class);
     if bound {
-        Reason::BoundCall
+        ClassReason::BoundCall
     } else {
-        Reason::Default
+        ClassReason::Default
     }
 }
 
-fn describe(catalog: &Catalog, resolved: &Resolved, reason: Reason) -> Explanation {
+fn describe(catalog: &Catalog, resolved: &Resolved, reason: ClassReason) -> Explanation {
     let account = &catalog.accounts[resolved.account];
     let class: &Class = &catalog.classes[resolved.class];
     let service = &catalog.services[resolved.service];
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,6 +1,6 @@
 //! The shared configuration text and an instance's local settings.
 //!
-//! Each team writes its own part of the shared text. [`Text`] splits the text into parts, parses
+//! Each team writes its own part of the shared text. [`ConfigText`] splits the text into parts, parses
 //! each by itself and decides from the part alone whether it is accepted. [`Catalog`] holds
 //! everything that the accepted parts declare, and [`resolve`] says what a request
 //! belongs to. [`Settings`] are the second, local text: addresses, availability zone, bounds.
@@ -33,15 +33,14 @@
 pub use digest::Credential;
 pub use digest::KeyDigest;
 pub use explain::Candidate;
+pub use explain::ClassReason;
 pub use explain::Explanation;
-pub use explain::Reason;
 pub use explain::explain;
 pub use finding::Finding;
 pub use finding::Severity;
 pub use model::Account;
-pub use model::Call;
+pub use model::CallPattern;
 pub use model::Class;
-pub use model::Kind;
 pub use model::Limits;
 pub use model::Model;
 pub use model::Priority;
@@ -49,6 +48,7 @@
 pub use model::Role;
 pub use model::Server;
 pub use model::Service;
+pub use model::ServiceKind;
 pub use model::Share;
 pub use model::Targets;
 pub use part::InForce;
@@ -63,4 +63,4 @@
 pub use settings::CallerLimits;
 pub use settings::Secret;
 pub use settings::Settings;
-pub use text::Text;
+pub use text::ConfigText;
--- a/crates/config/src/link.rs
+++ b/crates/config/src/link.rs
@@ -20,7 +20,7 @@
 use crate::model::team_name;
 use crate::targets::late_dependency;
 use crate::targets::target_key;
-use crate::text::Text;
+use crate::text::ConfigText;
 
 /// What the accepted editions declare together, by full name.
 #[derive(Default)]
@@ -51,7 +51,7 @@
 }
 
 /// Links the editions that are in force.
-pub(crate) fn link(text: &Text) -> Linked<'_> {
+pub(crate) fn link(text: &ConfigText) -> Linked<'_> {
     let mut linked = Linked {
         declared: text.parts().map(|part| part.declared()).collect(),
         ..Linked::default()
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -95,7 +95,7 @@
 
 /// What a service's servers are.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum ServiceKind {
     /// Engines that serve language models.
     Model,
     /// A plain service that takes any call under a path prefix.
@@ -105,12 +105,12 @@
     },
 }
 
-impl Kind {
+impl ServiceKind {
     /// The word that the text uses.
     pub fn as_str(&self) -> &'static str {
         match self {
-            Kind::Model => "model",
-            Kind::Plain { .. } => "plain",
+            ServiceKind::Model => "model",
+            ServiceKind::Plain { .. } => "plain",
         }
     }
 }
@@ -132,7 +132,7 @@
     /// The full name, `TEAM/NAME`.
     pub name: String,
     /// Engines or a plain service.
-    pub kind: Kind,
+    pub kind: ServiceKind,
     /// The services that this one calls in turn.
     pub depends: Vec<ServiceKey>,
     /// Its servers, ordered by name.
@@ -166,14 +166,14 @@
 
 /// One method and path pattern that a class binds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Call {
+pub struct CallPattern {
     /// The HTTP method, in capitals.
     pub method: String,
     /// The path's segments; `*` stands for any one segment.
     pub segments: Vec<String>,
 }
 
-impl fmt::Display for Call {
+impl fmt::Display for CallPattern {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} /{}", self.method, self.segments.join("/"))
     }
@@ -201,7 +201,7 @@
     /// The share of requests that is to meet the targets.
     pub objective: Share,
     /// The calls of a plain service that always belong to this class.
-    pub calls: Vec<Call>,
+    pub calls: Vec<CallPattern>,
 }
 
 impl Class {
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -25,9 +25,9 @@
 use crate::fields::Fields;
 use crate::finding::Findings;
 use crate::finding::Severity;
-use crate::model::Kind;
 use crate::model::Limits;
 use crate::model::Priority;
+use crate::model::ServiceKind;
 use crate::model::Share;
 use crate::source::Section;
 use crate::units;
@@ -156,13 +156,13 @@
         let concurrency = take_concurrency(&mut fields);
         let orders = fields.take("checks-orders", units::flag);
         let role = fields.take("role", units::role);
-        if loads.is_some() && matches!(kind, Some(Kind::Plain { .. })) {
+        if loads.is_some() && matches!(kind, Some(ServiceKind::Plain { .. })) {
             fields.reject(
                 "weight-loads",
                 "a plain service loads no weights; leave it out",
             );
         }
-        if role.is_some() && matches!(kind, Some(Kind::Plain { .. })) {
+        if role.is_some() && matches!(kind, Some(ServiceKind::Plain { .. })) {
             fields.reject("role", "a plain service has no roles; leave it out");
         }
         fields.finish();
@@ -175,7 +175,7 @@
         self.declared.services.push(ServiceDecl {
             place: Place::new(team, section),
             name,
-            kind: kind.unwrap_or(Kind::Model),
+            kind: kind.unwrap_or(ServiceKind::Model),
             depends: depends.unwrap_or_default(),
             grants: grants.unwrap_or_default(),
             weight_loads: loads.unwrap_or_default(),
--- a/crates/config/src/read/values.rs
+++ b/crates/config/src/read/values.rs
@@ -4,7 +4,7 @@
 
 use crate::decl::Grant;
 use crate::fields::Fields;
-use crate::model::Kind;
+use crate::model::ServiceKind;
 use crate::model::Targets;
 use crate::units;
 use crate::units::ValueError;
@@ -18,7 +18,7 @@
 }
 
 /// Reads the kind of a service and the prefix that goes with it.
-pub(super) fn read_kind(fields: &mut Fields<'_>) -> Option<Kind> {
+pub(super) fn read_kind(fields: &mut Fields<'_>) -> Option<ServiceKind> {
     let kind = fields.require("kind", "model", |v| Ok(v.to_owned()))?;
     let prefix = fields.take("prefix", units::prefix);
     match kind.as_str() {
@@ -26,13 +26,13 @@
             if fields.has("prefix") {
                 fields.reject("prefix", "a model service has no prefix; leave it out");
             }
-            Some(Kind::Model)
+            Some(ServiceKind::Model)
         }
         "plain" => {
             if !fields.has("prefix") {
                 fields.reject("prefix", "the key is missing; write prefix = /PATH");
             }
-            Some(Kind::Plain { prefix: prefix? })
+            Some(ServiceKind::Plain { prefix: prefix? })
         }
         _ => {
             fields.reject("kind", "the kind is unknown; write model or plain");
--- a/crates/config/src/resolve.rs
+++ b/crates/config/src/resolve.rs
@@ -9,10 +9,10 @@
 use crate::catalog::Catalog;
 use crate::digest::Credential;
 use crate::model::Account;
-use crate::model::Call;
+use crate::model::CallPattern;
 use crate::model::Class;
-use crate::model::Kind;
 use crate::model::Resolved;
+use crate::model::ServiceKind;
 
 /// What a request asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -184,7 +184,7 @@
         let mut best: Option<(usize, ServiceKey)> = None;
         for &key in &self.record.classes {
             let service = self.class(key).service;
-            let Kind::Plain { prefix } = &self.catalog.services[service].kind else {
+            let ServiceKind::Plain { prefix } = &self.catalog.services[service].kind else {
                 continue;
             };
             let longer = best.is_none_or(|(len, _)| prefix.len() > len);
@@ -242,14 +242,14 @@
     path.split('/').filter(|segment| !segment.is_empty())
 }
 
-fn matches_call(call: &Call, method: &str, segments: &[&str]) -> bool {
+fn matches_call(call: &CallPattern, method: &str, segments: &[&str]) -> bool {
     let same = |(pattern, segment): (&String, &&str)| pattern == "*" || pattern == segment;
     call.method == method
         && call.segments.len() == segments.len()
         && call.segments.iter().zip(segments).all(same)
 }
 
-fn wildcards(call: &Call) -> usize {
+fn wildcards(call: &CallPattern) -> usize {
     call.segments.iter().filter(|s| *s == "*").count()
 }
 
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -67,9 +67,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
     /// The most bytes of a request's head.
-    pub head: u64,
+    pub head_bytes: u64,
     /// The most bytes of a request's body.
-    pub body: u64,
+    pub body_bytes: u64,
     /// The longest wait for a request's head.
     pub head_timeout: Millis,
     /// The longest wait for the whole body of a request.
@@ -77,27 +77,27 @@
     /// The longest wait for a caller that reads nothing of its answer.
     pub write_timeout: Millis,
     /// How long a connection between two requests is kept.
-    pub idle: Millis,
+    pub idle_timeout: Millis,
     /// Connections in all.
     pub connections: u32,
     /// Connections of one account.
-    pub per_account: u32,
+    pub connections_per_account: u32,
     /// Requests of one account that may wait in the queue of a service.
-    pub queued: u32,
+    pub queued_per_account: u32,
 }
 
 impl Default for CallerLimits {
     fn default() -> CallerLimits {
         CallerLimits {
-            head: MAX_HEAD,
-            body: 4 * MIB,
+            head_bytes: MAX_HEAD,
+            body_bytes: 4 * MIB,
             head_timeout: Millis::from_secs(10),
             body_timeout: Millis::from_secs(15),
             write_timeout: Millis::from_secs(15),
-            idle: Millis::from_secs(60),
+            idle_timeout: Millis::from_secs(60),
             connections: 4096,
-            per_account: 1024,
-            queued: 1024,
+            connections_per_account: 1024,
+            queued_per_account: 1024,
         }
     }
 }
@@ -257,7 +257,7 @@
 
     /// A request with the longest body fits into the memory of all: it is held twice while it is sent.
     fn check_memory(&self, sections: &[Section], findings: &mut Findings) {
-        if self.memory < MIN_MEMORY || self.limits.body <= self.memory / 4 {
+        if self.memory < MIN_MEMORY || self.limits.body_bytes <= self.memory / 4 {
             return;
         }
         let message = "a longest body doesn't fit into memory, where it is held twice; \
@@ -301,16 +301,16 @@
 
 impl CallerLimits {
     fn read(&mut self, fields: &mut Fields<'_>) {
-        set(&mut self.head, fields.take("head", units::size));
-        if self.head > MAX_HEAD {
+        set(&mut self.head_bytes, fields.take("head", units::size));
+        if self.head_bytes > MAX_HEAD {
             fields.reject("head", "no longer head can be read; write at most 8 KB");
         }
-        set(&mut self.body, fields.take("body", units::size));
+        set(&mut self.body_bytes, fields.take("body", units::size));
         let timeouts = [
             ("head-timeout", &mut self.head_timeout),
             ("body-timeout", &mut self.body_timeout),
             ("write-timeout", &mut self.write_timeout),
-            ("idle", &mut self.idle),
+            ("idle", &mut self.idle_timeout),
         ];
         for (key, slot) in timeouts {
             set(slot, fields.take(key, units::duration));
@@ -318,11 +318,14 @@
         let count = |v: &str| -> Result<u32, ValueError> { units::count(v, 1, 1_000_000) };
         set(&mut self.connections, fields.take("connections", count));
         set(
-            &mut self.per_account,
+            &mut self.connections_per_account,
             fields.take("connections-per-account", count),
         );
-        set(&mut self.queued, fields.take("queued-per-account", count));
-        if self.per_account > self.connections {
+        set(
+            &mut self.queued_per_account,
+            fields.take("queued-per-account", count),
+        );
+        if self.connections_per_account > self.connections {
             let message = "one account may hold more connections than there are in all; \
                            write at most the value of connections";
             fields.reject("connections-per-account", message);
--- a/crates/config/src/text.rs
+++ b/crates/config/src/text.rs
@@ -14,7 +14,7 @@
 /// Parts are held by team name, so that the order in which they are written or fetched changes
 /// nothing.
 #[derive(Clone, Debug, Default)]
-pub struct Text {
+pub struct ConfigText {
     parts: BTreeMap<String, Part>,
     stray: Vec<Finding>,
 }
@@ -26,10 +26,10 @@
     text: &'a str,
 }
 
-impl Text {
+impl ConfigText {
     /// Splits a whole text at its `[team NAME]` lines and parses each part by itself.
-    pub fn parse(text: &str) -> Text {
-        let mut whole = Text::default();
+    pub fn parse(text: &str) -> ConfigText {
+        let mut whole = ConfigText::default();
         let (stray, slices) = split(text);
         whole.add_stray(stray);
         for slice in slices {
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -9,7 +9,7 @@
 use crocushold_base::Millis;
 
 use crate::digest::KeyDigest;
-use crate::model::Call;
+use crate::model::CallPattern;
 use crate::model::Priority;
 use crate::model::Role;
 use crate::model::Share;
@@ -217,7 +217,7 @@
 }
 
 /// A method and a path pattern.
-pub(crate) fn call(value: &str) -> Result<Call, ValueError> {
+pub(crate) fn call(value: &str) -> Result<CallPattern, ValueError> {
     let fail = || ValueError::Call(value.to_owned());
     let (method, path) = value.split_once(' ').ok_or_else(fail)?;
     let rest = path.trim_start().strip_prefix('/').ok_or_else(fail)?;
@@ -226,7 +226,7 @@
     if !known || !segments.iter().all(|s| *s == "*" || is_segment(s)) {
         return Err(fail());
     }
-    Ok(Call {
+    Ok(CallPattern {
         method: method.to_owned(),
         segments: segments.into_iter().map(str::to_owned).collect(),
     })
--- a/crates/config/tests/acceptance.rs
+++ b/crates/config/tests/acceptance.rs
@@ -4,11 +4,11 @@
 #![allow(clippy::unwrap_used)]
 
 use crocushold_config::Catalog;
+use crocushold_config::ConfigText;
 use crocushold_config::Credential;
 use crocushold_config::InForce;
 use crocushold_config::Share;
 use crocushold_config::Target;
-use crocushold_config::Text;
 use crocushold_config::resolve;
 use crocushold_config::with_previous;
 use proptest::prelude::ProptestConfig;
@@ -53,7 +53,7 @@
 fn rejected_edition_falls_to_the_previous_one_everywhere() {
     let good = with_class("extra", "2");
     let bad = with_class("other", "9");
-    let mut running = Text::parse(&good);
+    let mut running = ConfigText::parse(&good);
     let mut catalog = Catalog::new(&running);
     let key = catalog.class("clara/extra").unwrap();
 
@@ -63,14 +63,14 @@
     assert!(changes.is_empty(), "{changes:?}");
     assert_eq!(catalog.class("clara/extra"), Some(key));
 
-    let fresh = Text::parse(&published);
+    let fresh = ConfigText::parse(&published);
     assert_eq!(fresh.part("clara").unwrap().in_force(), InForce::Previous);
     assert_eq!(names(&Catalog::new(&fresh)), names(&catalog));
 }
 
 #[test]
 fn rejected_edition_without_a_previous_one_leaves_nothing_everywhere() {
-    let mut running = Text::parse(BOOKING);
+    let mut running = ConfigText::parse(BOOKING);
     let mut catalog = Catalog::new(&running);
     running.set_part("clara", &with_class("other", "9"));
     catalog.apply(&running);
@@ -83,7 +83,7 @@
     let first = with_class("first", "2");
     let broken = with_previous("clara", &with_class("second", "9"), &first).unwrap();
     let third = with_previous("clara", &with_class("third", "9"), &broken).unwrap();
-    let catalog = Catalog::new(&Text::parse(&third));
+    let catalog = Catalog::new(&ConfigText::parse(&third));
     assert!(catalog.class("clara/first").is_some());
     assert!(with_previous("clara", BOOKING, &with_class("second", "9")).is_err());
 }
@@ -91,7 +91,7 @@
 #[test]
 fn previous_edition_changes_nothing_while_the_current_one_is_accepted() {
     let both = with_previous("clara", &with_class("new", "3"), &with_class("old", "3")).unwrap();
-    let catalog = Catalog::new(&Text::parse(&both));
+    let catalog = Catalog::new(&ConfigText::parse(&both));
     assert!(catalog.class("clara/new").is_some());
     assert!(catalog.class("clara/old").is_none());
 }
@@ -100,13 +100,13 @@
 fn edition_of_a_later_format_is_rejected_unread() {
     let later = BOOKING.replacen("format = 1", "format = 2\nnew-key = x", 1);
     let later = format!("{later}[quota night]\nshare = 5 %\n");
-    let text = Text::parse(&later);
+    let text = ConfigText::parse(&later);
     let findings = text.findings();
     assert_eq!(findings.len(), 1, "{findings:#?}");
     assert_eq!(findings[0].key, "format");
     let both = with_previous("clara", &later, BOOKING).unwrap();
     assert_eq!(
-        Text::parse(&both).part("clara").unwrap().in_force(),
+        ConfigText::parse(&both).part("clara").unwrap().in_force(),
         InForce::Previous
     );
 }
@@ -127,7 +127,7 @@
         if !lines[at].starts_with("[team") {
             lines[at] = garbage;
         }
-        let mut text = Text::parse(&format!("{BOOKING}{RECEIPTS}"));
+        let mut text = ConfigText::parse(&format!("{BOOKING}{RECEIPTS}"));
         let before = names(&Catalog::new(&text));
         text.set_part("platforma", &lines.join("\n"));
         let after = names(&Catalog::new(&text));
@@ -148,8 +148,8 @@
             .map(|part| format!("[team {part}"))
             .collect();
         parts.rotate_left(first);
-        let rotated = Text::parse(&parts.concat());
-        let straight = Text::parse(&whole);
+        let rotated = ConfigText::parse(&parts.concat());
+        let straight = ConfigText::parse(&whole);
         prop_assert_eq!(
             names(&Catalog::new(&rotated)),
             names(&Catalog::new(&straight))
@@ -179,7 +179,7 @@
 }
 
 fn account(text: &str, key: &str) -> Option<String> {
-    let catalog = Catalog::new(&Text::parse(text));
+    let catalog = Catalog::new(&ConfigText::parse(text));
     let resolved = resolve(&catalog, &Credential::of(key), Target::Model("m"), None).ok()?;
     Some(catalog.accounts[resolved.account].name.clone())
 }
@@ -203,7 +203,7 @@
     let (a, b) = (small_team("a", &digest), small_team("bb", &digest));
     assert_eq!(account(&format!("{a}{b}"), key).unwrap(), "a/a");
     assert_eq!(account(&format!("{b}{a}"), key).unwrap(), "a/a");
-    let findings = Text::parse(&format!("{a}{b}")).findings();
+    let findings = ConfigText::parse(&format!("{a}{b}")).findings();
     let teams: Vec<&str> = findings.iter().map(|f| f.team.as_str()).collect();
     assert_eq!(teams, ["a", "bb"]);
 }
@@ -211,7 +211,7 @@
 #[test]
 fn team_with_two_parts_has_neither_in_force() {
     let text = small_team("a", &Credential::of("k").digest.to_string());
-    let text = Text::parse(&format!("{text}{text}"));
+    let text = ConfigText::parse(&format!("{text}{text}"));
     assert_eq!(text.part("a").unwrap().in_force(), InForce::Nothing);
     assert_eq!(
         text.findings()
@@ -227,7 +227,7 @@
 #[test]
 fn floors_above_the_grant_are_cut_for_that_team_alone() {
     let greedy = RECEIPTS.replace("floor = 5 %", "floor = 15 %");
-    let text = Text::parse(&greedy);
+    let text = ConfigText::parse(&greedy);
     let catalog = Catalog::new(&text);
     let floor = |name| catalog.classes[catalog.class(name).unwrap()].floor;
     assert_eq!(floor("jih/harvest"), Share(500));
@@ -243,7 +243,7 @@
 #[test]
 fn service_is_used_by_no_team_that_it_is_not_shared_with() {
     let text = RECEIPTS.replace(", jih 5 %", "");
-    let text = Text::parse(&text);
+    let text = ConfigText::parse(&text);
     let catalog = Catalog::new(&text);
     assert_eq!(catalog.class("jih/harvest"), None);
     let account = catalog.account("jih/app").unwrap();
--- a/crates/config/tests/apply.rs
+++ b/crates/config/tests/apply.rs
@@ -5,17 +5,17 @@
 
 use crocushold_config::Catalog;
 use crocushold_config::Changes;
+use crocushold_config::ClassReason;
+use crocushold_config::ConfigText;
 use crocushold_config::Credential;
 use crocushold_config::Priority;
-use crocushold_config::Reason;
 use crocushold_config::Target;
-use crocushold_config::Text;
 use crocushold_config::explain;
 
 const BOOKING: &str = include_str!("data/booking.ini");
 
 fn change(from: &str, to: &str) -> (Catalog, Catalog, Changes) {
-    let mut text = Text::parse(BOOKING);
+    let mut text = ConfigText::parse(BOOKING);
     let before = Catalog::new(&text);
     let mut after = before.clone();
     assert!(BOOKING.contains(from));
@@ -26,7 +26,7 @@
 
 #[test]
 fn same_text_changes_nothing() {
-    let text = Text::parse(BOOKING);
+    let text = ConfigText::parse(BOOKING);
     let mut catalog = Catalog::new(&text);
     assert!(catalog.apply(&text).is_empty());
 }
@@ -68,7 +68,7 @@
 
 #[test]
 fn removed_part_leaves_nothing() {
-    let mut text = Text::parse(BOOKING);
+    let mut text = ConfigText::parse(BOOKING);
     let mut catalog = Catalog::new(&text);
     text.remove_part("clara");
     let changes = catalog.apply(&text);
@@ -82,24 +82,24 @@
 
 #[test]
 fn explanation_names_what_decided() {
-    let catalog = Catalog::new(&Text::parse(BOOKING));
+    let catalog = Catalog::new(&ConfigText::parse(BOOKING));
     let credential = Credential::of("clara.example-parents-key");
     let ask = |target, wanted| explain(&catalog, &credential, target, wanted).unwrap();
     let model = Target::Model("clara-8b");
     let chat = ask(model, None);
     assert_eq!(
         (chat.class.as_str(), chat.reason),
-        ("clara/chat", Reason::Default)
+        ("clara/chat", ClassReason::Default)
     );
     assert_eq!(chat.servers.len(), 4);
     assert_eq!(chat.servers[3].concurrency, 8);
     assert!(!chat.servers[3].checks_orders);
-    assert_eq!(ask(model, Some("drafts")).reason, Reason::Wanted);
+    assert_eq!(ask(model, Some("drafts")).reason, ClassReason::Requested);
     let confirm = Target::Path {
         method: "POST",
         path: "/booking/confirmations",
     };
-    assert_eq!(ask(confirm, None).reason, Reason::BoundCall);
+    assert_eq!(ask(confirm, None).reason, ClassReason::BoundCall);
     let lines = ask(confirm, None).to_string();
     assert!(lines.contains("idempotent: no, 0 retries"), "{lines}");
 }
--- a/crates/config/tests/examples.rs
+++ b/crates/config/tests/examples.rs
@@ -7,12 +7,12 @@
 use std::path::PathBuf;
 
 use crocushold_config::Catalog;
+use crocushold_config::ConfigText;
 use crocushold_config::Credential;
 use crocushold_config::Refusal;
 use crocushold_config::Resolved;
 use crocushold_config::Settings;
 use crocushold_config::Target;
-use crocushold_config::Text;
 use crocushold_config::resolve;
 use test_case::test_case;
 
@@ -22,13 +22,13 @@
 }
 
 fn catalog(name: &str) -> Catalog {
-    Catalog::new(&Text::parse(&file(name)))
+    Catalog::new(&ConfigText::parse(&file(name)))
 }
 
 #[test_case("tests/data/booking.ini")]
 #[test_case("tests/data/receipts.ini")]
 fn example_has_no_findings(name: &str) {
-    assert_eq!(Text::parse(&file(name)).findings(), []);
+    assert_eq!(ConfigText::parse(&file(name)).findings(), []);
 }
 
 /// The reference page shows the very files that are tested, and settings that are tested here.
@@ -126,7 +126,7 @@
 fn caller_never_raises_its_class() {
     let text =
         file("tests/data/booking.ini").replace("classes = chat, drafts", "classes = drafts, chat");
-    let catalog = Catalog::new(&Text::parse(&text));
+    let catalog = Catalog::new(&ConfigText::parse(&text));
     let ask = |wanted| {
         resolve(
             &catalog,
--- a/crates/config/tests/findings.rs
+++ b/crates/config/tests/findings.rs
@@ -4,10 +4,10 @@
 #![allow(clippy::unwrap_used)]
 
 use crocushold_config::Catalog;
+use crocushold_config::ConfigText;
 use crocushold_config::Finding;
 use crocushold_config::InForce;
 use crocushold_config::Severity;
-use crocushold_config::Text;
 use proptest::prop_assert;
 use proptest::prop_assert_eq;
 use proptest::proptest;
@@ -55,7 +55,7 @@
 ";
 
 fn findings(text: &str) -> Vec<Finding> {
-    Text::parse(text).findings()
+    ConfigText::parse(text).findings()
 }
 
 fn spoil(line: usize, by: &str) -> String {
@@ -106,7 +106,7 @@
 #[test_case(37, "concurrency = 0", "from 1 to"; "count out of range")]
 #[test_case(37, "concurrency = 4\n[account app]", "already on line 32"; "duplicate section")]
 fn mistake_is_found_and_rejects_the_edition(line: usize, by: &str, message: &str) {
-    let text = Text::parse(&spoil(line, by));
+    let text = ConfigText::parse(&spoil(line, by));
     let found = text.findings();
     let hits: Vec<&Finding> = found
         .iter()
@@ -172,7 +172,7 @@
 
 #[test]
 fn role_that_nobody_may_order_is_a_warning() {
-    let text = Text::parse(&spoil(9, "zone = z1\nrole = both"));
+    let text = ConfigText::parse(&spoil(9, "zone = z1\nrole = both"));
     let found = text.findings();
     assert_eq!(found.len(), 1, "{found:#?}");
     assert!(found[0].message.contains("write weight-loads = 6/min"));
@@ -185,7 +185,7 @@
         "[server fleet/one]\naddress = 10.0.0.1:8000\nzone = z1\n",
         "",
     );
-    let text = Text::parse(&text);
+    let text = ConfigText::parse(&text);
     let found = text.findings();
     assert_eq!(found.len(), 1, "{found:#?}");
     assert!(found[0].message.contains("the class has no server"));
@@ -253,7 +253,7 @@
 
 #[test]
 fn part_above_the_size_bound_is_rejected() {
-    let text = Text::parse(&format!("{SOUND}#{}\n", "x".repeat(1 << 20)));
+    let text = ConfigText::parse(&format!("{SOUND}#{}\n", "x".repeat(1 << 20)));
     assert_eq!(text.part("a").unwrap().in_force(), InForce::Nothing);
     assert!(text.findings()[0].message.contains("shorten it to 1048576"));
 }
@@ -274,7 +274,7 @@
 #[test]
 fn cycle_between_teams_is_a_warning_on_both() {
     let first = spoil(5, "depends-on = desk, b/index");
-    let text = Text::parse(&format!("{first}\n{OTHER}"));
+    let text = ConfigText::parse(&format!("{first}\n{OTHER}"));
     let found = text.findings();
     let places: Vec<(&str, Severity)> = found
         .iter()
@@ -295,7 +295,7 @@
 #[test_case(OTHER, "[server", "[class c]\nservice = a/desk\npriority = 1\nwhole-answer = 1 s\n\
             idempotent = yes\n[server", "a/desk is not shared with b"; "service not shared")]
 fn mistake_between_teams_is_a_warning(other: &str, from: &str, to: &str, message: &str) {
-    let text = Text::parse(&format!("{SOUND}{}", other.replace(from, to)));
+    let text = ConfigText::parse(&format!("{SOUND}{}", other.replace(from, to)));
     let found = text.findings();
     assert_eq!(found.len(), 1, "{found:#?}");
     assert!(found[0].message.contains(message), "{found:#?}");
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -29,8 +29,8 @@
     let defaults = Settings::default();
     assert_eq!(settings.drain, Millis::from_secs(90));
     assert_eq!(settings.platform.len(), 2);
-    assert_eq!(settings.limits.body, 1 << 20);
-    assert_eq!(settings.limits.head, defaults.limits.head);
+    assert_eq!(settings.limits.body_bytes, 1 << 20);
+    assert_eq!(settings.limits.head_bytes, defaults.limits.head_bytes);
     assert_eq!(settings.memory, defaults.memory);
     assert_eq!(settings.senders, 8);
 }
@@ -42,7 +42,10 @@
     let keys = "connections-per-account = 7\nqueued-per-account = 5";
     let settings = Settings::parse(&SOUND.replace("body = 1 MiB", keys)).unwrap();
     assert_eq!(
-        (settings.limits.per_account, settings.limits.queued),
+        (
+            settings.limits.connections_per_account,
+            settings.limits.queued_per_account
+        ),
         (7, 5)
     );
 }
--- a/crates/entry/src/apply.rs
+++ b/crates/entry/src/apply.rs
@@ -9,9 +9,9 @@
 use async_std::future::timeout;
 use crocushold_base::Event;
 use crocushold_base::Millis;
+use crocushold_config::ConfigText;
 use crocushold_config::Finding;
 use crocushold_config::InForce;
-use crocushold_config::Text;
 use crocushold_peers::Notice;
 use crocushold_peers::PartHash;
 use crocushold_peers::PeerHandle;
@@ -59,7 +59,7 @@
 /// The parsed text, and which parts it was made of. Only a part whose hash changed is parsed again.
 #[derive(Default)]
 struct Applier {
-    text: Text,
+    text: ConfigText,
     hashes: BTreeMap<Arc<str>, PartHash>,
     revisions: BTreeMap<Arc<str>, u64>,
     /// Findings that were logged; those that stay aren't logged again with each team's change.
--- a/crates/entry/src/coordination/orders/shell.rs
+++ b/crates/entry/src/coordination/orders/shell.rs
@@ -13,8 +13,8 @@
 use crocushold_base::ServerKey;
 use crocushold_base::ServiceKey;
 use crocushold_config::Catalog;
-use crocushold_config::Kind;
 use crocushold_config::Service;
+use crocushold_config::ServiceKind;
 use crocushold_http::Client;
 use crocushold_metrics::status::LimitStatus;
 use crocushold_ownership::Member;
@@ -75,7 +75,8 @@
     pub(crate) fn configure(&self, catalog: &Catalog, revision: u64) {
         let now = self.clock.now();
         let mut desks = self.desks();
-        let ordered = |service: &Service| service.kind == Kind::Model && service.weight_loads > 0;
+        let ordered =
+            |service: &Service| service.kind == ServiceKind::Model && service.weight_loads > 0;
         desks.retain(|key, _| catalog.services.get(*key).is_some_and(ordered));
         for (key, service) in catalog.services.iter().filter(|(_, s)| ordered(s)) {
             let loads = service.weight_loads;
--- a/crates/entry/src/coordination/orders/tests.rs
+++ b/crates/entry/src/coordination/orders/tests.rs
@@ -3,7 +3,7 @@
 use crocushold_base::Millis;
 use crocushold_base::ServerKey;
 use crocushold_config::Catalog;
-use crocushold_config::Text;
+use crocushold_config::ConfigText;
 use crocushold_ownership::EngineId;
 use crocushold_ownership::Member;
 use crocushold_ownership::ModelId;
@@ -168,7 +168,7 @@
 }
 
 fn parse(text: &str) -> Catalog {
-    let mut parts = Text::default();
+    let mut parts = ConfigText::default();
     parts.set_part("team", text);
     let mut catalog = Catalog::default();
     catalog.apply(&parts);
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -164,11 +164,11 @@
         max_connections: limits.connections as usize,
         retry_after: Millis::from_secs(1),
         server: ServerLimits {
-            head_bytes: usize::try_from(limits.head).unwrap_or(usize::MAX),
-            body_bytes: limits.body,
+            head_bytes: usize::try_from(limits.head_bytes).unwrap_or(usize::MAX),
+            body_bytes: limits.body_bytes,
             head_timeout: limits.head_timeout,
             body_timeout: limits.body_timeout,
-            idle_timeout: limits.idle,
+            idle_timeout: limits.idle_timeout,
             write_timeout: limits.write_timeout,
             refuse: refuse_unread,
             ..ServerLimits::default()
--- a/crates/entry/src/intake.rs
+++ b/crates/entry/src/intake.rs
@@ -176,7 +176,7 @@
     pub(crate) async fn read(&self, request: &mut Request) -> Result<Job, Refusal> {
         let reservation = self.reserve(request)?;
         let limits = ServerLimits {
-            body_bytes: self.limits.body,
+            body_bytes: self.limits.body_bytes,
             body_timeout: self.limits.body_timeout,
             ..ServerLimits::default()
         };
@@ -282,8 +282,10 @@
 
     /// Reserves memory for the head and the body: its announced length, or the bound when it has none.
     fn reserve(&self, request: &Request) -> Result<Reservation, Refusal> {
-        let announced = request.len().map_or(self.limits.body, |len| len as u64);
-        let bytes = footprint(request, announced.min(self.limits.body));
+        let announced = request
+            .len()
+            .map_or(self.limits.body_bytes, |len| len as u64);
+        let bytes = footprint(request, announced.min(self.limits.body_bytes));
         self.memory.reserve(bytes).ok_or_else(|| {
             let text = "the instance has no memory left for the request";
             Refusal::not_run(Reason::Overloaded, text).retry_after(FULL_RETRY)
--- a/crates/entry/src/loads.rs
+++ b/crates/entry/src/loads.rs
@@ -12,7 +12,7 @@
 use crocushold_base::Clock;
 use crocushold_base::Millis;
 use crocushold_base::ServerKey;
-use crocushold_config::Kind;
+use crocushold_config::ServiceKind;
 use crocushold_platform::Fetch;
 use crocushold_platform::Get;
 use crocushold_platform::HttpFetch;
@@ -167,7 +167,7 @@
             key,
             address: server.address.to_string(),
             cause: causes[&key],
-            is_engine: world.catalog.services[server.service].kind == Kind::Model,
+            is_engine: world.catalog.services[server.service].kind == ServiceKind::Model,
             memory: memories.get(&key).copied().unwrap_or_default(),
         })
     });
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -11,8 +11,8 @@
 use crocushold_base::Clock;
 use crocushold_base::MemoryBudget;
 use crocushold_base::Millis;
+use crocushold_config::ConfigText;
 use crocushold_config::Settings;
-use crocushold_config::Text;
 use crocushold_http::Client;
 use crocushold_http::PoolLimits;
 use crocushold_metrics::InstanceInfo;
@@ -90,7 +90,7 @@
             metrics,
             coordinator: Coordinator::new(clock, me, claims, client),
             memory: MemoryBudget::new(settings.memory),
-            connections: Connections::new(settings.limits.per_account),
+            connections: Connections::new(settings.limits.connections_per_account),
             seed,
             builder,
             world: RwLock::new(Arc::new(World::default())),
@@ -128,7 +128,12 @@
     ///
     /// The peers' node gives revisions in order, and equal ones with more parts. An older one comes
     /// from a notice that was read late, and putting it in force would revert a change.
-    pub(crate) fn put_in_force(&self, text: &Text, revision: u64, parts: Vec<PartInfo>) -> bool {
+    pub(crate) fn put_in_force(
+        &self,
+        text: &ConfigText,
+        revision: u64,
+        parts: Vec<PartInfo>,
+    ) -> bool {
         let before = self.world();
         if revision < before.revision {
             return false;
--- a/crates/entry/src/world.rs
+++ b/crates/entry/src/world.rs
@@ -17,9 +17,9 @@
 use crocushold_base::ServiceKey;
 use crocushold_config::Catalog;
 use crocushold_config::Class;
+use crocushold_config::ConfigText;
 use crocushold_config::Service;
 use crocushold_config::Settings;
-use crocushold_config::Text;
 use crocushold_metrics::ClassMetrics;
 use crocushold_metrics::ClassSettings;
 use crocushold_metrics::Metrics;
@@ -150,7 +150,7 @@
             seed,
             metrics,
             queue_bytes: settings.memory / 2,
-            account_queue: settings.limits.queued,
+            account_queue: settings.limits.queued_per_account,
             senders: settings.senders as usize,
             fleet: Mutex::new(EntryFleet::default()),
         }
@@ -166,7 +166,7 @@
     }
 
     /// The world after `text`; pools of services that stay are carried over with their queues.
-    pub(crate) fn next(&self, before: &World, text: &Text, revision: u64) -> World {
+    pub(crate) fn next(&self, before: &World, text: &ConfigText, revision: u64) -> World {
         let mut catalog = before.catalog.clone();
         catalog.apply(text);
         let mut pools = HashMap::new();
--- a/crates/entry/src/world/tests.rs
+++ b/crates/entry/src/world/tests.rs
@@ -2,7 +2,7 @@
 
 use crocushold_base::Millis;
 use crocushold_config::Catalog;
-use crocushold_config::Text;
+use crocushold_config::ConfigText;
 use test_case::test_case;
 
 use super::class_spec;
@@ -42,7 +42,7 @@
 #[test_case("clara/whole", Millis(5_000), Millis(40_000) ; "a whole answer leaves time for its work")]
 fn the_latest_start(name: &str, target: Millis, patience: Millis) {
     let mut catalog = Catalog::default();
-    catalog.apply(&Text::parse(TEXT));
+    catalog.apply(&ConfigText::parse(TEXT));
     let mut classes = catalog.classes.iter();
     let (key, class) = classes.find(|(_, class)| class.name == name).unwrap();
     let spec = class_spec(key, class);
--- a/crates/measure/examples/config_cost.rs
+++ b/crates/measure/examples/config_cost.rs
@@ -15,8 +15,8 @@
 use std::time::Instant;
 
 use crocushold_config::Catalog;
+use crocushold_config::ConfigText;
 use crocushold_config::Credential;
-use crocushold_config::Text;
 use crocushold_measure::Outcome;
 
 /// Teams, accounts, servers.
@@ -64,7 +64,7 @@
         .collect();
     let bytes: usize = parts.iter().map(String::len).sum();
     let before = resident();
-    let mut text = Text::default();
+    let mut text = ConfigText::default();
     for (team, part) in parts.iter().enumerate() {
         text.set_part(&name(team), part);
     }
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -10,10 +10,10 @@
 use bpaf::positional;
 use crocushold_adapter::decode_config;
 use crocushold_adapter::read_settings;
+use crocushold_config::ConfigText;
 use crocushold_config::Finding;
 use crocushold_config::Settings;
 use crocushold_config::Severity;
-use crocushold_config::Text;
 use crocushold_gateway::findings;
 
 use super::print;
@@ -77,7 +77,7 @@
             .flat_map(|text| settings_findings(text))
             .collect()
     } else {
-        Text::parse(&texts.concat()).findings()
+        ConfigText::parse(&texts.concat()).findings()
     };
     let lines = findings.iter().map(|finding| format!("{finding}\n"));
     print::out(lines.collect::<String>());
--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -8,10 +8,10 @@
 use bpaf::long;
 use bpaf::positional;
 use crocushold_config::Catalog;
+use crocushold_config::ConfigText;
 use crocushold_config::Credential;
 use crocushold_config::KeyDigest;
 use crocushold_config::Target;
-use crocushold_config::Text;
 use crocushold_config::explain;
 
 use super::check;
@@ -101,7 +101,7 @@
             return ExitCode::from(UNREADABLE);
         }
     };
-    let catalog = Catalog::new(&Text::parse(&texts.concat()));
+    let catalog = Catalog::new(&ConfigText::parse(&texts.concat()));
     let credential = match &args.key {
         Key::Plain(key) => Credential::of(key),
         Key::Digest(digest) => Credential::from_digest(*digest),
