--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -97,9 +97,9 @@
 impl Follower {
     fn new(shared: &Shared) -> Follower {
         let settings = BackoffSettings {
-            first: BACKOFF_FIRST,
-            cap: BACKOFF_CAP,
-            retry_cap: RETRY_CAP,
+            initial_pause: BACKOFF_FIRST,
+            max_pause: BACKOFF_CAP,
+            max_retry_after: RETRY_CAP,
         };
         Follower {
             at: None,
@@ -120,7 +120,7 @@
         if at.era < held {
             return Err(SourceError::Failed("an answer of a former era".to_owned()));
         }
-        self.backoff.succeed();
+        self.backoff.reset();
         let now = shared.clock.now();
         if shared.directory().succeeded(now) {
             let event = Event::new("store-regained").with("revision", at.number);
@@ -162,8 +162,10 @@
                 self.backoff.retry_after(*asked, &mut self.jitter)
             }
             // Nothing can be served before the first list, so its return is looked for more often.
-            _ if shared.table().is_none() => self.backoff.fail(&mut self.jitter).min(START_PAUSE),
-            _ => self.backoff.fail(&mut self.jitter),
+            _ if shared.table().is_none() => {
+                self.backoff.next_pause(&mut self.jitter).min(START_PAUSE)
+            }
+            _ => self.backoff.next_pause(&mut self.jitter),
         };
         task::sleep(pause.into()).await;
     }
--- a/crates/platform/src/health.rs
+++ b/crates/platform/src/health.rs
@@ -62,7 +62,7 @@
 
     /// Puts the next call off, longer each time.
     fn back_off(&mut self, now: Millis) {
-        self.due = now + self.backoff.fail(&mut self.jitter);
+        self.due = now + self.backoff.next_pause(&mut self.jitter);
     }
 
     /// Counts an answered call; reports the end of an outage.
@@ -75,7 +75,7 @@
 
     /// Forgets past failures: the next call needn't wait.
     pub(crate) fn reset(&mut self) {
-        self.backoff.succeed();
+        self.backoff.reset();
         self.due = Millis::ZERO;
     }
 }
--- a/crates/platform/src/pace.rs
+++ b/crates/platform/src/pace.rs
@@ -35,19 +35,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffSettings {
     /// Longest pause after the first failure.
-    pub first: Millis,
+    pub initial_pause: Millis,
     /// Longest pause after many.
-    pub cap: Millis,
+    pub max_pause: Millis,
     /// Longest `Retry-After` that is honoured: a mistaken one must not silence a reader for ever.
-    pub retry_cap: Millis,
+    pub max_retry_after: Millis,
 }
 
 impl Default for BackoffSettings {
     fn default() -> BackoffSettings {
         BackoffSettings {
-            first: Millis(250),
-            cap: Millis::from_secs(4),
-            retry_cap: Millis::from_secs(60),
+            initial_pause: Millis(250),
+            max_pause: Millis::from_secs(4),
+            max_retry_after: Millis::from_secs(60),
         }
     }
 }
@@ -69,10 +69,10 @@
     }
 
     /// Counts a failure and returns the pause before the next call.
-    pub fn fail(&mut self, jitter: &mut Jitter) -> Millis {
+    pub fn next_pause(&mut self, jitter: &mut Jitter) -> Millis {
         let factor = 1u64.checked_shl(self.failures).unwrap_or(u64::MAX);
-        let longest = self.settings.first.0.saturating_mul(factor);
-        let longest = longest.min(self.settings.cap.0);
+        let longest = self.settings.initial_pause.0.saturating_mul(factor);
+        let longest = longest.min(self.settings.max_pause.0);
         self.failures = self.failures.saturating_add(1);
         let half = Millis(longest / 2);
         half + jitter.up_to(half)
@@ -80,12 +80,12 @@
 
     /// The pause that a `Retry-After` asks for, bounded, and never cut short by the jitter.
     pub fn retry_after(&self, asked: Millis, jitter: &mut Jitter) -> Millis {
-        let pause = asked.min(self.settings.retry_cap);
-        pause + jitter.up_to(self.settings.first)
+        let pause = asked.min(self.settings.max_retry_after);
+        pause + jitter.up_to(self.settings.initial_pause)
     }
 
     /// Forgets the failures.
-    pub fn succeed(&mut self) {
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 }
--- a/crates/platform/src/poller.rs
+++ b/crates/platform/src/poller.rs
@@ -30,7 +30,7 @@
     /// Deadline of a call.
     pub timeout: Millis,
     /// A wake later than this counts as late.
-    pub margin: Millis,
+    pub late_wake_threshold: Millis,
     /// Pauses after failures.
     pub backoff: BackoffSettings,
 }
@@ -41,9 +41,9 @@
             seed: 0,
             period: Millis::from_secs(1),
             timeout: Millis::from_secs(1),
-            margin: Millis::from_secs(1),
+            late_wake_threshold: Millis::from_secs(1),
             backoff: BackoffSettings {
-                cap: MAX_PAUSE,
+                max_pause: MAX_PAUSE,
                 ..BackoffSettings::default()
             },
         }
@@ -73,7 +73,7 @@
     pub fn new(settings: PollerSettings) -> InstancePoller {
         InstancePoller {
             health: Health::new(settings.backoff, settings.seed),
-            alarm: Alarm::new(settings.margin),
+            alarm: Alarm::new(settings.late_wake_threshold),
             outstanding: Outstanding::default(),
             next_start: Millis::ZERO,
             revision: None,
@@ -153,7 +153,7 @@
         if let Some(first) = list.misfits.first() {
             let count = list.misfits.len();
             let cause = first.cause.clone();
-            actions.push(report(Report::Misfits { count, cause }));
+            actions.push(report(Report::MalformedEntries { count, cause }));
         }
         actions.push(Action::Publish(Update::Instances(list)));
     }
--- a/crates/platform/src/report.rs
+++ b/crates/platform/src/report.rs
@@ -31,7 +31,7 @@
     /// The instance list is empty; the earlier one stays.
     EmptyList,
     /// Entries of the instance list could not be read and are left out.
-    Misfits {
+    MalformedEntries {
         /// How many.
         count: usize,
         /// What is wrong with the first.
@@ -53,7 +53,7 @@
                 write!(f, "older revision {offered} after {held}: not applied")
             }
             Report::EmptyList => f.write_str("empty instance list: not applied"),
-            Report::Misfits { count, cause } => {
+            Report::MalformedEntries { count, cause } => {
                 write!(f, "{count} unreadable instance entries, the first: {cause}")
             }
             Report::LateWake { late } => write!(f, "woke {late} late: reading again"),
--- a/crates/platform/src/wire.rs
+++ b/crates/platform/src/wire.rs
@@ -19,7 +19,7 @@
 pub use instances::InstanceList;
 pub use instances::InstanceRole;
 pub use instances::InstanceState;
-pub use instances::Misfit;
+pub use instances::MalformedEntry;
 pub use load::EngineRole;
 pub use load::LoadReport;
 pub use orders::Order;
--- a/crates/platform/src/wire/instances.rs
+++ b/crates/platform/src/wire/instances.rs
@@ -17,7 +17,7 @@
     pub instances: Vec<InstanceEntry>,
     /// The entries that could not.
     #[serde(skip)]
-    pub misfits: Vec<Misfit>,
+    pub misfits: Vec<MalformedEntry>,
 }
 
 /// One listed instance or backend server.
@@ -71,7 +71,7 @@
 
 /// An entry that can't be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Misfit {
+pub struct MalformedEntry {
     /// Its position in the list, from 0.
     pub index: usize,
     /// What is wrong with it.
@@ -103,7 +103,7 @@
         for (index, value) in raw.instances.into_iter().enumerate() {
             match serde_json::from_value(value) {
                 Ok(entry) => list.instances.push(entry),
-                Err(e) => list.misfits.push(Misfit {
+                Err(e) => list.misfits.push(MalformedEntry {
                     index,
                     cause: e.to_string(),
                 }),
--- a/crates/platform/tests/all/instances.rs
+++ b/crates/platform/tests/all/instances.rs
@@ -164,6 +164,6 @@
     assert_eq!(lists.last().expect("published").instances[0].id, "b");
     assert!(matches!(
         driver.reports()[..],
-        [Report::Misfits { count: 1, .. }]
+        [Report::MalformedEntries { count: 1, .. }]
     ));
 }
--- a/crates/platform/tests/all/pace.rs
+++ b/crates/platform/tests/all/pace.rs
@@ -12,7 +12,7 @@
         let mut jitter = Jitter::new(seed);
         let mut backoff = Backoff::new(settings);
         (0..80)
-            .map(|_| backoff.fail(&mut jitter))
+            .map(|_| backoff.next_pause(&mut jitter))
             .collect::<Vec<Millis>>()
     };
     let one = pauses(1);
