--- a/crates/platform/src/pace.rs
+++ b/crates/platform/src/backoff.rs
@@ -1,44 +1,44 @@
-//! How often the platform may be called.
+//! Exponential backoff with jitter.
 
 use std::hash::DefaultHasher;
 use std::hash::Hasher;
 
 use crocushold_base::Millis;
 
-/// Seeded random spans.
+/// A seeded generator of random durations.
 ///
-/// Instances that fail together would otherwise retry together; each has its own seed. A keyed hash
-/// of a counter is random enough for that, and repeatable in tests.
+/// Each instance has its own seed, since instances that fail together would otherwise retry together.
+/// A keyed hash of a counter is random enough for this and reproducible in tests.
 #[derive(Clone, Debug)]
 pub struct Jitter {
     seed: u64,
-    drawn: u64,
+    counter: u64,
 }
 
 impl Jitter {
-    /// A sequence for this seed.
+    /// Creates a generator with this seed.
     pub fn new(seed: u64) -> Jitter {
-        Jitter { seed, drawn: 0 }
+        Jitter { seed, counter: 0 }
     }
 
-    /// The next span, from zero to `bound`.
+    /// Returns the next duration, from zero to `bound` inclusive.
     pub fn up_to(&mut self, bound: Millis) -> Millis {
         let mut hasher = DefaultHasher::new();
         hasher.write_u64(self.seed);
-        hasher.write_u64(self.drawn);
-        self.drawn += 1;
+        hasher.write_u64(self.counter);
+        self.counter += 1;
         Millis(hasher.finish() % bound.0.saturating_add(1))
     }
 }
 
-/// Bounds of a [`Backoff`].
+/// Limits of a [`Backoff`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffSettings {
     /// Longest pause after the first failure.
     pub initial_pause: Millis,
-    /// Longest pause after many.
+    /// Longest pause after any number of failures.
     pub max_pause: Millis,
-    /// Longest `Retry-After` that is honoured: a mistaken one must not silence a reader for ever.
+    /// Longest `Retry-After` that is honoured, so that a wrong value can't stop a reader forever.
     pub max_retry_after: Millis,
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// Exponential pauses; half of each is random.
+/// Exponentially growing pauses. Half of each pause is random.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     settings: BackoffSettings,
@@ -60,7 +60,7 @@
 }
 
 impl Backoff {
-    /// No failure yet.
+    /// Creates a backoff without failures.
     pub fn new(settings: BackoffSettings) -> Backoff {
         Backoff {
             settings,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Counts a failure and returns the pause before the next call.
+    /// Records a failure and returns the pause before the next call.
     pub fn next_pause(&mut self, jitter: &mut Jitter) -> Millis {
         let factor = 1u64.checked_shl(self.failures).unwrap_or(u64::MAX);
         let longest = self.settings.initial_pause.0.saturating_mul(factor);
@@ -78,13 +78,14 @@
         half + jitter.up_to(half)
     }
 
-    /// The pause that a `Retry-After` asks for, bounded, and never cut short by the jitter.
+    /// Returns the pause for a `Retry-After` value. It is bounded by
+    /// [`BackoffSettings::max_retry_after`], and jitter only lengthens it.
     pub fn retry_after(&self, asked: Millis, jitter: &mut Jitter) -> Millis {
         let pause = asked.min(self.settings.max_retry_after);
         pause + jitter.up_to(self.settings.initial_pause)
     }
 
-    /// Forgets the failures.
+    /// Resets the failure count.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -1,4 +1,4 @@
-//! Messages between the state machines and their shell.
+//! Events and actions exchanged between a state machine and the shell that performs its I/O.
 
 use std::fmt;
 
@@ -9,20 +9,20 @@
 use crate::wire::InstanceList;
 use crate::wire::PartText;
 
-/// Identifies one call; never reused, so that the late answer of a cancelled call finds nothing.
+/// Identifies one call. Ids are never reused, so a late answer to a cancelled call matches no call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub(crate) u64);
 
-/// A call of the platform.
+/// A request to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
     /// Read the configuration index.
     Index,
-    /// Wait for the index to pass a revision.
+    /// Wait until the index has a newer revision.
     Watch {
-        /// The revision to pass.
+        /// The newest revision that the caller has.
         after: u64,
-        /// How long the service may hold the call.
+        /// How long the platform may hold the call open.
         wait: Millis,
     },
     /// Read one team's part.
@@ -34,32 +34,32 @@
     Instances,
 }
 
-/// A whole answer to a call.
+/// The complete answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// To [`Call::Index`] or [`Call::Watch`].
+    /// Answers [`Call::Index`] or [`Call::Watch`].
     Index(ConfigIndex),
-    /// To [`Call::Part`].
+    /// Answers [`Call::Part`].
     Part(PartText),
-    /// To [`Call::Instances`].
+    /// Answers [`Call::Instances`].
     Instances(InstanceList),
 }
 
-/// Why a call brought no answer.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection, or it broke.
+    /// The connection could not be opened, or it failed.
     Connection,
-    /// No answer by the deadline.
+    /// No answer arrived by the deadline.
     Timeout,
-    /// `429`: over the read budget.
+    /// Status 429: the read budget is exceeded.
     Throttled {
-        /// The wait that `Retry-After` asks for.
+        /// The delay given in `Retry-After`.
         retry_after: Option<Millis>,
     },
-    /// Another status than 200.
+    /// A status other than 200 and 429.
     Status(u16),
-    /// An answer that is too large or can't be read.
+    /// The answer is too large or can't be parsed.
     Malformed(String),
 }
 
@@ -75,10 +75,10 @@
     }
 }
 
-/// What happened.
+/// An input to a state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The time given by [`Machine::next_wake`] has come.
+    /// The time given by [`Machine::next_wake`] has been reached.
     Tick,
     /// A call was answered.
     Answered {
@@ -91,48 +91,48 @@
     Failed {
         /// The call.
         call: CallId,
-        /// Why.
+        /// Why it failed.
         failure: Failure,
     },
 }
 
-/// What the shell is to do.
+/// An operation that the shell performs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Make a call.
+    /// Starts a call.
     Start {
-        /// Names it in the event that ends it.
+        /// Identifies the call in the event that ends it.
         id: CallId,
         /// The call.
         call: Call,
     },
-    /// Drop a call and its connection.
+    /// Cancels a call and closes its connection.
     Cancel {
         /// The call.
         id: CallId,
     },
-    /// Hand news to the rest of the instance.
+    /// Passes an update to the rest of the instance.
     Publish(Update),
 }
 
-/// News for the rest of the instance.
+/// An update for the rest of the instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Update {
     /// A newer instance list.
     Instances(InstanceList),
-    /// The instance list was read again, and is the one published last.
+    /// The instance list was read again and has the revision published last.
     Unchanged,
-    /// A read of the instance list ended without a list that can be applied.
+    /// A read of the instance list failed, or returned a list that isn't applied.
     Unavailable,
-    /// Something that an operator may want to know.
+    /// A condition to report to operators.
     Report(Report),
 }
 
-/// A state machine that decides on calls.
+/// A state machine that schedules calls.
 pub trait Machine {
-    /// Takes an event at `now` and returns what to do, in order.
+    /// Handles an event at time `now` and returns the actions to perform, in order.
     fn step(&mut self, event: Event, now: Millis) -> Vec<Action>;
 
-    /// When to send [`Event::Tick`] if nothing else happens earlier.
+    /// When to send [`Event::Tick`] unless another event comes first.
     fn next_wake(&self) -> Millis;
 }
--- a/crates/platform/src/fetch.rs
+++ b/crates/platform/src/fetch.rs
@@ -1,4 +1,4 @@
-//! The one HTTP operation that reads need.
+//! The HTTP GET operation that all reads use.
 
 use std::future::Future;
 
@@ -7,65 +7,64 @@
 use futures::stream;
 use quick_error::quick_error;
 
-/// Status of an answer that carries what was asked for.
 const OK: u16 = 200;
-/// Most bytes of a document that [`fetch`] takes: a status page of 6,000 servers.
-const DOCUMENT_LIMIT: usize = 8 << 20;
+/// Largest document that [`fetch`] accepts, in bytes. Sized for a status page of 6,000 servers.
+const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 /// Deadline of [`fetch`].
 const DOCUMENT_TIMEOUT: Millis = Millis::from_secs(3);
-/// Documents that [`fetch_all`] reads at the same time.
-const PARALLEL: usize = 32;
+/// Number of documents that [`fetch_all`] reads concurrently.
+const MAX_CONCURRENT_READS: usize = 32;
 
 quick_error! {
-    /// Why a read brought no answer.
+    /// Why a read failed.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum FetchError {
-        /// No connection, or it broke before the answer was whole.
+        /// The connection could not be opened, or it failed before the answer was complete.
         Connection(cause: String) {
             display("connection failed: {cause}")
         }
-        /// No whole answer by the deadline.
+        /// The answer was not complete by the deadline.
         Timeout {
             display("timed out")
         }
-        /// The answer is larger than the reader takes.
+        /// The answer is larger than the reader's limit.
         TooLarge {
             display("answer too large")
         }
-        /// The answer isn't HTTP, or not UTF-8.
+        /// The answer isn't valid HTTP, or its body isn't UTF-8.
         Malformed(cause: String) {
             display("malformed answer: {cause}")
         }
-        /// Another status than 200.
+        /// A status other than 200.
         Status(status: u16) {
             display("status {status}")
         }
     }
 }
 
-/// A read.
+/// A GET request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Get {
-    /// Address, `IP:PORT`.
+    /// Server address, as `IP:PORT`.
     pub address: String,
     /// Path and query.
     pub path: String,
-    /// Deadline for the whole answer, from the start of the call.
+    /// Time limit for the complete answer, from the start of the call.
     pub timeout: Millis,
-    /// Most bytes of the body.
+    /// Largest accepted body, in bytes.
     pub limit: usize,
 }
 
 /// One header of a reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Name, in any case.
+    /// Name; compared without regard to case.
     pub name: String,
     /// Value.
     pub value: String,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reply {
     /// The status code.
@@ -77,29 +76,30 @@
 }
 
 impl Reply {
-    /// The first header of this name.
+    /// Returns the value of the first header with this name.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut headers = self.headers.iter();
         let header = headers.find(|h| h.name.eq_ignore_ascii_case(name));
         header.map(|h| h.value.as_str())
     }
 
-    /// The first header of this name, as a whole number.
+    /// Returns the value of the first header with this name as an integer; `None` if it is absent or
+    /// isn't one.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.header(name)
             .and_then(|value| value.trim().parse().ok())
     }
 }
 
-/// Makes reads; implemented over HTTP, and by fakes in tests.
+/// Performs GET requests. Implemented over HTTP, and by fakes in tests.
 pub trait Fetch {
-    /// Makes a read, whatever its status.
+    /// Performs a request and returns the reply whatever its status.
     ///
     /// Dropping the future closes the connection.
     ///
     /// # Errors
     ///
-    /// Any [`FetchError`] but [`FetchError::Status`].
+    /// Any [`FetchError`] except [`FetchError::Status`].
     fn get(&self, get: Get) -> impl Future<Output = Result<Reply, FetchError>> + Send;
 }
 
@@ -107,13 +107,13 @@
 ///
 /// # Errors
 ///
-/// Any [`FetchError`]; other statuses than 200 among them.
+/// Any [`FetchError`], including one for a status other than 200.
 pub async fn fetch(via: &impl Fetch, address: &str, path: &str) -> Result<String, FetchError> {
     let get = Get {
         address: address.to_owned(),
         path: path.to_owned(),
         timeout: DOCUMENT_TIMEOUT,
-        limit: DOCUMENT_LIMIT,
+        limit: MAX_DOCUMENT_BYTES,
     };
     let reply = via.get(get).await?;
     if reply.status != OK {
@@ -122,19 +122,19 @@
     Ok(reply.body)
 }
 
-/// What one of several addresses answered.
+/// The result of a read from one of several addresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Document {
     /// The address.
     pub address: String,
-    /// Its document, or why there is none.
+    /// The document, or why the read failed.
     pub text: Result<String, FetchError>,
 }
 
 /// Reads the same document from several instances, each with its own deadline.
 ///
-/// The result has one entry an address, in the order given: one that doesn't answer is never left
-/// out, and doesn't hold up the others.
+/// The result has one entry per address, in the given order. An address that doesn't answer is
+/// included with its error and doesn't delay the others.
 pub async fn fetch_all(via: &impl Fetch, addresses: &[String], path: &str) -> Vec<Document> {
     let reads = addresses.iter().map(|address| async move {
         Document {
@@ -142,5 +142,8 @@
             text: fetch(via, address, path).await,
         }
     });
-    stream::iter(reads).buffered(PARALLEL).collect().await
+    stream::iter(reads)
+        .buffered(MAX_CONCURRENT_READS)
+        .collect()
+        .await
 }
--- a/crates/platform/src/health.rs
+++ b/crates/platform/src/health.rs
@@ -1,23 +1,23 @@
-//! Whether the platform answers, and how long to leave it alone when it doesn't.
+//! Tracks whether the platform answers and when to retry after failures.
 
 use crocushold_base::Millis;
 
+use crate::backoff::Backoff;
+use crate::backoff::BackoffSettings;
+use crate::backoff::Jitter;
 use crate::call::Failure;
-use crate::pace::Backoff;
-use crate::pace::BackoffSettings;
-use crate::pace::Jitter;
 use crate::report::Report;
 
-/// Health of one reader's calls.
+/// The outcome of a reader's recent calls and the time of its next retry.
 #[derive(Clone, Debug)]
 pub(crate) struct Health {
     backoff: Backoff,
     jitter: Jitter,
-    /// Until when failed calls are left alone.
-    due: Millis,
-    /// Until when the service asked for no calls at all.
-    hold: Millis,
-    /// When calls began to fail.
+    /// End of the backoff after a failed call.
+    retry_at: Millis,
+    /// End of the delay given in `Retry-After`.
+    throttled_until: Millis,
+    /// Start of the current outage.
     failing_since: Option<Millis>,
 }
 
@@ -26,21 +26,21 @@
         Health {
             backoff: Backoff::new(settings),
             jitter: Jitter::new(seed),
-            due: Millis::ZERO,
-            hold: Millis::ZERO,
+            retry_at: Millis::ZERO,
+            throttled_until: Millis::ZERO,
             failing_since: None,
         }
     }
 
-    /// When the next call may be made.
+    /// Returns the earliest time of the next call.
     pub(crate) fn ready_at(&self) -> Millis {
-        self.due.max(self.hold)
+        self.retry_at.max(self.throttled_until)
     }
 
-    /// Counts a failed call; reports the first one of an outage.
-    pub(crate) fn fail(&mut self, failure: Failure, now: Millis) -> Option<Report> {
-        self.throttle(&failure, now);
-        self.back_off(now);
+    /// Records a failed call and returns a report if it is the first one of an outage.
+    pub(crate) fn record_failure(&mut self, failure: Failure, now: Millis) -> Option<Report> {
+        self.apply_retry_after(&failure, now);
+        self.schedule_retry(now);
         if self.failing_since.is_some() {
             return None;
         }
@@ -48,8 +48,8 @@
         Some(Report::Unreachable { failure })
     }
 
-    /// Notes how long the service wants to be left alone.
-    fn throttle(&mut self, failure: &Failure, now: Millis) {
+    /// Delays the next call by the `Retry-After` of a throttled one.
+    fn apply_retry_after(&mut self, failure: &Failure, now: Millis) {
         let Failure::Throttled {
             retry_after: Some(asked),
         } = failure
@@ -57,51 +57,51 @@
             return;
         };
         let pause = self.backoff.retry_after(*asked, &mut self.jitter);
-        self.hold = self.hold.max(now + pause);
+        self.throttled_until = self.throttled_until.max(now + pause);
     }
 
-    /// Puts the next call off, longer each time.
-    fn back_off(&mut self, now: Millis) {
-        self.due = now + self.backoff.next_pause(&mut self.jitter);
+    /// Delays the next call by an exponentially growing pause.
+    fn schedule_retry(&mut self, now: Millis) {
+        self.retry_at = now + self.backoff.next_pause(&mut self.jitter);
     }
 
-    /// Counts an answered call; reports the end of an outage.
-    pub(crate) fn answered(&mut self, now: Millis) -> Option<Report> {
+    /// Records an answered call and returns a report if it ends an outage.
+    pub(crate) fn record_success(&mut self, now: Millis) -> Option<Report> {
         let since = self.failing_since.take()?;
         Some(Report::Recovered {
             outage: now.since(since),
         })
     }
 
-    /// Forgets past failures: the next call needn't wait.
-    pub(crate) fn reset(&mut self) {
+    /// Resets the backoff, so that the next call isn't delayed by it.
+    pub(crate) fn clear_backoff(&mut self) {
         self.backoff.reset();
-        self.due = Millis::ZERO;
+        self.retry_at = Millis::ZERO;
     }
 }
 
-/// Notices that the process slept through the time at which it was to be woken.
+/// The time of the next wake-up, to detect that the process was suspended past it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Alarm {
+pub(crate) struct WakeDeadline {
     at: Millis,
-    margin: Millis,
+    threshold: Millis,
 }
 
-impl Alarm {
-    pub(crate) fn new(margin: Millis) -> Alarm {
-        Alarm {
+impl WakeDeadline {
+    pub(crate) fn new(threshold: Millis) -> WakeDeadline {
+        WakeDeadline {
             at: Millis::MAX,
-            margin,
+            threshold,
         }
     }
 
-    /// How late it is, when that is more than a busy machine explains.
+    /// Returns how late the wake-up is, if that exceeds what load on the machine explains.
     ///
-    /// A stopped process acts, when it continues, on lists and revisions of long ago, and on answers
-    /// that waited in its sockets; both look fresh to it unless it looks at the clock first.
-    pub(crate) fn late(&self, now: Millis) -> Option<Millis> {
+    /// A process that resumes after a suspension would otherwise treat as current the lists and
+    /// revisions read before it, and the answers that were left in its socket buffers.
+    pub(crate) fn lateness(&self, now: Millis) -> Option<Millis> {
         let late = now.since(self.at);
-        (late > self.margin).then_some(late)
+        (late > self.threshold).then_some(late)
     }
 
     pub(crate) fn set(&mut self, at: Millis) {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,32 +1,35 @@
 //! Reads and watches of what the platform publishes.
 //!
-//! The platform can only be read, answers each call out of a budget that all readers share, and can
-//! be down, frozen, or answer with old data. This crate makes the calls:
+//! The platform is read-only and limits the rate of calls over all readers together. It can be down,
+//! hang, or return stale data. This crate makes the calls:
 //!
-//! * [`wire`] holds the types of the documents.
-//! * [`InstancePoller`] polls the instance list. It is a state machine ([`Machine`]): an [`Event`]
-//!   and the time go in, [`Action`]s come out. It opens no socket and reads no clock.
-//! * [`run`] is the thin shell that carries the actions out through a [`Fetch`]; [`HttpFetch`] is the
-//!   one over HTTP.
-//! * [`read`] makes one [`Call`] with a deadline. The configuration is read this way: when, and what
-//!   of the answers may be believed, is decided where instances also learn it from each other.
+//! * [`wire`] defines the documents.
+//! * [`InstancePoller`] polls the instance list. It is a state machine ([`Machine`]) that
+//!   takes an [`Event`] and the current time and returns [`Action`]s. It does no I/O and reads no
+//!   clock.
+//! * [`run`] executes the actions through a [`Fetch`]. [`HttpFetch`] implements it over HTTP.
+//! * [`read`] makes one [`Call`] with a deadline. The configuration is read this way: the crate that
+//!   also replicates it between instances decides when to read it and which answers to accept.
 //!
-//! The poller keeps these rules whatever the platform does: at most one call in a period; every call
-//! has a deadline; failures back off with jitter and honour `Retry-After`; a list older than an
-//! earlier one is reported and never applied; a process that woke late re-reads before its knowledge
-//! counts as confirmed again.
+//! The poller guarantees the following whatever the platform does: it makes at most one call per
+//! period; every call has a deadline; retries back off with jitter and honour `Retry-After`; a list
+//! older than an earlier one is reported and never applied; after a late wake-up the list counts as
+//! unconfirmed until it has been read again.
 
+mod backoff;
 mod call;
 mod fetch;
 mod health;
-mod outstanding;
-mod pace;
+mod pending;
 mod poller;
 mod report;
 mod shell;
 mod transport;
 pub mod wire;
 
+pub use backoff::Backoff;
+pub use backoff::BackoffSettings;
+pub use backoff::Jitter;
 pub use call::Action;
 pub use call::Answer;
 pub use call::Call;
@@ -43,9 +46,6 @@
 pub use fetch::Reply;
 pub use fetch::fetch;
 pub use fetch::fetch_all;
-pub use pace::Backoff;
-pub use pace::BackoffSettings;
-pub use pace::Jitter;
 pub use poller::InstancePoller;
 pub use poller::PollerSettings;
 pub use report::Report;
--- a/crates/platform/src/poller.rs
+++ b/crates/platform/src/poller.rs
@@ -1,7 +1,8 @@
-//! Polling the instance list.
+//! Polls the instance list.
 
 use crocushold_base::Millis;
 
+use crate::backoff::BackoffSettings;
 use crate::call::Action;
 use crate::call::Answer;
 use crate::call::Call;
@@ -9,29 +10,28 @@
 use crate::call::Failure;
 use crate::call::Machine;
 use crate::call::Update;
-use crate::health::Alarm;
 use crate::health::Health;
-use crate::outstanding::Outstanding;
-use crate::pace::BackoffSettings;
+use crate::health::WakeDeadline;
+use crate::pending::PendingCalls;
 use crate::report::Report;
 use crate::wire::InstanceList;
 
-/// Longest pause between two failed polls: a server that left during an outage has to be out of use
-/// within a few seconds of its end.
+/// Longest pause between two failed polls. A server that left the list during an outage must be out
+/// of use within a few seconds after the outage ends.
 const MAX_PAUSE: Millis = Millis::from_secs(2);
 
-/// Pace and deadlines of an [`InstancePoller`].
+/// Polling interval, timeout and backoff of an [`InstancePoller`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PollerSettings {
-    /// Seed of the jitter; differs between instances.
+    /// Seed of the jitter; must differ between instances.
     pub seed: u64,
-    /// Shortest time between the starts of two calls: at most one call in this span.
+    /// Minimum time between the starts of two calls.
     pub period: Millis,
-    /// Deadline of a call.
+    /// Timeout of a call.
     pub timeout: Millis,
-    /// A wake later than this counts as late.
+    /// A wake-up delayed by more than this counts as late.
     pub late_wake_threshold: Millis,
-    /// Pauses after failures.
+    /// Backoff after failures.
     pub backoff: BackoffSettings,
 }
 
@@ -50,51 +50,52 @@
     }
 }
 
-/// Polls the instance list, one call at a time. The end of each is published: whoever acts on the
-/// list tells by it how old the list is.
+/// Polls the instance list, one call at a time.
 ///
-/// A list that is older than an earlier one, or empty, is reported and not
-/// applied: an empty list would take every backend server out of use at once, and at least this
-/// instance belongs on it.
+/// The end of each call is published, so that users of the list know how old it is.
+///
+/// A list that is empty or older than an earlier one is reported and not applied. An empty list would
+/// take every backend server out of use at once, and can't be correct, since it should contain at
+/// least this instance.
 #[derive(Clone, Debug)]
 pub struct InstancePoller {
     settings: PollerSettings,
     health: Health,
-    alarm: Alarm,
-    outstanding: Outstanding,
+    wake: WakeDeadline,
+    pending: PendingCalls,
     next_start: Millis,
     revision: Option<u64>,
     confirmed: Option<Millis>,
-    doubt: Option<Report>,
+    rejection: Option<Report>,
 }
 
 impl InstancePoller {
-    /// A poller that has read nothing; its first [`Event::Tick`] starts it.
+    /// Creates a poller. The first [`Event::Tick`] starts it.
     pub fn new(settings: PollerSettings) -> InstancePoller {
         InstancePoller {
             health: Health::new(settings.backoff, settings.seed),
-            alarm: Alarm::new(settings.late_wake_threshold),
-            outstanding: Outstanding::default(),
+            wake: WakeDeadline::new(settings.late_wake_threshold),
+            pending: PendingCalls::default(),
             next_start: Millis::ZERO,
             revision: None,
             confirmed: None,
-            doubt: None,
+            rejection: None,
             settings,
         }
     }
 
-    /// When the list in use was last confirmed; `None` before the first time, and after a late wake
-    /// until it has been read again.
+    /// Returns when the list in use was last confirmed. `None` before the first read, and after a
+    /// late wake-up until the list has been read again.
     pub fn confirmed_at(&self) -> Option<Millis> {
         self.confirmed
     }
 
-    fn check_alarm(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let Some(late) = self.alarm.late(now) else {
+    fn check_lateness(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        let Some(late) = self.wake.lateness(now) else {
             return;
         };
-        for waiting in self.outstanding.take_all() {
-            actions.push(Action::Cancel { id: waiting.id });
+        for call in self.pending.take_all() {
+            actions.push(Action::Cancel { id: call.id });
         }
         self.confirmed = None;
         actions.push(report(Report::LateWake { late }));
@@ -102,10 +103,10 @@
 
     fn handle(&mut self, event: Event, now: Millis, actions: &mut Vec<Action>) {
         match event {
-            Event::Answered { call, answer } if self.outstanding.take(call).is_some() => {
+            Event::Answered { call, answer } if self.pending.take(call).is_some() => {
                 self.take_answer(answer, now, actions);
             }
-            Event::Failed { call, failure } if self.outstanding.take(call).is_some() => {
+            Event::Failed { call, failure } if self.pending.take(call).is_some() => {
                 self.fail(failure, now, actions);
             }
             _ => {}
@@ -117,15 +118,15 @@
             let failure = Failure::Malformed("answer to another call".into());
             return self.fail(failure, now, actions);
         };
-        actions.extend(self.health.answered(now).map(report));
-        self.health.reset();
-        match self.doubt_of(&list) {
-            Some(doubt) => self.tell_doubt(doubt, actions),
+        actions.extend(self.health.record_success(now).map(report));
+        self.health.clear_backoff();
+        match self.rejection_of(&list) {
+            Some(rejection) => self.report_rejection(rejection, actions),
             None => self.apply(list, now, actions),
         }
     }
 
-    fn doubt_of(&self, list: &InstanceList) -> Option<Report> {
+    fn rejection_of(&self, list: &InstanceList) -> Option<Report> {
         let held = self.revision.unwrap_or(0);
         if list.revision < held {
             let offered = list.revision;
@@ -134,17 +135,17 @@
         list.instances.is_empty().then_some(Report::EmptyList)
     }
 
-    fn tell_doubt(&mut self, doubt: Report, actions: &mut Vec<Action>) {
+    fn report_rejection(&mut self, rejection: Report, actions: &mut Vec<Action>) {
         actions.push(Action::Publish(Update::Unavailable));
-        if self.doubt.as_ref() != Some(&doubt) {
-            actions.push(report(doubt.clone()));
-            self.doubt = Some(doubt);
+        if self.rejection.as_ref() != Some(&rejection) {
+            actions.push(report(rejection.clone()));
+            self.rejection = Some(rejection);
         }
     }
 
     fn apply(&mut self, list: InstanceList, now: Millis, actions: &mut Vec<Action>) {
         self.confirmed = Some(now);
-        self.doubt = None;
+        self.rejection = None;
         if self.revision == Some(list.revision) {
             actions.push(Action::Publish(Update::Unchanged));
             return;
@@ -160,12 +161,12 @@
 
     fn fail(&mut self, failure: Failure, now: Millis, actions: &mut Vec<Action>) {
         actions.push(Action::Publish(Update::Unavailable));
-        actions.extend(self.health.fail(failure, now).map(report));
+        actions.extend(self.health.record_failure(failure, now).map(report));
     }
 
     fn expire(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        for waiting in self.outstanding.take_expired(now) {
-            actions.push(Action::Cancel { id: waiting.id });
+        for expired in self.pending.take_expired(now) {
+            actions.push(Action::Cancel { id: expired.id });
             self.fail(Failure::Timeout, now, actions);
         }
     }
@@ -176,12 +177,12 @@
         }
         self.next_start = now + self.settings.period;
         let timeout = self.settings.timeout;
-        actions.push(self.outstanding.start(Call::Instances, now, timeout));
+        actions.push(self.pending.start(Call::Instances, now, timeout));
     }
 
-    /// When the next call is due; `None` while one waits.
+    /// Returns when the next call is due, or `None` while one is in progress.
     fn due(&self) -> Option<Millis> {
-        let idle = self.outstanding.iter().next().is_none();
+        let idle = self.pending.iter().next().is_none();
         idle.then(|| self.health.ready_at().max(self.next_start))
     }
 }
@@ -189,17 +190,17 @@
 impl Machine for InstancePoller {
     fn step(&mut self, event: Event, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.check_alarm(now, &mut actions);
+        self.check_lateness(now, &mut actions);
         self.handle(event, now, &mut actions);
         self.expire(now, &mut actions);
         self.start(now, &mut actions);
         let due = self.due().unwrap_or(Millis::MAX);
-        self.alarm.set(due.min(self.outstanding.deadline()));
+        self.wake.set(due.min(self.pending.earliest_deadline()));
         actions
     }
 
     fn next_wake(&self) -> Millis {
-        self.alarm.at()
+        self.wake.at()
     }
 }
 
--- a/crates/platform/src/report.rs
+++ b/crates/platform/src/report.rs
@@ -1,4 +1,4 @@
-//! What the machines report.
+//! Conditions that the state machines report.
 
 use std::fmt;
 
@@ -6,40 +6,40 @@
 
 use crate::call::Failure;
 
-/// Something about the platform that an operator may want to know.
+/// A condition of the platform to report to operators.
 ///
-/// Lasting conditions are reported when they begin and when they end, not at each call.
+/// A lasting condition is reported when it begins and when it ends, not for each call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Report {
     /// Calls began to fail.
     Unreachable {
-        /// Why the first one did.
+        /// The first failure.
         failure: Failure,
     },
     /// Calls succeed again.
     Recovered {
-        /// How long they failed.
+        /// Duration of the outage.
         outage: Millis,
     },
-    /// An answer carries an older revision than an earlier one; it was not applied.
+    /// An answer has an older revision than an earlier one and was not applied.
     OlderRevision {
-        /// The revision answered.
+        /// The revision of the answer.
         offered: u64,
-        /// The highest one seen.
+        /// The highest revision seen.
         held: u64,
     },
-    /// The instance list is empty; the earlier one stays.
+    /// The instance list is empty and was not applied.
     EmptyList,
-    /// Entries of the instance list could not be read and are left out.
+    /// Entries of the instance list could not be parsed and were left out.
     MalformedEntries {
-        /// How many.
+        /// Number of these entries.
         count: usize,
-        /// What is wrong with the first.
+        /// The parse error of the first one.
         cause: String,
     },
-    /// The process slept past its deadlines; everything is read again.
+    /// The process was suspended past a deadline; everything is read again.
     LateWake {
-        /// How late.
+        /// How late the process woke up.
         late: Millis,
     },
 }
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -1,4 +1,4 @@
-//! Carries out the machines' actions.
+//! Performs the I/O of the state machines.
 
 use crocushold_base::Clock;
 use futures::channel::mpsc::Receiver;
@@ -8,35 +8,35 @@
 use crate::call::Machine;
 use crate::call::Update;
 use crate::fetch::Fetch;
-use crate::shell::calls::Calls;
+use crate::shell::calls::InFlightCalls;
 
 mod calls;
 mod exchange;
 
 pub use exchange::read;
 
-/// What a machine runs on.
+/// The transport, platform address and clock that a state machine runs with.
 #[derive(Clone, Debug)]
 pub struct Shell<F> {
-    /// Makes the calls.
+    /// Transport of the calls.
     pub fetch: F,
-    /// Address of the platform, `IP:PORT`.
+    /// Address of the platform, as `IP:PORT`.
     pub address: String,
     /// The process's clock.
     pub clock: Clock,
 }
 
-/// Runs a machine until `inbox` is closed.
+/// Runs a state machine until `inbox` is closed.
 ///
-/// Events from elsewhere in the process come in through `inbox`; `publish` gets the updates in order
-/// and has to return at once.
+/// Other parts of the process send events through `inbox`. `publish` receives the updates in order
+/// and must not block.
 pub async fn run<M: Machine, F: Fetch>(
     mut machine: M,
     shell: &Shell<F>,
     mut inbox: Receiver<Event>,
     mut publish: impl FnMut(&M, Update),
 ) {
-    let mut calls = Calls::new();
+    let mut calls = InFlightCalls::new();
     let mut event = Event::Tick;
     loop {
         for action in machine.step(event, shell.clock.now()) {
--- a/crates/platform/src/shell/calls.rs
+++ b/crates/platform/src/shell/calls.rs
@@ -1,4 +1,4 @@
-//! Calls on their way.
+//! Calls in flight.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -17,19 +17,19 @@
 use crate::call::CallId;
 use crate::call::Event;
 
-/// Longest sleep; a tick before its time does no harm.
+/// Longest sleep. An early tick is harmless.
 const MAX_SLEEP: Millis = Millis::from_secs(3600);
 
-/// The futures of all started calls.
-pub(super) struct Calls<C> {
-    pending: FuturesUnordered<Abortable<C>>,
+/// The futures of all started calls, with handles to abort them.
+pub(super) struct InFlightCalls<C> {
+    running: FuturesUnordered<Abortable<C>>,
     handles: BTreeMap<CallId, AbortHandle>,
 }
 
-impl<C: Future<Output = Event>> Calls<C> {
-    pub(super) fn new() -> Calls<C> {
-        Calls {
-            pending: FuturesUnordered::new(),
+impl<C: Future<Output = Event>> InFlightCalls<C> {
+    pub(super) fn new() -> InFlightCalls<C> {
+        InFlightCalls {
+            running: FuturesUnordered::new(),
             handles: BTreeMap::new(),
         }
     }
@@ -37,18 +37,18 @@
     pub(super) fn start(&mut self, id: CallId, call: C) {
         let (handle, registration) = AbortHandle::new_pair();
         self.handles.insert(id, handle);
-        self.pending.push(Abortable::new(call, registration));
+        self.running.push(Abortable::new(call, registration));
     }
 
-    /// Drops a call; its connection closes with it.
+    /// Drops a call's future, which closes its connection.
     pub(super) fn cancel(&mut self, id: CallId) {
         if let Some(handle) = self.handles.remove(&id) {
             handle.abort();
         }
     }
 
-    /// The next event: the end of a call, a message, or a tick after `wait`; `None` once the inbox
-    /// is closed.
+    /// Returns the next event: the end of a call, a message from `inbox`, or a tick after `wait`.
+    /// Returns `None` once the inbox is closed.
     pub(super) async fn next_event(
         &mut self,
         wait: Millis,
@@ -58,7 +58,7 @@
         pin_mut!(timer);
         loop {
             select! {
-                ended = self.pending.select_next_some() => {
+                ended = self.running.select_next_some() => {
                     if let Ok(event) = ended {
                         self.forget(&event);
                         return Some(event);
--- a/crates/platform/src/shell/exchange.rs
+++ b/crates/platform/src/shell/exchange.rs
@@ -1,4 +1,4 @@
-//! Turns a call into a read, and its reply into an event.
+//! Converts a call to a GET request and the reply to an event.
 
 use async_std::future::timeout;
 use crocushold_base::Millis;
@@ -18,37 +18,38 @@
 use crate::wire::InstanceList;
 use crate::wire::PartText;
 
-/// Most bytes of an index or a list: 6,300 entries of 250 bytes, twice over.
-const LIST_LIMIT: usize = 4 << 20;
-/// Most bytes of a part's body; a little above what is accepted, so that whoever refuses it can name
-/// the team.
-const PART_LIMIT: usize = (1 << 20) + 1;
-/// Deadline beyond the machine's own, which cancels first.
-const BACKSTOP: Millis = Millis::from_secs(30);
-/// Deadline of a call outside a machine.
-const DEADLINE: Millis = Millis::from_secs(2);
+/// Largest index or instance list, in bytes. Holds twice the expected 6,300 entries of 250 bytes.
+const MAX_LIST_BYTES: usize = 4 << 20;
+/// Largest part, in bytes. One byte above the accepted size, so that an oversized part is read and
+/// can be rejected with its team's name.
+const MAX_PART_BYTES: usize = (1 << 20) + 1;
+/// Timeout of a call started by a state machine. It is longer than the machine's own deadline, at
+/// which the machine cancels the call.
+const FALLBACK_TIMEOUT: Millis = Millis::from_secs(30);
+/// Timeout of a call made by [`read`].
+const READ_TIMEOUT: Millis = Millis::from_secs(2);
 
 const OK: u16 = 200;
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// Makes a call and returns the event that ends it.
+/// Performs a call and returns the event that ends it.
 pub(super) async fn perform<F: Fetch>(shell: &Shell<F>, id: CallId, call: Call) -> Event {
-    match exchange(shell, &call, BACKSTOP).await {
+    match exchange(shell, &call, FALLBACK_TIMEOUT).await {
         Ok(answer) => Event::Answered { call: id, answer },
         Err(failure) => Event::Failed { call: id, failure },
     }
 }
 
-/// Makes one call, outside a machine, with a deadline of 2 s; a watch has its wait and 2 s more.
+/// Makes one call without a state machine. The timeout is 2 s, in addition to the wait of a watch.
 ///
 /// # Errors
 ///
-/// Why it brought no answer.
+/// The [`Failure`] of the call.
 pub async fn read<F: Fetch>(shell: &Shell<F>, call: &Call) -> Result<Answer, Failure> {
-    // Nobody else ends this call: a frozen platform would hold it, and its connection, until the
-    // backstop.
-    let read = exchange(shell, call, DEADLINE);
-    let bounded = timeout(deadline(call, DEADLINE).into(), read);
+    // No state machine cancels this call: without the timeout a hung platform would hold it and its
+    // connection open.
+    let read = exchange(shell, call, READ_TIMEOUT);
+    let bounded = timeout(call_timeout(call, READ_TIMEOUT).into(), read);
     bounded.await.map_err(|_| Failure::Timeout)?
 }
 
@@ -60,7 +61,7 @@
     let get = Get {
         address: shell.address.clone(),
         path: path(call),
-        timeout: deadline(call, slack),
+        timeout: call_timeout(call, slack),
         limit: limit(call),
     };
     let reply = shell.fetch.get(get).await.map_err(failure)?;
@@ -79,7 +80,8 @@
     }
 }
 
-/// A team's name comes from the platform and may hold any character.
+/// Returns the path of a team's part. The team name comes from the platform and may contain any
+/// character, so it is percent-encoded.
 fn part_path(team: &str) -> String {
     let mut url = Url::parse("http://platform/v1/config/parts").expect("a constant URL");
     if let Ok(mut segments) = url.path_segments_mut() {
@@ -88,7 +90,7 @@
     url.path().to_owned()
 }
 
-fn deadline(call: &Call, slack: Millis) -> Millis {
+fn call_timeout(call: &Call, slack: Millis) -> Millis {
     match call {
         Call::Watch { wait, .. } => *wait + slack,
         _ => slack,
@@ -97,8 +99,8 @@
 
 fn limit(call: &Call) -> usize {
     match call {
-        Call::Part { .. } => PART_LIMIT,
-        _ => LIST_LIMIT,
+        Call::Part { .. } => MAX_PART_BYTES,
+        _ => MAX_LIST_BYTES,
     }
 }
 
--- a/crates/platform/src/transport.rs
+++ b/crates/platform/src/transport.rs
@@ -1,4 +1,4 @@
-//! Reads over HTTP.
+//! Implements [`Fetch`] over HTTP.
 
 use std::net::SocketAddr;
 
@@ -22,17 +22,17 @@
 use crate::fetch::Header;
 use crate::fetch::Reply;
 
-/// Makes reads over HTTP/1.1.
+/// Performs GET requests over HTTP/1.1.
 ///
-/// Connections are reused. A read that fails on a reused connection isn't repeated here: the
-/// platform may have counted it, and a second one would be outside the budget.
+/// Connections are reused. A request that fails on a reused connection isn't retried here: the
+/// platform may have counted it, and a retry could exceed the read budget.
 #[derive(Clone, Debug)]
 pub struct HttpFetch {
     client: Client,
 }
 
 impl HttpFetch {
-    /// Reads through `client`.
+    /// Creates a transport that uses `client`.
     pub fn new(client: Client) -> HttpFetch {
         HttpFetch { client }
     }
@@ -77,7 +77,7 @@
 
 async fn read(mut answer: Answer, limit: usize) -> Result<Reply, FetchError> {
     let mut bytes = Vec::new();
-    // One byte more than is taken tells a body at the limit from one beyond it.
+    // Reading one byte past the limit distinguishes a body of exactly `limit` bytes from a longer one.
     let mut body = (&mut answer.body).take(limit as u64 + 1);
     let read = body.read_to_end(&mut bytes).await;
     read.map_err(|e| FetchError::Connection(e.to_string()))?;
--- a/crates/platform/src/wire.rs
+++ b/crates/platform/src/wire.rs
@@ -1,7 +1,7 @@
-//! The documents that the platform and backend servers publish.
+//! Documents that the platform and backend servers publish.
 //!
-//! Fields that this version doesn't know are ignored, and an enumeration's unknown value becomes
-//! `Other`, so that the platform can be upgraded first.
+//! Unknown fields are ignored and unknown enum values become `Other`, so that the platform can be
+//! upgraded before the instances.
 
 mod cache;
 mod config;
--- a/crates/platform/src/wire/cache.rs
+++ b/crates/platform/src/wire/cache.rs
@@ -1,4 +1,4 @@
-//! Prefix-cache events of engines; they come late and with gaps.
+//! Prefix cache events of engines. They arrive late, and some are missing.
 
 use serde::Deserialize;
 use serde::Deserializer;
@@ -6,48 +6,48 @@
 use serde::Serializer;
 use serde::de::Error;
 
-/// Answer of `GET /cache-events?after=SEQ`.
+/// Response to `GET /cache-events?after=SEQ`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// Number of the newest event that the engine has had.
+    /// Sequence number of the engine's newest event.
     pub last: u64,
-    /// The events that it still holds, some missing.
+    /// The events that the engine still holds; some may be missing.
     #[serde(default)]
     pub events: Vec<CacheEvent>,
 }
 
 impl CacheEvents {
-    /// Reads the document.
+    /// Parses the document.
     ///
     /// # Errors
     ///
-    /// What is wrong with it.
+    /// The parse error.
     pub fn parse(text: &str) -> Result<CacheEvents, String> {
         serde_json::from_str(text).map_err(|e| e.to_string())
     }
 }
 
-/// One change of an engine's prefix cache.
+/// A change to an engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event.
+    /// Sequence number.
     pub seq: u64,
-    /// What happened.
+    /// Type of the change.
     pub kind: CacheKind,
     /// 64-bit XXH3 hash of the first 256 bytes of the prompt text.
     #[serde(serialize_with = "to_hex", deserialize_with = "from_hex")]
     pub prefix: u64,
 }
 
-/// What happened to a prefix.
+/// The type of a cache change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CacheKind {
-    /// It is in the cache.
+    /// The prefix was stored.
     Stored,
-    /// It is no longer.
+    /// The prefix was evicted.
     Evicted,
-    /// An event that this version doesn't know.
+    /// A type that this version doesn't know.
     #[serde(other)]
     Other,
 }
--- a/crates/platform/src/wire/config.rs
+++ b/crates/platform/src/wire/config.rs
@@ -1,14 +1,14 @@
-//! The configuration service's documents.
+//! Documents of the configuration service.
 
 use std::collections::BTreeSet;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Answer of `GET /v1/config` and of its watch.
+/// Response to `GET /v1/config` and to its watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigIndex {
-    /// Revision of the whole text; grows with each change of any part.
+    /// Revision of the whole text. Each change to a part increases it.
     pub revision: u64,
     /// The teams' parts.
     #[serde(default)]
@@ -16,12 +16,12 @@
 }
 
 impl ConfigIndex {
-    /// Reads the document.
+    /// Parses the document.
     ///
     /// # Errors
     ///
-    /// What is wrong with it: no JSON of this shape, or a team listed twice, of which no reader
-    /// could say which entry counts.
+    /// The document isn't JSON of this schema, or it lists a team twice, which makes it ambiguous
+    /// which entry applies.
     pub fn parse(text: &str) -> Result<ConfigIndex, String> {
         let index: ConfigIndex = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let mut teams = BTreeSet::new();
@@ -39,19 +39,19 @@
 pub struct PartEntry {
     /// The team.
     pub team: String,
-    /// Revision of the whole at which the part last changed.
+    /// Revision of the whole text at which the part last changed.
     pub revision: u64,
-    /// Length of the part's text.
+    /// Length of the part, in bytes.
     #[serde(default)]
     pub bytes: u64,
 }
 
-/// Answer of `GET /v1/config/parts/TEAM`.
+/// Response to `GET /v1/config/parts/TEAM`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PartText {
     /// Revision of the part, from `x-revision`.
     pub revision: u64,
-    /// Revision of the whole, from `x-text-revision`.
+    /// Revision of the whole text, from `x-text-revision`.
     pub text_revision: u64,
     /// The text.
     pub text: String,
--- a/crates/platform/src/wire/instances.rs
+++ b/crates/platform/src/wire/instances.rs
@@ -8,14 +8,14 @@
 use serde::de::Error;
 use serde_json::Value;
 
-/// Answer of `GET /v1/instances`.
+/// Response to `GET /v1/instances`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct InstanceList {
     /// Revision of the list.
     pub revision: u64,
-    /// The entries that could be read.
+    /// The entries that could be parsed.
     pub instances: Vec<InstanceEntry>,
-    /// The entries that could not.
+    /// The entries that could not be parsed.
     #[serde(skip)]
     pub misfits: Vec<MalformedEntry>,
 }
@@ -24,9 +24,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct InstanceEntry {
-    /// Name.
+    /// Unique name.
     pub id: String,
-    /// What it is.
+    /// Role of the process.
     pub role: InstanceRole,
     /// The service that a backend server belongs to; empty for an entry instance.
     #[serde(default)]
@@ -34,16 +34,16 @@
     /// Availability zone.
     #[serde(default)]
     pub zone: String,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Where an entry instance takes its peers' connections.
+    /// Address for connections from peers, of an entry instance.
     #[serde(default, deserialize_with = "address_or_none")]
     pub peer_address: Option<SocketAddr>,
-    /// Whether it stays.
+    /// Lifecycle state.
     pub state: InstanceState,
 }
 
-/// What a listed process is.
+/// The role of a listed process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum InstanceRole {
@@ -56,29 +56,30 @@
     Other,
 }
 
-/// Whether a listed process stays.
+/// The lifecycle state of a listed process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum InstanceState {
-    /// It stays.
+    /// In use.
     Live,
-    /// It gets no new work.
+    /// About to leave; gets no new work.
     Leaving,
-    /// A state that this version doesn't know; treated like leaving, the side that loses nothing.
+    /// A state that this version doesn't know. Treated like [`InstanceState::Leaving`], which loses no
+    /// requests.
     #[serde(other)]
     Other,
 }
 
-/// An entry that can't be read.
+/// An entry that can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MalformedEntry {
-    /// Its position in the list, from 0.
+    /// Position in the list, from 0.
     pub index: usize,
-    /// What is wrong with it.
+    /// The parse error.
     pub cause: String,
 }
 
-/// The list before its entries are read one by one.
+/// The list with unparsed entries.
 #[derive(Deserialize)]
 struct RawList {
     revision: u64,
@@ -87,13 +88,13 @@
 }
 
 impl InstanceList {
-    /// Reads the document.
+    /// Parses the document.
     ///
-    /// Entries are read one by one: a single malformed entry must not hide all the other instances.
+    /// Entries are parsed one by one, so that a malformed entry doesn't invalidate the others.
     ///
     /// # Errors
     ///
-    /// What is wrong when the document as a whole isn't JSON of this shape.
+    /// The parse error, if the document as a whole isn't JSON of this schema.
     pub fn parse(text: &str) -> Result<InstanceList, String> {
         let raw: RawList = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let mut list = InstanceList {
@@ -113,7 +114,7 @@
     }
 }
 
-/// Reads an address; an empty text is none.
+/// Parses an address; an empty string is `None`.
 fn address_or_none<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<SocketAddr>, D::Error> {
--- a/crates/platform/src/wire/load.rs
+++ b/crates/platform/src/wire/load.rs
@@ -3,44 +3,44 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Answer of `GET /load`; it lags.
+/// Response to `GET /load`. The figures lag behind the server's actual load.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct LoadReport {
-    /// When it was taken, on the server's own clock.
+    /// Time of the measurement on the server's own clock, in milliseconds.
     #[serde(default)]
     pub at_ms: u64,
     /// Requests in the running batch.
     pub running: u32,
-    /// Requests that wait for a place in it.
+    /// Requests waiting to join the batch.
     #[serde(default)]
     pub waiting: u32,
-    /// Most requests that run at once.
+    /// Maximum number of requests in the batch.
     #[serde(default)]
     pub batch_limit: u32,
-    /// Tokens generated a second.
+    /// Tokens generated per second.
     #[serde(default)]
     pub tokens_per_second: f64,
-    /// Free share of the KV cache, 0 to 1.
+    /// Free fraction of the KV cache, from 0 to 1.
     #[serde(default)]
     pub kv_free: f64,
-    /// The models that are loaded.
+    /// Loaded models.
     #[serde(default)]
     pub models: Vec<String>,
-    /// The role that the engine was ordered to take.
+    /// Role that the engine was last ordered to take.
     #[serde(default)]
     pub role: EngineRole,
-    /// Highest fencing number that the engine has seen.
+    /// Highest fencing token that the engine has seen.
     #[serde(default)]
     pub fence: u64,
 }
 
 impl LoadReport {
-    /// Reads the document.
+    /// Parses the document.
     ///
     /// # Errors
     ///
-    /// What is wrong with it: no JSON of this shape, or a rate or share that is no ordinary number.
+    /// The document isn't JSON of this schema, or a rate or fraction is out of range.
     pub fn parse(text: &str) -> Result<LoadReport, String> {
         let report: LoadReport = serde_json::from_str(text).map_err(|e| e.to_string())?;
         if report.tokens_per_second < 0.0 {
@@ -53,15 +53,15 @@
     }
 }
 
-/// What an engine works on.
+/// The inference phases that an engine runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EngineRole {
-    /// Prompts only.
+    /// Prefill only: processes prompts.
     Prefill,
-    /// Tokens only.
+    /// Decode only: generates tokens.
     Decode,
-    /// Both.
+    /// Prefill and decode.
     #[default]
     Both,
     /// A role that this version doesn't know.
--- a/crates/platform/src/wire/orders.rs
+++ b/crates/platform/src/wire/orders.rs
@@ -8,14 +8,14 @@
 /// Body of `POST /orders`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Fencing number: engines that check refuse one that is lower than they have seen.
+    /// Fencing token. Engines that check it reject an order with a lower token than they have seen.
     pub fence: u64,
-    /// What to do.
+    /// The operation.
     #[serde(flatten)]
     pub kind: OrderKind,
 }
 
-/// What an engine is ordered to do.
+/// The operation that an order requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "lowercase")]
 pub enum OrderKind {
@@ -24,7 +24,7 @@
         /// The model.
         model: String,
     },
-    /// Drop a model.
+    /// Unload a model.
     Unload {
         /// The model.
         model: String,
@@ -36,9 +36,9 @@
     },
 }
 
-/// Body of the `409` to an order with an older fencing number.
+/// Body of the `409` response to an order with an outdated fencing token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRefusal {
-    /// The number that the engine has seen.
+    /// Highest fencing token that the engine has seen.
     pub fence: u64,
 }
