--- a/crates/platform/tests/all/backoff.rs
+++ b/crates/platform/tests/all/backoff.rs
@@ -1,4 +1,4 @@
-//! Pauses after failures.
+//! Tests of the backoff.
 
 use crocushold_base::Millis;
 use crocushold_platform::Backoff;
--- a/crates/platform/tests/all/driver.rs
+++ b/crates/platform/tests/all/driver.rs
@@ -1,4 +1,4 @@
-//! Drives a machine against the fake platform on a virtual clock.
+//! Runs a state machine against the fake platform on a virtual clock.
 
 use crocushold_base::Millis;
 use crocushold_platform::Action;
@@ -15,7 +15,7 @@
 use crate::fake::LATENCY;
 use crate::fake::Platform;
 
-/// A call on its way.
+/// A call that was started.
 #[derive(Clone, Debug)]
 pub(crate) struct Started {
     pub(crate) id: CallId,
@@ -23,17 +23,17 @@
     pub(crate) at: Millis,
 }
 
-/// A machine, its platform, and all that happened.
+/// A state machine, its platform, and a record of calls and updates.
 pub(crate) struct Driver<M> {
     pub(crate) machine: M,
     pub(crate) platform: Platform,
     pub(crate) now: Millis,
-    pub(crate) waiting: Vec<Started>,
+    pub(crate) pending: Vec<Started>,
     pub(crate) started: Vec<Started>,
     pub(crate) published: Vec<Update>,
 }
 
-/// A poller with default settings.
+/// Creates a driver of a poller with default settings.
 pub(crate) fn poller(platform: Platform) -> Driver<InstancePoller> {
     let settings = PollerSettings {
         seed: 7,
@@ -48,7 +48,7 @@
             machine,
             platform,
             now: Millis::from_secs(100),
-            waiting: Vec::new(),
+            pending: Vec::new(),
             started: Vec::new(),
             published: Vec::new(),
         };
@@ -56,27 +56,31 @@
         driver
     }
 
-    /// Gives the machine an event now.
+    /// Passes an event to the machine at the current time.
     pub(crate) fn feed(&mut self, event: Event) {
         for action in self.machine.step(event, self.now) {
             match action {
                 Action::Start { id, call } => self.start(id, call),
-                Action::Cancel { id } => self.waiting.retain(|w| w.id != id),
+                Action::Cancel { id } => self.pending.retain(|c| c.id != id),
                 Action::Publish(update) => self.published.push(update),
             }
         }
         let wake = self.machine.next_wake();
-        assert!(wake > self.now, "the shell would spin at {}", self.now);
+        assert!(
+            wake > self.now,
+            "the next wake-up is not in the future at {}",
+            self.now
+        );
     }
 
     fn start(&mut self, id: CallId, call: Call) {
         let at = self.now;
         let started = Started { id, call, at };
-        self.waiting.push(started.clone());
+        self.pending.push(started.clone());
         self.started.push(started);
     }
 
-    /// Runs for `span`, answering calls and waking the machine on time.
+    /// Advances the clock by `span`, answering calls and waking the machine on time.
     pub(crate) fn run(&mut self, span: Millis) {
         let end = self.now + span;
         while self.now < end {
@@ -91,21 +95,25 @@
         }
     }
 
-    /// Lets time pass while the process is stopped.
+    /// Advances the clock while the process is suspended.
     pub(crate) fn sleep(&mut self, span: Millis) {
         self.now += span;
     }
 
-    /// Delivers one answer that has come; returns whether there was one.
+    /// Delivers one answer that is ready; returns whether there was one.
     fn deliver(&mut self) -> bool {
-        let mut answers = self.waiting.iter().enumerate().filter_map(|(place, w)| {
-            let answer = self.platform.answer(&w.call, self.now.since(w.at))?;
-            Some((place, answer))
-        });
-        let Some((place, answer)) = answers.next() else {
+        let mut answers = self
+            .pending
+            .iter()
+            .enumerate()
+            .filter_map(|(position, call)| {
+                let answer = self.platform.answer(&call.call, self.now.since(call.at))?;
+                Some((position, answer))
+            });
+        let Some((position, answer)) = answers.next() else {
             return false;
         };
-        let call = self.waiting.remove(place).id;
+        let call = self.pending.remove(position).id;
         self.feed(match answer {
             Ok(answer) => Event::Answered { call, answer },
             Err(failure) => Event::Failed { call, failure },
@@ -113,14 +121,14 @@
         true
     }
 
-    /// When the next answer can come.
+    /// Returns the earliest time at which a further answer may be ready.
     fn next_answer(&self) -> Millis {
-        let times = self.waiting.iter().map(|w| w.at + LATENCY);
+        let times = self.pending.iter().map(|c| c.at + LATENCY);
         let next = times.filter(|at| *at > self.now).min();
         next.unwrap_or(Millis::MAX)
     }
 
-    /// Calls started since `from`.
+    /// Returns the number of calls started since `from`.
     pub(crate) fn calls_since(&self, from: Millis) -> usize {
         self.started.iter().filter(|s| s.at >= from).count()
     }
@@ -142,7 +150,7 @@
     }
 }
 
-/// A span of whole seconds.
+/// A duration in seconds.
 pub(crate) fn secs(secs: u64) -> Millis {
     Millis::from_secs(secs)
 }
--- a/crates/platform/tests/all/fake.rs
+++ b/crates/platform/tests/all/fake.rs
@@ -6,25 +6,25 @@
 use crocushold_platform::Failure;
 use crocushold_platform::wire::InstanceList;
 
-/// Time from a call to its answer.
+/// Time between a call and its answer.
 pub(crate) const LATENCY: Millis = Millis(5);
 
-/// How the platform behaves.
+/// The behaviour of the fake platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// Answers.
+    /// Answers calls.
     Up,
-    /// Takes calls and never answers.
-    Frozen,
+    /// Accepts calls and never answers.
+    Hung,
     /// Refuses connections.
     Down,
-    /// Answers 429.
+    /// Answers 429, with this `Retry-After`.
     Throttling(Option<Millis>),
     /// Answers 500.
     Broken,
 }
 
-/// The instance list and the platform's behaviour.
+/// A platform that serves an instance list.
 #[derive(Clone, Debug)]
 pub(crate) struct Platform {
     pub(crate) mode: Mode,
@@ -32,7 +32,7 @@
 }
 
 impl Platform {
-    /// A platform that answers this list.
+    /// Creates a platform that answers with this list.
     pub(crate) fn new(list: InstanceList) -> Platform {
         Platform {
             mode: Mode::Up,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// What a call that was made `age` ago brings now; `None` while it waits.
+    /// Returns the result of a call made `age` ago; `None` while it is pending.
     pub(crate) fn answer(&self, call: &Call, age: Millis) -> Option<Result<Answer, Failure>> {
         assert_eq!(*call, Call::Instances);
         if age < LATENCY {
@@ -48,7 +48,7 @@
         }
         match &self.mode {
             Mode::Up => Some(Ok(Answer::Instances(self.list.clone()))),
-            Mode::Frozen => None,
+            Mode::Hung => None,
             Mode::Down => Some(Err(Failure::Connection)),
             Mode::Throttling(retry_after) => Some(Err(Failure::Throttled {
                 retry_after: *retry_after,
@@ -58,7 +58,7 @@
     }
 }
 
-/// A list of `count` backend servers.
+/// Creates a list of `count` backend servers.
 pub(crate) fn list(revision: u64, count: usize) -> InstanceList {
     let entry = |n| {
         format!(
--- a/crates/platform/tests/all/instances.rs
+++ b/crates/platform/tests/all/instances.rs
@@ -1,4 +1,4 @@
-//! The instance list's poller.
+//! Tests of the instance list poller.
 
 use crocushold_base::Millis;
 use crocushold_platform::Answer;
@@ -36,7 +36,7 @@
     assert_eq!(driver.lists().last().expect("published").revision, 8);
 }
 
-/// The list comes back empty. Applying it would take every backend server out of use at once.
+/// Applying an empty list would take every backend server out of use at once.
 #[test]
 fn an_empty_list_is_reported_and_not_applied() {
     let mut driver = running();
@@ -49,7 +49,7 @@
     assert_eq!(driver.lists().len(), 2);
 }
 
-/// A stale replica answers: a server that left would get new work again.
+/// If a list from a stale replica were applied, a server that left would get new work again.
 #[test]
 fn an_older_list_is_reported_and_not_applied() {
     let mut driver = running();
@@ -60,12 +60,12 @@
     assert_eq!(driver.reports(), [&Report::OlderRevision { offered, held }]);
 }
 
-/// The platform freezes: each call ends at its deadline, calls grow seldom, and within three seconds
-/// of its return the list is read.
+/// While the platform hangs, each call ends at its deadline and calls back off. The list is read
+/// within three seconds after the platform recovers.
 #[test]
-fn a_frozen_platform_is_outlived() {
+fn polling_recovers_from_a_hung_platform() {
     let mut driver = running();
-    driver.platform.mode = Mode::Frozen;
+    driver.platform.mode = Mode::Hung;
     let from = driver.now;
     driver.run(secs(300));
     let calls = driver.calls_since(from);
@@ -78,7 +78,7 @@
     assert_eq!(driver.lists().len(), 2);
 }
 
-/// The process was stopped for a minute: what it knows is unconfirmed until it has read again.
+/// After a suspension of a minute the list is unconfirmed until it has been read again.
 #[test]
 fn a_late_wake_reads_again() {
     let mut driver = running();
@@ -90,14 +90,14 @@
     assert!(driver.machine.confirmed_at().is_some());
 }
 
-/// The process is stopped for an hour while a poll waits; the answer, an hour old, lies in the socket.
-/// On waking it must not be taken for the present list: a server that left since would get work.
+/// The process is suspended for an hour during a poll, and the answer, an hour old, is left in the
+/// socket buffer. If it were applied after the wake-up, a server that left since would get work.
 #[test]
-fn a_late_wake_drops_the_answer_that_waited() {
+fn a_late_wake_drops_an_answer_from_before() {
     let mut driver = running();
-    driver.platform.mode = Mode::Frozen;
+    driver.platform.mode = Mode::Hung;
     driver.run(Millis(500));
-    let call = driver.waiting[0].id;
+    let call = driver.pending[0].id;
     driver.sleep(secs(3600));
     let answer = Answer::Instances(list(8, 5));
     driver.feed(Event::Answered { call, answer });
@@ -109,7 +109,7 @@
     assert_eq!(driver.lists().last().expect("published").revision, 9);
 }
 
-/// The process was backing off when it was stopped: on waking it reads at once all the same.
+/// The process is suspended during a backoff. After the wake-up it polls immediately.
 #[test]
 fn a_late_wake_ends_a_backoff() {
     let mut driver = running();
@@ -121,8 +121,8 @@
     assert_eq!(driver.started.last().expect("a call").at, driver.now);
 }
 
-/// A 429 with `Retry-After: 20`: a call before that would be refused again and counts against what
-/// the other readers get.
+/// A call before the end of `Retry-After` would be rejected again and would use up read budget that
+/// the other readers share.
 #[test]
 fn retry_after_is_honoured() {
     let mut driver = running();
@@ -139,9 +139,9 @@
     );
 }
 
-/// A mistaken `Retry-After` of a year must not silence the poller until it is restarted.
+/// A wrong `Retry-After` of a year must not stop the poller until it is restarted.
 #[test]
-fn an_absurd_retry_after_is_bounded() {
+fn an_excessive_retry_after_is_bounded() {
     let mut driver = running();
     driver.platform.mode = Mode::Throttling(Some(secs(365 * 24 * 3600)));
     driver.run(secs(2));
@@ -151,7 +151,7 @@
     assert_eq!(driver.lists().len(), 2);
 }
 
-/// One entry is malformed; the other servers must stay usable.
+/// A malformed entry must not make the other servers unusable.
 #[test]
 fn a_malformed_entry_is_left_out_and_reported() {
     let mut driver = running();
--- a/crates/platform/tests/all/main.rs
+++ b/crates/platform/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the reads of the platform against a fake platform on a virtual clock.
+//! Tests of the platform client, most of them against a fake platform on a virtual clock.
 
 mod backoff;
 mod driver;
--- a/crates/platform/tests/all/random.rs
+++ b/crates/platform/tests/all/random.rs
@@ -1,4 +1,4 @@
-//! Invariants under random behaviour of the platform and of the clock.
+//! Invariants of the poller under random behaviour of the platform and the clock.
 
 use crocushold_base::Millis;
 use crocushold_platform::InstancePoller;
@@ -15,12 +15,12 @@
 const SEEDS: u64 = 200;
 const STEPS: usize = 120;
 
-/// Seeded choices.
-struct Dice(Jitter);
+/// A seeded random number generator.
+struct SeededRng(Jitter);
 
-impl Dice {
-    fn new(seed: u64) -> Dice {
-        Dice(Jitter::new(seed))
+impl SeededRng {
+    fn new(seed: u64) -> SeededRng {
+        SeededRng(Jitter::new(seed))
     }
 
     fn below(&mut self, bound: u64) -> u64 {
@@ -29,7 +29,7 @@
 
     fn mode(&mut self) -> Mode {
         match self.below(7) {
-            0 => Mode::Frozen,
+            0 => Mode::Hung,
             1 => Mode::Down,
             2 => Mode::Throttling(None),
             3 => Mode::Throttling(Some(Millis(self.below(10_000)))),
@@ -39,17 +39,18 @@
     }
 }
 
-/// Does one random thing, then lets some time pass.
-fn shake(driver: &mut Driver<InstancePoller>, dice: &mut Dice) {
-    match dice.below(9) {
-        0..=4 => driver.platform.list = list(dice.below(20), dice.below(3) as usize),
-        5..=7 => driver.platform.mode = dice.mode(),
-        _ => driver.sleep(Millis(dice.below(20_000))),
+/// Changes the list or the platform's mode, or suspends the process, at random, then runs for a random
+/// time.
+fn random_step(driver: &mut Driver<InstancePoller>, rng: &mut SeededRng) {
+    match rng.below(9) {
+        0..=4 => driver.platform.list = list(rng.below(20), rng.below(3) as usize),
+        5..=7 => driver.platform.mode = rng.mode(),
+        _ => driver.sleep(Millis(rng.below(20_000))),
     }
-    driver.run(Millis(dice.below(4_000)));
+    driver.run(Millis(rng.below(4_000)));
 }
 
-/// No span of time may hold more calls than one a second, both ends counted.
+/// Asserts that every interval has at most one call per second, counting both ends.
 fn assert_budget(started: &[Started], seed: u64) {
     for (first, from) in started.iter().enumerate() {
         for (count, to) in (1u64..).zip(&started[first..]) {
@@ -62,19 +63,19 @@
     }
 }
 
-/// Whatever the platform and the clock do: the budget holds, no list published is older than one
-/// before, and once the platform is well again its newest list is published.
+/// Under any behaviour of the platform and the clock, the call budget holds, no published list is older
+/// than an earlier one, and the newest list is published once the platform has recovered.
 #[test]
 fn a_poller_keeps_its_budget_and_never_reverts() {
     for seed in 0..SEEDS {
-        let mut dice = Dice::new(seed);
+        let mut rng = SeededRng::new(seed);
         let mut driver = poller(Platform::new(list(1, 1)));
         for _ in 0..STEPS {
-            shake(&mut driver, &mut dice);
+            random_step(&mut driver, &mut rng);
         }
         driver.platform.mode = Mode::Up;
         driver.platform.list = list(21, 1);
-        // The longest `Retry-After` above, and the poller's longest pause.
+        // Covers the longest `Retry-After` above and the poller's longest pause.
         driver.run(secs(15));
         assert_budget(&driver.started, seed);
         let revisions: Vec<u64> = driver.lists().iter().map(|l| l.revision).collect();
--- a/crates/platform/tests/all/shell.rs
+++ b/crates/platform/tests/all/shell.rs
@@ -1,4 +1,4 @@
-//! The shell over a fake transport.
+//! Tests of the shell with a fake transport.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -29,9 +29,9 @@
 use futures::channel::mpsc;
 use futures::channel::mpsc::Sender;
 
-/// Answers from a script; paths that it doesn't know hang.
+/// Answers some paths with fixed replies; requests for all other paths hang.
 #[derive(Clone, Default)]
-struct Script {
+struct FakeFetch {
     paths: Arc<Mutex<Vec<String>>>,
     hanging: Arc<AtomicUsize>,
     most_hanging: Arc<AtomicUsize>,
@@ -39,24 +39,24 @@
     lists: bool,
 }
 
-struct Hanging(Arc<AtomicUsize>);
+struct HangGuard(Arc<AtomicUsize>);
 
-impl Drop for Hanging {
+impl Drop for HangGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-impl Script {
-    fn note(&self, path: &str) {
+impl FakeFetch {
+    fn record_path(&self, path: &str) {
         let mut paths = self.paths.lock().expect("not poisoned");
         paths.push(path.to_owned());
     }
 }
 
-impl Fetch for Script {
+impl Fetch for FakeFetch {
     async fn get(&self, get: Get) -> Result<Reply, FetchError> {
-        self.note(&get.path);
+        self.record_path(&get.path);
         if self.throttled {
             return Ok(reply(429, "", &[("Retry-After", "9")]));
         }
@@ -67,7 +67,7 @@
             _ => {
                 let hanging = self.hanging.fetch_add(1, Ordering::SeqCst) + 1;
                 self.most_hanging.fetch_max(hanging, Ordering::SeqCst);
-                let _hanging = Hanging(Arc::clone(&self.hanging));
+                let _guard = HangGuard(Arc::clone(&self.hanging));
                 pending().await
             }
         }
@@ -91,16 +91,16 @@
     }
 }
 
-fn shell(script: &Script) -> Shell<Script> {
+fn shell(fake: &FakeFetch) -> Shell<FakeFetch> {
     Shell {
-        fetch: script.clone(),
+        fetch: fake.clone(),
         address: "127.0.0.1:1".into(),
         clock: Clock::start(),
     }
 }
 
-/// Runs a poller until `stop` says so of an update; returns that update.
-fn run_until(script: &Script, mut stop: impl FnMut(&Update) -> bool) -> Update {
+/// Runs a poller until `stop` returns true for an update; returns that update.
+fn run_until(fake: &FakeFetch, mut stop: impl FnMut(&Update) -> bool) -> Update {
     let settings = PollerSettings {
         period: Millis(1),
         timeout: Millis(20),
@@ -110,7 +110,7 @@
     let mut sender: Option<Sender<Event>> = Some(sender);
     let mut found = None;
     let poller = InstancePoller::new(settings);
-    task::block_on(run(poller, &shell(script), inbox, |_, update| {
+    task::block_on(run(poller, &shell(fake), inbox, |_, update| {
         if found.is_none() && stop(&update) {
             found = Some(update);
             sender = None;
@@ -121,11 +121,11 @@
 
 #[test]
 fn a_list_is_read_over_the_transport() {
-    let script = Script {
+    let fake = FakeFetch {
         lists: true,
-        ..Script::default()
+        ..FakeFetch::default()
     };
-    let update = run_until(&script, |u| matches!(u, Update::Instances(_)));
+    let update = run_until(&fake, |u| matches!(u, Update::Instances(_)));
     let Update::Instances(list) = update else {
         panic!("{update:?}");
     };
@@ -134,7 +134,7 @@
 
 #[test]
 fn an_index_and_a_part_are_read_over_the_transport() {
-    let shell = shell(&Script::default());
+    let shell = shell(&FakeFetch::default());
     let Ok(Answer::Index(index)) = task::block_on(read(&shell, &Call::Index)) else {
         panic!("no index");
     };
@@ -147,68 +147,68 @@
     assert_eq!(part.text, "text");
 }
 
-/// Polls hang past their deadlines, one after the other: each one's future, and with it its
-/// connection, must be dropped, or every deadline would leave one more connection behind.
+/// Polls hang past their deadlines, one after the other. The future of each must be dropped, since
+/// otherwise every timeout would leak a connection.
 #[test]
 fn a_call_past_its_deadline_is_dropped() {
-    let script = Script::default();
+    let fake = FakeFetch::default();
     let mut ended = 0;
-    run_until(&script, |update| {
+    run_until(&fake, |update| {
         ended += usize::from(*update == Update::Unavailable);
         ended == 3
     });
-    assert_eq!(script.most_hanging.load(Ordering::SeqCst), 1);
-    let paths = script.paths.lock().expect("not poisoned");
+    assert_eq!(fake.most_hanging.load(Ordering::SeqCst), 1);
+    let paths = fake.paths.lock().expect("not poisoned");
     assert!(paths.iter().all(|p| p == "/v1/instances"));
 }
 
-/// The service is asked to hold a watch for as long as the caller waits, and a frozen one is given
-/// up 2 s later: nobody else would ever end the call.
+/// A watch asks the platform to hold the call for the given wait and times out 2 s after that. Nothing
+/// else would end the call if the platform hangs.
 #[test]
 fn a_watch_has_its_wait_and_a_deadline() {
-    let script = Script::default();
-    let shell = shell(&script);
+    let fake = FakeFetch::default();
+    let shell = shell(&fake);
     let (after, wait) = (12, Millis(20));
     let result = task::block_on(read(&shell, &Call::Watch { after, wait }));
     assert_eq!(result, Err(Failure::Timeout));
     assert!(shell.clock.now() < Millis::from_secs(10));
-    assert_eq!(script.hanging.load(Ordering::SeqCst), 0);
-    let paths = script.paths.lock().expect("not poisoned");
+    assert_eq!(fake.hanging.load(Ordering::SeqCst), 0);
+    let paths = fake.paths.lock().expect("not poisoned");
     assert_eq!(*paths, ["/v1/config/watch?after=12&wait-ms=20"]);
 }
 
 #[test]
 fn a_429_carries_its_retry_after() {
-    let script = Script {
+    let fake = FakeFetch {
         throttled: true,
-        ..Script::default()
+        ..FakeFetch::default()
     };
     let failure = Failure::Throttled {
         retry_after: Some(Millis::from_secs(9)),
     };
-    let result = task::block_on(read(&shell(&script), &Call::Index));
+    let result = task::block_on(read(&shell(&fake), &Call::Index));
     assert_eq!(result, Err(failure.clone()));
-    let update = run_until(&script, |u| matches!(u, Update::Report(_)));
+    let update = run_until(&fake, |u| matches!(u, Update::Report(_)));
     assert_eq!(update, Update::Report(Report::Unreachable { failure }));
 }
 
 #[test]
 fn a_document_with_another_status_is_an_error() {
-    let script = Script {
+    let fake = FakeFetch {
         throttled: true,
-        ..Script::default()
+        ..FakeFetch::default()
     };
-    let result = task::block_on(fetch(&script, "127.0.0.1:1", "/metrics"));
+    let result = task::block_on(fetch(&fake, "127.0.0.1:1", "/metrics"));
     assert_eq!(result, Err(FetchError::Status(429)));
 }
 
-/// A single read, made without a machine, of a platform that never answers: it must end by itself.
+/// A single read is made without a state machine, so it must time out by itself.
 #[test]
 fn a_single_read_has_a_deadline() {
-    let script = Script::default();
-    let shell = shell(&script);
+    let fake = FakeFetch::default();
+    let shell = shell(&fake);
     let result = task::block_on(read(&shell, &Call::Instances));
     assert_eq!(result, Err(Failure::Timeout));
     assert!(shell.clock.now() < Millis::from_secs(10));
-    assert_eq!(script.hanging.load(Ordering::SeqCst), 0);
+    assert_eq!(fake.hanging.load(Ordering::SeqCst), 0);
 }
--- a/crates/platform/tests/all/transport.rs
+++ b/crates/platform/tests/all/transport.rs
@@ -1,4 +1,4 @@
-//! Reads over real sockets on loopback.
+//! Tests of the HTTP transport over loopback sockets.
 
 use async_std::io::ReadExt;
 use async_std::io::WriteExt;
@@ -14,7 +14,7 @@
 
 const LIMIT: usize = 8;
 
-/// Reads from a server that writes `answer` and then closes, or holds the connection.
+/// Sends a request to a server that writes `answer` and then closes the connection or holds it open.
 fn read_from(answer: &'static str, holds: bool) -> Result<Reply, FetchError> {
     task::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -25,7 +25,7 @@
             let _ = stream.read(&mut request).await;
             let _ = stream.write_all(answer.as_bytes()).await;
             if holds {
-                // Until the reader closes.
+                // Returns when the client closes.
                 let _ = stream.read(&mut request).await;
             }
         });
@@ -49,8 +49,8 @@
     assert_eq!(reply.number("retry-after"), Some(7));
 }
 
-/// The platform breaks off inside a document, or hangs there, or sends one without end. None of this
-/// may be read as a shorter document.
+/// The platform closes the connection or hangs within a document, or sends one without a length or
+/// over the limit. None of these may be accepted as a shorter document.
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nhalf", false; "short body")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nhalf", true; "body that hangs")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nnine byte", true; "body over the limit")]
@@ -63,14 +63,14 @@
     assert!(read_from(answer, holds).is_err());
 }
 
-/// A server sends a byte now and then, often enough for each wait to be short: the whole answer has
-/// a deadline all the same, or a watch on it would never end.
+/// A server that sends single bytes keeps each wait for data short. The deadline applies to the whole
+/// answer, since otherwise the read would never end.
 #[test]
-fn a_dripping_answer_ends_at_the_deadline() {
+fn a_trickled_answer_ends_at_the_deadline() {
     let reply = task::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("bound").to_string();
-        let server = task::spawn(drip(listener));
+        let server = task::spawn(trickle(listener));
         let get = Get {
             address,
             path: "/v1/config".into(),
@@ -84,8 +84,8 @@
     assert_eq!(reply, Err(FetchError::Timeout));
 }
 
-/// Announces 100 bytes and writes one every 20 ms until the reader closes.
-async fn drip(listener: TcpListener) {
+/// Declares 100 bytes and writes one every 20 ms until the client closes.
+async fn trickle(listener: TcpListener) {
     let (mut stream, _) = listener.accept().await.expect("a connection");
     let head = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n";
     stream.write_all(head).await.expect("connected");
--- a/crates/platform/tests/all/wire.rs
+++ b/crates/platform/tests/all/wire.rs
@@ -1,4 +1,4 @@
-//! The documents.
+//! Tests of the documents' formats.
 
 use crocushold_platform::wire::CacheEvents;
 use crocushold_platform::wire::CacheKind;
