--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -71,7 +71,7 @@
 
     fn apply_servers(&mut self, linked: &Linked<'_>) -> Diff<ServerKey> {
         let mut wanted = BTreeMap::new();
-        for decl in linked.declared.iter().flat_map(|d| &d.servers) {
+        for decl in linked.declarations.iter().flat_map(|d| &d.servers) {
             let Some(service) = linked.services.get(decl.service.as_str()) else {
                 continue;
             };
@@ -89,7 +89,7 @@
 
     fn apply_models(&mut self, linked: &Linked<'_>) -> Diff<ModelKey> {
         let mut wanted = BTreeMap::new();
-        for decl in linked.declared.iter().flat_map(|d| &d.models) {
+        for decl in linked.declarations.iter().flat_map(|d| &d.models) {
             let model = Model {
                 name: decl.name.clone(),
                 id: decl.id.clone(),
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -7,8 +7,8 @@
 
 use crate::decl::AccountDecl;
 use crate::decl::ClassDecl;
-use crate::decl::Declared;
-use crate::decl::Place;
+use crate::decl::Declarations;
+use crate::decl::Location;
 use crate::decl::ServiceDecl;
 use crate::finding::Findings;
 use crate::graph::Graph;
@@ -26,12 +26,12 @@
 pub(crate) const MAX_FLOORS: Share = Share(8_000);
 
 /// Checks the declarations of one team's edition against each other.
-pub(crate) fn check(team: &str, declared: &Declared, findings: &mut Findings) {
+pub(crate) fn check(team: &str, declarations: &Declarations, findings: &mut Findings) {
     let mut check = Check {
         team,
-        services: by_name(&declared.services, |s| &s.name),
-        classes: by_name(&declared.classes, |c| &c.name),
-        declared,
+        services: by_name(&declarations.services, |s| &s.name),
+        classes: by_name(&declarations.classes, |c| &c.name),
+        declarations,
         findings,
     };
     check.members();
@@ -55,29 +55,31 @@
     team: &'a str,
     services: BTreeMap<&'a str, &'a ServiceDecl>,
     classes: BTreeMap<&'a str, &'a ClassDecl>,
-    declared: &'a Declared,
+    declarations: &'a Declarations,
     findings: &'a mut Findings,
 }
 
 impl<'a> Check<'a> {
-    fn error(&mut self, place: &Place, key: &str, message: impl Into<String>) {
-        self.findings.push(place.error(key, message.into()));
+    fn error(&mut self, location: &Location, key: &str, message: impl Into<String>) {
+        self.findings.push(location.error(key, message.into()));
     }
 
-    fn warn(&mut self, place: &Place, key: &str, message: impl Into<String>) {
-        self.findings.push(place.warning(key, message.into()));
+    fn warn(&mut self, location: &Location, key: &str, message: impl Into<String>) {
+        self.findings.push(location.warning(key, message.into()));
     }
 
     fn has_service(&self, name: &str) -> bool {
-        self.services.contains_key(name) || self.is_broken("service", name)
+        self.services.contains_key(name) || self.is_malformed("service", name)
     }
 
     fn has_class(&self, name: &str) -> bool {
-        self.classes.contains_key(name) || self.is_broken("class", name)
+        self.classes.contains_key(name) || self.is_malformed("class", name)
     }
 
-    fn is_broken(&self, kind: &'static str, name: &str) -> bool {
-        self.declared.broken.contains(&(kind, name.to_owned()))
+    fn is_malformed(&self, kind: &'static str, name: &str) -> bool {
+        self.declarations
+            .malformed
+            .contains(&(kind, name.to_owned()))
     }
 
     fn is_own(&self, name: &str) -> bool {
@@ -86,37 +88,43 @@
 
     /// Servers and models need a service of their own team.
     fn members(&mut self) {
-        let declared = self.declared;
-        let servers = declared.servers.iter().map(|s| (&s.place, &s.service));
-        let models = declared.models.iter().map(|m| (&m.place, &m.service));
-        for (place, service) in servers.chain(models) {
+        let declarations = self.declarations;
+        let servers = declarations
+            .servers
+            .iter()
+            .map(|s| (&s.location, &s.service));
+        let models = declarations
+            .models
+            .iter()
+            .map(|m| (&m.location, &m.service));
+        for (location, service) in servers.chain(models) {
             if !self.has_service(service) {
                 let message = dangling("service", short_name(service));
-                self.error(place, "", message);
+                self.error(location, "", message);
             }
         }
-        for model in &declared.models {
+        for model in &declarations.models {
             let service = self.services.get(model.service.as_str());
             if service.is_some_and(|s| s.kind != ServiceKind::Model) {
                 let message = "a plain service serves no models; write kind = model there, \
                                or leave this section out";
-                self.error(&model.place, "", message);
+                self.error(&model.location, "", message);
             }
         }
     }
 
     /// Roles need engines, one of which goes on running whole requests, and leave to order them.
     fn roles(&mut self) {
-        let declared = self.declared;
-        for server in &declared.servers {
+        let declarations = self.declarations;
+        for server in &declarations.servers {
             let service = self.services.get(server.service.as_str());
             let plain = service.is_some_and(|s| s.kind != ServiceKind::Model);
             if plain && server.role.is_some() {
                 let message = "a plain service has no roles; leave it out";
-                self.error(&server.place, "role", message);
+                self.error(&server.location, "role", message);
             }
         }
-        for service in declared
+        for service in declarations
             .services
             .iter()
             .filter(|s| s.kind == ServiceKind::Model)
@@ -126,25 +134,25 @@
     }
 
     fn service_roles(&mut self, service: &ServiceDecl) {
-        let servers = self.declared.servers.iter();
+        let servers = self.declarations.servers.iter();
         let servers = servers.filter(|server| server.service == service.name);
         let roles: Vec<Option<Role>> = servers.map(|s| s.role.or(service.role)).collect();
         let is_whole = |role: &Option<Role>| role.is_none_or(|role| role == Role::Both);
         if !roles.is_empty() && !roles.iter().any(is_whole) {
             let message = "no server of this service would run whole requests; \
                            write role = both for one of them";
-            self.error(&service.place, "role", message);
+            self.error(&service.location, "role", message);
         }
         if roles.iter().any(Option::is_some) && service.weight_loads == 0 {
             let message = "the roles are not ordered, since nothing is ordered in a service without \
                            weight-loads; write weight-loads = 6/min";
-            self.warn(&service.place, "role", message);
+            self.warn(&service.location, "role", message);
         }
     }
 
     fn dependencies(&mut self) {
-        let graph = Graph::new(&self.declared.services);
-        for service in &self.declared.services {
+        let graph = Graph::new(&self.declarations.services);
+        for service in &self.declarations.services {
             let mut cyclic = Vec::new();
             for name in service.depends.iter() {
                 if !self.is_own(name) {
@@ -152,7 +160,7 @@
                 }
                 if !self.has_service(name) {
                     let message = dangling("service", short_name(name));
-                    self.error(&service.place, "depends-on", message);
+                    self.error(&service.location, "depends-on", message);
                 } else if graph.reaches(name, &service.name) {
                     cyclic.push(short_name(name));
                 }
@@ -163,14 +171,14 @@
                      each cycle",
                     cyclic.join(", ")
                 );
-                self.error(&service.place, "depends-on", message);
+                self.error(&service.location, "depends-on", message);
             }
         }
     }
 
     fn prefixes(&mut self) {
         let mut seen: BTreeMap<&str, &str> = BTreeMap::new();
-        for service in &self.declared.services {
+        for service in &self.declarations.services {
             let ServiceKind::Plain { prefix } = &service.kind else {
                 continue;
             };
@@ -179,13 +187,13 @@
                     "{} has this prefix already; write another one",
                     short_name(first)
                 );
-                self.error(&service.place, "prefix", message);
+                self.error(&service.location, "prefix", message);
             }
         }
     }
 
     fn grants(&mut self) {
-        for service in &self.declared.services {
+        for service in &self.declarations.services {
             let mut seen = BTreeSet::from([self.team]);
             for grant in &service.grants {
                 if !seen.insert(&grant.team) {
@@ -193,14 +201,14 @@
                         "{} is the own team or listed twice; write each other team once",
                         grant.team
                     );
-                    self.error(&service.place, "shared-with", message);
+                    self.error(&service.location, "shared-with", message);
                 }
             }
         }
     }
 
     fn class_services(&mut self) {
-        for class in &self.declared.classes {
+        for class in &self.declarations.classes {
             if !self.is_own(&class.service) {
                 continue;
             }
@@ -209,22 +217,23 @@
                     continue;
                 }
                 let message = dangling("service", short_name(&class.service));
-                self.error(&class.place, "service", message);
+                self.error(&class.location, "service", message);
                 continue;
             };
             let own = service.depends.iter().filter(|name| self.is_own(name));
-            let late = own.filter_map(|name| late_dependency(class, name, &self.declared.classes));
+            let late =
+                own.filter_map(|name| late_dependency(class, name, &self.declarations.classes));
             let late: Vec<String> = late.collect();
             for message in late {
-                self.error(&class.place, target_key(class), message);
+                self.error(&class.location, target_key(class), message);
             }
         }
     }
 
     /// The own classes' floors and the shares granted to other teams fit into a service together.
     fn floors(&mut self) {
-        for service in &self.declared.services {
-            let classes = self.declared.classes.iter();
+        for service in &self.declarations.services {
+            let classes = self.declarations.classes.iter();
             let own = classes.filter(|c| c.service == service.name);
             let own: u32 = own.map(|c| c.floor.0).sum();
             let granted: u32 = service.grants.iter().map(|g| g.share.0).sum();
@@ -236,7 +245,7 @@
                     Share(own),
                     Share(granted),
                 );
-                self.error(&service.place, "", message);
+                self.error(&service.location, "", message);
             }
         }
     }
@@ -244,7 +253,7 @@
     /// Only the team that owns a plain service binds its calls to classes.
     fn calls(&mut self) {
         let mut seen: HashMap<(&str, &CallPattern), &str> = HashMap::new();
-        for class in self.declared.classes.iter() {
+        for class in self.declarations.classes.iter() {
             if class.calls.is_empty() {
                 continue;
             }
@@ -254,40 +263,40 @@
                 ServiceKind::Model => None,
             });
             let Some(prefix) = prefix else {
-                let broken = self.is_broken("service", &class.service);
-                if broken || self.is_own(&class.service) && service.is_none() {
+                let malformed = self.is_malformed("service", &class.service);
+                if malformed || self.is_own(&class.service) && service.is_none() {
                     continue;
                 }
                 let message = "calls belong to a plain service of the own team; leave them out";
-                self.error(&class.place, "calls", message);
+                self.error(&class.location, "calls", message);
                 continue;
             };
             for call in &class.calls {
                 let path = format!("/{}/", call.segments.join("/"));
                 if !path.starts_with(&format!("{prefix}/")) {
                     let message = format!("{call} lies outside the service; begin with {prefix}/");
-                    self.error(&class.place, "calls", message);
+                    self.error(&class.location, "calls", message);
                 }
                 if let Some(first) = seen.insert((&class.service, call), &class.name) {
                     let first = short_name(first);
                     let message = format!("{call} belongs to {first} already; write it once");
-                    self.error(&class.place, "calls", message);
+                    self.error(&class.location, "calls", message);
                 }
             }
         }
     }
 
     fn account_classes(&mut self) {
-        for account in &self.declared.accounts {
+        for account in &self.declarations.accounts {
             let mut seen = BTreeSet::new();
             for name in &account.classes {
                 if !seen.insert(name) {
                     let message = format!("{} is listed twice; write it once", short_name(name));
-                    self.error(&account.place, "classes", message);
+                    self.error(&account.location, "classes", message);
                 }
                 if self.is_own(name) && !self.has_class(name) {
                     let message = dangling("class", short_name(name));
-                    self.error(&account.place, "classes", message);
+                    self.error(&account.location, "classes", message);
                 }
             }
             self.unreachable_classes(account);
@@ -305,7 +314,7 @@
             let default = *first.entry(&class.service).or_insert(class);
             let unread = [class, default]
                 .iter()
-                .any(|c| self.is_broken("class", &c.name));
+                .any(|c| self.is_malformed("class", &c.name));
             if !unread && class.priority < default.priority && class.calls.is_empty() {
                 let message = format!(
                     "{} is above {}, the account's first class on the service, and out of reach; \
@@ -313,21 +322,21 @@
                     short_name(name),
                     short_name(&default.name)
                 );
-                self.warn(&account.place, "classes", message);
+                self.warn(&account.location, "classes", message);
             }
         }
     }
 
     fn digests(&mut self) {
         let mut seen = HashMap::new();
-        for account in &self.declared.accounts {
+        for account in &self.declarations.accounts {
             for digest in &account.digests {
                 if let Some(first) = seen.insert(digest, &account.name) {
                     let message = format!(
                         "account {} has this key already; give each account its own key",
                         short_name(first)
                     );
-                    self.error(&account.place, "key-sha256", message);
+                    self.error(&account.location, "key-sha256", message);
                 }
             }
         }
@@ -336,12 +345,12 @@
     /// A service without servers may be meant (it is scaled to nothing), so that it is no error.
     fn servers_present(&mut self) {
         let served: BTreeSet<&str> = self
-            .declared
+            .declarations
             .servers
             .iter()
             .map(|s| s.service.as_str())
             .collect();
-        for class in &self.declared.classes {
+        for class in &self.declarations.classes {
             let known = self.services.contains_key(class.service.as_str());
             if known && !served.contains(class.service.as_str()) {
                 let service = short_name(&class.service);
@@ -349,7 +358,7 @@
                     "the class has no server, and its requests are refused; \
                      write a section [server {service}/NAME]"
                 );
-                self.warn(&class.place, "service", message);
+                self.warn(&class.location, "service", message);
             }
         }
     }
--- a/crates/config/src/decl.rs
+++ b/crates/config/src/decl.rs
@@ -1,4 +1,4 @@
-//! What one edition of a team's part declares, before references are resolved.
+//! Declarations in one edition of a team's part, with unresolved references.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,19 +15,19 @@
 use crate::model::Targets;
 use crate::source::Section;
 
-/// Where a declaration stands: the team, the section and the lines of its keys.
+/// The location of a declaration: the team, the section and the lines of its keys.
 #[derive(Clone, Debug)]
-pub(crate) struct Place {
+pub(crate) struct Location {
     pub(crate) team: String,
     pub(crate) header: String,
     pub(crate) line: usize,
     keys: Vec<(String, usize)>,
 }
 
-impl Place {
-    pub(crate) fn new(team: &str, section: &Section) -> Place {
+impl Location {
+    pub(crate) fn new(team: &str, section: &Section) -> Location {
         let keys = section.entries.iter();
-        Place {
+        Location {
             team: team.to_owned(),
             header: section.header.clone(),
             line: section.line,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// A finding about `key`, at its line or else at the section's.
+    /// Creates a finding about `key`, at its line or, if the section doesn't have it, at the section's.
     pub(crate) fn finding(&self, severity: Severity, key: &str, message: String) -> Finding {
         let line = self.keys.iter().find(|(name, _)| name == key);
         Finding {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Another team that may use a service, and the share its classes' floors may take together.
+/// Another team that may use a service, and the maximum sum of its classes' floors there.
 #[derive(Clone, Debug)]
 pub(crate) struct Grant {
     pub(crate) team: String,
@@ -66,7 +66,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceDecl {
-    pub(crate) place: Place,
+    pub(crate) location: Location,
     pub(crate) name: String,
     pub(crate) kind: ServiceKind,
     pub(crate) depends: Vec<String>,
@@ -79,22 +79,22 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct ServerDecl {
-    pub(crate) place: Place,
+    pub(crate) location: Location,
     pub(crate) name: String,
     pub(crate) service: String,
     pub(crate) address: SocketAddr,
     pub(crate) zone: String,
-    /// The service's default where it is left out.
+    /// `None` for the service's default.
     pub(crate) concurrency: Option<u32>,
-    /// The service's default where it is left out.
+    /// `None` for the service's default.
     pub(crate) checks_orders: Option<bool>,
-    /// The service's default where it is left out.
+    /// `None` for the service's default.
     pub(crate) role: Option<Role>,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct ModelDecl {
-    pub(crate) place: Place,
+    pub(crate) location: Location,
     pub(crate) name: String,
     pub(crate) id: String,
     pub(crate) service: String,
@@ -104,7 +104,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct ClassDecl {
-    pub(crate) place: Place,
+    pub(crate) location: Location,
     pub(crate) name: String,
     pub(crate) service: String,
     pub(crate) priority: Priority,
@@ -121,21 +121,21 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct AccountDecl {
-    pub(crate) place: Place,
+    pub(crate) location: Location,
     pub(crate) name: String,
     pub(crate) digests: Vec<KeyDigest>,
     pub(crate) classes: Vec<String>,
     pub(crate) limits: Limits,
 }
 
-/// Everything that one edition declares. Names are full.
+/// All declarations of one edition. Names are full names.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Declared {
+pub(crate) struct Declarations {
     pub(crate) services: Vec<ServiceDecl>,
     pub(crate) servers: Vec<ServerDecl>,
     pub(crate) models: Vec<ModelDecl>,
     pub(crate) classes: Vec<ClassDecl>,
     pub(crate) accounts: Vec<AccountDecl>,
-    /// What stands in the text but can't be read: the kind and the full name.
-    pub(crate) broken: BTreeSet<(&'static str, String)>,
+    /// Kinds and full names of declarations that are in the text but can't be parsed.
+    pub(crate) malformed: BTreeSet<(&'static str, String)>,
 }
--- a/crates/config/src/digest.rs
+++ b/crates/config/src/digest.rs
@@ -1,4 +1,4 @@
-//! Digests of callers' keys, and what a caller presents.
+//! Digests of callers' keys, and the credentials of callers.
 
 use std::fmt;
 
@@ -8,17 +8,17 @@
 /// The length of a digest in bytes.
 const LEN: usize = 32;
 
-/// The SHA-256 digest of a caller's key. The text holds digests only, never keys.
+/// The SHA-256 digest of a caller's key. The configuration contains digests only, never keys.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyDigest([u8; LEN]);
 
 impl KeyDigest {
-    /// Digests a key.
+    /// Computes the digest of a key.
     pub fn of(key: &str) -> KeyDigest {
         KeyDigest(Sha256::digest(key.as_bytes()).into())
     }
 
-    /// Reads 64 hexadecimal digits; nothing when the text is anything else.
+    /// Parses 64 hexadecimal digits; returns `None` for any other text.
     pub fn from_hex(text: &str) -> Option<KeyDigest> {
         let digits = text.as_bytes();
         if digits.len() != 2 * LEN {
@@ -49,20 +49,20 @@
     }
 }
 
-/// What a caller presents: the digest of its key, and the team that the key names.
+/// A caller's credential: the digest of its key, and the team that the key names.
 ///
-/// A key of the form `TEAM.SECRET` is looked up among that team's accounts alone. Without this a
-/// team that copies another team's digest by mistake could take over its callers.
+/// A key of the form `TEAM.SECRET` is looked up only among that team's accounts. Otherwise a team that
+/// copies another team's digest by mistake could take over its callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Credential<'a> {
-    /// The text before the key's first full stop, where it has one.
+    /// The part of the key before its first full stop, if it has one.
     pub team: Option<&'a str>,
     /// The digest of the whole key.
     pub digest: KeyDigest,
 }
 
 impl<'a> Credential<'a> {
-    /// Digests the key that a caller sent.
+    /// Creates the credential for a key that a caller sent.
     pub fn of(key: &'a str) -> Credential<'a> {
         Credential {
             team: key.split_once('.').map(|(team, _)| team),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A credential of which only the digest is known, as an operator may give it.
+    /// Creates a credential from a digest alone, such as one given by an operator.
     pub fn from_digest(digest: KeyDigest) -> Credential<'static> {
         Credential { team: None, digest }
     }
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -1,4 +1,4 @@
-//! Takes a section's entries one key at a time and collects what is wrong with them.
+//! Reads a section's entries by key and collects findings about them.
 
 use crate::finding::Finding;
 use crate::finding::Findings;
@@ -7,11 +7,11 @@
 use crate::source::Section;
 use crate::units::ValueError;
 
-/// The entries of a section that are still to be read.
+/// Reads the entries of one section and records which keys are known.
 pub(crate) struct Fields<'a> {
     team: &'a str,
     section: &'a Section,
-    taken: Vec<&'static str>,
+    known_keys: Vec<&'static str>,
     findings: &'a mut Findings,
 }
 
@@ -24,29 +24,30 @@
         Fields {
             team,
             section,
-            taken: Vec::new(),
+            known_keys: Vec::new(),
             findings,
         }
     }
 
-    /// Reads the value of `key`; nothing when it is left out or wrong.
+    /// Parses the value of `key`. Returns `None` if the key is missing, or if its value is invalid,
+    /// which becomes a finding.
     pub(crate) fn take<T>(
         &mut self,
         key: &'static str,
         read: impl Fn(&str) -> Result<T, ValueError>,
     ) -> Option<T> {
-        self.taken.push(key);
+        self.known_keys.push(key);
         let section = self.section;
         let mut entries = section.entries.iter().filter(|e| e.key == key);
         let first = entries.next()?;
-        for repeat in entries {
+        for duplicate in entries {
             let message = format!(
                 "the key is already on line {}; write it once, with a comma between several values",
                 first.line
             );
-            self.error(repeat.line, key, message);
+            self.error(duplicate.line, key, message);
         }
-        if first.broken {
+        if first.malformed {
             return None;
         }
         let result = match first.value.as_str() {
@@ -58,7 +59,7 @@
             .ok()
     }
 
-    /// Like [`Fields::take`], with a finding when the key is left out.
+    /// Like [`Fields::take`], with a finding if the key is missing.
     pub(crate) fn require<T>(
         &mut self,
         key: &'static str,
@@ -77,26 +78,26 @@
         self.section.entries.iter().any(|e| e.key == key)
     }
 
-    /// The line of a key, or of the section where it has no such key.
+    /// Returns the line of a key, or of the section if it doesn't have the key.
     pub(crate) fn line(&self, key: &str) -> usize {
         let entry = self.section.entries.iter().find(|e| e.key == key);
         entry.map_or(self.section.line, |e| e.line)
     }
 
-    /// Adds a finding about a key.
+    /// Adds an error about a key.
     pub(crate) fn reject(&mut self, key: &str, message: impl Into<String>) {
         self.error(self.line(key), key, message.into());
     }
 
-    /// Reports every entry that nothing has read.
+    /// Adds an error for each entry whose key is unknown.
     pub(crate) fn finish(mut self) {
         let section = self.section;
-        let unknown = |e: &&Entry| !e.broken && !self.taken.contains(&e.key.as_str());
+        let unknown = |e: &&Entry| !e.malformed && !self.known_keys.contains(&e.key.as_str());
         let unknown: Vec<&Entry> = section.entries.iter().filter(unknown).collect();
         for entry in unknown {
             let message = format!(
                 "the key is unknown; write one of: {}",
-                self.taken.join(", ")
+                self.known_keys.join(", ")
             );
             self.error(entry.line, &entry.key, message);
         }
--- a/crates/config/src/finding.rs
+++ b/crates/config/src/finding.rs
@@ -1,13 +1,13 @@
-//! Findings: what is wrong with a text, and where.
+//! Findings: errors and warnings with their location in the text.
 
 use std::fmt;
 
-/// How grave a finding is.
+/// The severity of a finding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Severity {
-    /// The edition that holds it is rejected whole.
+    /// The whole edition that contains it is rejected.
     Error,
-    /// The edition is accepted; the message says what is not in force.
+    /// The edition is accepted; the message says what isn't in force.
     Warning,
 }
 
@@ -20,20 +20,20 @@
     }
 }
 
-/// One mistake in a text, with its place and what to write instead.
+/// A mistake in a text, with its location and what to write instead.
 ///
-/// The fields are in the order in which findings are sorted.
+/// The order of the fields defines the order of findings.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
-    /// The team whose part holds the mistake; empty in the local settings.
+    /// The team whose part contains the mistake; empty for the local settings.
     pub team: String,
-    /// The line, counted from 1 in the text that was given.
+    /// The line number in the given text, from 1.
     pub line: usize,
     /// The section's header without brackets.
     pub section: String,
-    /// The key; empty when the finding is about a whole section.
+    /// The key; empty if the finding is about a whole section.
     pub key: String,
-    /// Whether the edition is rejected.
+    /// The severity.
     pub severity: Severity,
     /// What is wrong, and what to write instead.
     pub message: String,
@@ -55,13 +55,13 @@
     }
 }
 
-/// The most findings that one edition or the links between teams may hold.
+/// Maximum number of findings in one edition, and in the references between teams.
 pub(crate) const MAX_FINDINGS: usize = 1000;
 
-/// Collects findings, up to a bound.
+/// Collects up to [`MAX_FINDINGS`] findings.
 ///
-/// A part of one megabyte can hold half a million bad lines. Without the bound their findings would
-/// take a hundred times the part's size on every instance.
+/// A part of one megabyte can contain half a million malformed lines. Without the limit their findings
+/// would use a hundred times the part's size in memory on every instance.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Findings {
     list: Vec<Finding>,
@@ -76,12 +76,12 @@
         }
     }
 
-    /// Whether any finding, kept or not, rejects its edition.
+    /// Whether any finding is an error, including those dropped over the limit.
     pub(crate) fn has_error(&self) -> bool {
         self.has_error
     }
 
-    /// The findings, ordered by place.
+    /// Returns the findings in order, without duplicates.
     pub(crate) fn into_sorted(self) -> Vec<Finding> {
         let mut list = self.list;
         sort(&mut list);
@@ -89,7 +89,7 @@
     }
 }
 
-/// Sorts by place and drops repeats.
+/// Sorts findings and removes duplicates.
 pub(crate) fn sort(findings: &mut Vec<Finding>) {
     findings.sort();
     findings.dedup();
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,9 +1,10 @@
-//! The shared configuration text and an instance's local settings.
+//! Parses the shared configuration and the local settings of an instance.
 //!
-//! Each team writes its own part of the shared text. [`ConfigText`] splits the text into parts, parses
-//! each by itself and decides from the part alone whether it is accepted. [`Catalog`] holds
-//! everything that the accepted parts declare, and [`resolve`] says what a request
-//! belongs to. [`Settings`] are the second, local text: addresses, availability zone, bounds.
+//! Each team writes its own part of the shared configuration. [`ConfigText`] splits the text into
+//! parts, parses each part independently and decides from the part alone whether it is accepted.
+//! [`Catalog`] holds everything that the accepted parts declare, and [`resolve`] determines the
+//! account, class and service of a request. [`Settings`] are local to an instance: its addresses,
+//! availability zone and limits.
 
 mod apply;
 mod catalog;
@@ -15,8 +16,8 @@
 mod fields;
 mod finding;
 mod graph;
+mod line_index;
 mod link;
-mod locate;
 mod model;
 mod part;
 mod read;
--- a/crates/config/src/locate.rs
+++ b/crates/config/src/line_index.rs
@@ -1,17 +1,17 @@
-//! Finds the lines of sections and keys, which `rust-ini` doesn't report.
+//! Finds the line numbers of sections and keys, which `rust-ini` doesn't report.
 
 use crate::finding::MAX_FINDINGS;
 
-/// A key and its line.
+/// A key and its line number.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct KeyLine {
     pub(crate) key: String,
     pub(crate) line: usize,
-    /// The line has no separator, and the key is a guess from its first word.
-    pub(crate) broken: bool,
+    /// The line has no separator, and the key is assumed to be its first word.
+    pub(crate) malformed: bool,
 }
 
-/// A section's header, its line and its keys in order.
+/// A section's header and line number, and its keys in order.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct SectionLines {
     pub(crate) header: String,
@@ -21,20 +21,20 @@
 
 /// A line that is neither a section, a key, a comment nor blank.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) struct BadLine {
+pub(crate) struct MalformedLine {
     pub(crate) line: usize,
     pub(crate) section: String,
     pub(crate) message: &'static str,
 }
 
-/// Where everything in one INI text stands.
+/// The line numbers of the sections and keys of an INI text.
 #[derive(Debug, Default)]
-pub(crate) struct Lines {
-    /// The text with each bad line made readable or empty, so that one bad line doesn't hide what
-    /// else is wrong. Lines keep their numbers.
+pub(crate) struct LineIndex {
+    /// The text with each malformed line repaired or emptied, so that it doesn't hide other errors.
+    /// Line numbers are unchanged.
     pub(crate) cleaned: String,
     pub(crate) sections: Vec<SectionLines>,
-    pub(crate) bad: Vec<BadLine>,
+    pub(crate) malformed: Vec<MalformedLine>,
 }
 
 const NO_SEPARATOR: &str = "the line has no '='; write KEY = VALUE, or start a comment with #";
@@ -44,19 +44,19 @@
 const CONTROL: &str = "the line holds a control character; delete it";
 const NO_SECTION: &str = "the key stands before any section; move it below one";
 
-/// Indexes a text whose first line has the number `first`.
-pub(crate) fn locate(text: &str, first: usize) -> Lines {
-    let mut lines = Lines::default();
+/// Indexes a text whose first line has the number `first_line`.
+pub(crate) fn index_lines(text: &str, first_line: usize) -> LineIndex {
+    let mut index = LineIndex::default();
     for (offset, raw) in text.lines().enumerate() {
-        lines.add(raw, first + offset);
-        lines.cleaned.push('\n');
+        index.add_line(raw, first_line + offset);
+        index.cleaned.push('\n');
     }
-    lines
+    index
 }
 
-impl Lines {
-    fn add(&mut self, raw: &str, line: usize) {
-        // The library takes a lone carriage return for the end of a line, which no editor shows.
+impl LineIndex {
+    fn add_line(&mut self, raw: &str, line: usize) {
+        // The INI library takes a lone carriage return for a line break, which editors don't show.
         if raw.chars().any(|c| c.is_control() && c != '\t') {
             return self.reject(line, CONTROL);
         }
@@ -64,7 +64,7 @@
             return;
         }
         let mut text = raw.trim();
-        // The library joins such a line with the next one, which would hide a whole key.
+        // The INI library joins such a line with the next one, which would hide a key.
         if text.ends_with('\\') {
             self.reject(line, BACKSLASH);
             text = text.trim_end_matches('\\').trim_end();
@@ -96,7 +96,7 @@
         if self.sections.is_empty() {
             return self.reject(line, NO_SECTION);
         }
-        // The library takes the next separator it meets, on whatever line that stands.
+        // The INI library would use the next separator, even on a later line.
         let end = text.find(['=', ':']);
         if end.is_none() {
             self.reject(line, NO_SEPARATOR);
@@ -107,18 +107,22 @@
             Some(_) => self.cleaned.push_str(text),
             None => self.cleaned.push_str(&format!("{key} =")),
         }
-        let broken = end.is_none();
+        let malformed = end.is_none();
         if let Some(section) = self.sections.last_mut() {
-            section.keys.push(KeyLine { key, line, broken });
+            section.keys.push(KeyLine {
+                key,
+                line,
+                malformed,
+            });
         }
     }
 
     fn reject(&mut self, line: usize, message: &'static str) {
-        if self.bad.len() == MAX_FINDINGS {
+        if self.malformed.len() == MAX_FINDINGS {
             return;
         }
         let section = self.sections.last().map(|s| s.header.clone());
-        self.bad.push(BadLine {
+        self.malformed.push(MalformedLine {
             line,
             section: section.unwrap_or_default(),
             message,
--- a/crates/config/src/link.rs
+++ b/crates/config/src/link.rs
@@ -11,7 +11,7 @@
 
 use crate::decl::AccountDecl;
 use crate::decl::ClassDecl;
-use crate::decl::Declared;
+use crate::decl::Declarations;
 use crate::decl::ServiceDecl;
 use crate::digest::KeyDigest;
 use crate::finding::Findings;
@@ -28,7 +28,7 @@
     pub(crate) services: BTreeMap<&'a str, LinkedService<'a>>,
     pub(crate) classes: BTreeMap<&'a str, LinkedClass<'a>>,
     pub(crate) accounts: BTreeMap<&'a str, LinkedAccount<'a>>,
-    pub(crate) declared: Vec<&'a Declared>,
+    pub(crate) declarations: Vec<&'a Declarations>,
     pub(crate) findings: Findings,
 }
 
@@ -53,7 +53,7 @@
 /// Links the editions that are in force.
 pub(crate) fn link(text: &ConfigText) -> Linked<'_> {
     let mut linked = Linked {
-        declared: text.parts().map(|part| part.declared()).collect(),
+        declarations: text.parts().map(|part| part.declarations()).collect(),
         ..Linked::default()
     };
     linked.link_services();
@@ -66,13 +66,13 @@
 
 impl<'a> Linked<'a> {
     fn link_services(&mut self) {
-        let all: Vec<&ServiceDecl> = self.declared.iter().flat_map(|d| &d.services).collect();
+        let all: Vec<&ServiceDecl> = self.declarations.iter().flat_map(|d| &d.services).collect();
         let known: BTreeSet<&str> = all.iter().map(|s| s.name.as_str()).collect();
         let graph = Graph::new(all.iter().copied());
         for decl in all {
             let mut depends = Vec::new();
             for name in &decl.depends {
-                let own = team_name(name) == decl.place.team;
+                let own = team_name(name) == decl.location.team;
                 let problem = if !known.contains(name.as_str()) {
                     "is not in force"
                 } else if !own && graph.reaches(name, &decl.name) {
@@ -82,7 +82,7 @@
                     continue;
                 };
                 let message = format!("{name} {problem} and is passed over; write another name");
-                let finding = decl.place.warning("depends-on", message);
+                let finding = decl.location.warning("depends-on", message);
                 self.findings.push(finding);
             }
             let service = LinkedService { decl, depends };
@@ -91,21 +91,21 @@
     }
 
     fn link_classes(&mut self) {
-        let all: Vec<&ClassDecl> = self.declared.iter().flat_map(|d| &d.classes).collect();
+        let all: Vec<&ClassDecl> = self.declarations.iter().flat_map(|d| &d.classes).collect();
         let mut claims: BTreeMap<(&str, &str), u32> = BTreeMap::new();
         for class in &all {
-            let claim = (class.place.team.as_str(), class.service.as_str());
+            let claim = (class.location.team.as_str(), class.service.as_str());
             let sum = claims.entry(claim).or_default();
             *sum = sum.saturating_add(class.floor.0);
         }
         for decl in &all {
-            let claim = claims[&(decl.place.team.as_str(), decl.service.as_str())];
+            let claim = claims[&(decl.location.team.as_str(), decl.service.as_str())];
             match self.floor_of(decl, Share(claim)) {
                 Ok(floor) => {
                     self.classes.insert(&decl.name, LinkedClass { decl, floor });
                 }
                 Err(message) => {
-                    let finding = decl.place.warning("service", message);
+                    let finding = decl.location.warning("service", message);
                     self.findings.push(finding);
                 }
             }
@@ -121,7 +121,7 @@
                 "service {name} is not in force, nor is this class; write another service"
             ));
         };
-        let team = &class.place.team;
+        let team = &class.location.team;
         if team_name(name) == team {
             return Ok(class.floor);
         }
@@ -142,7 +142,7 @@
              and this one counts as {floor}; lower them",
             grant.share
         );
-        self.findings.push(class.place.warning("floor", message));
+        self.findings.push(class.location.warning("floor", message));
         Ok(floor)
     }
 
@@ -153,12 +153,12 @@
             let Some(service) = self.services.get(class.service.as_str()) else {
                 continue;
             };
-            let team = &class.place.team;
+            let team = &class.location.team;
             for name in &service.depends {
                 let own = team_name(name) == team && team_name(&class.service) == team;
                 let late = late_dependency(class, name, all.iter().copied());
                 if let Some(message) = late.filter(|_| !own) {
-                    let finding = class.place.warning(target_key(class), message);
+                    let finding = class.location.warning(target_key(class), message);
                     self.findings.push(finding);
                 }
             }
@@ -166,13 +166,13 @@
     }
 
     fn link_accounts(&mut self) {
-        for decl in self.declared.iter().flat_map(|d| &d.accounts) {
+        for decl in self.declarations.iter().flat_map(|d| &d.accounts) {
             let mut classes = Vec::new();
             for name in &decl.classes {
-                match self.may_use(&decl.place.team, name) {
+                match self.may_use(&decl.location.team, name) {
                     Ok(()) => classes.push(name.as_str()),
                     Err(message) => {
-                        let finding = decl.place.warning("classes", message);
+                        let finding = decl.location.warning("classes", message);
                         self.findings.push(finding);
                     }
                 }
@@ -216,7 +216,7 @@
                     others.join(", "),
                     winner.name
                 );
-                let finding = account.place.warning("key-sha256", message);
+                let finding = account.location.warning("key-sha256", message);
                 self.findings.push(finding);
             }
         }
@@ -224,13 +224,13 @@
 
     fn check_addresses(&mut self) {
         let mut seen: HashMap<SocketAddr, &str> = HashMap::new();
-        for server in self.declared.iter().flat_map(|d| &d.servers) {
+        for server in self.declarations.iter().flat_map(|d| &d.servers) {
             if let Some(first) = seen.insert(server.address, &server.name) {
                 let message = format!(
                     "{first} has the same address, and both count its load apart; \
                      write another address or leave one out"
                 );
-                let finding = server.place.warning("address", message);
+                let finding = server.location.warning("address", message);
                 self.findings.push(finding);
             }
         }
--- a/crates/config/src/part.rs
+++ b/crates/config/src/part.rs
@@ -1,7 +1,7 @@
-//! One team's part, and whether it is accepted.
+//! One team's part of the configuration, and the decision whether it is accepted.
 
 use crate::check::check;
-use crate::decl::Declared;
+use crate::decl::Declarations;
 use crate::finding;
 use crate::finding::Finding;
 use crate::finding::Findings;
@@ -9,44 +9,44 @@
 use crate::read::read;
 use crate::source;
 
-/// The most bytes that a part may hold.
+/// Maximum size of a part, in bytes.
 pub const MAX_PART: usize = 1 << 20;
 
-/// The line after which the previous edition stands.
+/// The line that begins the previous edition.
 const PREVIOUS: &str = "[previous]";
 
 /// Which edition of a part is in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InForce {
-    /// The current edition, which has no errors.
+    /// The current edition, since it has no errors.
     Current,
-    /// The previous edition, because the current one has errors.
+    /// The previous edition, since the current one has errors.
     Previous,
-    /// Neither: both have errors, or there is no previous one.
+    /// Neither, since the current edition has errors and the previous one has errors or is missing.
     Nothing,
 }
 
-/// One team's part of the text: a current edition and perhaps the previous one.
+/// One team's part of the text: the current edition and optionally the previous one.
 ///
-/// Whether an edition is accepted depends on the part alone: not on the time, on other parts or on
-/// what was in force before. So every instance, also one that starts afterwards, decides alike.
+/// Whether an edition is accepted depends on the part alone, not on the time, other parts or what was
+/// in force before. So all instances decide alike, including those that start later.
 #[derive(Clone, Debug)]
 pub struct Part {
     team: String,
     line: usize,
     in_force: InForce,
-    declared: Declared,
+    declarations: Declarations,
     findings: Vec<Finding>,
 }
 
 impl Part {
-    /// Parses a part whose first line has the number `first`.
-    pub(crate) fn parse(team: &str, text: &str, first: usize) -> Part {
+    /// Parses a part whose first line has the number `first_line`.
+    pub(crate) fn parse(team: &str, text: &str, first_line: usize) -> Part {
         let mut part = Part {
             team: team.to_owned(),
-            line: first,
+            line: first_line,
             in_force: InForce::Nothing,
-            declared: Declared::default(),
+            declarations: Declarations::default(),
             findings: Vec::new(),
         };
         if text.len() > MAX_PART {
@@ -64,44 +64,44 @@
     fn parse_editions(&mut self, text: &str) {
         let (current, previous) = split_editions(text);
         let lines = current.lines().count();
-        if let Some(declared) = self.parse_edition(current, self.line, "team") {
+        if let Some(declarations) = self.parse_edition(current, self.line, "team") {
             self.in_force = InForce::Current;
-            self.declared = declared;
+            self.declarations = declarations;
         }
         let Some(previous) = previous else {
             return;
         };
-        let declared = self.parse_edition(previous, self.line + lines, "previous");
+        let declarations = self.parse_edition(previous, self.line + lines, "previous");
         if self.in_force == InForce::Current {
             return;
         }
-        if let Some(declared) = declared {
+        if let Some(declarations) = declarations {
             self.in_force = InForce::Previous;
-            self.declared = declared;
+            self.declarations = declarations;
         }
     }
 
-    /// The declarations of an edition; nothing when it has an error.
-    fn parse_edition(&mut self, text: &str, first: usize, head: &str) -> Option<Declared> {
+    /// Returns the declarations of an edition, or `None` if it has an error.
+    fn parse_edition(&mut self, text: &str, first_line: usize, head: &str) -> Option<Declarations> {
         let mut findings = Findings::default();
-        let sections = source::parse(text, first, &self.team, &mut findings);
-        let begins = sections.first().and_then(|s| s.header.split(' ').next());
-        if begins != Some(head) {
+        let sections = source::parse(text, first_line, &self.team, &mut findings);
+        let first_kind = sections.first().and_then(|s| s.header.split(' ').next());
+        if first_kind != Some(head) {
             self.findings.extend(findings.into_sorted());
             self.reject(format!("begin with [team {}]", self.team));
             return None;
         }
-        let declared = read(&self.team, &sections, &mut findings);
-        check(&self.team, &declared, &mut findings);
+        let declarations = read(&self.team, &sections, &mut findings);
+        check(&self.team, &declarations, &mut findings);
         let accepted = !findings.has_error();
         self.findings.extend(findings.into_sorted());
-        accepted.then_some(declared)
+        accepted.then_some(declarations)
     }
 
-    /// Adds an error about the whole part and puts nothing of it in force.
+    /// Adds an error about the whole part and rejects both editions.
     pub(crate) fn reject(&mut self, message: String) {
         self.in_force = InForce::Nothing;
-        self.declared = Declared::default();
+        self.declarations = Declarations::default();
         self.findings.push(Finding {
             team: self.team.clone(),
             line: self.line,
@@ -112,27 +112,27 @@
         });
     }
 
-    /// The team that writes the part.
+    /// Returns the team that owns the part.
     pub fn team(&self) -> &str {
         &self.team
     }
 
-    /// Which edition is in force.
+    /// Returns which edition is in force.
     pub fn in_force(&self) -> InForce {
         self.in_force
     }
 
-    /// What is wrong with either edition, by line.
+    /// Returns the findings in both editions, by line.
     pub fn findings(&self) -> &[Finding] {
         &self.findings
     }
 
-    pub(crate) fn declared(&self) -> &Declared {
-        &self.declared
+    pub(crate) fn declarations(&self) -> &Declarations {
+        &self.declarations
     }
 }
 
-/// The current edition, and the previous one with its `[previous]` line.
+/// Splits a part into the current edition and the previous one with its `[previous]` line.
 fn split_editions(text: &str) -> (&str, Option<&str>) {
     let mut start = 0;
     for line in text.split_inclusive('\n') {
@@ -144,14 +144,14 @@
     (text, None)
 }
 
-/// The part to publish next: `draft` with the edition that `published` has in force behind it.
+/// Returns the part to publish next: `draft` followed by the edition of `published` that is in force.
 ///
-/// Published so, an error in the draft leaves the team where it was. A `[previous]` edition that
-/// the draft itself holds is dropped.
+/// If the draft has an error, that edition stays in force. A `[previous]` edition in the draft itself
+/// is dropped.
 ///
 /// # Errors
 ///
-/// The findings when the published part has nothing in force, or when the result is too long.
+/// The findings, if the published part has no edition in force or the result is too long.
 pub fn with_previous(team: &str, draft: &str, published: &str) -> Result<String, Vec<Finding>> {
     let mut part = Part::parse(team, published, 1);
     let (current, previous) = split_editions(published);
@@ -160,7 +160,7 @@
         InForce::Previous => previous.unwrap_or_default(),
         InForce::Nothing => return Err(part.findings),
     };
-    let body = without_head(edition);
+    let body = without_header(edition);
     let (draft, _) = split_editions(draft);
     let text = format!("{}\n\n{PREVIOUS}\n{body}", draft.trim_end());
     if text.len() > MAX_PART {
@@ -174,8 +174,8 @@
     Ok(text)
 }
 
-/// An edition without its first section's header and what stands before that.
-fn without_head(edition: &str) -> &str {
+/// Removes the first section's header and everything before it from an edition.
+fn without_header(edition: &str) -> &str {
     let mut start = 0;
     for line in edition.split_inclusive('\n') {
         start += line.len();
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads the sections of one edition into declarations.
+//! Converts the sections of one edition to declarations.
 
 mod head;
 mod values;
@@ -9,7 +9,7 @@
 
 use self::head::is_bounded;
 use self::head::read_head;
-use self::head::report_repeats;
+use self::head::report_duplicates;
 use self::values::MAX_CONCURRENCY;
 use self::values::read_grant;
 use self::values::read_kind;
@@ -17,9 +17,9 @@
 use self::values::take_concurrency;
 use crate::decl::AccountDecl;
 use crate::decl::ClassDecl;
-use crate::decl::Declared;
+use crate::decl::Declarations;
+use crate::decl::Location;
 use crate::decl::ModelDecl;
-use crate::decl::Place;
 use crate::decl::ServerDecl;
 use crate::decl::ServiceDecl;
 use crate::fields::Fields;
@@ -37,48 +37,48 @@
 const MAX_QUEUE: u32 = 1_000_000;
 const MAX_REPLICAS: u32 = 10_000;
 
-/// An account has one key, and a second one while it changes keys.
+/// An account has one key, and two during key rotation.
 const MAX_KEYS: usize = 2;
 
 const DEFAULT_CONCURRENCY: u32 = 64;
 const DEFAULT_QUEUE: u32 = 256;
 const DEFAULT_OBJECTIVE: Share = Share(9_500);
 
-/// Stands for an address that can't be read.
-const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+/// Used in place of an invalid address.
+const PLACEHOLDER_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-const HEADER: &str = "the section is unknown; write [service NAME], [server SERVICE/NAME], \
+const UNKNOWN_SECTION: &str = "the section is unknown; write [service NAME], [server SERVICE/NAME], \
                       [model SERVICE/NAME], [class NAME] or [account NAME]";
 
-/// Reads sections one after the other.
+/// Reads sections in order.
 ///
-/// A section with a wrong value is declared all the same, with a stand-in for the value, so that the
-/// checks after this find what else is wrong with it. No stand-in is ever in force: the error that
-/// calls for it rejects the edition.
+/// A section with an invalid value is still declared, with a placeholder for the value, so that later
+/// checks find its other errors. A placeholder is never in force, since the error that caused it
+/// rejects the edition.
 pub(crate) struct Reader<'a> {
     team: &'a str,
-    declared: Declared,
+    declarations: Declarations,
     findings: &'a mut Findings,
 }
 
-/// Reads an edition: its head section, then the others.
-pub(crate) fn read(team: &str, sections: &[Section], findings: &mut Findings) -> Declared {
+/// Reads the head section of an edition, then the others.
+pub(crate) fn read(team: &str, sections: &[Section], findings: &mut Findings) -> Declarations {
     let Some((head, rest)) = sections.split_first() else {
-        return Declared::default();
+        return Declarations::default();
     };
     if !read_head(team, head, findings) || !is_bounded(team, rest, findings) {
-        return Declared::default();
+        return Declarations::default();
     }
-    report_repeats(team, rest, findings);
+    report_duplicates(team, rest, findings);
     let mut reader = Reader {
         team,
-        declared: Declared::default(),
+        declarations: Declarations::default(),
         findings,
     };
     for section in rest {
         reader.section(section);
     }
-    reader.declared
+    reader.declarations
 }
 
 impl Reader<'_> {
@@ -96,24 +96,24 @@
     }
 
     fn unknown(&mut self, section: &Section, name: &str) {
-        self.reject(section, HEADER);
-        self.note_broken("service", format!("{}/{name}", self.team));
-        self.note_broken("class", format!("{}/{name}", self.team));
+        self.reject(section, UNKNOWN_SECTION);
+        self.record_malformed("service", format!("{}/{name}", self.team));
+        self.record_malformed("class", format!("{}/{name}", self.team));
     }
 
-    /// Notes what was meant to be declared, so that references to it become no findings too.
-    fn note_broken(&mut self, kind: &'static str, name: String) {
-        self.declared.broken.insert((kind, name));
+    /// Records a declaration that can't be parsed, so that references to it don't become findings too.
+    fn record_malformed(&mut self, kind: &'static str, name: String) {
+        self.declarations.malformed.insert((kind, name));
     }
 
     fn reject(&mut self, section: &Section, message: impl Into<String>) {
-        let place = Place::new(self.team, section);
+        let location = Location::new(self.team, section);
         self.findings
-            .push(place.finding(Severity::Error, "", message.into()));
+            .push(location.finding(Severity::Error, "", message.into()));
     }
 
-    /// The full name of a section that is named by one word.
-    fn name(&mut self, section: &Section, name: &str) -> Option<String> {
+    /// Returns the full name of a section with a header `KIND NAME`.
+    fn full_name(&mut self, section: &Section, name: &str) -> Option<String> {
         match units::name(name) {
             Ok(name) => Some(format!("{}/{name}", self.team)),
             Err(error) => {
@@ -123,19 +123,20 @@
         }
     }
 
-    /// The service's full name and the own name of a section named `SERVICE/NAME`.
-    fn member(
+    /// Returns the service's full name and the local name of a section with a header
+    /// `KIND SERVICE/NAME`.
+    fn member_name(
         &mut self,
         section: &Section,
         name: &str,
         read: impl Fn(&str) -> Result<String, ValueError>,
     ) -> Option<(String, String)> {
-        let Some((service, own)) = name.split_once('/') else {
+        let Some((service, local_name)) = name.split_once('/') else {
             self.reject(section, "the service is missing; write SERVICE/NAME");
             return None;
         };
-        match (units::name(service), read(own)) {
-            (Ok(service), Ok(own)) => Some((format!("{}/{service}", self.team), own)),
+        match (units::name(service), read(local_name)) {
+            (Ok(service), Ok(local_name)) => Some((format!("{}/{service}", self.team), local_name)),
             (Err(error), _) | (_, Err(error)) => {
                 self.reject(section, error.to_string());
                 None
@@ -144,7 +145,7 @@
     }
 
     fn service(&mut self, section: &Section, name: &str) {
-        let name = self.name(section, name);
+        let name = self.full_name(section, name);
         let team = self.team;
         let mut fields = Fields::new(team, section, self.findings);
         let kind = read_kind(&mut fields);
@@ -170,10 +171,10 @@
             return;
         };
         if kind.is_none() {
-            self.note_broken("service", name.clone());
+            self.record_malformed("service", name.clone());
         }
-        self.declared.services.push(ServiceDecl {
-            place: Place::new(team, section),
+        self.declarations.services.push(ServiceDecl {
+            location: Location::new(team, section),
             name,
             kind: kind.unwrap_or(ServiceKind::Model),
             depends: depends.unwrap_or_default(),
@@ -186,7 +187,7 @@
     }
 
     fn server(&mut self, section: &Section, name: &str) {
-        let member = self.member(section, name, units::name);
+        let names = self.member_name(section, name, units::name);
         let mut fields = Fields::new(self.team, section, self.findings);
         let address = fields.require("address", "10.0.0.7:8000", units::address);
         let zone = fields.require("zone", "ZONE", units::name);
@@ -194,14 +195,14 @@
         let checks_orders = fields.take("checks-orders", units::flag);
         let role = fields.take("role", units::role);
         fields.finish();
-        let Some((service, own)) = member else {
+        let Some((service, local_name)) = names else {
             return;
         };
-        self.declared.servers.push(ServerDecl {
-            place: Place::new(self.team, section),
-            name: format!("{service}/{own}"),
+        self.declarations.servers.push(ServerDecl {
+            location: Location::new(self.team, section),
+            name: format!("{service}/{local_name}"),
             service,
-            address: address.unwrap_or(NO_ADDRESS),
+            address: address.unwrap_or(PLACEHOLDER_ADDRESS),
             zone: zone.unwrap_or_default(),
             concurrency,
             checks_orders,
@@ -210,16 +211,16 @@
     }
 
     fn model(&mut self, section: &Section, name: &str) {
-        let member = self.member(section, name, units::model_id);
+        let names = self.member_name(section, name, units::model_id);
         let mut fields = Fields::new(self.team, section, self.findings);
         let weights = fields.require("weights", "16 GB", units::size);
         let replicas = fields.require("servers", "2", |v| units::count(v, 1, MAX_REPLICAS));
         fields.finish();
-        let Some((service, id)) = member else {
+        let Some((service, id)) = names else {
             return;
         };
-        self.declared.models.push(ModelDecl {
-            place: Place::new(self.team, section),
+        self.declarations.models.push(ModelDecl {
+            location: Location::new(self.team, section),
             name: format!("{service}/{id}"),
             id,
             service,
@@ -229,7 +230,7 @@
     }
 
     fn class(&mut self, section: &Section, name: &str) {
-        let name = self.name(section, name);
+        let name = self.full_name(section, name);
         let team = self.team;
         let mut fields = Fields::new(team, section, self.findings);
         let service = fields.require("service", "SERVICE", |v| units::reference(team, v));
@@ -256,15 +257,15 @@
             return;
         };
         if service.is_none() || priority.is_none() {
-            self.note_broken("class", name.clone());
+            self.record_malformed("class", name.clone());
         }
         let Some(service) = service else {
             return;
         };
         let idempotent = idempotent.unwrap_or(false);
         let default_retries = u32::from(idempotent);
-        self.declared.classes.push(ClassDecl {
-            place: Place::new(team, section),
+        self.declarations.classes.push(ClassDecl {
+            location: Location::new(team, section),
             name,
             service,
             priority: priority.unwrap_or(Priority::LOWEST),
@@ -280,7 +281,7 @@
     }
 
     fn account(&mut self, section: &Section, name: &str) {
-        let name = self.name(section, name);
+        let name = self.full_name(section, name);
         let team = self.team;
         let mut fields = Fields::new(team, section, self.findings);
         let digests = fields.require("key-sha256", "64 hexadecimal digits", |v| {
@@ -303,8 +304,8 @@
         let Some(name) = name else {
             return;
         };
-        self.declared.accounts.push(AccountDecl {
-            place: Place::new(team, section),
+        self.declarations.accounts.push(AccountDecl {
+            location: Location::new(team, section),
             name,
             digests: digests.unwrap_or_default(),
             classes: classes.unwrap_or_default(),
--- a/crates/config/src/read/values.rs
+++ b/crates/config/src/read/values.rs
@@ -1,4 +1,4 @@
-//! Reads values that take several keys or have several parts.
+//! Reads values that depend on several keys or have several parts.
 
 use crocushold_base::Millis;
 
@@ -9,7 +9,7 @@
 use crate::units;
 use crate::units::ValueError;
 
-/// The most requests that a server runs, or an account has in progress, at once.
+/// Maximum concurrency of a server or an account, in requests.
 pub(super) const MAX_CONCURRENCY: u32 = 100_000;
 
 /// Reads how many requests a server runs at once.
@@ -17,7 +17,7 @@
     fields.take("concurrency", |v| units::count(v, 1, MAX_CONCURRENCY))
 }
 
-/// Reads the kind of a service and the prefix that goes with it.
+/// Reads the kind of a service and, for a plain service, its prefix.
 pub(super) fn read_kind(fields: &mut Fields<'_>) -> Option<ServiceKind> {
     let kind = fields.require("kind", "model", |v| Ok(v.to_owned()))?;
     let prefix = fields.take("prefix", units::prefix);
@@ -41,7 +41,7 @@
     }
 }
 
-/// Reads `TEAM SHARE`.
+/// Parses `TEAM SHARE`.
 pub(super) fn read_grant(value: &str) -> Result<Grant, ValueError> {
     let (team, share) = value.split_once(' ').unwrap_or((value, ""));
     Ok(Grant {
@@ -58,13 +58,13 @@
         whole_answer: fields.take("whole-answer", units::duration),
     };
     let whole = targets.whole_answer.unwrap_or(Millis::MAX);
-    let late = |part: Option<Millis>| part.is_some_and(|part| part >= whole);
-    if late(targets.first_token) {
+    let not_below_whole = |part: Option<Millis>| part.is_some_and(|part| part >= whole);
+    if not_below_whole(targets.first_token) {
         let message = "the first token is due no sooner than the whole answer; \
                        write a first-token below whole-answer";
         fields.reject("first-token", message);
     }
-    if late(targets.between_tokens) {
+    if not_below_whole(targets.between_tokens) {
         let message = "the gap is as long as the whole answer may take; \
                        write a between-tokens below whole-answer";
         fields.reject("between-tokens", message);
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! The local settings of one instance: a second, small INI.
+//! The local settings of one instance, in an INI file of their own.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -16,27 +16,28 @@
 use crate::units;
 use crate::units::ValueError;
 
-/// The most bytes that a settings file may hold.
-const MAX_SETTINGS: usize = 64 << 10;
+/// Maximum size of a settings file, in bytes.
+const MAX_SETTINGS_BYTES: usize = 64 << 10;
 
-/// The least length of a peer key, so that it can't be found by trying.
-const MIN_PEER_KEY: usize = 32;
+/// Minimum length of a peer key, to prevent brute-force attacks.
+const MIN_PEER_KEY_LENGTH: usize = 32;
 
 const MIB: u64 = 1 << 20;
 
-/// What a connection of a caller may take, whatever comes over it, beside its requests: its task, 20 KiB
-/// that were read ahead (in room for 32), and the buffers of an answer.
+/// Upper bound of the memory of a caller's connection, excluding its requests, in bytes: its task,
+/// 20 KiB of read-ahead in a buffer of 32 KiB, and the buffers of an answer.
 pub const CONNECTION_BYTES: u64 = 80 << 10;
 
-/// The longest head that the HTTP library reads. A higher bound would promise what callers don't get.
-const MAX_HEAD: u64 = 8191;
+/// Longest request head that the HTTP library reads, in bytes. A higher limit would have no effect.
+const MAX_HEAD_BYTES: u64 = 8191;
 
-/// The least memory bound with which an instance is of use.
-const MIN_MEMORY: u64 = 16 * MIB;
+/// Minimum memory limit at which an instance is usable, in bytes.
+const MIN_MEMORY_BYTES: u64 = 16 * MIB;
 
-const SECTION: &str = "the section is unknown; write [instance], [platform], [peers] or [limits]";
+const UNKNOWN_SECTION: &str =
+    "the section is unknown; write [instance], [platform], [peers] or [limits]";
 
-/// A secret that is never printed.
+/// A secret that its `Debug` output redacts.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Secret(String);
 
@@ -46,7 +47,7 @@
         Secret(secret.into())
     }
 
-    /// The secret itself.
+    /// Returns the secret itself.
     pub fn expose(&self) -> &str {
         &self.0
     }
@@ -63,33 +64,33 @@
     }
 }
 
-/// Bounds on everything that a caller can send or hold.
+/// Limits on what callers can send or occupy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The most bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: u64,
-    /// The most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: u64,
-    /// The longest wait for a request's head.
+    /// Timeout for receiving a request's head.
     pub head_timeout: Millis,
-    /// The longest wait for the whole body of a request.
+    /// Timeout for receiving a request's whole body.
     pub body_timeout: Millis,
-    /// The longest wait for a caller that reads nothing of its answer.
+    /// Timeout for writing to a caller that doesn't read its answer.
     pub write_timeout: Millis,
-    /// How long a connection between two requests is kept.
+    /// How long an idle connection is kept open between requests.
     pub idle_timeout: Millis,
-    /// Connections in all.
+    /// Maximum number of connections.
     pub connections: u32,
-    /// Connections of one account.
+    /// Maximum number of connections of one account.
     pub connections_per_account: u32,
-    /// Requests of one account that may wait in the queue of a service.
+    /// Maximum number of requests of one account in the queue of a service.
     pub queued_per_account: u32,
 }
 
 impl Default for CallerLimits {
     fn default() -> CallerLimits {
         CallerLimits {
-            head_bytes: MAX_HEAD,
+            head_bytes: MAX_HEAD_BYTES,
             body_bytes: 4 * MIB,
             head_timeout: Millis::from_secs(10),
             body_timeout: Millis::from_secs(15),
@@ -105,38 +106,38 @@
 /// The local settings of one instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The instance's id, as the instance list gives it.
+    /// The instance's id, as in the instance list.
     pub id: String,
     /// Its availability zone.
     pub zone: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub listen: SocketAddr,
-    /// Where operators connect: health, metrics, status.
+    /// Address for operators: health, metrics and status.
     pub operator: SocketAddr,
-    /// Where other instances connect.
+    /// Address for other instances.
     pub peer: SocketAddr,
     /// The platform's addresses, tried in turn.
     pub platform: Vec<SocketAddr>,
-    /// The secret that instances prove to each other.
+    /// Shared secret with which instances authenticate each other.
     pub peer_key: Secret,
-    /// How long the outcome of a request with an idempotency key is remembered. The same on all
+    /// How long the outcome of a request with an idempotency key is kept. Must be the same on all
     /// instances.
     pub claim_window: Millis,
-    /// How many instances send to a backend server and poll it, where there are more. The same on
-    /// all instances.
+    /// Maximum number of instances that send requests to a backend server and poll it. Must be the
+    /// same on all instances.
     pub senders: u32,
-    /// Whether no instance ran before this fleet. If not, an instance that finds no peer with records
-    /// refuses requests with an idempotency key for the length of the window, since an earlier fleet
-    /// may have run them.
+    /// Whether this is the first start of the fleet. Otherwise an instance that finds no peer with
+    /// records rejects requests with an idempotency key for the length of the claim window, since an
+    /// earlier fleet may have run them.
     pub first_start: bool,
-    /// How long a planned stop goes on serving after the health answer began to fail: the time in
-    /// which the balancer notices.
+    /// How long an instance keeps serving after its health check starts to fail during a planned stop,
+    /// so that the load balancer can detect it.
     pub notice: Millis,
-    /// How long a planned stop waits for requests in progress after that.
+    /// How long a planned stop then waits for requests in progress.
     pub drain: Millis,
-    /// The most bytes that requests in progress may hold.
+    /// Maximum memory of requests in progress, in bytes.
     pub memory: u64,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub limits: CallerLimits,
 }
 
@@ -166,20 +167,21 @@
 }
 
 impl Settings {
-    /// Reads the settings file's text.
+    /// Parses the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Every finding, by line.
+    /// All findings, by line.
     pub fn parse(text: &str) -> Result<Settings, Vec<Finding>> {
-        if text.len() > MAX_SETTINGS {
-            let message = format!("the settings are too long; write at most {MAX_SETTINGS} bytes");
+        if text.len() > MAX_SETTINGS_BYTES {
+            let message =
+                format!("the settings are too long; write at most {MAX_SETTINGS_BYTES} bytes");
             return Err(vec![error(1, "", message)]);
         }
         let mut findings = Findings::default();
         let sections = source::parse(text, 1, "", &mut findings);
         let mut settings = Settings::default();
-        report_repeats(&sections, &mut findings);
+        report_duplicates(&sections, &mut findings);
         for name in ["instance", "platform", "peers"] {
             if !sections.iter().any(|s| s.header == name) {
                 findings.push(error(1, name, "the section is missing; write it"));
@@ -204,7 +206,7 @@
             "peers" => self.read_peers(&mut fields),
             "limits" => self.limits.read(&mut fields),
             _ => {
-                findings.push(error(section.line, &section.header, SECTION));
+                findings.push(error(section.line, &section.header, UNKNOWN_SECTION));
                 return;
             }
         }
@@ -221,7 +223,7 @@
         set(&mut self.notice, fields.take("notice", units::duration));
         set(&mut self.drain, fields.take("drain", units::duration));
         set(&mut self.memory, fields.take("memory", units::size));
-        if self.memory < MIN_MEMORY {
+        if self.memory < MIN_MEMORY_BYTES {
             fields.reject("memory", "the bound is too low; write at least 16 MiB");
         }
     }
@@ -239,14 +241,17 @@
         let key = fields.require("key", "a secret of 32 characters or more", |v| {
             Ok(v.to_owned())
         });
-        if key.as_ref().is_some_and(|key| key.len() < MIN_PEER_KEY) {
+        if key
+            .as_ref()
+            .is_some_and(|key| key.len() < MIN_PEER_KEY_LENGTH)
+        {
             let message = "the key is too short; write at least 32 characters, \
                            such as `openssl rand -hex 32` prints";
             fields.reject("key", message);
         }
         set(&mut self.peer_key, key.map(Secret));
-        let window = fields.take("claim-window", units::duration);
-        set(&mut self.claim_window, window);
+        let claim_window = fields.take("claim-window", units::duration);
+        set(&mut self.claim_window, claim_window);
         let senders = |v: &str| -> Result<u32, ValueError> { units::count(v, 1, 10_000) };
         set(&mut self.senders, fields.take("senders", senders));
         set(
@@ -255,16 +260,17 @@
         );
     }
 
-    /// A request with the longest body fits into the memory of all: it is held twice while it is sent.
+    /// Checks that a body of maximum size takes at most a quarter of the memory limit. It is held twice
+    /// while it is sent.
     fn check_memory(&self, sections: &[Section], findings: &mut Findings) {
-        if self.memory < MIN_MEMORY || self.limits.body_bytes <= self.memory / 4 {
+        if self.memory < MIN_MEMORY_BYTES || self.limits.body_bytes <= self.memory / 4 {
             return;
         }
         let message = "a longest body doesn't fit into memory, where it is held twice; \
                        write at most a quarter of memory";
         let limits = sections.iter().find(|section| section.header == "limits");
-        let place = limits.filter(|section| Fields::new("", section, findings).has("body"));
-        let (section, key) = match place {
+        let with_body = limits.filter(|section| Fields::new("", section, findings).has("body"));
+        let (section, key) = match with_body {
             Some(section) => (Some(section), "body"),
             None => (sections.iter().find(|s| s.header == "instance"), "memory"),
         };
@@ -273,18 +279,18 @@
         }
     }
 
-    /// Two of the instance's own addresses are never the same.
+    /// Checks that the instance's own addresses are distinct.
     fn check_addresses(&self, sections: &[Section], findings: &mut Findings) {
-        let own = [
+        let addresses = [
             ("instance", "listen", self.listen),
             ("instance", "operator", self.operator),
             ("peers", "listen", self.peer),
         ];
-        for (index, (section, key, address)) in own.iter().enumerate() {
-            // Port 0 stands for any free one, a different one each time.
+        for (index, (section, key, address)) in addresses.iter().enumerate() {
+            // Port 0 means any free port, a different one each time.
             let same = |other: &SocketAddr| other == address && address.port() != 0;
-            let first = own[..index].iter().find(|(_, _, other)| same(other));
-            let Some((_, other, _)) = first else {
+            let first = addresses[..index].iter().find(|(_, _, other)| same(other));
+            let Some((_, other_key, _)) = first else {
                 continue;
             };
             let Some(section) = sections.iter().find(|s| s.header == *section) else {
@@ -292,7 +298,7 @@
             };
             let mut fields = Fields::new("", section, findings);
             if fields.has(key) {
-                let message = format!("{address} is the address of {other} too; write another");
+                let message = format!("{address} is the address of {other_key} too; write another");
                 fields.reject(key, message);
             }
         }
@@ -302,7 +308,7 @@
 impl CallerLimits {
     fn read(&mut self, fields: &mut Fields<'_>) {
         set(&mut self.head_bytes, fields.take("head", units::size));
-        if self.head_bytes > MAX_HEAD {
+        if self.head_bytes > MAX_HEAD_BYTES {
             fields.reject("head", "no longer head can be read; write at most 8 KB");
         }
         set(&mut self.body_bytes, fields.take("body", units::size));
@@ -339,7 +345,7 @@
     }
 }
 
-fn report_repeats(sections: &[Section], findings: &mut Findings) {
+fn report_duplicates(sections: &[Section], findings: &mut Findings) {
     for (index, section) in sections.iter().enumerate() {
         let earlier = &sections[..index];
         if let Some(first) = earlier.iter().find(|s| s.header == section.header) {
--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -1,4 +1,4 @@
-//! Reads one INI text into sections whose entries carry their lines.
+//! Parses INI text into sections whose entries have line numbers.
 
 use ini::Ini;
 use ini::ParseOption;
@@ -6,20 +6,20 @@
 use crate::finding::Finding;
 use crate::finding::Findings;
 use crate::finding::Severity;
-use crate::locate::SectionLines;
-use crate::locate::locate;
+use crate::line_index::SectionLines;
+use crate::line_index::index_lines;
 
-/// One `key = value`.
+/// A `key = value` entry.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub(crate) key: String,
     pub(crate) value: String,
     pub(crate) line: usize,
-    /// The line was no `key = value`, which a finding says already.
-    pub(crate) broken: bool,
+    /// The line isn't a `key = value`, and a finding already says so.
+    pub(crate) malformed: bool,
 }
 
-/// One section: the kind and the name of its header, and its entries in order.
+/// A section: its header, which holds a kind and a name, and its entries in order.
 #[derive(Clone, Debug)]
 pub(crate) struct Section {
     pub(crate) header: String,
@@ -27,63 +27,73 @@
     pub(crate) entries: Vec<Entry>,
 }
 
-/// Parses a text whose first line has the number `first`, as far as it can be read.
+/// Parses a text whose first line has the number `first_line`.
 ///
-/// Every line that is no INI becomes a finding, and the rest is read on.
-pub(crate) fn parse(text: &str, first: usize, team: &str, findings: &mut Findings) -> Vec<Section> {
-    let lines = locate(text, first);
-    for bad in &lines.bad {
-        findings.push(syntax_error(team, bad.line, &bad.section, bad.message));
+/// Each line that isn't valid INI becomes a finding, and the other lines are still parsed.
+pub(crate) fn parse(
+    text: &str,
+    first_line: usize,
+    team: &str,
+    findings: &mut Findings,
+) -> Vec<Section> {
+    let index = index_lines(text, first_line);
+    for malformed in &index.malformed {
+        findings.push(syntax_error(
+            team,
+            malformed.line,
+            &malformed.section,
+            malformed.message,
+        ));
     }
-    // Neither quotes nor escapes: a value is what stands on the line.
+    // Values are literal, without quoting or escapes.
     let options = ParseOption {
         enabled_quote: false,
         enabled_escape: false,
         ..ParseOption::default()
     };
-    let ini = match Ini::load_from_str_opt(&lines.cleaned, options) {
+    let ini = match Ini::load_from_str_opt(&index.cleaned, options) {
         Ok(ini) => ini,
         Err(error) => {
-            let line = first + error.line.saturating_sub(1);
+            let line = first_line + error.line.saturating_sub(1);
             findings.push(syntax_error(team, line, "", &error.msg));
             return Vec::new();
         }
     };
-    join(&ini, lines.sections, team).unwrap_or_else(|finding| {
+    merge(&ini, index.sections, team).unwrap_or_else(|finding| {
         findings.push(finding);
         Vec::new()
     })
 }
 
-/// Gives each section and key that the library read the line that the locator found.
+/// Merges the sections and keys that the INI library parsed with their lines in the index.
 ///
-/// The two readers must agree on every section and key; where they don't, the text is rejected at
-/// that place. Otherwise a finding could name a wrong line, or a key could be read that its author
-/// doesn't see as one.
-fn join(ini: &Ini, lines: Vec<SectionLines>, team: &str) -> Result<Vec<Section>, Finding> {
-    let mut read = ini.iter().filter(|(name, _)| name.is_some());
+/// Both must agree on every section and key, and the text is rejected at the first difference.
+/// Otherwise a finding could refer to a wrong line, or text that its author doesn't mean as a key
+/// could be taken for one.
+fn merge(ini: &Ini, lines: Vec<SectionLines>, team: &str) -> Result<Vec<Section>, Finding> {
+    let mut parsed = ini.iter().filter(|(name, _)| name.is_some());
     let mut sections = Vec::with_capacity(lines.len());
     for located in lines {
-        let unclear = |line| {
+        let unreadable = |line| {
             let message = "the line can't be read; write [KIND NAME] or KEY = VALUE";
             syntax_error(team, line, &located.header, message)
         };
-        let Some((Some(name), properties)) = read.next() else {
-            return Err(unclear(located.line));
+        let Some((Some(name), properties)) = parsed.next() else {
+            return Err(unreadable(located.line));
         };
         if name != located.header || properties.iter().count() != located.keys.len() {
-            return Err(unclear(located.line));
+            return Err(unreadable(located.line));
         }
         let mut entries = Vec::with_capacity(located.keys.len());
-        for ((key, value), place) in properties.iter().zip(&located.keys) {
-            if key != place.key {
-                return Err(unclear(place.line));
+        for ((key, value), key_line) in properties.iter().zip(&located.keys) {
+            if key != key_line.key {
+                return Err(unreadable(key_line.line));
             }
             entries.push(Entry {
                 key: key.to_owned(),
                 value: value.to_owned(),
-                line: place.line,
-                broken: place.broken,
+                line: key_line.line,
+                malformed: key_line.malformed,
             });
         }
         sections.push(Section {
--- a/crates/config/src/text.rs
+++ b/crates/config/src/text.rs
@@ -1,4 +1,4 @@
-//! The whole shared text: one part for each team.
+//! The shared configuration text, with one part per team.
 
 use std::collections::BTreeMap;
 
@@ -11,36 +11,37 @@
 
 /// The shared configuration text.
 ///
-/// Parts are held by team name, so that the order in which they are written or fetched changes
-/// nothing.
+/// Parts are keyed by team name, so the order in which they are written or fetched has no effect.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigText {
     parts: BTreeMap<String, Part>,
-    stray: Vec<Finding>,
+    /// Findings that belong to no part in `parts`.
+    other_findings: Vec<Finding>,
 }
 
-/// A slice of the whole text that begins with a `[team NAME]` line.
-struct Slice<'a> {
+/// A section of the whole text that begins with a `[team NAME]` line.
+struct PartSlice<'a> {
     team: &'a str,
     line: usize,
     text: &'a str,
 }
 
 impl ConfigText {
-    /// Splits a whole text at its `[team NAME]` lines and parses each part by itself.
+    /// Splits a text at its `[team NAME]` lines and parses each part independently.
     pub fn parse(text: &str) -> ConfigText {
-        let mut whole = ConfigText::default();
-        let (stray, slices) = split(text);
-        whole.add_stray(stray);
+        let mut config = ConfigText::default();
+        let (preamble, slices) = split(text);
+        config.check_preamble(preamble);
         for slice in slices {
-            whole.add(&slice);
+            config.add_part(&slice);
         }
-        whole
+        config
     }
 
-    /// Parses one team's part anew and leaves the others alone.
+    /// Parses and sets one team's part, without affecting the other parts.
     ///
-    /// The text begins with the team's `[team NAME]` line and holds no other such line.
+    /// The text must begin with the team's `[team NAME]` line and have no other such line; otherwise
+    /// the part is rejected.
     pub fn set_part(&mut self, team: &str, text: &str) -> &Part {
         let (_, slices) = split(text);
         let mut part = Part::parse(team, text, 1);
@@ -54,24 +55,24 @@
         &self.parts[team]
     }
 
-    /// Drops one team's part.
+    /// Removes one team's part.
     pub fn remove_part(&mut self, team: &str) {
         self.parts.remove(team);
     }
 
-    /// The parts, ordered by team.
+    /// Returns the parts, ordered by team.
     pub fn parts(&self) -> impl Iterator<Item = &Part> {
         self.parts.values()
     }
 
-    /// One team's part.
+    /// Returns one team's part.
     pub fn part(&self, team: &str) -> Option<&Part> {
         self.parts.get(team)
     }
 
-    /// Every finding: of each part by itself, and of references between teams.
+    /// Returns the findings in each part and those about references between teams.
     pub fn findings(&self) -> Vec<Finding> {
-        let mut all = self.stray.clone();
+        let mut all = self.other_findings.clone();
         let parts = self.parts.values();
         all.extend(parts.flat_map(|part| part.findings().iter().cloned()));
         all.extend(link(self).findings.into_sorted());
@@ -79,29 +80,30 @@
         all
     }
 
-    fn add(&mut self, slice: &Slice<'_>) {
+    fn add_part(&mut self, slice: &PartSlice<'_>) {
         let mut part = Part::parse(slice.team, slice.text, slice.line);
         if let Err(error) = units::name(slice.team) {
             part.reject(error.to_string());
         }
-        // Neither of two parts may win: whichever did, the order of the text or of the fetches
-        // would decide. The platform holds one part a team, so this meets a local file only.
+        // Neither part is accepted, since otherwise the order of the text or of the fetches would
+        // decide between them. The platform stores one part per team, so this happens only in local
+        // files.
         if let Some(first) = self.parts.get_mut(slice.team) {
             let message = "the team has two parts, and neither is in force; write one";
             first.reject(message.to_owned());
             part.reject(message.to_owned());
-            self.stray.extend_from_slice(part.findings());
+            self.other_findings.extend_from_slice(part.findings());
             return;
         }
         self.parts.insert(slice.team.to_owned(), part);
     }
 
-    fn add_stray(&mut self, text: &str) {
+    fn check_preamble(&mut self, text: &str) {
         let comment = |line: &str| line.starts_with(['#', ';']);
         let mut lines = text.lines().enumerate();
-        let stray = lines.find(|(_, line)| !line.trim().is_empty() && !comment(line));
-        if let Some((offset, _)) = stray {
-            self.stray.push(Finding {
+        let first_content = lines.find(|(_, line)| !line.trim().is_empty() && !comment(line));
+        if let Some((offset, _)) = first_content {
+            self.other_findings.push(Finding {
                 team: String::new(),
                 line: offset + 1,
                 section: String::new(),
@@ -113,8 +115,8 @@
     }
 }
 
-/// The text before the first part, and the parts.
-fn split(text: &str) -> (&str, Vec<Slice<'_>>) {
+/// Splits a text into the lines before the first part and the parts.
+fn split(text: &str) -> (&str, Vec<PartSlice<'_>>) {
     let mut starts = Vec::new();
     let mut offset = 0;
     for (index, line) in text.split_inclusive('\n').enumerate() {
@@ -123,24 +125,24 @@
         }
         offset += line.len();
     }
-    let stray = starts.first().map_or(text, |(start, ..)| &text[..*start]);
+    let preamble = starts.first().map_or(text, |(start, ..)| &text[..*start]);
     let ends = starts.iter().skip(1).map(|(start, ..)| *start);
     let ends = ends.chain([text.len()]);
     let slices = starts
         .iter()
         .zip(ends)
-        .map(|((start, line, team), end)| Slice {
+        .map(|((start, line, team), end)| PartSlice {
             team,
             line: *line,
             text: &text[*start..end],
         });
-    (stray, slices.collect())
+    (preamble, slices.collect())
 }
 
-/// The name in a `[team NAME]` line.
+/// Returns the name in a `[team NAME]` line.
 fn team_line(line: &str) -> Option<&str> {
     let rest = line.trim().strip_prefix("[team")?;
     let name = rest.strip_suffix(']').unwrap_or(rest);
-    let apart = name.is_empty() || name.starts_with(char::is_whitespace);
-    apart.then_some(name.trim())
+    let is_team_line = name.is_empty() || name.starts_with(char::is_whitespace);
+    is_team_line.then_some(name.trim())
 }
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,6 +1,6 @@
-//! Values with their units: durations, shares, rates, sizes.
+//! Parsers for values such as durations, shares, rates and sizes.
 //!
-//! Each reader fails with what to write instead, so that a finding can say it.
+//! The error of each parser says what to write instead, for use in a finding.
 
 use std::net::SocketAddr;
 
@@ -14,19 +14,19 @@
 use crate::model::Role;
 use crate::model::Share;
 
-/// The longest list that one key may hold.
+/// Maximum number of entries in a list.
 pub(crate) const MAX_LIST: usize = 64;
 
-/// The longest name of a team, service, server, class, account or model.
+/// Maximum length of the name of a team, service, server, class, account or model, in bytes.
 pub(crate) const MAX_NAME: usize = 64;
 
-/// The longest duration: one day. A longer one is a slip of the unit.
+/// Longest duration, in milliseconds: one day. A longer one is most likely a wrong unit.
 const MAX_DURATION: u64 = 24 * 60 * 60 * 1000;
 
 quick_error! {
-    /// Why a value can't be read, and what to write instead.
+    /// Why a value is invalid, and what to write instead.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    // The macro takes no `pub(crate)`; the module is private.
+    // The macro doesn't support `pub(crate)`; the module is private.
     #[allow(unreachable_pub)]
     pub enum ValueError {
         Duration(value: String) {
@@ -59,7 +59,7 @@
         Priority(value: String) {
             display("{value:?} is no priority; write a whole number from 1 (served first) to 5")
         }
-        // Without the value, which may be the key itself, put there by mistake.
+        // The message omits the value, which may be a key that was put there by mistake.
         Digest {
             display("the value is no digest; write the 64 hexadecimal digits that \
                      `printf %s KEY | sha256sum` prints")
@@ -77,13 +77,13 @@
         Empty {
             display("the value is empty; write a value or leave the key out")
         }
-        Long {
+        TooLong {
             display("the list is too long; write at most {} entries", MAX_LIST)
         }
     }
 }
 
-/// A duration: `350 ms`, `10 s`, `5 min`, `1 h`; above zero.
+/// Parses a positive duration, such as `350 ms`, `10 s`, `5 min` or `1 h`.
 pub(crate) fn duration(value: &str) -> Result<Millis, ValueError> {
     let fail = || ValueError::Duration(value.to_owned());
     let (number, unit) = split_unit(value).ok_or_else(fail)?;
@@ -94,14 +94,14 @@
         "h" => 60 * 60 * 1000,
         _ => return Err(fail()),
     };
-    let span = number.checked_mul(factor).ok_or_else(fail)?;
-    if span == 0 || span > MAX_DURATION {
+    let millis = number.checked_mul(factor).ok_or_else(fail)?;
+    if millis == 0 || millis > MAX_DURATION {
         return Err(fail());
     }
-    Ok(Millis(span))
+    Ok(Millis(millis))
 }
 
-/// A role: `both`, `prefill` or `decode`.
+/// Parses a role: `both`, `prefill` or `decode`.
 pub(crate) fn role(value: &str) -> Result<Role, ValueError> {
     match value {
         "both" => Ok(Role::Both),
@@ -111,7 +111,7 @@
     }
 }
 
-/// A share: `5 %` or `99.95 %`.
+/// Parses a share, such as `5 %` or `99.95 %`.
 pub(crate) fn share(value: &str) -> Result<Share, ValueError> {
     let fail = || ValueError::Share(value.to_owned());
     let number = value.strip_suffix('%').ok_or_else(fail)?.trim_end();
@@ -128,7 +128,7 @@
     Ok(share)
 }
 
-/// A rate with the given unit: `50/s`, `6/min`; above zero.
+/// Parses a positive rate with the given unit, such as `50/s` or `6/min`.
 pub(crate) fn rate(value: &str, unit: &'static str) -> Result<u32, ValueError> {
     let fail = || ValueError::Rate(value.to_owned(), unit);
     let number = value.strip_suffix(unit).ok_or_else(fail)?.trim_end();
@@ -141,7 +141,7 @@
     }
 }
 
-/// A size in bytes: `512 MiB`, `16 GB`; above zero.
+/// Parses a positive size, such as `512 MiB` or `16 GB`, into bytes.
 pub(crate) fn size(value: &str) -> Result<u64, ValueError> {
     let fail = || ValueError::Size(value.to_owned());
     let (number, unit) = split_unit(value).ok_or_else(fail)?;
@@ -161,7 +161,7 @@
     Ok(bytes)
 }
 
-/// A whole number in a range.
+/// Parses an integer from `least` to `most`.
 pub(crate) fn count(value: &str, least: u32, most: u32) -> Result<u32, ValueError> {
     let fail = || ValueError::Count(value.to_owned(), least, most);
     if !is_digits(value) {
@@ -174,7 +174,7 @@
     Ok(number)
 }
 
-/// `yes` or `no`.
+/// Parses `yes` or `no`.
 pub(crate) fn flag(value: &str) -> Result<bool, ValueError> {
     match value {
         "yes" => Ok(true),
@@ -183,14 +183,14 @@
     }
 }
 
-/// An IP number and a port.
+/// Parses an IP address with a port.
 pub(crate) fn address(value: &str) -> Result<SocketAddr, ValueError> {
     value
         .parse()
         .map_err(|_| ValueError::Address(value.to_owned()))
 }
 
-/// A priority from 1 to 5.
+/// Parses a priority from 1 to 5.
 pub(crate) fn priority(value: &str) -> Result<Priority, ValueError> {
     let fail = || ValueError::Priority(value.to_owned());
     if !is_digits(value) {
@@ -200,12 +200,12 @@
     Priority::new(tier).ok_or_else(fail)
 }
 
-/// A digest in hexadecimal.
+/// Parses a hexadecimal digest.
 pub(crate) fn digest(value: &str) -> Result<KeyDigest, ValueError> {
     KeyDigest::from_hex(value).ok_or(ValueError::Digest)
 }
 
-/// The path prefix of a plain service.
+/// Parses the path prefix of a plain service.
 pub(crate) fn prefix(value: &str) -> Result<String, ValueError> {
     let fail = || ValueError::Prefix(value.to_owned());
     let rest = value.strip_prefix('/').ok_or_else(fail)?;
@@ -216,14 +216,14 @@
     Ok(value.to_owned())
 }
 
-/// A method and a path pattern.
+/// Parses a method and a path pattern.
 pub(crate) fn call(value: &str) -> Result<CallPattern, ValueError> {
     let fail = || ValueError::Call(value.to_owned());
     let (method, path) = value.split_once(' ').ok_or_else(fail)?;
     let rest = path.trim_start().strip_prefix('/').ok_or_else(fail)?;
-    let known = !method.is_empty() && method.bytes().all(|b| b.is_ascii_uppercase());
+    let is_method = !method.is_empty() && method.bytes().all(|b| b.is_ascii_uppercase());
     let segments: Vec<&str> = rest.split('/').collect();
-    if !known || !segments.iter().all(|s| *s == "*" || is_segment(s)) {
+    if !is_method || !segments.iter().all(|s| *s == "*" || is_segment(s)) {
         return Err(fail());
     }
     Ok(CallPattern {
@@ -232,7 +232,7 @@
     })
 }
 
-/// A name without a slash.
+/// Parses a name, which has no slashes.
 pub(crate) fn name(value: &str) -> Result<String, ValueError> {
     if !is_name(value) {
         return Err(ValueError::Name(value.to_owned()));
@@ -240,7 +240,7 @@
     Ok(value.to_owned())
 }
 
-/// A model's name: like a name, but with slashes inside.
+/// Parses a model's name, which is one or more names separated by slashes.
 pub(crate) fn model_id(value: &str) -> Result<String, ValueError> {
     if value.len() > MAX_NAME || !value.split('/').all(is_name) {
         return Err(ValueError::Name(value.to_owned()));
@@ -248,7 +248,7 @@
     Ok(value.to_owned())
 }
 
-/// `NAME` in the own team, or `TEAM/NAME` in another; the full name of either.
+/// Parses a reference, `NAME` in the same team or `TEAM/NAME`, into the full name.
 pub(crate) fn reference(team: &str, value: &str) -> Result<String, ValueError> {
     let (owner, short) = value.split_once('/').unwrap_or((team, value));
     if !is_name(owner) || !is_name(short) {
@@ -257,28 +257,29 @@
     Ok(format!("{owner}/{short}"))
 }
 
-/// A list, separated by commas, of what `read` reads.
+/// Parses a comma-separated list with the parser `read` for each item.
 pub(crate) fn list<T>(
     value: &str,
     read: impl Fn(&str) -> Result<T, ValueError>,
 ) -> Result<Vec<T>, ValueError> {
     let items: Vec<&str> = value.split(',').map(str::trim).collect();
     if items.len() > MAX_LIST {
-        return Err(ValueError::Long);
+        return Err(ValueError::TooLong);
     }
     items.into_iter().map(read).collect()
 }
 
 fn is_name(text: &str) -> bool {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.:".contains(&b);
-    !text.is_empty() && text.len() <= MAX_NAME && text.bytes().all(plain)
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.:".contains(&b);
+    !text.is_empty() && text.len() <= MAX_NAME && text.bytes().all(allowed)
 }
 
-/// A path segment without percent escapes, so that it can be compared byte by byte.
+/// Whether the text is a path segment. Percent escapes aren't allowed, so that segments can be
+/// compared byte by byte.
 fn is_segment(text: &str) -> bool {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.~:@".contains(&b);
-    let dots = text == "." || text == "..";
-    !text.is_empty() && !dots && text.bytes().all(plain)
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.~:@".contains(&b);
+    let is_dot_segment = text == "." || text == "..";
+    !text.is_empty() && !is_dot_segment && text.bytes().all(allowed)
 }
 
 fn is_digits(text: &str) -> bool {
