--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -16,9 +16,9 @@
 use crate::changes::Changes;
 use crate::changes::Diff;
 use crate::decl::ServerDecl;
-use crate::link::Linked;
 use crate::link::LinkedAccount;
 use crate::link::LinkedClass;
+use crate::link::LinkedConfig;
 use crate::link::LinkedService;
 use crate::link::link;
 use crate::model::Account;
@@ -29,17 +29,17 @@
 use crate::text::ConfigText;
 
 impl Catalog {
-    /// A catalog of everything in force in a text.
+    /// Creates a catalog of everything in force in a text.
     pub fn new(text: &ConfigText) -> Catalog {
         let mut catalog = Catalog::default();
         catalog.apply(text);
         catalog
     }
 
-    /// Makes the catalog say what the text says, and keeps the keys of names that stay.
+    /// Updates the catalog to the text, and keeps the keys of names that persist.
     ///
-    /// What is in force afterwards depends on the text alone, not on what the catalog held before;
-    /// only the keys' values do.
+    /// The resulting records depend on the text alone. Only the values of the keys depend on the
+    /// catalog's previous contents.
     pub fn apply(&mut self, text: &ConfigText) -> Changes {
         let linked = link(text);
         let before = self.services.clone();
@@ -58,37 +58,38 @@
         changes
     }
 
-    fn apply_services(&mut self, linked: &Linked<'_>) -> Diff<ServiceKey> {
-        let wanted = linked.services.values().map(service_record);
-        let wanted = wanted.map(|service| (service.name.clone(), service));
-        settle(
+    fn apply_services(&mut self, linked: &LinkedConfig<'_>) -> Diff<ServiceKey> {
+        let desired = linked.services.values().map(service_record);
+        let desired = desired.map(|service| (service.name.clone(), service));
+        reconcile(
             &mut self.services,
             &mut self.names.services,
-            wanted.collect(),
+            desired.collect(),
             |_, _| true,
         )
     }
 
-    fn apply_servers(&mut self, linked: &Linked<'_>) -> Diff<ServerKey> {
-        let mut wanted = BTreeMap::new();
+    fn apply_servers(&mut self, linked: &LinkedConfig<'_>) -> Diff<ServerKey> {
+        let mut desired = BTreeMap::new();
         for decl in linked.declarations.iter().flat_map(|d| &d.servers) {
             let Some(service) = linked.services.get(decl.service.as_str()) else {
                 continue;
             };
             let key = self.names.services[&decl.service];
-            wanted.insert(decl.name.clone(), server_record(decl, service, key));
+            desired.insert(decl.name.clone(), server_record(decl, service, key));
         }
-        // A late answer from the old address must find nothing.
-        settle(
+        // A server with a new address gets a new key, so that a late answer from the old address can't
+        // be attributed to it.
+        reconcile(
             &mut self.servers,
             &mut self.names.servers,
-            wanted,
+            desired,
             |old, new| old.address == new.address,
         )
     }
 
-    fn apply_models(&mut self, linked: &Linked<'_>) -> Diff<ModelKey> {
-        let mut wanted = BTreeMap::new();
+    fn apply_models(&mut self, linked: &LinkedConfig<'_>) -> Diff<ModelKey> {
+        let mut desired = BTreeMap::new();
         for decl in linked.declarations.iter().flat_map(|d| &d.models) {
             let model = Model {
                 name: decl.name.clone(),
@@ -97,45 +98,46 @@
                 weights: decl.weights,
                 replicas: decl.replicas,
             };
-            wanted.insert(decl.name.clone(), model);
+            desired.insert(decl.name.clone(), model);
         }
-        settle(&mut self.models, &mut self.names.models, wanted, |_, _| {
+        reconcile(&mut self.models, &mut self.names.models, desired, |_, _| {
             true
         })
     }
 
-    fn apply_classes(&mut self, linked: &Linked<'_>) -> Diff<ClassKey> {
-        let wanted = linked.classes.values().map(|class| {
+    fn apply_classes(&mut self, linked: &LinkedConfig<'_>) -> Diff<ClassKey> {
+        let desired = linked.classes.values().map(|class| {
             let service = self.names.services[&class.decl.service];
             (class.decl.name.clone(), class_record(class, service))
         });
-        let wanted = wanted.collect();
-        // A class that moved to another service has other queues and other lengths.
-        settle(
+        let desired = desired.collect();
+        // A class that moved to another service gets a new key, since its queues and its lengths of
+        // answers are different ones.
+        reconcile(
             &mut self.classes,
             &mut self.names.classes,
-            wanted,
+            desired,
             |old, new| old.service == new.service,
         )
     }
 
-    fn apply_accounts(&mut self, linked: &Linked<'_>) -> Diff<AccountKey> {
+    fn apply_accounts(&mut self, linked: &LinkedConfig<'_>) -> Diff<AccountKey> {
         let classes = &self.names.classes;
-        let wanted = linked.accounts.values().map(|account| {
+        let desired = linked.accounts.values().map(|account| {
             let name = account.decl.name.clone();
             (name, account_record(account, classes))
         });
-        let wanted = wanted.collect();
-        settle(
+        let desired = desired.collect();
+        reconcile(
             &mut self.accounts,
             &mut self.names.accounts,
-            wanted,
+            desired,
             |_, _| true,
         )
     }
 
-    /// Fills in what refers back from services to what belongs to them.
-    fn fill_services(&mut self, linked: &Linked<'_>) {
+    /// Fills in the references from services to their dependencies, models, servers and classes.
+    fn fill_services(&mut self, linked: &LinkedConfig<'_>) {
         for (name, service) in &linked.services {
             let depends = service.depends.iter();
             let depends = depends.map(|other| self.names.services[*other]).collect();
@@ -170,24 +172,25 @@
     }
 }
 
-/// Makes an arena hold the wanted records and keeps the keys of those that are the same thing.
-fn settle<K: Key, V: PartialEq>(
+/// Makes an arena contain the desired records. Keeps the key of a record for which `is_same` holds for
+/// the old and the new one.
+fn reconcile<K: Key, V: PartialEq>(
     arena: &mut SlotMap<K, V>,
     names: &mut BTreeMap<String, K>,
-    wanted: BTreeMap<String, V>,
-    same: impl Fn(&V, &V) -> bool,
+    desired: BTreeMap<String, V>,
+    is_same: impl Fn(&V, &V) -> bool,
 ) -> Diff<K> {
     let mut diff = Diff::default();
     names.retain(|name, key| {
-        let new = wanted.get(name);
-        let kept = new.is_some_and(|new| same(&arena[*key], new));
+        let new = desired.get(name);
+        let kept = new.is_some_and(|new| is_same(&arena[*key], new));
         if !kept {
             arena.remove(*key);
             diff.removed.push(*key);
         }
         kept
     });
-    for (name, value) in wanted {
+    for (name, value) in desired {
         match names.get(&name) {
             None => {
                 let key = arena.insert(value);
@@ -215,7 +218,7 @@
     kept.collect()
 }
 
-/// A service's record without the keys of what belongs to it.
+/// Creates a service's record without the references that `fill_services` adds.
 fn service_record(service: &LinkedService<'_>) -> Service {
     Service {
         name: service.decl.name.clone(),
--- a/crates/config/src/catalog.rs
+++ b/crates/config/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The catalog: everything in force, in arenas, with lookups by name.
+//! The catalog of everything in force, in arenas with lookups by name.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,8 +22,8 @@
 
 /// Everything that the accepted editions declare.
 ///
-/// Keys stay the same from one revision of the text to the next while the name persists; a key of
-/// something removed finds nothing, also when its slot is used again.
+/// A record keeps its key across revisions of the text as long as its name persists. The key of a
+/// removed record is invalid even after its slot is reused.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     /// The services.
@@ -36,12 +36,12 @@
     pub accounts: SlotMap<AccountKey, Account>,
     /// The models.
     pub models: SlotMap<ModelKey, Model>,
-    pub(crate) names: Names,
+    pub(crate) names: NameIndex,
 }
 
-/// The names of everything, by full name.
+/// Indexes from full names, digests and model ids to keys.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Names {
+pub(crate) struct NameIndex {
     /// Every team that has a part, accepted or not.
     pub(crate) teams: BTreeSet<String>,
     pub(crate) services: BTreeMap<String, ServiceKey>,
@@ -49,47 +49,47 @@
     pub(crate) classes: BTreeMap<String, ClassKey>,
     pub(crate) accounts: BTreeMap<String, AccountKey>,
     pub(crate) models: BTreeMap<String, ModelKey>,
-    /// The holders of each digest, ordered by full name.
+    /// The accounts with each digest, ordered by full name.
     pub(crate) digests: HashMap<KeyDigest, Vec<AccountKey>>,
-    /// The models of each service by the name that callers use.
+    /// The models of each service, by the name that callers use.
     pub(crate) model_ids: HashMap<ServiceKey, HashMap<String, ModelKey>>,
 }
 
 impl Catalog {
-    /// The service named `TEAM/NAME`.
+    /// Returns the service named `TEAM/NAME`.
     pub fn service(&self, name: &str) -> Option<ServiceKey> {
         self.names.services.get(name).copied()
     }
 
-    /// The server named `TEAM/SERVICE/NAME`.
+    /// Returns the server named `TEAM/SERVICE/NAME`.
     pub fn server(&self, name: &str) -> Option<ServerKey> {
         self.names.servers.get(name).copied()
     }
 
-    /// The class named `TEAM/NAME`.
+    /// Returns the class named `TEAM/NAME`.
     pub fn class(&self, name: &str) -> Option<ClassKey> {
         self.names.classes.get(name).copied()
     }
 
-    /// The account named `TEAM/NAME`.
+    /// Returns the account named `TEAM/NAME`.
     pub fn account(&self, name: &str) -> Option<AccountKey> {
         self.names.accounts.get(name).copied()
     }
 
-    /// The model named `TEAM/SERVICE/NAME`.
+    /// Returns the model named `TEAM/SERVICE/NAME`.
     pub fn model(&self, name: &str) -> Option<ModelKey> {
         self.names.models.get(name).copied()
     }
 
-    /// The model of a service by the name that callers use.
+    /// Returns a service's model by the name that callers use.
     pub fn model_of(&self, service: ServiceKey, id: &str) -> Option<ModelKey> {
         self.names.model_ids.get(&service)?.get(id).copied()
     }
 
-    /// The account that a credential belongs to.
+    /// Returns the account that a credential belongs to.
     ///
-    /// A key that names a team belongs to that team's account alone. Any other key that several
-    /// accounts claim belongs to the one whose full name sorts first.
+    /// A key that names a team belongs only to an account of that team. Any other key with several
+    /// accounts belongs to the one whose full name sorts first.
     pub fn account_of(&self, credential: &Credential<'_>) -> Option<AccountKey> {
         let holders = self.names.digests.get(&credential.digest)?;
         let team = credential
--- a/crates/config/src/changes.rs
+++ b/crates/config/src/changes.rs
@@ -1,4 +1,4 @@
-//! What a revision of the text changed.
+//! The changes that a revision of the text makes to the catalog.
 
 use crocushold_base::AccountKey;
 use crocushold_base::ClassKey;
@@ -6,14 +6,14 @@
 use crocushold_base::ServerKey;
 use crocushold_base::ServiceKey;
 
-/// The keys of one kind that a revision added, removed or changed.
+/// The keys of one kind of record that a revision added, removed or changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diff<K> {
-    /// New keys.
+    /// Keys of new records.
     pub added: Vec<K>,
-    /// Keys that find nothing any more.
+    /// Keys of removed records, which are now invalid.
     pub removed: Vec<K>,
-    /// Keys that stayed, with another record behind them.
+    /// Keys whose record changed.
     pub changed: Vec<K>,
 }
 
@@ -34,18 +34,18 @@
     }
 }
 
-/// What a revision changed.
+/// All keys that a revision added, removed or changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Of services.
+    /// Services.
     pub services: Diff<ServiceKey>,
-    /// Of backend servers. One with a new address is a removed and an added server.
+    /// Backend servers. A server with a new address counts as removed and added.
     pub servers: Diff<ServerKey>,
-    /// Of classes.
+    /// Classes.
     pub classes: Diff<ClassKey>,
-    /// Of client accounts.
+    /// Client accounts.
     pub accounts: Diff<AccountKey>,
-    /// Of models.
+    /// Models.
     pub models: Diff<ModelKey>,
 }
 
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,5 +1,5 @@
-//! Checks inside one edition. They look at nothing outside it, so that no other team can change
-//! whether it is accepted.
+//! Checks within one edition. They don't depend on other parts, so that no other team can affect
+//! whether the edition is accepted.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,21 +11,21 @@
 use crate::decl::Location;
 use crate::decl::ServiceDecl;
 use crate::finding::Findings;
-use crate::graph::Graph;
+use crate::graph::ServiceGraph;
 use crate::model::CallPattern;
 use crate::model::Role;
 use crate::model::ServiceKind;
 use crate::model::Share;
 use crate::model::short_name;
 use crate::model::team_name;
-use crate::targets::late_dependency;
+use crate::targets::slow_dependency;
 use crate::targets::target_key;
 
-/// The most that the floors of all classes on a service may take together. The rest goes by
-/// priority; without it the highest tier could not use a burst's worth of its service.
-pub(crate) const MAX_FLOORS: Share = Share(8_000);
+/// Maximum sum of the floors of all classes on a service. The rest is assigned by priority; without it
+/// the highest priority would have no capacity for bursts.
+pub(crate) const MAX_FLOOR_SUM: Share = Share(8_000);
 
-/// Checks the declarations of one team's edition against each other.
+/// Checks the declarations of one edition against each other.
 pub(crate) fn check(team: &str, declarations: &Declarations, findings: &mut Findings) {
     let mut check = Check {
         team,
@@ -86,7 +86,7 @@
         team_name(name) == self.team
     }
 
-    /// Servers and models need a service of their own team.
+    /// Servers and models must belong to a service of their own team, and models to a model service.
     fn members(&mut self) {
         let declarations = self.declarations;
         let servers = declarations
@@ -99,7 +99,7 @@
             .map(|m| (&m.location, &m.service));
         for (location, service) in servers.chain(models) {
             if !self.has_service(service) {
-                let message = dangling("service", short_name(service));
+                let message = missing_reference("service", short_name(service));
                 self.error(location, "", message);
             }
         }
@@ -113,13 +113,14 @@
         }
     }
 
-    /// Roles need engines, one of which goes on running whole requests, and leave to order them.
+    /// Roles require a model service in which at least one engine runs whole requests, and have no effect
+    /// without `weight-loads`.
     fn roles(&mut self) {
         let declarations = self.declarations;
         for server in &declarations.servers {
             let service = self.services.get(server.service.as_str());
-            let plain = service.is_some_and(|s| s.kind != ServiceKind::Model);
-            if plain && server.role.is_some() {
+            let is_plain = service.is_some_and(|s| s.kind != ServiceKind::Model);
+            if is_plain && server.role.is_some() {
                 let message = "a plain service has no roles; leave it out";
                 self.error(&server.location, "role", message);
             }
@@ -151,7 +152,7 @@
     }
 
     fn dependencies(&mut self) {
-        let graph = Graph::new(&self.declarations.services);
+        let graph = ServiceGraph::new(&self.declarations.services);
         for service in &self.declarations.services {
             let mut cyclic = Vec::new();
             for name in service.depends.iter() {
@@ -159,13 +160,13 @@
                     continue;
                 }
                 if !self.has_service(name) {
-                    let message = dangling("service", short_name(name));
+                    let message = missing_reference("service", short_name(name));
                     self.error(&service.location, "depends-on", message);
                 } else if graph.reaches(name, &service.name) {
                     cyclic.push(short_name(name));
                 }
             }
-            if !cyclic.is_empty() && graph.is_first(&service.name) {
+            if !cyclic.is_empty() && graph.is_first_on_cycles(&service.name) {
                 let message = format!(
                     "a cycle leads back to this service by way of {}; leave out one dependency of \
                      each cycle",
@@ -216,21 +217,21 @@
                 if self.has_service(&class.service) {
                     continue;
                 }
-                let message = dangling("service", short_name(&class.service));
+                let message = missing_reference("service", short_name(&class.service));
                 self.error(&class.location, "service", message);
                 continue;
             };
             let own = service.depends.iter().filter(|name| self.is_own(name));
-            let late =
-                own.filter_map(|name| late_dependency(class, name, &self.declarations.classes));
-            let late: Vec<String> = late.collect();
-            for message in late {
+            let slow =
+                own.filter_map(|name| slow_dependency(class, name, &self.declarations.classes));
+            let slow: Vec<String> = slow.collect();
+            for message in slow {
                 self.error(&class.location, target_key(class), message);
             }
         }
     }
 
-    /// The own classes' floors and the shares granted to other teams fit into a service together.
+    /// The sum of the team's own floors and the shares granted to other teams is limited.
     fn floors(&mut self) {
         for service in &self.declarations.services {
             let classes = self.declarations.classes.iter();
@@ -238,10 +239,10 @@
             let own: u32 = own.map(|c| c.floor.0).sum();
             let granted: u32 = service.grants.iter().map(|g| g.share.0).sum();
             let total = Share(own.saturating_add(granted));
-            if total > MAX_FLOORS {
+            if total > MAX_FLOOR_SUM {
                 let message = format!(
                     "the floors of its classes ({}) and the shares in shared-with ({}) take {total}; \
-                     lower them to {MAX_FLOORS} together",
+                     lower them to {MAX_FLOOR_SUM} together",
                     Share(own),
                     Share(granted),
                 );
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Only the team that owns a plain service binds its calls to classes.
+    /// Only the team that owns a plain service can bind its calls to classes.
     fn calls(&mut self) {
         let mut seen: HashMap<(&str, &CallPattern), &str> = HashMap::new();
         for class in self.declarations.classes.iter() {
@@ -295,7 +296,7 @@
                     self.error(&account.location, "classes", message);
                 }
                 if self.is_own(name) && !self.has_class(name) {
-                    let message = dangling("class", short_name(name));
+                    let message = missing_reference("class", short_name(name));
                     self.error(&account.location, "classes", message);
                 }
             }
@@ -303,8 +304,8 @@
         }
     }
 
-    /// A caller may lower its class but never raise it, so that a class above the account's first
-    /// one on a service is out of reach.
+    /// A caller can't request a class with a higher priority than its default, which is the account's
+    /// first class on a service. A class above the default is therefore unreachable.
     fn unreachable_classes(&mut self, account: &AccountDecl) {
         let mut first: BTreeMap<&str, &ClassDecl> = BTreeMap::new();
         for name in &account.classes {
@@ -312,10 +313,10 @@
                 continue;
             };
             let default = *first.entry(&class.service).or_insert(class);
-            let unread = [class, default]
+            let any_malformed = [class, default]
                 .iter()
                 .any(|c| self.is_malformed("class", &c.name));
-            if !unread && class.priority < default.priority && class.calls.is_empty() {
+            if !any_malformed && class.priority < default.priority && class.calls.is_empty() {
                 let message = format!(
                     "{} is above {}, the account's first class on the service, and out of reach; \
                      list it first",
@@ -342,7 +343,7 @@
         }
     }
 
-    /// A service without servers may be meant (it is scaled to nothing), so that it is no error.
+    /// A service without servers is only a warning, since it may be scaled to zero on purpose.
     fn servers_present(&mut self) {
         let served: BTreeSet<&str> = self
             .declarations
@@ -364,6 +365,6 @@
     }
 }
 
-pub(crate) fn dangling(kind: &str, name: &str) -> String {
+pub(crate) fn missing_reference(kind: &str, name: &str) -> String {
     format!("there is no {kind} {name}; write a section [{kind} {name}] or another name")
 }
--- a/crates/config/src/explain.rs
+++ b/crates/config/src/explain.rs
@@ -1,4 +1,4 @@
-//! Explains what a request of an account would get, and why.
+//! Explains how a request of an account would be handled, and why.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -22,9 +22,9 @@
 pub enum ClassReason {
     /// The first class that the account lists on the service.
     Default,
-    /// The service's owner binds the call to the class.
+    /// The service binds the call to the class.
     BoundCall,
-    /// The caller asked for it.
+    /// The caller requested it.
     Requested,
 }
 
@@ -43,17 +43,17 @@
 pub struct Candidate {
     /// The full name.
     pub name: String,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: String,
-    /// How many requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub concurrency: u32,
-    /// Whether it refuses an order that carries an old fencing number.
+    /// Whether it rejects orders with an outdated fencing token.
     pub checks_orders: bool,
 }
 
-/// What a request gets, by names instead of keys.
+/// How a request would be handled, with names instead of keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Explanation {
     /// The account's full name.
@@ -64,31 +64,31 @@
     pub class: String,
     /// Why the request is in that class.
     pub reason: ClassReason,
-    /// The class's tier.
+    /// The class's priority.
     pub priority: Priority,
     /// The class's targets.
     pub targets: Targets,
-    /// The share of requests that is to meet them.
+    /// The share of requests that should meet the targets.
     pub objective: Share,
     /// The class's guaranteed share of the service.
     pub floor: Share,
-    /// How many requests of the class may wait on one instance.
+    /// Maximum queue length of the class on one instance.
     pub queue: u32,
-    /// Whether this request may be run twice without harm.
+    /// Whether the request is idempotent.
     pub idempotent: bool,
-    /// How often it may be sent again.
+    /// Maximum number of retries.
     pub retries: u32,
     /// The service's full name.
     pub service: String,
-    /// The model's full name, for a service of engines.
+    /// The model's full name, for a model service.
     pub model: Option<String>,
-    /// The services that this one calls in turn, by full name.
+    /// The full names of the service's dependencies.
     pub depends: Vec<String>,
     /// The servers that may run it, ordered by name.
     pub servers: Vec<Candidate>,
 }
 
-/// Explains a request by the credential that its caller presents.
+/// Explains a request by the caller's credential.
 ///
 /// # Errors
 ///
@@ -97,21 +97,21 @@
     catalog: &Catalog,
     credential: &Credential<'_>,
     target: Target<'_>,
-    wanted: Option<&str>,
+    requested: Option<&str>,
 ) -> Result<Explanation, Refusal> {
-    let resolved = resolve(catalog, credential, target, wanted)?;
-    let unasked = resolve_account(catalog, resolved.account, target, None)?;
-    let reason = reason(catalog, &resolved, &unasked, target);
+    let resolved = resolve(catalog, credential, target, requested)?;
+    let by_default = resolve_account(catalog, resolved.account, target, None)?;
+    let reason = reason(catalog, &resolved, &by_default, target);
     Ok(describe(catalog, &resolved, reason))
 }
 
 fn reason(
     catalog: &Catalog,
     resolved: &Resolved,
-    unasked: &Resolved,
+    by_default: &Resolved,
     target: Target<'_>,
 ) -> ClassReason {
-    if resolved.class != unasked.class {
+    if resolved.class != by_default.class {
         return ClassReason::Requested;
     }
     let account = &catalog.accounts[resolved.account];
@@ -166,7 +166,7 @@
     }
 }
 
-/// Several lines for an operator, one matter a line.
+/// Formats the explanation for operators, one property per line.
 impl fmt::Display for Explanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let limits = &self.limits;
@@ -191,8 +191,8 @@
         }
         writeln!(f, "floor: {}", self.floor)?;
         writeln!(f, "queue: {} on each instance", self.queue)?;
-        let repeat = if self.idempotent { "yes" } else { "no" };
-        writeln!(f, "idempotent: {repeat}, {} retries", self.retries)?;
+        let idempotent = if self.idempotent { "yes" } else { "no" };
+        writeln!(f, "idempotent: {idempotent}, {} retries", self.retries)?;
         writeln!(f, "service: {}", self.service)?;
         if let Some(model) = &self.model {
             writeln!(f, "model: {model}")?;
--- a/crates/config/src/link.rs
+++ b/crates/config/src/link.rs
@@ -1,8 +1,8 @@
 //! Resolves references between teams.
 //!
-//! Whatever is wrong here changes nothing about which editions are accepted: the referring thing
-//! alone is left out or cut down, and a warning in its own team's part says so. Each rule is a pure
-//! function of the set of accepted editions; no order decides.
+//! Mistakes found here don't affect which editions are accepted. Only the declaration that contains
+//! the reference is left out or reduced, with a warning in its own team's part. The result depends only
+//! on the set of accepted editions, not on their order.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,16 +15,16 @@
 use crate::decl::ServiceDecl;
 use crate::digest::KeyDigest;
 use crate::finding::Findings;
-use crate::graph::Graph;
+use crate::graph::ServiceGraph;
 use crate::model::Share;
 use crate::model::team_name;
-use crate::targets::late_dependency;
+use crate::targets::slow_dependency;
 use crate::targets::target_key;
 use crate::text::ConfigText;
 
-/// What the accepted editions declare together, by full name.
+/// The declarations of all accepted editions with resolved references, by full name.
 #[derive(Default)]
-pub(crate) struct Linked<'a> {
+pub(crate) struct LinkedConfig<'a> {
     pub(crate) services: BTreeMap<&'a str, LinkedService<'a>>,
     pub(crate) classes: BTreeMap<&'a str, LinkedClass<'a>>,
     pub(crate) accounts: BTreeMap<&'a str, LinkedAccount<'a>>,
@@ -34,27 +34,27 @@
 
 pub(crate) struct LinkedService<'a> {
     pub(crate) decl: &'a ServiceDecl,
-    /// Those of its dependencies that are in force.
+    /// The dependencies that are in force.
     pub(crate) depends: Vec<&'a str>,
 }
 
 pub(crate) struct LinkedClass<'a> {
     pub(crate) decl: &'a ClassDecl,
-    /// The floor, cut down to what the service's owner grants.
+    /// The floor, reduced to the share that the service's owner grants.
     pub(crate) floor: Share,
 }
 
 pub(crate) struct LinkedAccount<'a> {
     pub(crate) decl: &'a AccountDecl,
-    /// Those of its classes that are in force and that it may use.
+    /// The classes that are in force and that the account may use.
     pub(crate) classes: Vec<&'a str>,
 }
 
-/// Links the editions that are in force.
-pub(crate) fn link(text: &ConfigText) -> Linked<'_> {
-    let mut linked = Linked {
+/// Resolves references between the editions in force.
+pub(crate) fn link(text: &ConfigText) -> LinkedConfig<'_> {
+    let mut linked = LinkedConfig {
         declarations: text.parts().map(|part| part.declarations()).collect(),
-        ..Linked::default()
+        ..LinkedConfig::default()
     };
     linked.link_services();
     linked.link_classes();
@@ -64,11 +64,11 @@
     linked
 }
 
-impl<'a> Linked<'a> {
+impl<'a> LinkedConfig<'a> {
     fn link_services(&mut self) {
         let all: Vec<&ServiceDecl> = self.declarations.iter().flat_map(|d| &d.services).collect();
         let known: BTreeSet<&str> = all.iter().map(|s| s.name.as_str()).collect();
-        let graph = Graph::new(all.iter().copied());
+        let graph = ServiceGraph::new(all.iter().copied());
         for decl in all {
             let mut depends = Vec::new();
             for name in &decl.depends {
@@ -92,15 +92,15 @@
 
     fn link_classes(&mut self) {
         let all: Vec<&ClassDecl> = self.declarations.iter().flat_map(|d| &d.classes).collect();
-        let mut claims: BTreeMap<(&str, &str), u32> = BTreeMap::new();
+        let mut floor_sums: BTreeMap<(&str, &str), u32> = BTreeMap::new();
         for class in &all {
-            let claim = (class.location.team.as_str(), class.service.as_str());
-            let sum = claims.entry(claim).or_default();
+            let key = (class.location.team.as_str(), class.service.as_str());
+            let sum = floor_sums.entry(key).or_default();
             *sum = sum.saturating_add(class.floor.0);
         }
         for decl in &all {
-            let claim = claims[&(decl.location.team.as_str(), decl.service.as_str())];
-            match self.floor_of(decl, Share(claim)) {
+            let floor_sum = floor_sums[&(decl.location.team.as_str(), decl.service.as_str())];
+            match self.floor_of(decl, Share(floor_sum)) {
                 Ok(floor) => {
                     self.classes.insert(&decl.name, LinkedClass { decl, floor });
                 }
@@ -113,8 +113,9 @@
         self.check_targets(&all);
     }
 
-    /// The floor of a class, given what its team claims of the service in all.
-    fn floor_of(&mut self, class: &ClassDecl, claim: Share) -> Result<Share, String> {
+    /// Returns the effective floor of a class, where `floor_sum` is the sum of its team's floors on the
+    /// service.
+    fn floor_of(&mut self, class: &ClassDecl, floor_sum: Share) -> Result<Share, String> {
         let name = &class.service;
         let Some(service) = self.services.get(name.as_str()) else {
             return Err(format!(
@@ -132,13 +133,13 @@
                  have its team write shared-with = {team} 5 %"
             ));
         };
-        if claim <= grant.share {
+        if floor_sum <= grant.share {
             return Ok(class.floor);
         }
-        let scaled = u64::from(class.floor.0) * u64::from(grant.share.0) / u64::from(claim.0);
+        let scaled = u64::from(class.floor.0) * u64::from(grant.share.0) / u64::from(floor_sum.0);
         let floor = Share(u32::try_from(scaled).unwrap_or(grant.share.0));
         let message = format!(
-            "the floors on {name} take {claim} of the {} that it shares with {team}, \
+            "the floors on {name} take {floor_sum} of the {} that it shares with {team}, \
              and this one counts as {floor}; lower them",
             grant.share
         );
@@ -146,7 +147,8 @@
         Ok(floor)
     }
 
-    /// The targets of dependencies of other teams; those of the own team are checked with the part.
+    /// Checks targets against those of dependencies across teams. Dependencies within a team are checked
+    /// with its part.
     fn check_targets(&mut self, all: &[&'a ClassDecl]) {
         let linked = self.classes.values().map(|class| class.decl);
         for class in linked {
@@ -156,8 +158,8 @@
             let team = &class.location.team;
             for name in &service.depends {
                 let own = team_name(name) == team && team_name(&class.service) == team;
-                let late = late_dependency(class, name, all.iter().copied());
-                if let Some(message) = late.filter(|_| !own) {
+                let slow = slow_dependency(class, name, all.iter().copied());
+                if let Some(message) = slow.filter(|_| !own) {
                     let finding = class.location.warning(target_key(class), message);
                     self.findings.push(finding);
                 }
@@ -197,7 +199,7 @@
         ))
     }
 
-    /// Two teams with one key: one of them copied the other's digest.
+    /// Warns about accounts with the same key. One team has probably copied the other's digest.
     fn check_digests(&mut self) {
         let mut holders: HashMap<KeyDigest, Vec<&AccountDecl>> = HashMap::new();
         for account in self.accounts.values() {
@@ -206,7 +208,7 @@
             }
         }
         for accounts in holders.values().filter(|accounts| accounts.len() > 1) {
-            let winner = accounts[0];
+            let owner = accounts[0];
             for account in accounts {
                 let others = accounts.iter().filter(|other| other.name != account.name);
                 let others: Vec<&str> = others.map(|other| other.name.as_str()).collect();
@@ -214,7 +216,7 @@
                     "{} has the same key, and a key that names no team belongs to {}; write a key \
                      of your own",
                     others.join(", "),
-                    winner.name
+                    owner.name
                 );
                 let finding = account.location.warning("key-sha256", message);
                 self.findings.push(finding);
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,4 +1,4 @@
-//! The records that the catalog holds, with every reference resolved to a key.
+//! The records of the catalog, with references resolved to keys.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,9 +12,9 @@
 
 use crate::digest::KeyDigest;
 
-/// A share of a whole in hundredths of a percent: 10,000 is the whole.
+/// A share in hundredths of a percent, up to 10,000 for 100 %.
 ///
-/// Integers, so that sums and comparisons give the same verdict on every machine.
+/// An integer, so that sums and comparisons have the same result on every machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Share(pub u32);
 
@@ -22,7 +22,7 @@
     /// The whole: 100 %.
     pub const WHOLE: Share = Share(10_000);
 
-    /// The share as a fraction from 0.0 to 1.0.
+    /// Returns the share as a fraction from 0.0 to 1.0.
     pub fn as_fraction(self) -> f64 {
         f64::from(self.0) / f64::from(Share::WHOLE.0)
     }
@@ -40,30 +40,30 @@
     }
 }
 
-/// The tier of a class: 1 is served first, 5 last.
+/// The priority of a class, from 1 (served first) to 5 (served last).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Priority(u8);
 
 impl Priority {
-    /// The tier that is served first.
+    /// The priority that is served first.
     pub const HIGHEST: Priority = Priority(1);
 
-    /// The tier that is served last.
+    /// The priority that is served last.
     pub const LOWEST: Priority = Priority(5);
 
-    /// A priority from 1 to 5; nothing outside that range.
+    /// Creates a priority; `None` unless `tier` is from 1 to 5.
     pub fn new(tier: u8) -> Option<Priority> {
         let priority = Priority(tier);
         let known = (Priority::HIGHEST..=Priority::LOWEST).contains(&priority);
         known.then_some(priority)
     }
 
-    /// The tier as a number from 1 to 5.
+    /// Returns the priority as a number from 1 to 5.
     pub const fn tier(self) -> u8 {
         self.0
     }
 
-    /// The tier as an index from 0 to 4.
+    /// Returns the priority as an index from 0 to 4.
     pub const fn index(self) -> usize {
         (self.0 - 1) as usize
     }
@@ -75,38 +75,38 @@
     }
 }
 
-/// The latency targets of a class: streamed (first token, between tokens) or whole.
+/// The latency targets of a class, for streamed answers and for whole ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Targets {
-    /// The longest wait for the first token.
+    /// Maximum time to the first token.
     pub first_token: Option<Millis>,
-    /// The longest gap between two tokens.
+    /// Maximum time between two tokens.
     pub between_tokens: Option<Millis>,
-    /// The longest wait for the whole answer.
+    /// Maximum time to the complete answer.
     pub whole_answer: Option<Millis>,
 }
 
 impl Targets {
-    /// The target by which the first sign of an answer is due.
+    /// Returns the target for the first token or, if there is none, for the whole answer.
     pub fn earliest(&self) -> Option<Millis> {
         self.first_token.or(self.whole_answer)
     }
 }
 
-/// What a service's servers are.
+/// The kind of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServiceKind {
-    /// Engines that serve language models.
+    /// Inference engines that serve language models.
     Model,
-    /// A plain service that takes any call under a path prefix.
+    /// An HTTP service that handles all calls under a path prefix.
     Plain {
-        /// The path prefix, such as `/booking`; no slash at the end.
+        /// The path prefix without a trailing slash, such as `/booking`.
         prefix: String,
     },
 }
 
 impl ServiceKind {
-    /// The word that the text uses.
+    /// Returns the name in the configuration.
     pub fn as_str(&self) -> &'static str {
         match self {
             ServiceKind::Model => "model",
@@ -115,14 +115,14 @@
     }
 }
 
-/// What an engine works on.
+/// The inference phases that an engine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Whole requests: prompts and tokens.
+    /// Prefill and decode: runs whole requests.
     Both,
-    /// Prompts only.
+    /// Prefill only: processes prompts.
     Prefill,
-    /// Tokens only.
+    /// Decode only: generates tokens.
     Decode,
 }
 
@@ -131,17 +131,18 @@
 pub struct Service {
     /// The full name, `TEAM/NAME`.
     pub name: String,
-    /// Engines or a plain service.
+    /// Model service or plain service.
     pub kind: ServiceKind,
-    /// The services that this one calls in turn.
+    /// The services that it depends on.
     pub depends: Vec<ServiceKey>,
     /// Its servers, ordered by name.
     pub servers: Vec<ServerKey>,
     /// Its models, ordered by name.
     pub models: Vec<ModelKey>,
-    /// The classes that run on it, of every team, ordered by full name.
+    /// The classes of all teams that run on it, ordered by full name.
     pub classes: Vec<ClassKey>,
-    /// How many loads a minute the weight store grants this service; zero for none.
+    /// Maximum rate at which the service may load weights from the weight store, per minute; zero for
+    /// none.
     pub weight_loads: u32,
 }
 
@@ -152,24 +153,24 @@
     pub name: String,
     /// The service it belongs to.
     pub service: ServiceKey,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: String,
-    /// How many requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub concurrency: u32,
-    /// Whether it refuses an order that carries an old fencing number.
+    /// Whether it rejects orders with an outdated fencing token.
     pub checks_orders: bool,
-    /// The role that it is to take; none where the text leaves that to the engine.
+    /// The role that it should have; `None` if the engine chooses it.
     pub role: Option<Role>,
 }
 
-/// One method and path pattern that a class binds.
+/// A method and path pattern that is bound to a class.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CallPattern {
     /// The HTTP method, in capitals.
     pub method: String,
-    /// The path's segments; `*` stands for any one segment.
+    /// The path's segments; `*` matches any single segment.
     pub segments: Vec<String>,
 }
 
@@ -186,39 +187,39 @@
     pub name: String,
     /// The service that runs its requests.
     pub service: ServiceKey,
-    /// Its tier.
+    /// Its priority.
     pub priority: Priority,
     /// Its latency targets.
     pub targets: Targets,
-    /// The share of its service that it gets even when higher tiers want everything.
+    /// The guaranteed share of the service, even under load of higher priority.
     pub floor: Share,
-    /// Whether a request may be run twice without harm.
+    /// Whether its requests are idempotent.
     pub idempotent: bool,
-    /// How often a request may be sent again; zero unless idempotent.
+    /// Maximum number of retries; zero unless idempotent.
     pub retries: u32,
-    /// How many requests may wait on one instance.
+    /// Maximum queue length on one instance.
     pub queue: u32,
-    /// The share of requests that is to meet the targets.
+    /// The share of requests that should meet the targets.
     pub objective: Share,
-    /// The calls of a plain service that always belong to this class.
+    /// The calls of a plain service that are bound to this class.
     pub calls: Vec<CallPattern>,
 }
 
 impl Class {
-    /// The name without the team.
+    /// Returns the name without the team.
     pub fn short_name(&self) -> &str {
         short_name(&self.name)
     }
 }
 
-/// What a client account may use at once, over all instances.
+/// The limits of a client account over all instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second.
     pub requests: u32,
-    /// Tokens a second, prompt and answer together.
+    /// Tokens per second, of prompts and answers together.
     pub tokens: u32,
-    /// Requests in progress.
+    /// Maximum number of requests in progress.
     pub concurrency: u32,
 }
 
@@ -229,20 +230,20 @@
     pub name: String,
     /// The digests of its keys.
     pub digests: Vec<KeyDigest>,
-    /// The classes it may use. The first one on a service is its default there.
+    /// The classes that it may use. The first one on a service is the default there.
     pub classes: Vec<ClassKey>,
     /// Its limits.
     pub limits: Limits,
 }
 
 impl Account {
-    /// The team that declares the account.
+    /// Returns the team that declares the account.
     pub fn team(&self) -> &str {
         team_name(&self.name)
     }
 }
 
-/// A model that a service's engines load.
+/// A model of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Model {
     /// The full name, `TEAM/SERVICE/NAME`.
@@ -253,33 +254,33 @@
     pub service: ServiceKey,
     /// The size of its weights in bytes.
     pub weights: u64,
-    /// On how many of the service's servers it is to be loaded.
+    /// Number of the service's servers that should load it.
     pub replicas: u32,
 }
 
-/// The keys that one account and one class of traffic lead to.
+/// The result of resolving a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Resolved {
-    /// Who pays and whose limits count.
+    /// The account that the request is charged to and whose limits apply.
     pub account: AccountKey,
-    /// The service level.
+    /// The class of the request.
     pub class: ClassKey,
     /// The service that runs the request.
     pub service: ServiceKey,
-    /// The model, for a service of engines.
+    /// The model, for a model service.
     pub model: Option<ModelKey>,
-    /// Whether the request may be run twice without harm.
+    /// Whether the request is idempotent.
     pub idempotent: bool,
-    /// How often the request may be sent again.
+    /// Maximum number of retries.
     pub retries: u32,
 }
 
-/// The part of a full name before the first slash.
+/// Returns the part of a full name before the first slash.
 pub(crate) fn team_name(full: &str) -> &str {
     full.split('/').next().unwrap_or(full)
 }
 
-/// The part of a full name after the first slash.
+/// Returns the part of a full name after the first slash.
 pub(crate) fn short_name(full: &str) -> &str {
     full.split_once('/').map_or(full, |(_, name)| name)
 }
--- a/crates/config/src/resolve.rs
+++ b/crates/config/src/resolve.rs
@@ -1,4 +1,4 @@
-//! Says which account, class and service a request belongs to.
+//! Determines the account, class and service of a request.
 
 use quick_error::quick_error;
 
@@ -14,16 +14,16 @@
 use crate::model::Resolved;
 use crate::model::ServiceKind;
 
-/// What a request asks for.
+/// The target of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target<'a> {
-    /// A model, by the name that the request's body gives.
+    /// A model, by the name in the request's body.
     Model(&'a str),
     /// A call of a plain service.
     Path {
         /// The HTTP method, in capitals.
         method: &'a str,
-        /// The path, without the query.
+        /// The path without the query.
         path: &'a str,
     },
 }
@@ -48,11 +48,11 @@
         ForbiddenCall {
             display("the call belongs to a class that the account may not use")
         }
-        /// The caller names a class that the account can't use for this request.
+        /// The caller requests a class that the account can't use for this request.
         UnknownClass {
             display("the account has no such class for this request")
         }
-        /// The caller names a class above its own.
+        /// The caller requests a class with a higher priority than its default.
         RaisedClass {
             display("a caller may lower its class but not raise it")
         }
@@ -60,7 +60,7 @@
 }
 
 impl Refusal {
-    /// The machine-readable reason that a refusal carries.
+    /// Returns the machine-readable reason of the refusal.
     pub fn reason(self) -> &'static str {
         match self {
             Refusal::UnknownKey => "unknown-key",
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The HTTP status of the refusal.
+    /// Returns the HTTP status of the refusal.
     pub fn status(self) -> u16 {
         match self {
             Refusal::UnknownKey => 401,
@@ -83,31 +83,33 @@
     }
 }
 
-/// Resolves a request of a caller who may ask for a lower class by name (`x-class`).
+/// Resolves a request by the caller's credential.
+///
+/// `requested` is the class named in `x-class`, which can't have a higher priority than the default.
 ///
 /// # Errors
 ///
-/// A [`Refusal`] when the key, the model or path, or the class is not one that the account may use.
+/// A [`Refusal`] if no account has the key, or if the account may not use the model, path or class.
 pub fn resolve(
     catalog: &Catalog,
     credential: &Credential<'_>,
     target: Target<'_>,
-    wanted: Option<&str>,
+    requested: Option<&str>,
 ) -> Result<Resolved, Refusal> {
     let account = catalog.account_of(credential).ok_or(Refusal::UnknownKey)?;
-    resolve_account(catalog, account, target, wanted)
+    resolve_account(catalog, account, target, requested)
 }
 
-/// Like [`resolve`], for an account that is known.
+/// Like [`resolve`], for a known account.
 ///
 /// # Errors
 ///
-/// A [`Refusal`] when the account is removed or may not use the model, path or class.
+/// A [`Refusal`] if the account was removed or may not use the model, path or class.
 pub fn resolve_account(
     catalog: &Catalog,
     account: AccountKey,
     target: Target<'_>,
-    wanted: Option<&str>,
+    requested: Option<&str>,
 ) -> Result<Resolved, Refusal> {
     let record = catalog.accounts.get(account).ok_or(Refusal::UnknownKey)?;
     let resolver = Resolver {
@@ -116,8 +118,8 @@
         record,
     };
     match target {
-        Target::Model(id) => resolver.model(id, wanted),
-        Target::Path { method, path } => resolver.path(method, path, wanted),
+        Target::Model(id) => resolver.model(id, requested),
+        Target::Path { method, path } => resolver.path(method, path, requested),
     }
 }
 
@@ -132,7 +134,7 @@
         &self.catalog.classes[key]
     }
 
-    fn model(&self, id: &str, wanted: Option<&str>) -> Result<Resolved, Refusal> {
+    fn model(&self, id: &str, requested: Option<&str>) -> Result<Resolved, Refusal> {
         let classes = self.record.classes.iter();
         let serving = classes.copied().find_map(|key| {
             let service = self.class(key).service;
@@ -140,7 +142,7 @@
             Some((key, service, model))
         });
         let (default, service, model) = serving.ok_or(Refusal::UnknownModel)?;
-        let key = self.lower(default, wanted)?;
+        let key = self.select_class(default, requested)?;
         let class = self.class(key);
         Ok(Resolved {
             account: self.account,
@@ -152,7 +154,7 @@
         })
     }
 
-    fn path(&self, method: &str, path: &str, wanted: Option<&str>) -> Result<Resolved, Refusal> {
+    fn path(&self, method: &str, path: &str, requested: Option<&str>) -> Result<Resolved, Refusal> {
         let service = self.service_of(path).ok_or(Refusal::UnknownPath)?;
         let bound = self.bound_class(service, method, path);
         let default = match bound {
@@ -162,11 +164,11 @@
             Some(key) => key,
             None => self.default_class(service).ok_or(Refusal::UnknownPath)?,
         };
-        let key = self.lower(default, wanted)?;
+        let key = self.select_class(default, requested)?;
         let class = self.class(key);
-        // A lowered class must not make a call repeatable, or a confirmation sent in the class of
-        // lookups would be retried and run twice. Nor must a call that no class names, unless its
-        // method has no effect.
+        // Requesting a lower class must not make a call repeatable: a confirmation sent in the class of
+        // lookups would be retried and run twice. A call that isn't bound to a class is repeatable only
+        // if its method is safe.
         let repeatable = self.class(default).idempotent && (bound.is_some() || is_safe(method));
         let idempotent = class.idempotent && repeatable;
         Ok(Resolved {
@@ -179,7 +181,8 @@
         })
     }
 
-    /// The account's service with the longest prefix of the path; the first listed among equals.
+    /// Returns the account's service with the longest prefix of the path; the first one listed if there
+    /// are several.
     fn service_of(&self, path: &str) -> Option<ServiceKey> {
         let mut best: Option<(usize, ServiceKey)> = None;
         for &key in &self.record.classes {
@@ -195,7 +198,8 @@
         best.map(|(_, service)| service)
     }
 
-    /// The class to which the service's owner binds the call; the one with the fewest wildcards.
+    /// Returns the class to which the service's owner binds the call; the one with the fewest wildcards
+    /// if several match.
     fn bound_class(&self, service: ServiceKey, method: &str, path: &str) -> Option<ClassKey> {
         let segments: Vec<&str> = segments(path).collect();
         let classes = self.catalog.services[service].classes.iter().copied();
@@ -212,18 +216,23 @@
             .find(|&key| self.class(key).service == service)
     }
 
-    /// The wanted class, if it is the account's, on the same service and no higher than `default`.
-    fn lower(&self, default: ClassKey, wanted: Option<&str>) -> Result<ClassKey, Refusal> {
-        let Some(name) = wanted else {
+    /// Returns the requested class if the account has it, it is on the same service, and its priority
+    /// isn't higher than that of `default`.
+    fn select_class(
+        &self,
+        default: ClassKey,
+        requested: Option<&str>,
+    ) -> Result<ClassKey, Refusal> {
+        let Some(name) = requested else {
             return Ok(default);
         };
         let own = self.class(default);
         let classes = self.record.classes.iter().copied();
-        let mut named = classes.filter(|&key| {
+        let mut matching = classes.filter(|&key| {
             let class = self.class(key);
             class.service == own.service && (class.name == name || class.short_name() == name)
         });
-        let key = named.next().ok_or(Refusal::UnknownClass)?;
+        let key = matching.next().ok_or(Refusal::UnknownClass)?;
         if self.class(key).priority < own.priority {
             return Err(Refusal::RaisedClass);
         }
@@ -231,13 +240,14 @@
     }
 }
 
-/// Whether a path is the prefix itself or lies below it.
+/// Whether a path is the prefix itself or below it.
 fn is_below(path: &str, prefix: &str) -> bool {
     let rest = path.strip_prefix(prefix);
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
-/// A path's segments; empty ones are passed over, so that a doubled slash evades no binding.
+/// Splits a path into segments. Empty segments are skipped, so that a doubled slash can't bypass a
+/// binding.
 fn segments(path: &str) -> impl Iterator<Item = &str> {
     path.split('/').filter(|segment| !segment.is_empty())
 }
@@ -253,7 +263,7 @@
     call.segments.iter().filter(|s| *s == "*").count()
 }
 
-/// Whether a method has no effect by its definition (RFC 9110, section 9.2.1).
+/// Whether a method is safe, as defined in RFC 9110, section 9.2.1.
 fn is_safe(method: &str) -> bool {
     matches!(method, "GET" | "HEAD" | "OPTIONS")
 }
