--- a/crates/config/examples/measure.rs
+++ b/crates/config/examples/measure.rs
@@ -1,5 +1,5 @@
-//! Measures parsing and applying a text of the size to build towards: 3,700 accounts, 39 models and
-//! 5,900 servers in 23 parts. Prints one line a figure.
+//! Measures parsing and applying a configuration of the target size: 3,700 accounts, 39 models and
+//! 5,900 servers in 23 parts. Prints one figure per line.
 
 use std::fmt::Write;
 use std::fs;
@@ -25,15 +25,15 @@
     let bytes: usize = parts.iter().map(|(_, text)| text.len()).sum();
     println!("text: {} parts, {bytes} bytes", parts.len());
 
-    let before = resident();
+    let before = resident_kib();
     let text = parse_all(&parts);
-    let parsed = resident();
+    let parsed = resident_kib();
     let mut catalog = Catalog::new(&text);
     println!("findings: {}", text.findings().len());
     println!("memory of the parsed text: {} KiB", parsed - before);
     println!(
         "memory of the catalog: {} KiB",
-        resident().saturating_sub(parsed)
+        resident_kib().saturating_sub(parsed)
     );
     println!(
         "catalog: {} accounts, {} models, {} servers, {} classes",
@@ -43,8 +43,8 @@
         catalog.classes.len()
     );
 
-    report("parse all parts", || drop(black_box(parse_all(&parts))));
-    report("new catalog", || drop(black_box(Catalog::new(&text))));
+    report_times("parse all parts", || drop(black_box(parse_all(&parts))));
+    report_times("new catalog", || drop(black_box(Catalog::new(&text))));
     let mut text = text;
     let (team, first) = &parts[0];
     let second = first.replacen("priority = 1", "priority = 2", 1);
@@ -53,10 +53,10 @@
         flip = !flip;
         if flip { &second } else { first }
     };
-    report("parse one changed part", || {
+    report_times("parse one changed part", || {
         text.set_part(team, next());
     });
-    report("parse one changed part and apply", || {
+    report_times("parse one changed part and apply", || {
         text.set_part(team, next());
         black_box(catalog.apply(&text));
     });
@@ -86,7 +86,7 @@
     println!("digest of a key: {each} ns");
 }
 
-fn report(name: &str, mut run: impl FnMut()) {
+fn report_times(name: &str, mut run: impl FnMut()) {
     let mut times: Vec<Duration> = Vec::new();
     for _ in 0..ROUNDS {
         let start = Instant::now();
@@ -107,8 +107,8 @@
     text
 }
 
-/// How many of `all` fall to team `index`.
-fn share(all: usize, index: usize) -> usize {
+/// Returns how many of `all` items team `index` gets.
+fn items_of_team(all: usize, index: usize) -> usize {
     all / TEAMS + usize::from(index < all % TEAMS)
 }
 
@@ -121,7 +121,7 @@
         "[team team-{team}]\nformat = 1\n\
          [service fleet]\nkind = model\nconcurrency = 16\nweight-loads = 6/min\n"
     );
-    for i in 0..share(SERVERS, team) {
+    for i in 0..items_of_team(SERVERS, team) {
         let (high, low) = (i / 250, i % 250 + 1);
         writeln!(
             text,
@@ -130,7 +130,7 @@
         )
         .expect("writing to a String can't fail");
     }
-    for i in 0..share(MODELS, team) {
+    for i in 0..items_of_team(MODELS, team) {
         writeln!(
             text,
             "[model fleet/model-{team}-{i}]\nweights = 16 GB\nservers = 12"
@@ -145,7 +145,7 @@
         )
         .expect("writing to a String can't fail");
     }
-    for i in 0..share(ACCOUNTS, team) {
+    for i in 0..items_of_team(ACCOUNTS, team) {
         let digest = Credential::of(&key(team, i)).digest;
         writeln!(
             text,
@@ -157,8 +157,8 @@
     (format!("team-{team}"), text)
 }
 
-/// Resident memory in KiB.
-fn resident() -> usize {
+/// Returns the resident memory in KiB.
+fn resident_kib() -> usize {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let number = line.and_then(|line| line.split_whitespace().nth(1));
--- a/crates/config/tests/acceptance.rs
+++ b/crates/config/tests/acceptance.rs
@@ -1,6 +1,7 @@
-//! What is in force depends on the text alone, and one team's part changes nothing for another.
+//! Tests that what is in force depends on the text alone, and that one team's part doesn't affect
+//! another.
 
-// Helpers of tests may unwrap like the tests themselves.
+// Test helpers may unwrap, like the tests themselves.
 #![allow(clippy::unwrap_used)]
 
 use crocushold_config::Catalog;
@@ -19,7 +20,7 @@
 const BOOKING: &str = include_str!("data/booking.ini");
 const RECEIPTS: &str = include_str!("data/receipts.ini");
 
-fn names(catalog: &Catalog) -> Vec<String> {
+fn describe(catalog: &Catalog) -> Vec<String> {
     let classes = catalog.classes.values().map(|c| format!("{c:?}"));
     let accounts = catalog.accounts.values().map(|a| {
         let classes = a.classes.iter().map(|&key| &catalog.classes[key].name);
@@ -47,10 +48,10 @@
     format!("{BOOKING}{class}")
 }
 
-// A team publishes an edition with a slip. Running instances fall to the edition behind [previous],
-// and so does an instance that starts afterwards and saw neither: what was accepted stays accepted.
+// A team publishes an edition with an error. Running instances fall back to the edition after
+// [previous], and so does an instance that starts later and has read neither before.
 #[test]
-fn rejected_edition_falls_to_the_previous_one_everywhere() {
+fn rejected_edition_falls_back_to_the_previous_one_on_all_instances() {
     let good = with_class("extra", "2");
     let bad = with_class("other", "9");
     let mut running = ConfigText::parse(&good);
@@ -65,21 +66,21 @@
 
     let fresh = ConfigText::parse(&published);
     assert_eq!(fresh.part("clara").unwrap().in_force(), InForce::Previous);
-    assert_eq!(names(&Catalog::new(&fresh)), names(&catalog));
+    assert_eq!(describe(&Catalog::new(&fresh)), describe(&catalog));
 }
 
 #[test]
-fn rejected_edition_without_a_previous_one_leaves_nothing_everywhere() {
+fn rejected_edition_without_a_previous_one_leaves_nothing_in_force() {
     let mut running = ConfigText::parse(BOOKING);
     let mut catalog = Catalog::new(&running);
     running.set_part("clara", &with_class("other", "9"));
     catalog.apply(&running);
-    assert_eq!(names(&catalog), Vec::<String>::new());
+    assert_eq!(describe(&catalog), Vec::<String>::new());
     assert_eq!(running.part("clara").unwrap().in_force(), InForce::Nothing);
 }
 
 #[test]
-fn previous_edition_is_that_in_force_and_never_a_rejected_one() {
+fn previous_edition_is_never_a_rejected_one() {
     let first = with_class("first", "2");
     let broken = with_previous("clara", &with_class("second", "9"), &first).unwrap();
     let third = with_previous("clara", &with_class("third", "9"), &broken).unwrap();
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn previous_edition_changes_nothing_while_the_current_one_is_accepted() {
+fn previous_edition_has_no_effect_while_the_current_one_is_accepted() {
     let both = with_previous("clara", &with_class("new", "3"), &with_class("old", "3")).unwrap();
     let catalog = Catalog::new(&ConfigText::parse(&both));
     assert!(catalog.class("clara/new").is_some());
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn edition_of_a_later_format_is_rejected_unread() {
+fn edition_of_a_later_format_is_rejected_without_further_findings() {
     let later = BOOKING.replacen("format = 1", "format = 2\nnew-key = x", 1);
     let later = format!("{later}[quota night]\nshare = 5 %\n");
     let text = ConfigText::parse(&later);
@@ -114,10 +115,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    // Whatever one team breaks in its part, by dropping, doubling or garbling a line, the others'
-    // own accounts, classes and servers stay as they were.
+    // When one team's part has a missing or malformed line, the accounts, classes and servers of other
+    // teams are unaffected.
     #[test]
-    fn no_part_changes_another(
+    fn part_does_not_affect_another(
         line in 0usize..120,
         garbage in select(vec!["", "[class", "[", "]", "x", "= 1", "a = \\", "[previous]", "\u{0}"]),
     ) {
@@ -128,9 +129,9 @@
             lines[at] = garbage;
         }
         let mut text = ConfigText::parse(&format!("{BOOKING}{RECEIPTS}"));
-        let before = names(&Catalog::new(&text));
+        let before = describe(&Catalog::new(&text));
         text.set_part("platforma", &lines.join("\n"));
-        let after = names(&Catalog::new(&text));
+        let after = describe(&Catalog::new(&text));
         let clara = |all: &[String]| -> Vec<String> {
             all.iter().filter(|n| n.contains("clara/")).cloned().collect()
         };
@@ -140,7 +141,7 @@
     }
 
     #[test]
-    fn order_of_parts_changes_nothing(first in 0usize..6) {
+    fn order_of_parts_has_no_effect(first in 0usize..6) {
         let whole = format!("{BOOKING}{RECEIPTS}");
         let mut parts: Vec<String> = whole
             .split("[team ")
@@ -149,15 +150,15 @@
             .collect();
         parts.rotate_left(first);
         let rotated = ConfigText::parse(&parts.concat());
-        let straight = ConfigText::parse(&whole);
+        let original = ConfigText::parse(&whole);
         prop_assert_eq!(
-            names(&Catalog::new(&rotated)),
-            names(&Catalog::new(&straight))
+            describe(&Catalog::new(&rotated)),
+            describe(&Catalog::new(&original))
         );
     }
 }
 
-/// Drops the arena keys, which depend on what else the arenas hold.
+/// Removes the arena keys, which depend on the other contents of the arenas.
 fn strip_keys(names: &[String]) -> Vec<String> {
     let strip = |name: &String| {
         let (head, rest) = name
@@ -184,10 +185,10 @@
     Some(catalog.accounts[resolved.account].name.clone())
 }
 
-// Team "a" pastes team "bb"'s account into its own part and forgets to change the key. Callers of
-// "bb" must not turn into callers of "a", whose name sorts first.
+// Team "a" copies the account of team "bb" into its own part, including the key. Callers of "bb"
+// must not be attributed to "a", whose name sorts first.
 #[test]
-fn copied_key_takes_over_no_caller_of_a_key_that_names_its_team() {
+fn copied_key_does_not_take_over_callers_of_the_team_that_it_names() {
     let key = "bb.secret";
     let digest = Credential::of(key).digest.to_string();
     let text = small_team("a", &digest) + &small_team("bb", &digest);
@@ -197,7 +198,7 @@
 }
 
 #[test]
-fn disputed_key_that_names_no_team_belongs_to_the_first_name_in_any_order() {
+fn shared_key_without_a_team_belongs_to_the_first_name_in_any_order() {
     let key = "secret";
     let digest = Credential::of(key).digest.to_string();
     let (a, b) = (small_team("a", &digest), small_team("bb", &digest));
@@ -222,10 +223,10 @@
     );
 }
 
-// One cooperative claims more of the shared engines than it was granted. Its own floor is cut; the
-// floors of the platform and of the other cooperatives stay as written.
+// One cooperative declares a floor above its grant on the shared engines. Its own floor is reduced;
+// the floors of the platform and of the other cooperatives are unaffected.
 #[test]
-fn floors_above_the_grant_are_cut_for_that_team_alone() {
+fn floors_above_the_grant_are_reduced_for_that_team_only() {
     let greedy = RECEIPTS.replace("floor = 5 %", "floor = 15 %");
     let text = ConfigText::parse(&greedy);
     let catalog = Catalog::new(&text);
@@ -241,7 +242,7 @@
 }
 
 #[test]
-fn service_is_used_by_no_team_that_it_is_not_shared_with() {
+fn service_is_only_used_by_teams_that_it_is_shared_with() {
     let text = RECEIPTS.replace(", jih 5 %", "");
     let text = ConfigText::parse(&text);
     let catalog = Catalog::new(&text);
--- a/crates/config/tests/apply.rs
+++ b/crates/config/tests/apply.rs
@@ -1,6 +1,6 @@
-//! Keys across revisions of the text.
+//! Tests of keys across revisions of the text, and of explanations.
 
-// Helpers of tests may unwrap like the tests themselves.
+// Test helpers may unwrap, like the tests themselves.
 #![allow(clippy::unwrap_used)]
 
 use crocushold_config::Catalog;
@@ -40,10 +40,10 @@
     assert_eq!(after.classes[key].priority, Priority::new(4).unwrap());
 }
 
-// A server is replaced under its old name. An answer or load report of the old machine that comes
-// late must not be counted for the new one.
+// A server is replaced by one with the same name. A late answer or load report of the old server must
+// not be attributed to the new one.
 #[test]
-fn server_with_a_new_address_is_another_server() {
+fn server_with_a_new_address_gets_a_new_key() {
     let (before, after, changes) = change("10.1.0.11:8000", "10.1.0.99:8000");
     let name = "clara/model-fleet/runner-1";
     let old = before.server(name).unwrap();
@@ -81,12 +81,13 @@
 }
 
 #[test]
-fn explanation_names_what_decided() {
+fn explanation_states_the_reason() {
     let catalog = Catalog::new(&ConfigText::parse(BOOKING));
     let credential = Credential::of("clara.example-parents-key");
-    let ask = |target, wanted| explain(&catalog, &credential, target, wanted).unwrap();
+    let explain_request =
+        |target, requested| explain(&catalog, &credential, target, requested).unwrap();
     let model = Target::Model("clara-8b");
-    let chat = ask(model, None);
+    let chat = explain_request(model, None);
     assert_eq!(
         (chat.class.as_str(), chat.reason),
         ("clara/chat", ClassReason::Default)
@@ -94,12 +95,18 @@
     assert_eq!(chat.servers.len(), 4);
     assert_eq!(chat.servers[3].concurrency, 8);
     assert!(!chat.servers[3].checks_orders);
-    assert_eq!(ask(model, Some("drafts")).reason, ClassReason::Requested);
+    assert_eq!(
+        explain_request(model, Some("drafts")).reason,
+        ClassReason::Requested
+    );
     let confirm = Target::Path {
         method: "POST",
         path: "/booking/confirmations",
     };
-    assert_eq!(ask(confirm, None).reason, ClassReason::BoundCall);
-    let lines = ask(confirm, None).to_string();
+    assert_eq!(
+        explain_request(confirm, None).reason,
+        ClassReason::BoundCall
+    );
+    let lines = explain_request(confirm, None).to_string();
     assert!(lines.contains("idempotent: no, 0 retries"), "{lines}");
 }
--- a/crates/config/tests/examples.rs
+++ b/crates/config/tests/examples.rs
@@ -1,6 +1,6 @@
-//! The worked examples parse without findings and say what their comments promise.
+//! Tests that the examples parse without findings and behave as their comments say.
 
-// Helpers of tests may unwrap like the tests themselves.
+// Test helpers may unwrap, like the tests themselves.
 #![allow(clippy::unwrap_used)]
 
 use std::fs;
@@ -31,7 +31,7 @@
     assert_eq!(ConfigText::parse(&file(name)).findings(), []);
 }
 
-/// The reference page shows the very files that are tested, and settings that are tested here.
+/// The reference page contains exactly the tested files, and valid settings.
 #[test]
 fn reference_page_shows_the_tested_examples() {
     let page = file("../../docs/configuration.md");
@@ -58,9 +58,13 @@
     path: "/booking/confirmations",
 };
 
-fn ask(key: &str, target: Target<'_>, wanted: Option<&str>) -> Result<(String, Resolved), Refusal> {
+fn resolve_example(
+    key: &str,
+    target: Target<'_>,
+    requested: Option<&str>,
+) -> Result<(String, Resolved), Refusal> {
     let catalog = catalog("tests/data/booking.ini");
-    let resolved = resolve(&catalog, &Credential::of(key), target, wanted)?;
+    let resolved = resolve(&catalog, &Credential::of(key), target, requested)?;
     Ok((catalog.classes[resolved.class].name.clone(), resolved))
 }
 
@@ -73,8 +77,8 @@
             "clara/booking-confirm"; "doubled slash")]
 #[test_case(PARENTS, Target::Path { method: "GET", path: "/booking/slots/7" }, None,
             "clara/slot-lookup"; "wildcard call")]
-fn request_is_in_class(key: &str, target: Target<'_>, wanted: Option<&str>, class: &str) {
-    assert_eq!(ask(key, target, wanted).unwrap().0, class);
+fn request_is_in_class(key: &str, target: Target<'_>, requested: Option<&str>, class: &str) {
+    assert_eq!(resolve_example(key, target, requested).unwrap().0, class);
 }
 
 #[test_case(
@@ -87,29 +91,32 @@
 #[test_case(SHEETS, CONFIRM, None, Refusal::UnknownPath)]
 #[test_case(PARENTS, Target::Path { method: "GET", path: "/bookings" }, None, Refusal::UnknownPath)]
 #[test_case(SHEETS, Target::Model("clara-8b"), Some("chat"), Refusal::UnknownClass)]
-fn request_is_refused(key: &str, target: Target<'_>, wanted: Option<&str>, refusal: Refusal) {
-    assert_eq!(ask(key, target, wanted).unwrap_err(), refusal);
+fn request_is_refused(key: &str, target: Target<'_>, requested: Option<&str>, refusal: Refusal) {
+    assert_eq!(
+        resolve_example(key, target, requested).unwrap_err(),
+        refusal
+    );
 }
 
-// A parent's app sends a confirmation with the header of a class of lookups. If the header decided
-// whether the call may be repeated, a retry after a timeout would book the slot twice.
+// A confirmation is sent with the header of a class of lookups. If the header determined whether the
+// call may be repeated, a retry after a timeout would book the slot twice.
 #[test_case(CONFIRM, Some("slot-lookup"); "lowered to an idempotent class")]
 #[test_case(Target::Path { method: "POST", path: "/booking//confirmations/" }, None; "doubled slash")]
 #[test_case(Target::Path { method: "POST", path: "/booking/%63onfirmations" }, None; "escaped")]
 #[test_case(Target::Path { method: "POST", path: "/booking/other" }, None; "bound to no class")]
-fn call_with_an_effect_is_never_repeated(target: Target<'_>, wanted: Option<&str>) {
-    let (_, resolved) = ask(PARENTS, target, wanted).unwrap();
+fn call_with_an_effect_is_never_repeated(target: Target<'_>, requested: Option<&str>) {
+    let (_, resolved) = resolve_example(PARENTS, target, requested).unwrap();
     assert!(!resolved.idempotent);
     assert_eq!(resolved.retries, 0);
 }
 
 #[test]
-fn cooperatives_use_the_shared_classes_and_their_own() {
+fn cooperatives_use_shared_classes_and_their_own() {
     let catalog = catalog("tests/data/receipts.ini");
-    let class = |key, wanted| {
+    let class = |key, requested| {
         let credential = Credential::of(key);
         let target = Target::Model("ctecka-7b");
-        let resolved = resolve(&catalog, &credential, target, wanted);
+        let resolved = resolve(&catalog, &credential, target, requested);
         resolved.map(|r| catalog.classes[r.class].name.clone())
     };
     let app = "jih.example-app-key";
@@ -120,23 +127,23 @@
     assert_eq!(class(other, Some("portal")), Err(Refusal::UnknownClass));
 }
 
-// An account whose first class is drafts asks for chat by header. Served, it would outrun the live
-// chat of accounts that are meant to have it.
+// An account whose first class is drafts requests chat by header. If it were accepted, it would take
+// precedence over accounts whose own default is chat.
 #[test]
-fn caller_never_raises_its_class() {
+fn caller_cannot_raise_its_class() {
     let text =
         file("tests/data/booking.ini").replace("classes = chat, drafts", "classes = drafts, chat");
     let catalog = Catalog::new(&ConfigText::parse(&text));
-    let ask = |wanted| {
+    let resolve_example = |requested| {
         resolve(
             &catalog,
             &Credential::of(PARENTS),
             Target::Model("clara-8b"),
-            wanted,
+            requested,
         )
     };
-    assert_eq!(ask(Some("chat")), Err(Refusal::RaisedClass));
+    assert_eq!(resolve_example(Some("chat")), Err(Refusal::RaisedClass));
     let drafts = catalog.class("clara/drafts").unwrap();
-    assert_eq!(ask(None).unwrap().class, drafts);
-    assert_eq!(ask(Some("drafts")).unwrap().class, drafts);
+    assert_eq!(resolve_example(None).unwrap().class, drafts);
+    assert_eq!(resolve_example(Some("drafts")).unwrap().class, drafts);
 }
--- a/crates/config/tests/findings.rs
+++ b/crates/config/tests/findings.rs
@@ -1,6 +1,6 @@
-//! Every kind of mistake is found, once, at its line, with what to write instead.
+//! Tests that each kind of mistake is found once, at its line, with what to write instead.
 
-// Helpers of tests may unwrap like the tests themselves.
+// Test helpers may unwrap, like the tests themselves.
 #![allow(clippy::unwrap_used)]
 
 use crocushold_config::Catalog;
@@ -13,8 +13,8 @@
 use proptest::proptest;
 use test_case::test_case;
 
-/// A sound part; each test spoils one line of it.
-const SOUND: &str = "\
+/// A valid part; each test breaks one line of it.
+const VALID_PART: &str = "\
 [team a]
 format = 1
 [service fleet]
@@ -58,15 +58,15 @@
     ConfigText::parse(text).findings()
 }
 
-fn spoil(line: usize, by: &str) -> String {
-    let mut lines: Vec<&str> = SOUND.lines().collect();
+fn replace_line(line: usize, by: &str) -> String {
+    let mut lines: Vec<&str> = VALID_PART.lines().collect();
     lines[line - 1] = by;
     lines.join("\n")
 }
 
 #[test]
-fn sound_part_has_no_findings() {
-    assert_eq!(findings(SOUND), []);
+fn valid_part_has_no_findings() {
+    assert_eq!(findings(VALID_PART), []);
 }
 
 #[test_case(2, "format = 2", "write format = 1"; "unknown format")]
@@ -106,7 +106,7 @@
 #[test_case(37, "concurrency = 0", "from 1 to"; "count out of range")]
 #[test_case(37, "concurrency = 4\n[account app]", "already on line 32"; "duplicate section")]
 fn mistake_is_found_and_rejects_the_edition(line: usize, by: &str, message: &str) {
-    let text = ConfigText::parse(&spoil(line, by));
+    let text = ConfigText::parse(&replace_line(line, by));
     let found = text.findings();
     let hits: Vec<&Finding> = found
         .iter()
@@ -120,11 +120,11 @@
     assert!(Catalog::new(&text).services.is_empty());
 }
 
-// A mistake that is listed twice, or that hides the next one, costs the author another round.
+// If a mistake were listed twice or hid another one, its author would need further attempts.
 #[test]
 fn ten_mistakes_are_ten_findings_with_their_lines() {
-    let mut lines: Vec<&str> = SOUND.lines().collect();
-    let spoiled = [
+    let mut lines: Vec<&str> = VALID_PART.lines().collect();
+    let replacements = [
         (4, "kind = modle"),
         (8, "address = one:8000"),
         (11, "weights = 1"),
@@ -136,25 +136,25 @@
         (34, "classes = chat, nightly"),
         (36, "tokens = 100/h"),
     ];
-    for (line, by) in spoiled {
+    for (line, by) in replacements {
         lines[line - 1] = by;
     }
     let found = findings(&lines.join("\n"));
-    let places: Vec<usize> = found.iter().map(|f| f.line).collect();
-    let expected: Vec<usize> = spoiled.iter().map(|(line, _)| *line).collect();
-    assert_eq!(places, expected, "{found:#?}");
+    let positions: Vec<usize> = found.iter().map(|f| f.line).collect();
+    let expected: Vec<usize> = replacements.iter().map(|(line, _)| *line).collect();
+    assert_eq!(positions, expected, "{found:#?}");
 }
 
-// A key pasted in place of its digest must not reach the terminal or a log by way of the finding.
+// A key written in place of its digest must not appear on the terminal or in a log.
 #[test]
-fn finding_shows_no_key() {
-    let found = findings(&spoil(33, "key-sha256 = a.pasted-secret"));
+fn finding_does_not_contain_the_key() {
+    let found = findings(&replace_line(33, "key-sha256 = a.pasted-secret"));
     assert!(!format!("{found:?}").contains("pasted"), "{found:?}");
 }
 
 #[test]
-fn finding_is_one_line_that_names_its_place() {
-    let found = findings(&spoil(21, "priority = 6"));
+fn finding_is_one_line_with_its_location() {
+    let found = findings(&replace_line(21, "priority = 6"));
     let expected = "line 21: error: team a: [class chat] priority: \"6\" is no priority; \
                     write a whole number from 1 (served first) to 5";
     assert_eq!(found[0].to_string(), expected);
@@ -162,7 +162,7 @@
 
 #[test]
 fn cycle_is_found_once() {
-    let found = findings(&spoil(15, "prefix = /desk\ndepends-on = fleet"));
+    let found = findings(&replace_line(15, "prefix = /desk\ndepends-on = fleet"));
     let cycles = found
         .iter()
         .filter(|f| f.message.contains("a cycle leads back"));
@@ -171,8 +171,8 @@
 }
 
 #[test]
-fn role_that_nobody_may_order_is_a_warning() {
-    let text = ConfigText::parse(&spoil(9, "zone = z1\nrole = both"));
+fn role_without_weight_loads_is_a_warning() {
+    let text = ConfigText::parse(&replace_line(9, "zone = z1\nrole = both"));
     let found = text.findings();
     assert_eq!(found.len(), 1, "{found:#?}");
     assert!(found[0].message.contains("write weight-loads = 6/min"));
@@ -181,7 +181,7 @@
 
 #[test]
 fn class_without_server_is_a_warning() {
-    let text = SOUND.replace(
+    let text = VALID_PART.replace(
         "[server fleet/one]\naddress = 10.0.0.1:8000\nzone = z1\n",
         "",
     );
@@ -194,26 +194,26 @@
 
 #[test]
 fn two_accounts_with_one_key_are_found() {
-    let account = SOUND.split_once("[account app]").unwrap().1;
-    let found = findings(&format!("{SOUND}[account web]{account}"));
+    let account = VALID_PART.split_once("[account app]").unwrap().1;
+    let found = findings(&format!("{VALID_PART}[account web]{account}"));
     assert_eq!(found.len(), 1, "{found:#?}");
     assert_eq!((found[0].line, found[0].key.as_str()), (39, "key-sha256"));
 }
 
 #[test]
 fn line_before_the_first_part_is_found() {
-    let found = findings(&format!("# heading\nformat = 1\n{SOUND}"));
+    let found = findings(&format!("# heading\nformat = 1\n{VALID_PART}"));
     assert_eq!(found.len(), 1);
     assert_eq!(found[0].line, 2);
 }
 
-// A key without a separator swallows the next lines in the INI library, up to the next '='. If that
-// went unnoticed, "[class b]" below would vanish and its keys would land in class a.
+// After a key without a separator the INI library skips to the next '=', even on a later line. If that
+// went undetected, "[class b]" below would be lost and its keys would be assigned to class a.
 #[test_case("[team a]\nformat = 1\n[class a]\npriority\n[class b]\npriority = 1\n"; "bare word")]
 #[test_case("[team a]\nformat = 1\n[class a]\n# x\rpriority = 1\n[class b]\npriority = 1\n"; "lone CR")]
 #[test_case("[team a]\nformat = 1\n[class a]\n  # x\n[class b]\npriority = 1\n"; "indented comment")]
 #[test_case("[team a]\nformat = 1\n[class a]\nservice = x\\\n[class b]\npriority = 1\n"; "backslash")]
-fn swallowed_line_is_found_at_its_own_line(text: &str) {
+fn skipped_line_is_found_at_its_own_line(text: &str) {
     let found = findings(text);
     let syntax: Vec<usize> = found
         .iter()
@@ -227,10 +227,10 @@
     assert!(other, "{found:#?}");
 }
 
-// One part is full of bad lines, or of services that all depend on each other. Every instance reads
-// it at once; none may spend its memory or its processor on it.
+// A part consists of malformed lines, or of services that all depend on each other. Since all
+// instances parse it at the same time, its memory and CPU use must be bounded.
 #[test]
-fn hostile_part_is_read_in_bounds() {
+fn part_of_mistakes_has_bounded_findings() {
     let lines = "x\n".repeat(500_000);
     let found = findings(&format!("[team a]\nformat = 1\n{lines}"));
     assert!(found.len() <= 1000, "{}", found.len());
@@ -253,7 +253,7 @@
 
 #[test]
 fn part_above_the_size_bound_is_rejected() {
-    let text = ConfigText::parse(&format!("{SOUND}#{}\n", "x".repeat(1 << 20)));
+    let text = ConfigText::parse(&format!("{VALID_PART}#{}\n", "x".repeat(1 << 20)));
     assert_eq!(text.part("a").unwrap().in_force(), InForce::Nothing);
     assert!(text.findings()[0].message.contains("shorten it to 1048576"));
 }
@@ -269,18 +269,21 @@
 zone = z1
 ";
 
-// Two teams make a cycle together. Neither part is at fault by itself, so both stay in force
+// Two teams' services depend on each other. Neither part is wrong by itself, so both stay in force
 // without the two dependencies that close the cycle.
 #[test]
 fn cycle_between_teams_is_a_warning_on_both() {
-    let first = spoil(5, "depends-on = desk, b/index");
+    let first = replace_line(5, "depends-on = desk, b/index");
     let text = ConfigText::parse(&format!("{first}\n{OTHER}"));
     let found = text.findings();
-    let places: Vec<(&str, Severity)> = found
+    let positions: Vec<(&str, Severity)> = found
         .iter()
         .map(|f| (f.team.as_str(), f.severity))
         .collect();
-    assert_eq!(places, [("a", Severity::Warning), ("b", Severity::Warning)]);
+    assert_eq!(
+        positions,
+        [("a", Severity::Warning), ("b", Severity::Warning)]
+    );
     let catalog = Catalog::new(&text);
     let depends = |name| {
         catalog.services[catalog.service(name).unwrap()]
@@ -295,7 +298,7 @@
 #[test_case(OTHER, "[server", "[class c]\nservice = a/desk\npriority = 1\nwhole-answer = 1 s\n\
             idempotent = yes\n[server", "a/desk is not shared with b"; "service not shared")]
 fn mistake_between_teams_is_a_warning(other: &str, from: &str, to: &str, message: &str) {
-    let text = ConfigText::parse(&format!("{SOUND}{}", other.replace(from, to)));
+    let text = ConfigText::parse(&format!("{VALID_PART}{}", other.replace(from, to)));
     let found = text.findings();
     assert_eq!(found.len(), 1, "{found:#?}");
     assert!(found[0].message.contains(message), "{found:#?}");
@@ -308,7 +311,7 @@
 fn class_above_the_default_is_a_warning() {
     let class =
         "[class low]\nservice = fleet\npriority = 4\nwhole-answer = 5 s\nidempotent = yes\n";
-    let text = SOUND.replace("classes = chat, confirm", "classes = low, chat, confirm");
+    let text = VALID_PART.replace("classes = chat, confirm", "classes = low, chat, confirm");
     let found = findings(&format!("{text}{class}"));
     assert_eq!(found.len(), 1, "{found:#?}");
     assert!(found[0].message.contains("list it first"));
@@ -316,11 +319,10 @@
 }
 
 proptest! {
-    // Whatever stands in a part, reading it ends without a panic, findings are ordered by line, and
-    // reading it again gives the same verdict.
+    // Parsing never panics, findings are ordered by line, and parsing again has the same result.
     #[test]
-    fn any_text_is_read(body in "([a-c]|[=:#;,/ %\\\\]|\\[|\\]|\r|\t|\n|\nservice |\nclass ){0,80}") {
-        let text = format!("{SOUND}{body}");
+    fn any_text_is_parsed(body in "([a-c]|[=:#;,/ %\\\\]|\\[|\\]|\r|\t|\n|\nservice |\nclass ){0,80}") {
+        let text = format!("{VALID_PART}{body}");
         let found = findings(&text);
         prop_assert!(found.is_sorted_by_key(|f| (f.team.clone(), f.line)));
         prop_assert_eq!(found, findings(&text));
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,13 +1,13 @@
-//! The local settings.
+//! Tests of the local settings.
 
-// Helpers of tests may unwrap like the tests themselves.
+// Test helpers may unwrap, like the tests themselves.
 #![allow(clippy::unwrap_used)]
 
 use crocushold_base::Millis;
 use crocushold_config::Settings;
 use test_case::test_case;
 
-const SOUND: &str = "\
+const VALID_SETTINGS: &str = "\
 [instance]
 id = entry-1
 zone = z1
@@ -24,8 +24,8 @@
 ";
 
 #[test]
-fn settings_are_read_over_the_defaults() {
-    let settings = Settings::parse(SOUND).unwrap();
+fn settings_override_the_defaults() {
+    let settings = Settings::parse(VALID_SETTINGS).unwrap();
     let defaults = Settings::default();
     assert_eq!(settings.drain, Millis::from_secs(90));
     assert_eq!(settings.platform.len(), 2);
@@ -35,12 +35,12 @@
     assert_eq!(settings.senders, 8);
 }
 
-// Two bounds of an account that were one key: its connections, and its requests that wait in a queue.
-// Read into each other's place, an account would be refused for the other reason.
+// The limits on an account's connections and on its queued requests were once the same key. If they
+// were swapped, requests would be refused for the wrong reason.
 #[test]
-fn connections_and_queued_requests_are_bounded_apart() {
+fn connections_and_queued_requests_have_separate_limits() {
     let keys = "connections-per-account = 7\nqueued-per-account = 5";
-    let settings = Settings::parse(&SOUND.replace("body = 1 MiB", keys)).unwrap();
+    let settings = Settings::parse(&VALID_SETTINGS.replace("body = 1 MiB", keys)).unwrap();
     assert_eq!(
         (
             settings.limits.connections_per_account,
@@ -50,18 +50,19 @@
     );
 }
 
-// The settings are logged at the start; a key in the log would let any reader of logs join as a
-// peer.
+// The settings are logged at startup. A peer key in the log would let anyone who can read logs join
+// as a peer.
 #[test]
 fn peer_key_is_never_printed() {
-    let settings = Settings::parse(SOUND).unwrap();
+    let settings = Settings::parse(VALID_SETTINGS).unwrap();
     assert_eq!(
         settings.peer_key.expose(),
         "0123456789abcdef0123456789abcdef"
     );
     let printed = format!("{settings:?}");
     assert!(!printed.contains("0123456789"), "{printed}");
-    let findings = Settings::parse(&SOUND.replace("0123456789abcdef0123456789abcdef", "short-key"));
+    let findings =
+        Settings::parse(&VALID_SETTINGS.replace("0123456789abcdef0123456789abcdef", "short-key"));
     let findings = findings.unwrap_err();
     assert!(!format!("{findings:?}").contains("short-key"));
 }
@@ -80,7 +81,7 @@
 #[test_case("body = 1 MiB", "connections-per-account = 0", 13; "no connection for an account")]
 #[test_case("body = 1 MiB", "queued-per-account = many", 13; "queue that is no number")]
 fn mistake_is_found_at_its_line(from: &str, to: &str, line: usize) {
-    let findings = Settings::parse(&SOUND.replace(from, to)).unwrap_err();
+    let findings = Settings::parse(&VALID_SETTINGS.replace(from, to)).unwrap_err();
     let lines: Vec<usize> = findings.iter().map(|f| f.line).collect();
     assert_eq!(lines, [line], "{findings:#?}");
 }
