--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -111,8 +111,8 @@
             (class.decl.name.clone(), class_record(class, service))
         });
         let desired = desired.collect();
-        // A class that moved to another service gets a new key, since its queues and its lengths of
-        // answers are different ones.
+        // A class that moved to another service gets a new key, since its queues and lengths are
+        // different ones there.
         reconcile(
             &mut self.classes,
             &mut self.names.classes,
