--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -78,8 +78,8 @@
             let key = self.names.services[&decl.service];
             desired.insert(decl.name.clone(), server_record(decl, service, key));
         }
-        // A server with a new address gets a new key, so that a late answer from the old address can't
-        // be attributed to it.
+        // A server with a new address gets a new key, so that a late answer from the old address
+        // can't be attributed to it.
         reconcile(
             &mut self.servers,
             &mut self.names.servers,
@@ -172,8 +172,8 @@
     }
 }
 
-/// Makes an arena contain the desired records. Keeps the key of a record for which `is_same` holds for
-/// the old and the new one.
+/// Makes an arena contain the desired records. Keeps the key of a record for which `is_same` holds
+/// for the old and the new one.
 fn reconcile<K: Key, V: PartialEq>(
     arena: &mut SlotMap<K, V>,
     names: &mut BTreeMap<String, K>,
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -21,8 +21,8 @@
 use crate::targets::slow_dependency;
 use crate::targets::target_key;
 
-/// Maximum sum of the floors of all classes on a service. The rest is assigned by priority; without it
-/// the highest priority would have no capacity for bursts.
+/// Maximum sum of the floors of all classes on a service. The rest is assigned by priority; without
+/// it the highest priority would have no capacity for bursts.
 pub(crate) const MAX_FLOOR_SUM: Share = Share(8_000);
 
 /// Checks the declarations of one edition against each other.
@@ -86,7 +86,8 @@
         team_name(name) == self.team
     }
 
-    /// Servers and models must belong to a service of their own team, and models to a model service.
+    /// Servers and models must belong to a service of their own team, and models to a model
+    /// service.
     fn members(&mut self) {
         let declarations = self.declarations;
         let servers = declarations
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Roles require a model service in which at least one engine runs whole requests, and have no effect
-    /// without `weight-loads`.
+    /// Roles require a model service in which at least one engine runs whole requests, and have no
+    /// effect without `weight-loads`.
     fn roles(&mut self) {
         let declarations = self.declarations;
         for server in &declarations.servers {
@@ -304,8 +305,8 @@
         }
     }
 
-    /// A caller can't request a class with a higher priority than its default, which is the account's
-    /// first class on a service. A class above the default is therefore unreachable.
+    /// A caller can't request a class with a higher priority than its default, which is the
+    /// account's first class on a service. A class above the default is therefore unreachable.
     fn unreachable_classes(&mut self, account: &AccountDecl) {
         let mut first: BTreeMap<&str, &ClassDecl> = BTreeMap::new();
         for name in &account.classes {
--- a/crates/config/src/decl.rs
+++ b/crates/config/src/decl.rs
@@ -35,7 +35,8 @@
         }
     }
 
-    /// Creates a finding about `key`, at its line or, if the section doesn't have it, at the section's.
+    /// Creates a finding about `key`, at its line or, if the section doesn't have it, at the
+    /// section's.
     pub(crate) fn finding(&self, severity: Severity, key: &str, message: String) -> Finding {
         let line = self.keys.iter().find(|(name, _)| name == key);
         Finding {
--- a/crates/config/src/digest.rs
+++ b/crates/config/src/digest.rs
@@ -51,8 +51,8 @@
 
 /// A caller's credential: the digest of its key, and the team that the key names.
 ///
-/// A key of the form `TEAM.SECRET` is looked up only among that team's accounts. Otherwise a team that
-/// copies another team's digest by mistake could take over its callers.
+/// A key of the form `TEAM.SECRET` is looked up only among that team's accounts. Otherwise a team
+/// that copies another team's digest by mistake could take over its callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Credential<'a> {
     /// The part of the key before its first full stop, if it has one.
--- a/crates/config/src/finding.rs
+++ b/crates/config/src/finding.rs
@@ -60,8 +60,8 @@
 
 /// Collects up to [`MAX_FINDINGS`] findings.
 ///
-/// A part of one megabyte can contain half a million malformed lines. Without the limit their findings
-/// would use a hundred times the part's size in memory on every instance.
+/// A part of one megabyte can contain half a million malformed lines. Without the limit their
+/// findings would use a hundred times the part's size in memory on every instance.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Findings {
     list: Vec<Finding>,
--- a/crates/config/src/graph.rs
+++ b/crates/config/src/graph.rs
@@ -30,7 +30,8 @@
         from == to || dependencies.is_some_and(|dependencies| dependencies.contains(to))
     }
 
-    /// Whether a service's name sorts first on every cycle through it. Used to report each cycle once.
+    /// Whether a service's name sorts first on every cycle through it. Used to report each cycle
+    /// once.
     pub(crate) fn is_first_on_cycles(&self, name: &str) -> bool {
         let mut earlier = self.dependencies.keys().take_while(|other| **other < name);
         !earlier.any(|other| self.reaches(name, other) && self.reaches(other, name))
--- a/crates/config/src/link.rs
+++ b/crates/config/src/link.rs
@@ -1,8 +1,8 @@
 //! Resolves references between teams.
 //!
 //! Mistakes found here don't affect which editions are accepted. Only the declaration that contains
-//! the reference is left out or reduced, with a warning in its own team's part. The result depends only
-//! on the set of accepted editions, not on their order.
+//! the reference is left out or reduced, with a warning in its own team's part. The result depends
+//! only on the set of accepted editions, not on their order.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -113,8 +113,8 @@
         self.check_targets(&all);
     }
 
-    /// Returns the effective floor of a class, where `floor_sum` is the sum of its team's floors on the
-    /// service.
+    /// Returns the effective floor of a class, where `floor_sum` is the sum of its team's floors on
+    /// the service.
     fn floor_of(&mut self, class: &ClassDecl, floor_sum: Share) -> Result<Share, String> {
         let name = &class.service;
         let Some(service) = self.services.get(name.as_str()) else {
@@ -147,8 +147,8 @@
         Ok(floor)
     }
 
-    /// Checks targets against those of dependencies across teams. Dependencies within a team are checked
-    /// with its part.
+    /// Checks targets against those of dependencies across teams. Dependencies within a team are
+    /// checked with its part.
     fn check_targets(&mut self, all: &[&'a ClassDecl]) {
         let linked = self.classes.values().map(|class| class.decl);
         for class in linked {
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -141,8 +141,8 @@
     pub models: Vec<ModelKey>,
     /// The classes of all teams that run on it, ordered by full name.
     pub classes: Vec<ClassKey>,
-    /// Maximum rate at which the service may load weights from the weight store, per minute; zero for
-    /// none.
+    /// Maximum rate at which the service may load weights from the weight store, per minute; zero
+    /// for none.
     pub weight_loads: u32,
 }
 
--- a/crates/config/src/part.rs
+++ b/crates/config/src/part.rs
@@ -28,8 +28,8 @@
 
 /// One team's part of the text: the current edition and optionally the previous one.
 ///
-/// Whether an edition is accepted depends on the part alone, not on the time, other parts or what was
-/// in force before. So all instances decide alike, including those that start later.
+/// Whether an edition is accepted depends on the part alone, not on the time, other parts or what
+/// was in force before. So all instances decide alike, including those that start later.
 #[derive(Clone, Debug)]
 pub struct Part {
     team: String,
@@ -144,10 +144,11 @@
     (text, None)
 }
 
-/// Returns the part to publish next: `draft` followed by the edition of `published` that is in force.
+/// Returns the part to publish next: `draft` followed by the edition of `published` that is in
+/// force.
 ///
-/// If the draft has an error, that edition stays in force. A `[previous]` edition in the draft itself
-/// is dropped.
+/// If the draft has an error, that edition stays in force. A `[previous]` edition in the draft
+/// itself is dropped.
 ///
 /// # Errors
 ///
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -52,9 +52,9 @@
 
 /// Reads sections in order.
 ///
-/// A section with an invalid value is still declared, with a placeholder for the value, so that later
-/// checks find its other errors. A placeholder is never in force, since the error that caused it
-/// rejects the edition.
+/// A section with an invalid value is still declared, with a placeholder for the value, so that
+/// later checks find its other errors. A placeholder is never in force, since the error that caused
+/// it rejects the edition.
 pub(crate) struct Reader<'a> {
     team: &'a str,
     declarations: Declarations,
@@ -101,7 +101,8 @@
         self.record_malformed("class", format!("{}/{name}", self.team));
     }
 
-    /// Records a declaration that can't be parsed, so that references to it don't become findings too.
+    /// Records a declaration that can't be parsed, so that references to it don't become findings
+    /// too.
     fn record_malformed(&mut self, kind: &'static str, name: String) {
         self.declarations.malformed.insert((kind, name));
     }
--- a/crates/config/src/read/head.rs
+++ b/crates/config/src/read/head.rs
@@ -22,8 +22,8 @@
 
 /// Whether the head section has a format that this version supports.
 ///
-/// The rest of an edition with an unknown format isn't read. A later format may change the meaning of
-/// any line, and two program versions must not interpret the same edition differently.
+/// The rest of an edition with an unknown format isn't read. A later format may change the meaning
+/// of any line, and two program versions must not interpret the same edition differently.
 pub(super) fn read_head(team: &str, head: &Section, findings: &mut Findings) -> bool {
     let mut fields = Fields::new(team, head, findings);
     let format = fields.require("format", "1", |v| units::count(v, 1, u32::MAX));
--- a/crates/config/src/resolve.rs
+++ b/crates/config/src/resolve.rs
@@ -85,7 +85,8 @@
 
 /// Resolves a request by the caller's credential.
 ///
-/// `requested` is the class named in `x-class`, which can't have a higher priority than the default.
+/// `requested` is the class named in `x-class`, which can't have a higher priority than the
+/// default.
 ///
 /// # Errors
 ///
@@ -166,9 +167,9 @@
         };
         let key = self.select_class(default, requested)?;
         let class = self.class(key);
-        // Requesting a lower class must not make a call repeatable: a confirmation sent in the class of
-        // lookups would be retried and run twice. A call that isn't bound to a class is repeatable only
-        // if its method is safe.
+        // Requesting a lower class must not make a call repeatable: a confirmation sent in the
+        // class of lookups would be retried and run twice. A call that isn't bound to a class is
+        // repeatable only if its method is safe.
         let repeatable = self.class(default).idempotent && (bound.is_some() || is_safe(method));
         let idempotent = class.idempotent && repeatable;
         Ok(Resolved {
@@ -181,8 +182,8 @@
         })
     }
 
-    /// Returns the account's service with the longest prefix of the path; the first one listed if there
-    /// are several.
+    /// Returns the account's service with the longest prefix of the path; the first one listed if
+    /// there are several.
     fn service_of(&self, path: &str) -> Option<ServiceKey> {
         let mut best: Option<(usize, ServiceKey)> = None;
         for &key in &self.record.classes {
@@ -198,8 +199,8 @@
         best.map(|(_, service)| service)
     }
 
-    /// Returns the class to which the service's owner binds the call; the one with the fewest wildcards
-    /// if several match.
+    /// Returns the class to which the service's owner binds the call; the one with the fewest
+    /// wildcards if several match.
     fn bound_class(&self, service: ServiceKey, method: &str, path: &str) -> Option<ClassKey> {
         let segments: Vec<&str> = segments(path).collect();
         let classes = self.catalog.services[service].classes.iter().copied();
@@ -216,8 +217,8 @@
             .find(|&key| self.class(key).service == service)
     }
 
-    /// Returns the requested class if the account has it, it is on the same service, and its priority
-    /// isn't higher than that of `default`.
+    /// Returns the requested class if the account has it, it is on the same service, and its
+    /// priority isn't higher than that of `default`.
     fn select_class(
         &self,
         default: ClassKey,
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -127,11 +127,11 @@
     /// same on all instances.
     pub senders: u32,
     /// Whether this is the first start of the fleet. Otherwise an instance that finds no peer with
-    /// records rejects requests with an idempotency key for the length of the claim window, since an
-    /// earlier fleet may have run them.
+    /// records rejects requests with an idempotency key for the length of the claim window, since
+    /// an earlier fleet may have run them.
     pub first_start: bool,
-    /// How long an instance keeps serving after its health check starts to fail during a planned stop,
-    /// so that the load balancer can detect it.
+    /// How long an instance keeps serving after its health check starts to fail during a planned
+    /// stop, so that the load balancer can detect it.
     pub notice: Millis,
     /// How long a planned stop then waits for requests in progress.
     pub drain: Millis,
@@ -260,8 +260,8 @@
         );
     }
 
-    /// Checks that a body of maximum size takes at most a quarter of the memory limit. It is held twice
-    /// while it is sent.
+    /// Checks that a body of maximum size takes at most a quarter of the memory limit. It is held
+    /// twice while it is sent.
     fn check_memory(&self, sections: &[Section], findings: &mut Findings) {
         if self.memory < MIN_MEMORY_BYTES || self.limits.body_bytes <= self.memory / 4 {
             return;
--- a/crates/config/src/text.rs
+++ b/crates/config/src/text.rs
@@ -40,8 +40,8 @@
 
     /// Parses and sets one team's part, without affecting the other parts.
     ///
-    /// The text must begin with the team's `[team NAME]` line and have no other such line; otherwise
-    /// the part is rejected.
+    /// The text must begin with the team's `[team NAME]` line and have no other such line;
+    /// otherwise the part is rejected.
     pub fn set_part(&mut self, team: &str, text: &str) -> &Part {
         let (_, slices) = split(text);
         let mut part = Part::parse(team, text, 1);
--- a/crates/config/tests/acceptance.rs
+++ b/crates/config/tests/acceptance.rs
@@ -115,8 +115,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    // When one team's part has a missing or malformed line, the accounts, classes and servers of other
-    // teams are unaffected.
+    // When one team's part has a missing or malformed line, the accounts, classes and servers of
+    // other teams are unaffected.
     #[test]
     fn part_does_not_affect_another(
         line in 0usize..120,
--- a/crates/config/tests/apply.rs
+++ b/crates/config/tests/apply.rs
@@ -40,8 +40,8 @@
     assert_eq!(after.classes[key].priority, Priority::new(4).unwrap());
 }
 
-// A server is replaced by one with the same name. A late answer or load report of the old server must
-// not be attributed to the new one.
+// A server is replaced by one with the same name. A late answer or load report of the old server
+// must not be attributed to the new one.
 #[test]
 fn server_with_a_new_address_gets_a_new_key() {
     let (before, after, changes) = change("10.1.0.11:8000", "10.1.0.99:8000");
--- a/crates/config/tests/examples.rs
+++ b/crates/config/tests/examples.rs
@@ -98,8 +98,8 @@
     );
 }
 
-// A confirmation is sent with the header of a class of lookups. If the header determined whether the
-// call may be repeated, a retry after a timeout would book the slot twice.
+// A confirmation is sent with the header of a class of lookups. If the header determined whether
+// the call may be repeated, a retry after a timeout would book the slot twice.
 #[test_case(CONFIRM, Some("slot-lookup"); "lowered to an idempotent class")]
 #[test_case(Target::Path { method: "POST", path: "/booking//confirmations/" }, None; "doubled slash")]
 #[test_case(Target::Path { method: "POST", path: "/booking/%63onfirmations" }, None; "escaped")]
@@ -127,8 +127,8 @@
     assert_eq!(class(other, Some("portal")), Err(Refusal::UnknownClass));
 }
 
-// An account whose first class is drafts requests chat by header. If it were accepted, it would take
-// precedence over accounts whose own default is chat.
+// An account whose first class is drafts requests chat by header. If it were accepted, it would
+// take precedence over accounts whose own default is chat.
 #[test]
 fn caller_cannot_raise_its_class() {
     let text =
--- a/crates/config/tests/findings.rs
+++ b/crates/config/tests/findings.rs
@@ -207,8 +207,8 @@
     assert_eq!(found[0].line, 2);
 }
 
-// After a key without a separator the INI library skips to the next '=', even on a later line. If that
-// went undetected, "[class b]" below would be lost and its keys would be assigned to class a.
+// After a key without a separator the INI library skips to the next '=', even on a later line. If
+// that went undetected, "[class b]" below would be lost and its keys would be assigned to class a.
 #[test_case("[team a]\nformat = 1\n[class a]\npriority\n[class b]\npriority = 1\n"; "bare word")]
 #[test_case("[team a]\nformat = 1\n[class a]\n# x\rpriority = 1\n[class b]\npriority = 1\n"; "lone CR")]
 #[test_case("[team a]\nformat = 1\n[class a]\n  # x\n[class b]\npriority = 1\n"; "indented comment")]
--- a/crates/platform/src/backoff.rs
+++ b/crates/platform/src/backoff.rs
@@ -7,8 +7,8 @@
 
 /// A seeded generator of random durations.
 ///
-/// Each instance has its own seed, since instances that fail together would otherwise retry together.
-/// A keyed hash of a counter is random enough for this and reproducible in tests.
+/// Each instance has its own seed, since instances that fail together would otherwise retry
+/// together. A keyed hash of a counter is random enough for this and reproducible in tests.
 #[derive(Clone, Debug)]
 pub struct Jitter {
     seed: u64,
--- a/crates/platform/src/fetch.rs
+++ b/crates/platform/src/fetch.rs
@@ -83,8 +83,8 @@
         header.map(|h| h.value.as_str())
     }
 
-    /// Returns the value of the first header with this name as an integer; `None` if it is absent or
-    /// isn't one.
+    /// Returns the value of the first header with this name as an integer; `None` if it is absent
+    /// or isn't one.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.header(name)
             .and_then(|value| value.trim().parse().ok())
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,15 +1,14 @@
 //! Reads and watches of what the platform publishes.
 //!
-//! The platform is read-only and limits the rate of calls over all readers together. It can be down,
-//! hang, or return stale data. This crate makes the calls:
+//! The platform is read-only and limits the rate of calls over all readers together. It can be
+//! down, hang, or return stale data. This crate makes the calls:
 //!
 //! * [`wire`] defines the documents.
-//! * [`InstancePoller`] polls the instance list. It is a state machine ([`Machine`]) that
-//!   takes an [`Event`] and the current time and returns [`Action`]s. It does no I/O and reads no
-//!   clock.
+//! * [`InstancePoller`] polls the instance list. It is a state machine ([`Machine`]) that takes an
+//!   [`Event`] and the current time and returns [`Action`]s. It does no I/O and reads no clock.
 //! * [`run`] executes the actions through a [`Fetch`]. [`HttpFetch`] implements it over HTTP.
-//! * [`read`] makes one [`Call`] with a deadline. The configuration is read this way: the crate that
-//!   also replicates it between instances decides when to read it and which answers to accept.
+//! * [`read`] makes one [`Call`] with a deadline. The configuration is read this way: the crate
+//!   that also replicates it between instances decides when to read it and which answers to accept.
 //!
 //! The poller guarantees the following whatever the platform does: it makes at most one call per
 //! period; every call has a deadline; retries back off with jitter and honour `Retry-After`; a list
--- a/crates/platform/src/pending.rs
+++ b/crates/platform/src/pending.rs
@@ -40,8 +40,8 @@
 
     /// Removes and returns the calls whose deadline has passed.
     ///
-    /// A hung platform neither answers nor closes the connection. Without a deadline the reader would
-    /// wait on that connection forever while its data becomes stale unnoticed.
+    /// A hung platform neither answers nor closes the connection. Without a deadline the reader
+    /// would wait on that connection forever while its data becomes stale unnoticed.
     pub(crate) fn take_expired(&mut self, now: Millis) -> Vec<PendingCall> {
         self.calls.extract_if(.., |c| c.deadline <= now).collect()
     }
--- a/crates/platform/src/poller.rs
+++ b/crates/platform/src/poller.rs
@@ -54,9 +54,9 @@
 ///
 /// The end of each call is published, so that users of the list know how old it is.
 ///
-/// A list that is empty or older than an earlier one is reported and not applied. An empty list would
-/// take every backend server out of use at once, and can't be correct, since it should contain at
-/// least this instance.
+/// A list that is empty or older than an earlier one is reported and not applied. An empty list
+/// would take every backend server out of use at once, and can't be correct, since it should
+/// contain at least this instance.
 #[derive(Clone, Debug)]
 pub struct InstancePoller {
     settings: PollerSettings,
--- a/crates/platform/src/transport.rs
+++ b/crates/platform/src/transport.rs
@@ -77,7 +77,8 @@
 
 async fn read(mut answer: Answer, limit: usize) -> Result<Reply, FetchError> {
     let mut bytes = Vec::new();
-    // Reading one byte past the limit distinguishes a body of exactly `limit` bytes from a longer one.
+    // Reading one byte past the limit distinguishes a body of exactly `limit` bytes from a longer
+    // one.
     let mut body = (&mut answer.body).take(limit as u64 + 1);
     let read = body.read_to_end(&mut bytes).await;
     read.map_err(|e| FetchError::Connection(e.to_string()))?;
--- a/crates/platform/src/wire/instances.rs
+++ b/crates/platform/src/wire/instances.rs
@@ -64,8 +64,8 @@
     Live,
     /// About to leave; gets no new work.
     Leaving,
-    /// A state that this version doesn't know. Treated like [`InstanceState::Leaving`], since sending no
-    /// new work is safe.
+    /// A state that this version doesn't know. Treated like [`InstanceState::Leaving`], since
+    /// sending no new work is safe.
     #[serde(other)]
     Other,
 }
--- a/crates/platform/tests/all/random.rs
+++ b/crates/platform/tests/all/random.rs
@@ -39,8 +39,8 @@
     }
 }
 
-/// Changes the list or the platform's mode, or suspends the process, at random, then runs for a random
-/// time.
+/// Changes the list or the platform's mode, or suspends the process, at random, then runs for a
+/// random time.
 fn random_step(driver: &mut Driver<InstancePoller>, rng: &mut SeededRng) {
     match rng.below(9) {
         0..=4 => driver.platform.list = list(rng.below(20), rng.below(3) as usize),
@@ -63,8 +63,8 @@
     }
 }
 
-/// Under any behaviour of the platform and the clock, the call budget holds, no published list is older
-/// than an earlier one, and the newest list is published once the platform has recovered.
+/// Under any behaviour of the platform and the clock, the call budget holds, no published list is
+/// older than an earlier one, and the newest list is published once the platform has recovered.
 #[test]
 fn a_poller_keeps_its_budget_and_never_reverts() {
     for seed in 0..SEEDS {
--- a/crates/platform/tests/all/shell.rs
+++ b/crates/platform/tests/all/shell.rs
@@ -162,8 +162,8 @@
     assert!(paths.iter().all(|p| p == "/v1/instances"));
 }
 
-/// A watch asks the platform to hold the call for the given wait and times out 2 s after that. Nothing
-/// else would end the call if the platform hangs.
+/// A watch asks the platform to hold the call for the given wait and times out 2 s after that.
+/// Nothing else would end the call if the platform hangs.
 #[test]
 fn a_watch_has_its_wait_and_a_deadline() {
     let fake = FakeFetch::default();
--- a/crates/platform/tests/all/transport.rs
+++ b/crates/platform/tests/all/transport.rs
@@ -14,7 +14,8 @@
 
 const LIMIT: usize = 8;
 
-/// Sends a request to a server that writes `answer` and then closes the connection or holds it open.
+/// Sends a request to a server that writes `answer` and then closes the connection or holds it
+/// open.
 fn read_from(answer: &'static str, holds: bool) -> Result<Reply, FetchError> {
     task::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -63,8 +64,8 @@
     assert!(read_from(answer, holds).is_err());
 }
 
-/// A server that sends single bytes keeps each wait for data short. The deadline applies to the whole
-/// answer, since otherwise the read would never end.
+/// A server that sends single bytes keeps each wait for data short. The deadline applies to the
+/// whole answer, since otherwise the read would never end.
 #[test]
 fn a_trickled_answer_ends_at_the_deadline() {
     let reply = task::block_on(async {
