--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,5 +1,5 @@
-//! Checks inside one edition. They look at nothing outside it, so that no other team can change
-//! whether it is accepted.
+//! Checks within one edition. They don't depend on other parts, so that no other team can affect
+//! whether the edition is accepted.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,31 +7,31 @@
 
 use crate::decl::AccountDecl;
 use crate::decl::ClassDecl;
-use crate::decl::Declared;
-use crate::decl::Place;
+use crate::decl::Declarations;
+use crate::decl::Location;
 use crate::decl::ServiceDecl;
 use crate::finding::Findings;
-use crate::graph::Graph;
-use crate::model::Call;
-use crate::model::Kind;
+use crate::graph::ServiceGraph;
+use crate::model::CallPattern;
 use crate::model::Role;
+use crate::model::ServiceKind;
 use crate::model::Share;
 use crate::model::short_name;
 use crate::model::team_name;
-use crate::targets::late_dependency;
+use crate::targets::slow_dependency;
 use crate::targets::target_key;
 
-/// The most that the floors of all classes on a service may take together. The rest goes by
-/// priority; without it the highest tier could not use a burst's worth of its service.
-pub(crate) const MAX_FLOORS: Share = Share(8_000);
+/// Maximum sum of the floors of all classes on a service. The rest is assigned by priority; without
+/// it the highest priority would have no capacity for bursts.
+pub(crate) const MAX_FLOOR_SUM: Share = Share(8_000);
 
-/// Checks the declarations of one team's edition against each other.
-pub(crate) fn check(team: &str, declared: &Declared, findings: &mut Findings) {
+/// Checks the declarations of one edition against each other.
+pub(crate) fn check(team: &str, declarations: &Declarations, findings: &mut Findings) {
     let mut check = Check {
         team,
-        services: by_name(&declared.services, |s| &s.name),
-        classes: by_name(&declared.classes, |c| &c.name),
-        declared,
+        services: by_name(&declarations.services, |s| &s.name),
+        classes: by_name(&declarations.classes, |c| &c.name),
+        declarations,
         findings,
     };
     check.members();
@@ -55,119 +55,133 @@
     team: &'a str,
     services: BTreeMap<&'a str, &'a ServiceDecl>,
     classes: BTreeMap<&'a str, &'a ClassDecl>,
-    declared: &'a Declared,
+    declarations: &'a Declarations,
     findings: &'a mut Findings,
 }
 
 impl<'a> Check<'a> {
-    fn error(&mut self, place: &Place, key: &str, message: impl Into<String>) {
-        self.findings.push(place.error(key, message.into()));
+    fn error(&mut self, location: &Location, key: &str, message: impl Into<String>) {
+        self.findings.push(location.error(key, message.into()));
     }
 
-    fn warn(&mut self, place: &Place, key: &str, message: impl Into<String>) {
-        self.findings.push(place.warning(key, message.into()));
+    fn warn(&mut self, location: &Location, key: &str, message: impl Into<String>) {
+        self.findings.push(location.warning(key, message.into()));
     }
 
     fn has_service(&self, name: &str) -> bool {
-        self.services.contains_key(name) || self.is_broken("service", name)
+        self.services.contains_key(name) || self.is_malformed("service", name)
     }
 
     fn has_class(&self, name: &str) -> bool {
-        self.classes.contains_key(name) || self.is_broken("class", name)
+        self.classes.contains_key(name) || self.is_malformed("class", name)
     }
 
-    fn is_broken(&self, kind: &'static str, name: &str) -> bool {
-        self.declared.broken.contains(&(kind, name.to_owned()))
+    fn is_malformed(&self, kind: &'static str, name: &str) -> bool {
+        self.declarations
+            .malformed
+            .contains(&(kind, name.to_owned()))
     }
 
     fn is_own(&self, name: &str) -> bool {
         team_name(name) == self.team
     }
 
-    /// Servers and models need a service of their own team.
+    /// Servers and models must belong to a service of their own team, and models to a model
+    /// service.
     fn members(&mut self) {
-        let declared = self.declared;
-        let servers = declared.servers.iter().map(|s| (&s.place, &s.service));
-        let models = declared.models.iter().map(|m| (&m.place, &m.service));
-        for (place, service) in servers.chain(models) {
+        let declarations = self.declarations;
+        let servers = declarations
+            .servers
+            .iter()
+            .map(|s| (&s.location, &s.service));
+        let models = declarations
+            .models
+            .iter()
+            .map(|m| (&m.location, &m.service));
+        for (location, service) in servers.chain(models) {
             if !self.has_service(service) {
-                let message = dangling("service", short_name(service));
-                self.error(place, "", message);
+                let message = missing_reference("service", short_name(service));
+                self.error(location, "", message);
             }
         }
-        for model in &declared.models {
+        for model in &declarations.models {
             let service = self.services.get(model.service.as_str());
-            if service.is_some_and(|s| s.kind != Kind::Model) {
+            if service.is_some_and(|s| s.kind != ServiceKind::Model) {
                 let message = "a plain service serves no models; write kind = model there, \
                                or leave this section out";
-                self.error(&model.place, "", message);
+                self.error(&model.location, "", message);
             }
         }
     }
 
-    /// Roles need engines, one of which goes on running whole requests, and leave to order them.
+    /// Roles require a model service in which at least one engine runs whole requests, and have no
+    /// effect without `weight-loads`.
     fn roles(&mut self) {
-        let declared = self.declared;
-        for server in &declared.servers {
+        let declarations = self.declarations;
+        for server in &declarations.servers {
             let service = self.services.get(server.service.as_str());
-            let plain = service.is_some_and(|s| s.kind != Kind::Model);
-            if plain && server.role.is_some() {
+            let is_plain = service.is_some_and(|s| s.kind != ServiceKind::Model);
+            if is_plain && server.role.is_some() {
                 let message = "a plain service has no roles; leave it out";
-                self.error(&server.place, "role", message);
+                self.error(&server.location, "role", message);
             }
         }
-        for service in declared.services.iter().filter(|s| s.kind == Kind::Model) {
+        for service in declarations
+            .services
+            .iter()
+            .filter(|s| s.kind == ServiceKind::Model)
+        {
             self.service_roles(service);
         }
     }
 
     fn service_roles(&mut self, service: &ServiceDecl) {
-        let servers = self.declared.servers.iter();
+        let servers = self.declarations.servers.iter();
         let servers = servers.filter(|server| server.service == service.name);
         let roles: Vec<Option<Role>> = servers.map(|s| s.role.or(service.role)).collect();
         let is_whole = |role: &Option<Role>| role.is_none_or(|role| role == Role::Both);
         if !roles.is_empty() && !roles.iter().any(is_whole) {
             let message = "no server of this service would run whole requests; \
                            write role = both for one of them";
-            self.error(&service.place, "role", message);
+            self.error(&service.location, "role", message);
         }
         if roles.iter().any(Option::is_some) && service.weight_loads == 0 {
             let message = "the roles are not ordered, since nothing is ordered in a service without \
                            weight-loads; write weight-loads = 6/min";
-            self.warn(&service.place, "role", message);
+            self.warn(&service.location, "role", message);
         }
     }
 
     fn dependencies(&mut self) {
-        let graph = Graph::new(&self.declared.services);
-        for service in &self.declared.services {
+        let graph = ServiceGraph::new(&self.declarations.services);
+        for service in &self.declarations.services {
             let mut cyclic = Vec::new();
             for name in service.depends.iter() {
                 if !self.is_own(name) {
                     continue;
                 }
                 if !self.has_service(name) {
-                    let message = dangling("service", short_name(name));
-                    self.error(&service.place, "depends-on", message);
+                    let message = missing_reference("service", short_name(name));
+                    self.error(&service.location, "depends-on", message);
                 } else if graph.reaches(name, &service.name) {
                     cyclic.push(short_name(name));
                 }
             }
-            if !cyclic.is_empty() && graph.is_first(&service.name) {
+            if !cyclic.is_empty() && graph.is_first_on_cycles(&service.name) {
                 let message = format!(
                     "a cycle leads back to this service by way of {}; leave out one dependency of \
                      each cycle",
                     cyclic.join(", ")
                 );
-                self.error(&service.place, "depends-on", message);
+                self.error(&service.location, "depends-on", message);
             }
         }
     }
 
     fn prefixes(&mut self) {
         let mut seen: BTreeMap<&str, &str> = BTreeMap::new();
-        for service in &self.declared.services {
-            let Kind::Plain { prefix } = &service.kind else {
+        for service in &self.declarations.services {
+            let ServiceKind::Plain { prefix } = &service.kind else {
                 continue;
             };
             if let Some(first) = seen.insert(prefix, &service.name) {
@@ -175,13 +189,13 @@
                     "{} has this prefix already; write another one",
                     short_name(first)
                 );
-                self.error(&service.place, "prefix", message);
+                self.error(&service.location, "prefix", message);
             }
         }
     }
 
     fn grants(&mut self) {
-        for service in &self.declared.services {
+        for service in &self.declarations.services {
             let mut seen = BTreeSet::from([self.team]);
             for grant in &service.grants {
                 if !seen.insert(&grant.team) {
@@ -189,14 +203,14 @@
                         "{} is the own team or listed twice; write each other team once",
                         grant.team
                     );
-                    self.error(&service.place, "shared-with", message);
+                    self.error(&service.location, "shared-with", message);
                 }
             }
         }
     }
 
     fn class_services(&mut self) {
-        for class in &self.declared.classes {
+        for class in &self.declarations.classes {
             if !self.is_own(&class.service) {
                 continue;
             }
@@ -204,94 +218,95 @@
                 if self.has_service(&class.service) {
                     continue;
                 }
-                let message = dangling("service", short_name(&class.service));
-                self.error(&class.place, "service", message);
+                let message = missing_reference("service", short_name(&class.service));
+                self.error(&class.location, "service", message);
                 continue;
             };
             let own = service.depends.iter().filter(|name| self.is_own(name));
-            let late = own.filter_map(|name| late_dependency(class, name, &self.declared.classes));
-            let late: Vec<String> = late.collect();
-            for message in late {
-                self.error(&class.place, target_key(class), message);
+            let slow =
+                own.filter_map(|name| slow_dependency(class, name, &self.declarations.classes));
+            let slow: Vec<String> = slow.collect();
+            for message in slow {
+                self.error(&class.location, target_key(class), message);
             }
         }
     }
 
-    /// The own classes' floors and the shares granted to other teams fit into a service together.
+    /// The sum of the team's own floors and the shares granted to other teams is limited.
     fn floors(&mut self) {
-        for service in &self.declared.services {
-            let classes = self.declared.classes.iter();
+        for service in &self.declarations.services {
+            let classes = self.declarations.classes.iter();
             let own = classes.filter(|c| c.service == service.name);
             let own: u32 = own.map(|c| c.floor.0).sum();
             let granted: u32 = service.grants.iter().map(|g| g.share.0).sum();
             let total = Share(own.saturating_add(granted));
-            if total > MAX_FLOORS {
+            if total > MAX_FLOOR_SUM {
                 let message = format!(
                     "the floors of its classes ({}) and the shares in shared-with ({}) take {total}; \
-                     lower them to {MAX_FLOORS} together",
+                     lower them to {MAX_FLOOR_SUM} together",
                     Share(own),
                     Share(granted),
                 );
-                self.error(&service.place, "", message);
+                self.error(&service.location, "", message);
             }
         }
     }
 
-    /// Only the team that owns a plain service binds its calls to classes.
+    /// Only the team that owns a plain service can bind its calls to classes.
     fn calls(&mut self) {
-        let mut seen: HashMap<(&str, &Call), &str> = HashMap::new();
-        for class in self.declared.classes.iter() {
+        let mut seen: HashMap<(&str, &CallPattern), &str> = HashMap::new();
+        for class in self.declarations.classes.iter() {
             if class.calls.is_empty() {
                 continue;
             }
             let service = self.services.get(class.service.as_str()).copied();
             let prefix = service.and_then(|s| match &s.kind {
-                Kind::Plain { prefix } => Some(prefix),
-                Kind::Model => None,
+                ServiceKind::Plain { prefix } => Some(prefix),
+                ServiceKind::Model => None,
             });
             let Some(prefix) = prefix else {
-                let broken = self.is_broken("service", &class.service);
-                if broken || self.is_own(&class.service) && service.is_none() {
+                let malformed = self.is_malformed("service", &class.service);
+                if malformed || self.is_own(&class.service) && service.is_none() {
                     continue;
                 }
                 let message = "calls belong to a plain service of the own team; leave them out";
-                self.error(&class.place, "calls", message);
+                self.error(&class.location, "calls", message);
                 continue;
             };
             for call in &class.calls {
                 let path = format!("/{}/", call.segments.join("/"));
                 if !path.starts_with(&format!("{prefix}/")) {
                     let message = format!("{call} lies outside the service; begin with {prefix}/");
-                    self.error(&class.place, "calls", message);
+                    self.error(&class.location, "calls", message);
                 }
                 if let Some(first) = seen.insert((&class.service, call), &class.name) {
                     let first = short_name(first);
                     let message = format!("{call} belongs to {first} already; write it once");
-                    self.error(&class.place, "calls", message);
+                    self.error(&class.location, "calls", message);
                 }
             }
         }
     }
 
     fn account_classes(&mut self) {
-        for account in &self.declared.accounts {
+        for account in &self.declarations.accounts {
             let mut seen = BTreeSet::new();
             for name in &account.classes {
                 if !seen.insert(name) {
                     let message = format!("{} is listed twice; write it once", short_name(name));
-                    self.error(&account.place, "classes", message);
+                    self.error(&account.location, "classes", message);
                 }
                 if self.is_own(name) && !self.has_class(name) {
-                    let message = dangling("class", short_name(name));
-                    self.error(&account.place, "classes", message);
+                    let message = missing_reference("class", short_name(name));
+                    self.error(&account.location, "classes", message);
                 }
             }
             self.unreachable_classes(account);
         }
     }
 
-    /// A caller may lower its class but never raise it, so that a class above the account's first
-    /// one on a service is out of reach.
+    /// A caller can't request a class with a higher priority than its default, which is the
+    /// account's first class on a service. A class above the default is therefore unreachable.
     fn unreachable_classes(&mut self, account: &AccountDecl) {
         let mut first: BTreeMap<&str, &ClassDecl> = BTreeMap::new();
         for name in &account.classes {
@@ -299,45 +314,45 @@
                 continue;
             };
             let default = *first.entry(&class.service).or_insert(class);
-            let unread = [class, default]
+            let any_malformed = [class, default]
                 .iter()
-                .any(|c| self.is_broken("class", &c.name));
-            if !unread && class.priority < default.priority && class.calls.is_empty() {
+                .any(|c| self.is_malformed("class", &c.name));
+            if !any_malformed && class.priority < default.priority && class.calls.is_empty() {
                 let message = format!(
                     "{} is above {}, the account's first class on the service, and out of reach; \
                      list it first",
                     short_name(name),
                     short_name(&default.name)
                 );
-                self.warn(&account.place, "classes", message);
+                self.warn(&account.location, "classes", message);
             }
         }
     }
 
     fn digests(&mut self) {
         let mut seen = HashMap::new();
-        for account in &self.declared.accounts {
+        for account in &self.declarations.accounts {
             for digest in &account.digests {
                 if let Some(first) = seen.insert(digest, &account.name) {
                     let message = format!(
                         "account {} has this key already; give each account its own key",
                         short_name(first)
                     );
-                    self.error(&account.place, "key-sha256", message);
+                    self.error(&account.location, "key-sha256", message);
                 }
             }
         }
     }
 
-    /// A service without servers may be meant (it is scaled to nothing), so that it is no error.
+    /// A service without servers is only a warning, since it may be scaled to zero on purpose.
     fn servers_present(&mut self) {
         let served: BTreeSet<&str> = self
-            .declared
+            .declarations
             .servers
             .iter()
             .map(|s| s.service.as_str())
             .collect();
-        for class in &self.declared.classes {
+        for class in &self.declarations.classes {
             let known = self.services.contains_key(class.service.as_str());
             if known && !served.contains(class.service.as_str()) {
                 let service = short_name(&class.service);
@@ -345,12 +360,12 @@
                     "the class has no server, and its requests are refused; \
                      write a section [server {service}/NAME]"
                 );
-                self.warn(&class.place, "service", message);
+                self.warn(&class.location, "service", message);
             }
         }
     }
 }
 
-pub(crate) fn dangling(kind: &str, name: &str) -> String {
+pub(crate) fn missing_reference(kind: &str, name: &str) -> String {
     format!("there is no {kind} {name}; write a section [{kind} {name}] or another name")
 }
--- a/crates/config/src/link.rs
+++ b/crates/config/src/link.rs
@@ -1,8 +1,8 @@
 //! Resolves references between teams.
 //!
-//! Whatever is wrong here changes nothing about which editions are accepted: the referring thing
-//! alone is left out or cut down, and a warning in its own team's part says so. Each rule is a pure
-//! function of the set of accepted editions; no order decides.
+//! Mistakes found here don't affect which editions are accepted. Only the declaration that contains
+//! the reference is left out or reduced, with a warning in its own team's part. The result depends
+//! only on the set of accepted editions, not on their order.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,50 +11,50 @@
 
 use crate::decl::AccountDecl;
 use crate::decl::ClassDecl;
-use crate::decl::Declared;
+use crate::decl::Declarations;
 use crate::decl::ServiceDecl;
 use crate::digest::KeyDigest;
 use crate::finding::Findings;
-use crate::graph::Graph;
+use crate::graph::ServiceGraph;
 use crate::model::Share;
 use crate::model::team_name;
-use crate::targets::late_dependency;
+use crate::targets::slow_dependency;
 use crate::targets::target_key;
-use crate::text::Text;
+use crate::text::ConfigText;
 
-/// What the accepted editions declare together, by full name.
+/// The declarations of all accepted editions with resolved references, by full name.
 #[derive(Default)]
-pub(crate) struct Linked<'a> {
+pub(crate) struct LinkedConfig<'a> {
     pub(crate) services: BTreeMap<&'a str, LinkedService<'a>>,
     pub(crate) classes: BTreeMap<&'a str, LinkedClass<'a>>,
     pub(crate) accounts: BTreeMap<&'a str, LinkedAccount<'a>>,
-    pub(crate) declared: Vec<&'a Declared>,
+    pub(crate) declarations: Vec<&'a Declarations>,
     pub(crate) findings: Findings,
 }
 
 pub(crate) struct LinkedService<'a> {
     pub(crate) decl: &'a ServiceDecl,
-    /// Those of its dependencies that are in force.
+    /// The dependencies that are in force.
     pub(crate) depends: Vec<&'a str>,
 }
 
 pub(crate) struct LinkedClass<'a> {
     pub(crate) decl: &'a ClassDecl,
-    /// The floor, cut down to what the service's owner grants.
+    /// The floor, reduced to the share that the service's owner grants.
     pub(crate) floor: Share,
 }
 
 pub(crate) struct LinkedAccount<'a> {
     pub(crate) decl: &'a AccountDecl,
-    /// Those of its classes that are in force and that it may use.
+    /// The classes that are in force and that the account may use.
     pub(crate) classes: Vec<&'a str>,
 }
 
-/// Links the editions that are in force.
-pub(crate) fn link(text: &Text) -> Linked<'_> {
-    let mut linked = Linked {
-        declared: text.parts().map(|part| part.declared()).collect(),
-        ..Linked::default()
+/// Resolves references between the editions in force.
+pub(crate) fn link(text: &ConfigText) -> LinkedConfig<'_> {
+    let mut linked = LinkedConfig {
+        declarations: text.parts().map(|part| part.declarations()).collect(),
+        ..LinkedConfig::default()
     };
     linked.link_services();
     linked.link_classes();
@@ -64,15 +64,15 @@
     linked
 }
 
-impl<'a> Linked<'a> {
+impl<'a> LinkedConfig<'a> {
     fn link_services(&mut self) {
-        let all: Vec<&ServiceDecl> = self.declared.iter().flat_map(|d| &d.services).collect();
+        let all: Vec<&ServiceDecl> = self.declarations.iter().flat_map(|d| &d.services).collect();
         let known: BTreeSet<&str> = all.iter().map(|s| s.name.as_str()).collect();
-        let graph = Graph::new(all.iter().copied());
+        let graph = ServiceGraph::new(all.iter().copied());
         for decl in all {
             let mut depends = Vec::new();
             for name in &decl.depends {
-                let own = team_name(name) == decl.place.team;
+                let own = team_name(name) == decl.location.team;
                 let problem = if !known.contains(name.as_str()) {
                     "is not in force"
                 } else if !own && graph.reaches(name, &decl.name) {
@@ -82,7 +82,7 @@
                     continue;
                 };
                 let message = format!("{name} {problem} and is passed over; write another name");
-                let finding = decl.place.warning("depends-on", message);
+                let finding = decl.location.warning("depends-on", message);
                 self.findings.push(finding);
             }
             let service = LinkedService { decl, depends };
@@ -91,21 +91,21 @@
     }
 
     fn link_classes(&mut self) {
-        let all: Vec<&ClassDecl> = self.declared.iter().flat_map(|d| &d.classes).collect();
-        let mut claims: BTreeMap<(&str, &str), u32> = BTreeMap::new();
+        let all: Vec<&ClassDecl> = self.declarations.iter().flat_map(|d| &d.classes).collect();
+        let mut floor_sums: BTreeMap<(&str, &str), u32> = BTreeMap::new();
         for class in &all {
-            let claim = (class.place.team.as_str(), class.service.as_str());
-            let sum = claims.entry(claim).or_default();
+            let key = (class.location.team.as_str(), class.service.as_str());
+            let sum = floor_sums.entry(key).or_default();
             *sum = sum.saturating_add(class.floor.0);
         }
         for decl in &all {
-            let claim = claims[&(decl.place.team.as_str(), decl.service.as_str())];
-            match self.floor_of(decl, Share(claim)) {
+            let floor_sum = floor_sums[&(decl.location.team.as_str(), decl.service.as_str())];
+            match self.floor_of(decl, Share(floor_sum)) {
                 Ok(floor) => {
                     self.classes.insert(&decl.name, LinkedClass { decl, floor });
                 }
                 Err(message) => {
-                    let finding = decl.place.warning("service", message);
+                    let finding = decl.location.warning("service", message);
                     self.findings.push(finding);
                 }
             }
@@ -113,15 +113,16 @@
         self.check_targets(&all);
     }
 
-    /// The floor of a class, given what its team claims of the service in all.
-    fn floor_of(&mut self, class: &ClassDecl, claim: Share) -> Result<Share, String> {
+    /// Returns the effective floor of a class, where `floor_sum` is the sum of its team's floors on
+    /// the service.
+    fn floor_of(&mut self, class: &ClassDecl, floor_sum: Share) -> Result<Share, String> {
         let name = &class.service;
         let Some(service) = self.services.get(name.as_str()) else {
             return Err(format!(
                 "service {name} is not in force, nor is this class; write another service"
             ));
         };
-        let team = &class.place.team;
+        let team = &class.location.team;
         if team_name(name) == team {
             return Ok(class.floor);
         }
@@ -132,33 +133,34 @@
                  have its team write shared-with = {team} 5 %"
             ));
         };
-        if claim <= grant.share {
+        if floor_sum <= grant.share {
             return Ok(class.floor);
         }
-        let scaled = u64::from(class.floor.0) * u64::from(grant.share.0) / u64::from(claim.0);
+        let scaled = u64::from(class.floor.0) * u64::from(grant.share.0) / u64::from(floor_sum.0);
         let floor = Share(u32::try_from(scaled).unwrap_or(grant.share.0));
         let message = format!(
-            "the floors on {name} take {claim} of the {} that it shares with {team}, \
+            "the floors on {name} take {floor_sum} of the {} that it shares with {team}, \
              and this one counts as {floor}; lower them",
             grant.share
         );
-        self.findings.push(class.place.warning("floor", message));
+        self.findings.push(class.location.warning("floor", message));
         Ok(floor)
     }
 
-    /// The targets of dependencies of other teams; those of the own team are checked with the part.
+    /// Checks targets against those of dependencies across teams. Dependencies within a team are
+    /// checked with its part.
     fn check_targets(&mut self, all: &[&'a ClassDecl]) {
         let linked = self.classes.values().map(|class| class.decl);
         for class in linked {
             let Some(service) = self.services.get(class.service.as_str()) else {
                 continue;
             };
-            let team = &class.place.team;
+            let team = &class.location.team;
             for name in &service.depends {
                 let own = team_name(name) == team && team_name(&class.service) == team;
-                let late = late_dependency(class, name, all.iter().copied());
-                if let Some(message) = late.filter(|_| !own) {
-                    let finding = class.place.warning(target_key(class), message);
+                let slow = slow_dependency(class, name, all.iter().copied());
+                if let Some(message) = slow.filter(|_| !own) {
+                    let finding = class.location.warning(target_key(class), message);
                     self.findings.push(finding);
                 }
             }
@@ -166,13 +168,13 @@
     }
 
     fn link_accounts(&mut self) {
-        for decl in self.declared.iter().flat_map(|d| &d.accounts) {
+        for decl in self.declarations.iter().flat_map(|d| &d.accounts) {
             let mut classes = Vec::new();
             for name in &decl.classes {
-                match self.may_use(&decl.place.team, name) {
+                match self.may_use(&decl.location.team, name) {
                     Ok(()) => classes.push(name.as_str()),
                     Err(message) => {
-                        let finding = decl.place.warning("classes", message);
+                        let finding = decl.location.warning("classes", message);
                         self.findings.push(finding);
                     }
                 }
@@ -197,7 +199,7 @@
         ))
     }
 
-    /// Two teams with one key: one of them copied the other's digest.
+    /// Warns about accounts with the same key. One team has probably copied the other's digest.
     fn check_digests(&mut self) {
         let mut holders: HashMap<KeyDigest, Vec<&AccountDecl>> = HashMap::new();
         for account in self.accounts.values() {
@@ -206,7 +208,7 @@
             }
         }
         for accounts in holders.values().filter(|accounts| accounts.len() > 1) {
-            let winner = accounts[0];
+            let owner = accounts[0];
             for account in accounts {
                 let others = accounts.iter().filter(|other| other.name != account.name);
                 let others: Vec<&str> = others.map(|other| other.name.as_str()).collect();
@@ -214,9 +216,9 @@
                     "{} has the same key, and a key that names no team belongs to {}; write a key \
                      of your own",
                     others.join(", "),
-                    winner.name
+                    owner.name
                 );
-                let finding = account.place.warning("key-sha256", message);
+                let finding = account.location.warning("key-sha256", message);
                 self.findings.push(finding);
             }
         }
@@ -224,13 +226,13 @@
 
     fn check_addresses(&mut self) {
         let mut seen: HashMap<SocketAddr, &str> = HashMap::new();
-        for server in self.declared.iter().flat_map(|d| &d.servers) {
+        for server in self.declarations.iter().flat_map(|d| &d.servers) {
             if let Some(first) = seen.insert(server.address, &server.name) {
                 let message = format!(
                     "{first} has the same address, and both count its load apart; \
                      write another address or leave one out"
                 );
-                let finding = server.place.warning("address", message);
+                let finding = server.location.warning("address", message);
                 self.findings.push(finding);
             }
         }
--- a/crates/config/tests/acceptance.rs
+++ b/crates/config/tests/acceptance.rs
@@ -1,14 +1,15 @@
-//! What is in force depends on the text alone, and one team's part changes nothing for another.
+//! Tests that what is in force depends on the text alone, and that one team's part doesn't affect
+//! another.
 
-// Helpers of tests may unwrap like the tests themselves.
+// Test helpers may unwrap, like the tests themselves.
 #![allow(clippy::unwrap_used)]
 
 use crocushold_config::Catalog;
+use crocushold_config::ConfigText;
 use crocushold_config::Credential;
 use crocushold_config::InForce;
 use crocushold_config::Share;
 use crocushold_config::Target;
-use crocushold_config::Text;
 use crocushold_config::resolve;
 use crocushold_config::with_previous;
 use proptest::prelude::ProptestConfig;
@@ -19,7 +20,7 @@
 const BOOKING: &str = include_str!("data/booking.ini");
 const RECEIPTS: &str = include_str!("data/receipts.ini");
 
-fn names(catalog: &Catalog) -> Vec<String> {
+fn describe(catalog: &Catalog) -> Vec<String> {
     let classes = catalog.classes.values().map(|c| format!("{c:?}"));
     let accounts = catalog.accounts.values().map(|a| {
         let classes = a.classes.iter().map(|&key| &catalog.classes[key].name);
@@ -47,13 +48,13 @@
     format!("{BOOKING}{class}")
 }
 
-// A team publishes an edition with a slip. Running instances fall to the edition behind [previous],
-// and so does an instance that starts afterwards and saw neither: what was accepted stays accepted.
+// A team publishes an edition with an error. Running instances fall back to the edition after
+// [previous], and so does an instance that starts later and has read neither before.
 #[test]
-fn rejected_edition_falls_to_the_previous_one_everywhere() {
+fn rejected_edition_falls_back_to_the_previous_one_on_all_instances() {
     let good = with_class("extra", "2");
     let bad = with_class("other", "9");
-    let mut running = Text::parse(&good);
+    let mut running = ConfigText::parse(&good);
     let mut catalog = Catalog::new(&running);
     let key = catalog.class("clara/extra").unwrap();
 
@@ -63,50 +64,50 @@
     assert!(changes.is_empty(), "{changes:?}");
     assert_eq!(catalog.class("clara/extra"), Some(key));
 
-    let fresh = Text::parse(&published);
+    let fresh = ConfigText::parse(&published);
     assert_eq!(fresh.part("clara").unwrap().in_force(), InForce::Previous);
-    assert_eq!(names(&Catalog::new(&fresh)), names(&catalog));
+    assert_eq!(describe(&Catalog::new(&fresh)), describe(&catalog));
 }
 
 #[test]
-fn rejected_edition_without_a_previous_one_leaves_nothing_everywhere() {
-    let mut running = Text::parse(BOOKING);
+fn rejected_edition_without_a_previous_one_leaves_nothing_in_force() {
+    let mut running = ConfigText::parse(BOOKING);
     let mut catalog = Catalog::new(&running);
     running.set_part("clara", &with_class("other", "9"));
     catalog.apply(&running);
-    assert_eq!(names(&catalog), Vec::<String>::new());
+    assert_eq!(describe(&catalog), Vec::<String>::new());
     assert_eq!(running.part("clara").unwrap().in_force(), InForce::Nothing);
 }
 
 #[test]
-fn previous_edition_is_that_in_force_and_never_a_rejected_one() {
+fn previous_edition_is_never_a_rejected_one() {
     let first = with_class("first", "2");
     let broken = with_previous("clara", &with_class("second", "9"), &first).unwrap();
     let third = with_previous("clara", &with_class("third", "9"), &broken).unwrap();
-    let catalog = Catalog::new(&Text::parse(&third));
+    let catalog = Catalog::new(&ConfigText::parse(&third));
     assert!(catalog.class("clara/first").is_some());
     assert!(with_previous("clara", BOOKING, &with_class("second", "9")).is_err());
 }
 
 #[test]
-fn previous_edition_changes_nothing_while_the_current_one_is_accepted() {
+fn previous_edition_has_no_effect_while_the_current_one_is_accepted() {
     let both = with_previous("clara", &with_class("new", "3"), &with_class("old", "3")).unwrap();
-    let catalog = Catalog::new(&Text::parse(&both));
+    let catalog = Catalog::new(&ConfigText::parse(&both));
     assert!(catalog.class("clara/new").is_some());
     assert!(catalog.class("clara/old").is_none());
 }
 
 #[test]
-fn edition_of_a_later_format_is_rejected_unread() {
+fn edition_of_a_later_format_is_rejected_without_further_findings() {
     let later = BOOKING.replacen("format = 1", "format = 2\nnew-key = x", 1);
     let later = format!("{later}[quota night]\nshare = 5 %\n");
-    let text = Text::parse(&later);
+    let text = ConfigText::parse(&later);
     let findings = text.findings();
     assert_eq!(findings.len(), 1, "{findings:#?}");
     assert_eq!(findings[0].key, "format");
     let both = with_previous("clara", &later, BOOKING).unwrap();
     assert_eq!(
-        Text::parse(&both).part("clara").unwrap().in_force(),
+        ConfigText::parse(&both).part("clara").unwrap().in_force(),
         InForce::Previous
     );
 }
@@ -114,10 +115,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    // Whatever one team breaks in its part, by dropping, doubling or garbling a line, the others'
-    // own accounts, classes and servers stay as they were.
+    // When one team's part has a missing or malformed line, the accounts, classes and servers of
+    // other teams are unaffected.
     #[test]
-    fn no_part_changes_another(
+    fn part_does_not_affect_another(
         line in 0usize..120,
         garbage in select(vec!["", "[class", "[", "]", "x", "= 1", "a = \\", "[previous]", "\u{0}"]),
     ) {
@@ -127,10 +128,10 @@
         if !lines[at].starts_with("[team") {
             lines[at] = garbage;
         }
-        let mut text = Text::parse(&format!("{BOOKING}{RECEIPTS}"));
-        let before = names(&Catalog::new(&text));
+        let mut text = ConfigText::parse(&format!("{BOOKING}{RECEIPTS}"));
+        let before = describe(&Catalog::new(&text));
         text.set_part("platforma", &lines.join("\n"));
-        let after = names(&Catalog::new(&text));
+        let after = describe(&Catalog::new(&text));
         let clara = |all: &[String]| -> Vec<String> {
             all.iter().filter(|n| n.contains("clara/")).cloned().collect()
         };
@@ -140,7 +141,7 @@
     }
 
     #[test]
-    fn order_of_parts_changes_nothing(first in 0usize..6) {
+    fn order_of_parts_has_no_effect(first in 0usize..6) {
         let whole = format!("{BOOKING}{RECEIPTS}");
         let mut parts: Vec<String> = whole
             .split("[team ")
@@ -148,16 +149,16 @@
             .map(|part| format!("[team {part}"))
             .collect();
         parts.rotate_left(first);
-        let rotated = Text::parse(&parts.concat());
-        let straight = Text::parse(&whole);
+        let rotated = ConfigText::parse(&parts.concat());
+        let original = ConfigText::parse(&whole);
         prop_assert_eq!(
-            names(&Catalog::new(&rotated)),
-            names(&Catalog::new(&straight))
+            describe(&Catalog::new(&rotated)),
+            describe(&Catalog::new(&original))
         );
     }
 }
 
-/// Drops the arena keys, which depend on what else the arenas hold.
+/// Removes the arena keys, which depend on the other contents of the arenas.
 fn strip_keys(names: &[String]) -> Vec<String> {
     let strip = |name: &String| {
         let (head, rest) = name
@@ -179,15 +180,15 @@
 }
 
 fn account(text: &str, key: &str) -> Option<String> {
-    let catalog = Catalog::new(&Text::parse(text));
+    let catalog = Catalog::new(&ConfigText::parse(text));
     let resolved = resolve(&catalog, &Credential::of(key), Target::Model("m"), None).ok()?;
     Some(catalog.accounts[resolved.account].name.clone())
 }
 
-// Team "a" pastes team "bb"'s account into its own part and forgets to change the key. Callers of
-// "bb" must not turn into callers of "a", whose name sorts first.
+// Team "a" copies the account of team "bb" into its own part, including the key. Callers of "bb"
+// must not be attributed to "a", whose name sorts first.
 #[test]
-fn copied_key_takes_over_no_caller_of_a_key_that_names_its_team() {
+fn copied_key_does_not_take_over_callers_of_the_team_that_it_names() {
     let key = "bb.secret";
     let digest = Credential::of(key).digest.to_string();
     let text = small_team("a", &digest) + &small_team("bb", &digest);
@@ -197,13 +198,13 @@
 }
 
 #[test]
-fn disputed_key_that_names_no_team_belongs_to_the_first_name_in_any_order() {
+fn shared_key_without_a_team_belongs_to_the_first_name_in_any_order() {
     let key = "secret";
     let digest = Credential::of(key).digest.to_string();
     let (a, b) = (small_team("a", &digest), small_team("bb", &digest));
     assert_eq!(account(&format!("{a}{b}"), key).unwrap(), "a/a");
     assert_eq!(account(&format!("{b}{a}"), key).unwrap(), "a/a");
-    let findings = Text::parse(&format!("{a}{b}")).findings();
+    let findings = ConfigText::parse(&format!("{a}{b}")).findings();
     let teams: Vec<&str> = findings.iter().map(|f| f.team.as_str()).collect();
     assert_eq!(teams, ["a", "bb"]);
 }
@@ -211,7 +212,7 @@
 #[test]
 fn team_with_two_parts_has_neither_in_force() {
     let text = small_team("a", &Credential::of("k").digest.to_string());
-    let text = Text::parse(&format!("{text}{text}"));
+    let text = ConfigText::parse(&format!("{text}{text}"));
     assert_eq!(text.part("a").unwrap().in_force(), InForce::Nothing);
     assert_eq!(
         text.findings()
@@ -222,12 +223,12 @@
     );
 }
 
-// One cooperative claims more of the shared engines than it was granted. Its own floor is cut; the
-// floors of the platform and of the other cooperatives stay as written.
+// One cooperative declares a floor above its grant on the shared engines. Its own floor is reduced;
+// the floors of the platform and of the other cooperatives are unaffected.
 #[test]
-fn floors_above_the_grant_are_cut_for_that_team_alone() {
+fn floors_above_the_grant_are_reduced_for_that_team_only() {
     let greedy = RECEIPTS.replace("floor = 5 %", "floor = 15 %");
-    let text = Text::parse(&greedy);
+    let text = ConfigText::parse(&greedy);
     let catalog = Catalog::new(&text);
     let floor = |name| catalog.classes[catalog.class(name).unwrap()].floor;
     assert_eq!(floor("jih/harvest"), Share(500));
@@ -241,9 +242,9 @@
 }
 
 #[test]
-fn service_is_used_by_no_team_that_it_is_not_shared_with() {
+fn service_is_only_used_by_teams_that_it_is_shared_with() {
     let text = RECEIPTS.replace(", jih 5 %", "");
-    let text = Text::parse(&text);
+    let text = ConfigText::parse(&text);
     let catalog = Catalog::new(&text);
     assert_eq!(catalog.class("jih/harvest"), None);
     let account = catalog.account("jih/app").unwrap();
--- a/crates/entry/src/active_config.rs
+++ b/crates/entry/src/active_config.rs
@@ -17,9 +17,9 @@
 use crocushold_base::ServiceKey;
 use crocushold_config::Catalog;
 use crocushold_config::Class;
+use crocushold_config::ConfigText;
 use crocushold_config::Service;
 use crocushold_config::Settings;
-use crocushold_config::Text;
 use crocushold_metrics::ClassMetrics;
 use crocushold_metrics::ClassSettings;
 use crocushold_metrics::Metrics;
@@ -153,7 +153,7 @@
             seed,
             metrics,
             queue_bytes: settings.memory / 2,
-            account_queue: settings.limits.queued,
+            account_queue: settings.limits.queued_per_account,
             senders: settings.senders as usize,
             fleet: Mutex::new(EntryFleet::default()),
         }
@@ -173,7 +173,7 @@
     pub(crate) fn build(
         &self,
         previous: &ActiveConfig,
-        text: &Text,
+        text: &ConfigText,
         revision: u64,
     ) -> ActiveConfig {
         let mut catalog = previous.catalog.clone();
--- a/crates/entry/src/active_config/tests.rs
+++ b/crates/entry/src/active_config/tests.rs
@@ -2,7 +2,7 @@
 
 use crocushold_base::Millis;
 use crocushold_config::Catalog;
-use crocushold_config::Text;
+use crocushold_config::ConfigText;
 use test_case::test_case;
 
 use super::class_spec;
@@ -43,7 +43,7 @@
 #[test_case("clara/whole", Millis(5_000), Millis(40_000) ; "a whole response: half of its target")]
 fn a_class_sets_start_target_and_max_wait(name: &str, target: Millis, max_wait: Millis) {
     let mut catalog = Catalog::default();
-    catalog.apply(&Text::parse(TEXT));
+    catalog.apply(&ConfigText::parse(TEXT));
     let mut classes = catalog.classes.iter();
     let (key, class) = classes.find(|(_, class)| class.name == name).unwrap();
     let spec = class_spec(key, class);
--- a/crates/entry/src/apply.rs
+++ b/crates/entry/src/apply.rs
@@ -9,9 +9,9 @@
 use async_std::future::timeout;
 use crocushold_base::Event;
 use crocushold_base::Millis;
+use crocushold_config::ConfigText;
 use crocushold_config::Finding;
 use crocushold_config::InForce;
-use crocushold_config::Text;
 use crocushold_peers::Notice;
 use crocushold_peers::PartHash;
 use crocushold_peers::PeerHandle;
@@ -61,7 +61,7 @@
 /// again.
 #[derive(Default)]
 struct Applier {
-    text: Text,
+    text: ConfigText,
     hashes: BTreeMap<Arc<str>, PartHash>,
     revisions: BTreeMap<Arc<str>, u64>,
     /// Findings that were logged. Those that remain are not logged again with every change of some
--- a/crates/entry/src/polling.rs
+++ b/crates/entry/src/polling.rs
@@ -13,7 +13,7 @@
 use crocushold_base::Clock;
 use crocushold_base::Millis;
 use crocushold_base::ServerKey;
-use crocushold_config::Kind;
+use crocushold_config::ServiceKind;
 use crocushold_platform::Fetch;
 use crocushold_platform::Get;
 use crocushold_platform::HttpFetch;
@@ -187,7 +187,7 @@
             key,
             address: server.address.to_string(),
             reason: poll_reasons[&key],
-            is_engine: config.catalog.services[server.service].kind == Kind::Model,
+            is_engine: config.catalog.services[server.service].kind == ServiceKind::Model,
             poll_state: poll_states.get(&key).copied().unwrap_or_default(),
         })
     });
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -11,8 +11,8 @@
 use crocushold_base::Clock;
 use crocushold_base::MemoryBudget;
 use crocushold_base::Millis;
+use crocushold_config::ConfigText;
 use crocushold_config::Settings;
-use crocushold_config::Text;
 use crocushold_http::Client;
 use crocushold_http::PoolLimits;
 use crocushold_metrics::InstanceInfo;
@@ -91,7 +91,7 @@
             metrics,
             coordinator: Coordinator::new(clock, me, claims, client),
             memory: MemoryBudget::new(settings.memory),
-            connections: Connections::new(settings.limits.per_account),
+            connections: Connections::new(settings.limits.connections_per_account),
             seed,
             builder,
             config: RwLock::new(Arc::new(ActiveConfig::default())),
@@ -130,7 +130,7 @@
     /// The peer node provides revisions in ascending order, and an equal revision with more parts.
     /// An older one comes from a notice that was processed late, and activating it would revert a
     /// change.
-    pub(crate) fn activate(&self, text: &Text, revision: u64, parts: Vec<PartInfo>) -> bool {
+    pub(crate) fn activate(&self, text: &ConfigText, revision: u64, parts: Vec<PartInfo>) -> bool {
         let previous = self.config();
         if revision < previous.revision {
             return false;
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -98,9 +98,9 @@
 impl Follower {
     fn new(shared: &Shared) -> Follower {
         let settings = BackoffSettings {
-            first: BACKOFF_BASE,
-            cap: BACKOFF_CAP,
-            retry_cap: RETRY_AFTER_CAP,
+            initial_pause: BACKOFF_BASE,
+            max_pause: BACKOFF_CAP,
+            max_retry_after: RETRY_AFTER_CAP,
         };
         Follower {
             at: None,
@@ -124,7 +124,7 @@
                 "the answer is from an earlier era".to_owned(),
             ));
         }
-        self.backoff.succeed();
+        self.backoff.reset();
         let now = shared.clock.now();
         if shared.directory().record_success(now) {
             let event = Event::new("store-regained").with("revision", at.number);
@@ -166,10 +166,11 @@
                 self.backoff.retry_after(*asked, &mut self.jitter)
             }
             // No request can be served before the first listing, so retry more often.
-            _ if shared.table().is_none() => {
-                self.backoff.fail(&mut self.jitter).min(STARTUP_BACKOFF_CAP)
-            }
-            _ => self.backoff.fail(&mut self.jitter),
+            _ if shared.table().is_none() => self
+                .backoff
+                .next_pause(&mut self.jitter)
+                .min(STARTUP_BACKOFF_CAP),
+            _ => self.backoff.next_pause(&mut self.jitter),
         };
         task::sleep(pause.into()).await;
     }
