--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -23,7 +23,7 @@
 use crocushold_http::SendLimits;
 use crocushold_http::relay_headers;
 use crocushold_metrics::ClassMetrics;
-use crocushold_metrics::Occupancy;
+use crocushold_metrics::GaugeGuard;
 use crocushold_metrics::RequestEnd;
 use crocushold_metrics::RequestRecord;
 use crocushold_metrics::WasteCause;
@@ -92,7 +92,7 @@
 struct Held {
     ticket: Ticket<Sent>,
     permit: Permit,
-    running: Occupancy,
+    running: GaugeGuard,
 }
 
 /// What is known of the attempts so far.
@@ -244,7 +244,7 @@
                     (Stage::Answered, outcome_of_status(answer.status), false)
                 }
                 Attempted::Failed(error) => {
-                    if error.is_break() {
+                    if error.is_disconnect() {
                         run.cut();
                     }
                     let late = matches!(error.kind, SendErrorKind::HeadTimeout);
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -220,7 +220,7 @@
 
 fn spawn_callers(listener: Listener, shared: &Arc<Shared>) -> JoinHandle<()> {
     let shared = shared.clone();
-    task::spawn(listener.run_each(move || {
+    task::spawn(listener.run_per_connection(move || {
         let shared = shared.clone();
         let connection = Arc::new(shared.connections.open());
         move |request, hangup| {
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -80,7 +80,7 @@
 async fn metrics(shared: &Shared) -> Response {
     // What the thread can't tell now stays as it was told last.
     if let Some(standing) = standing(shared).await {
-        shared.metrics.set_confirmed(standing.confirmed);
+        shared.metrics.set_confirmed_age(standing.confirmed);
     }
     text(StatusCode::Ok, shared.metrics.render(shared.clock.now()))
 }
--- a/crates/entry/src/settle.rs
+++ b/crates/entry/src/settle.rs
@@ -7,11 +7,11 @@
 use crocushold_admission::Ticket;
 use crocushold_base::Clock;
 use crocushold_base::Millis;
-use crocushold_http::End;
+use crocushold_http::AnswerEnd;
 use crocushold_http::EventCounter;
 use crocushold_http::Observer;
 use crocushold_metrics::ClassMetrics;
-use crocushold_metrics::Occupancy;
+use crocushold_metrics::GaugeGuard;
 use crocushold_metrics::RequestEnd;
 use crocushold_metrics::RequestRecord;
 use crocushold_metrics::WasteCause;
@@ -97,7 +97,7 @@
     /// What is told of its server.
     pub(crate) run: SentRun,
     /// Counts the request as in flight; held for its drop alone.
-    pub(crate) _running: Occupancy,
+    pub(crate) _running: GaugeGuard,
 }
 
 /// Settles one request exactly once: at the end of its answer, whatever the end.
@@ -158,25 +158,27 @@
         usage_in(last).unwrap_or(self.counter.events())
     }
 
-    fn settle(&mut self, end: End) {
+    fn settle(&mut self, end: AnswerEnd) {
         let Some(watched) = self.watched.take() else {
             return;
         };
         let tokens = self.tokens(watched.stream);
         let truncated = watched.stream && !watched.failed && !self.counter.is_done();
         let cut = match end {
-            End::Cut { cause, .. } => Some(cause),
-            End::Complete { .. } | End::Dropped { .. } => None,
+            AnswerEnd::Cut { cause, .. } => Some(cause),
+            AnswerEnd::Complete { .. } | AnswerEnd::Dropped { .. } => None,
         };
         let (outcome, end) = match end {
-            End::Complete { .. } if watched.failed => (Outcome::Failed, RequestEnd::Completed),
-            End::Complete { .. } if truncated => (Outcome::Cut, RequestEnd::Cut),
-            End::Complete { .. } => (Outcome::Complete, RequestEnd::Completed),
-            End::Cut { .. } => (Outcome::Cut, RequestEnd::Cut),
-            End::Dropped { .. } => (Outcome::Cancelled, RequestEnd::Cancelled),
+            AnswerEnd::Complete { .. } if watched.failed => {
+                (Outcome::Failed, RequestEnd::Completed)
+            }
+            AnswerEnd::Complete { .. } if truncated => (Outcome::Cut, RequestEnd::Cut),
+            AnswerEnd::Complete { .. } => (Outcome::Complete, RequestEnd::Completed),
+            AnswerEnd::Cut { .. } => (Outcome::Cut, RequestEnd::Cut),
+            AnswerEnd::Dropped { .. } => (Outcome::Cancelled, RequestEnd::Cancelled),
         };
         match cut {
-            Some(cause) if cause.is_break() => watched.run.cut(),
+            Some(cause) if cause.is_disconnect() => watched.run.cut(),
             None if end == RequestEnd::Completed && !watched.failed => watched.run.served(),
             _ => {}
         }
@@ -235,7 +237,7 @@
         }
     }
 
-    fn end(&mut self, end: End) {
+    fn end(&mut self, end: AnswerEnd) {
         pass(Point::Read);
         self.settle(end);
     }
--- a/crates/gateway/src/answer_observer.rs
+++ b/crates/gateway/src/answer_observer.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use crocushold_base::Millis;
+use crocushold_http::AnswerEnd;
 use crocushold_http::CutCause;
-use crocushold_http::End;
 use crocushold_http::EventCounter;
 use crocushold_http::Observer;
 use crocushold_routing::Outcome;
@@ -65,24 +65,24 @@
         }
     }
 
-    fn end(&mut self, end: End) {
+    fn end(&mut self, end: AnswerEnd) {
         let now = self.shared.clock.now();
         let (outcome, label, bytes) = match end {
-            End::Complete { bytes } => (self.outcome, "answered", bytes),
+            AnswerEnd::Complete { bytes } => (self.outcome, "answered", bytes),
             // The deadline of the request passed, which says nothing about the server.
-            End::Cut {
+            AnswerEnd::Cut {
                 bytes,
                 cause: CutCause::Overdue,
             } => (Outcome::Cancelled, "overdue", bytes),
-            End::Cut { bytes, .. } => (Outcome::Cut, "cut-by-server", bytes),
-            End::Dropped { bytes } => (Outcome::Cancelled, "caller-gone", bytes),
+            AnswerEnd::Cut { bytes, .. } => (Outcome::Cut, "cut-by-server", bytes),
+            AnswerEnd::Dropped { bytes } => (Outcome::Cancelled, "caller-gone", bytes),
         };
         let content = self.record.content;
         match end {
-            End::Complete { .. } if self.outcome == Outcome::Complete => {
+            AnswerEnd::Complete { .. } if self.outcome == Outcome::Complete => {
                 served(&self.shared, content);
             }
-            End::Cut { cause, .. } if cause.is_break() => {
+            AnswerEnd::Cut { cause, .. } if cause.is_disconnect() => {
                 run_cut(&self.shared, &self.choice, content);
             }
             _ => {}
@@ -120,6 +120,6 @@
     }
 }
 
-fn end_is_failure(end: &End, outcome: Outcome) -> bool {
-    matches!(end, End::Complete { .. }) && outcome != Outcome::Complete
+fn end_is_failure(end: &AnswerEnd, outcome: Outcome) -> bool {
+    matches!(end, AnswerEnd::Complete { .. }) && outcome != Outcome::Complete
 }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -331,7 +331,7 @@
         match select(sent, gone).await {
             Either::Left((Ok(mut answer), _)) => {
                 let remaining = job.deadline.since(self.shared.clock.now()).max(MIN_TIMEOUT);
-                answer.body.end_within(remaining);
+                answer.body.set_total_timeout(remaining);
                 let meta = self.shared.protocol.answer(answer.status, &answer.headers);
                 AttemptResult::Answered(Box::new(answer), Box::new(meta))
             }
@@ -353,7 +353,7 @@
                 let stage = stage_of(&error);
                 slot.done(outcome_of(&error));
                 self.record_failure(choice, stage, &error.to_string());
-                if error.is_break() {
+                if error.is_disconnect() {
                     run_cut(self.shared, choice, self.job.content);
                 }
                 let timed_out = matches!(
--- a/crates/http/examples/relay_cost/main.rs
+++ b/crates/http/examples/relay_cost/main.rs
@@ -22,8 +22,8 @@
 use async_std::net::SocketAddr;
 use async_std::task;
 use crocushold_base::Millis;
+use crocushold_http::AnswerEnd;
 use crocushold_http::Client;
-use crocushold_http::End;
 use crocushold_http::EventCounter;
 use crocushold_http::Hangup;
 use crocushold_http::Listener;
@@ -45,7 +45,7 @@
         self.0.push(bytes);
     }
 
-    fn end(&mut self, _end: End) {}
+    fn end(&mut self, _end: AnswerEnd) {}
 }
 
 async fn relay(client: Client, server: SocketAddr, mut request: Request) -> Response {
--- a/crates/http/src/client/error.rs
+++ b/crates/http/src/client/error.rs
@@ -108,7 +108,7 @@
 
 impl SendError {
     /// Whether the server broke the connection off after a byte of the request had left.
-    pub fn is_break(&self) -> bool {
+    pub fn is_disconnect(&self) -> bool {
         let broken = matches!(
             self.kind,
             SendErrorKind::Closed | SendErrorKind::Write(_) | SendErrorKind::Read(_)
--- a/crates/http/src/client/observer.rs
+++ b/crates/http/src/client/observer.rs
@@ -17,14 +17,14 @@
 
 impl CutCause {
     /// Whether the connection broke, rather than that the answer was too slow or no answer.
-    pub fn is_break(self) -> bool {
+    pub fn is_disconnect(self) -> bool {
         matches!(self, CutCause::Short | CutCause::Failed)
     }
 }
 
 /// How an answer's body ended; `bytes` is what was read of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AnswerEnd {
     /// The server's answer was read to its end. Its last bytes may not have reached the caller yet.
     Complete {
         /// Bytes of the body.
@@ -50,5 +50,5 @@
     fn chunk(&mut self, bytes: &[u8]);
 
     /// Called exactly once, whatever happens to the body.
-    fn end(&mut self, end: End);
+    fn end(&mut self, end: AnswerEnd);
 }
--- a/crates/http/src/client/relay_body.rs
+++ b/crates/http/src/client/relay_body.rs
@@ -16,8 +16,8 @@
 use http_types::Body;
 
 use super::cancel::Cancel;
+use super::observer::AnswerEnd;
 use super::observer::CutCause;
-use super::observer::End;
 use super::observer::Observer;
 use super::pool::Pool;
 use crate::framing::Framing;
@@ -105,7 +105,7 @@
 
     /// Cuts the answer where it isn't whole after `span`; unlike the stall timeout, also while it
     /// goes on.
-    pub fn end_within(&mut self, span: Millis) {
+    pub fn set_total_timeout(&mut self, span: Millis) {
         self.expiry = Some(Box::pin(task::sleep(span.into())));
     }
 
@@ -118,7 +118,7 @@
     pub fn into_body(mut self, observer: impl Observer + 'static) -> Body {
         let mut observer = Box::new(observer);
         if let State::Complete = self.state {
-            observer.end(End::Complete { bytes: self.bytes });
+            observer.end(AnswerEnd::Complete { bytes: self.bytes });
         } else {
             self.observer = Some(observer);
         }
@@ -206,14 +206,14 @@
             home.pool.give(home.server, wire);
         }
         let bytes = self.bytes;
-        self.tell(End::Complete { bytes });
+        self.tell(AnswerEnd::Complete { bytes });
     }
 
     fn cut(&mut self, cause: CutCause) -> io::Error {
         self.state = State::Cut(cause);
         self.close();
         let bytes = self.bytes;
-        self.tell(End::Cut { bytes, cause });
+        self.tell(AnswerEnd::Cut { bytes, cause });
         cut_error(cause)
     }
 
@@ -223,7 +223,7 @@
         }
     }
 
-    fn tell(&mut self, end: End) {
+    fn tell(&mut self, end: AnswerEnd) {
         if let Some(mut observer) = self.observer.take() {
             observer.end(end);
         }
@@ -252,7 +252,7 @@
     fn drop(&mut self) {
         self.close();
         let bytes = self.bytes;
-        self.tell(End::Dropped { bytes });
+        self.tell(AnswerEnd::Dropped { bytes });
     }
 }
 
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -13,14 +13,14 @@
 
 pub use body::BodyError;
 pub use body::read_body;
-pub use connection::Served;
+pub use connection::ConnectionSummary;
 pub use connection::ServerError;
 pub use connection::serve_connection;
 pub use connection::serve_until;
 pub use hangup::Hangup;
 pub use limits::ListenerLimits;
-pub use limits::Refuse;
+pub use limits::RefusalFn;
 pub use limits::ServerLimits;
 pub use listener::Listener;
 pub use listener::ListenerHandle;
-pub use stop::Stop;
+pub use stop::StopSignal;
--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -24,7 +24,7 @@
 use super::receive::Next;
 use super::receive::next_request;
 use super::refusal::refusal;
-use super::stop::Stop;
+use super::stop::StopSignal;
 use crate::framing::Framing;
 use crate::headers::clean_headers;
 use crate::headers::has_connection_option;
@@ -42,7 +42,7 @@
 
 /// What a connection that ended well did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Served {
+pub struct ConnectionSummary {
     /// Requests whose answers were written whole.
     pub answered: u64,
     /// Requests that were refused before a handler saw them (0 or 1: the connection ends there).
@@ -97,12 +97,12 @@
     stream: TcpStream,
     limits: &ServerLimits,
     handler: H,
-) -> Result<Served, ServerError>
+) -> Result<ConnectionSummary, ServerError>
 where
     H: Fn(Request, Hangup) -> F,
     F: Future<Output = Response>,
 {
-    serve_until(stream, limits, &Stop::new(), handler).await
+    serve_until(stream, limits, &StopSignal::new(), handler).await
 }
 
 /// Like [`serve_connection`]; after `stop` it answers the request at hand and closes.
@@ -113,9 +113,9 @@
 pub async fn serve_until<H, F>(
     stream: TcpStream,
     limits: &ServerLimits,
-    stop: &Stop,
+    stop: &StopSignal,
     handler: H,
-) -> Result<Served, ServerError>
+) -> Result<ConnectionSummary, ServerError>
 where
     H: Fn(Request, Hangup) -> F,
     F: Future<Output = Response>,
@@ -124,7 +124,7 @@
     stream.set_nodelay(true).map_err(ServerError::Io)?;
     let wire = Wire::new(stream);
     let _cut = CutOnDrop(wire.clone());
-    let mut served = Served {
+    let mut served = ConnectionSummary {
         answered: 0,
         refused: 0,
     };
--- a/crates/http/src/server/limits.rs
+++ b/crates/http/src/server/limits.rs
@@ -11,7 +11,7 @@
 
 /// Makes the answer to what never becomes a request, from its status and when to come back. No handler
 /// saw anything of it.
-pub type Refuse = fn(StatusCode, Option<Millis>) -> Response;
+pub type RefusalFn = fn(StatusCode, Option<Millis>) -> Response;
 
 /// Bounds on one connection.
 #[derive(Clone, Debug)]
@@ -33,7 +33,7 @@
     pub write_timeout: Millis,
     /// What is answered to that which never becomes a request; its framing and `Connection: close` are
     /// set by the server.
-    pub refuse: Refuse,
+    pub refuse: RefusalFn,
 }
 
 impl Default for ServerLimits {
--- a/crates/http/src/server/listener.rs
+++ b/crates/http/src/server/listener.rs
@@ -33,7 +33,7 @@
 use super::hangup::Hangup;
 use super::limits::ListenerLimits;
 use super::refusal::overload;
-use super::stop::Stop;
+use super::stop::StopSignal;
 use crate::transmit::Transmit;
 use crate::wire::Wire;
 
@@ -64,7 +64,7 @@
 struct Shared {
     /// Those of the connections that are still to come.
     limits: Mutex<Arc<ListenerLimits>>,
-    stop: Stop,
+    stop: StopSignal,
     connections: AtomicUsize,
     refusals: AtomicUsize,
 }
@@ -114,7 +114,7 @@
             listener,
             shared: Arc::new(Shared {
                 limits: Mutex::new(Arc::new(limits)),
-                stop: Stop::new(),
+                stop: StopSignal::new(),
                 connections: AtomicUsize::new(0),
                 refusals: AtomicUsize::new(0),
             }),
@@ -145,12 +145,12 @@
         H: Fn(Request, Hangup) -> F + Clone + Send + Sync + 'static,
         F: Future<Output = Response> + Send + 'static,
     {
-        self.run_each(move || handler.clone()).await;
+        self.run_per_connection(move || handler.clone()).await;
     }
 
     /// Like [`Listener::run`], with a handler of its own for each connection. It is dropped when the
     /// connection has ended, so what belongs to a connection can be kept in it.
-    pub async fn run_each<M, H, F>(self, make: M)
+    pub async fn run_per_connection<M, H, F>(self, make: M)
     where
         M: Fn() -> H,
         H: Fn(Request, Hangup) -> F + Send + Sync + 'static,
--- a/crates/http/src/server/receive.rs
+++ b/crates/http/src/server/receive.rs
@@ -13,7 +13,7 @@
 use super::limits::ServerLimits;
 use super::shorten::restore;
 use super::shorten::shorten;
-use super::stop::Stop;
+use super::stop::StopSignal;
 use crate::framing::Ambiguous;
 use crate::framing::Framing;
 use crate::framing::framing;
@@ -38,7 +38,11 @@
 }
 
 /// Waits for the next request.
-pub(crate) async fn next_request(wire: &Arc<Wire>, limits: &ServerLimits, stop: &Stop) -> Next {
+pub(crate) async fn next_request(
+    wire: &Arc<Wire>,
+    limits: &ServerLimits,
+    stop: &StopSignal,
+) -> Next {
     if !wait_for_byte(wire, limits, stop).await {
         return Next::End;
     }
@@ -75,7 +79,7 @@
     }
 }
 
-async fn wait_for_byte(wire: &Wire, limits: &ServerLimits, stop: &Stop) -> bool {
+async fn wait_for_byte(wire: &Wire, limits: &ServerLimits, stop: &StopSignal) -> bool {
     let byte = std::pin::pin!(timeout(limits.idle_timeout.into(), wire.first_byte()));
     let stopped = std::pin::pin!(stop.wait());
     match select(byte, stopped).await {
--- a/crates/http/src/server/stop.rs
+++ b/crates/http/src/server/stop.rs
@@ -6,16 +6,16 @@
 
 /// A signal that is given once and seen by every clone.
 #[derive(Clone, Debug)]
-pub struct Stop {
+pub struct StopSignal {
     sender: Sender<()>,
     receiver: Receiver<()>,
 }
 
-impl Stop {
+impl StopSignal {
     /// Makes a signal that isn't given yet.
-    pub fn new() -> Stop {
+    pub fn new() -> StopSignal {
         let (sender, receiver) = bounded(1);
-        Stop { sender, receiver }
+        StopSignal { sender, receiver }
     }
 
     /// Gives the signal.
@@ -35,8 +35,8 @@
     }
 }
 
-impl Default for Stop {
-    fn default() -> Stop {
-        Stop::new()
+impl Default for StopSignal {
+    fn default() -> StopSignal {
+        StopSignal::new()
     }
 }
--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -11,9 +11,9 @@
 use async_std::task;
 use crocushold_base::Millis;
 use crocushold_http::Answer;
+use crocushold_http::AnswerEnd;
 use crocushold_http::Client;
 use crocushold_http::CutCause;
-use crocushold_http::End;
 use crocushold_http::PoolLimits;
 use crocushold_http::Reuse;
 use crocushold_http::SendErrorKind;
@@ -163,7 +163,10 @@
         assert_eq!(error.kind(), std::io::ErrorKind::TimedOut);
         drop(body);
         let cause = CutCause::Stalled;
-        assert_eq!(ends.recv().await.unwrap(), End::Cut { bytes: 4, cause });
+        assert_eq!(
+            ends.recv().await.unwrap(),
+            AnswerEnd::Cut { bytes: 4, cause }
+        );
         assert!(ends.is_empty(), "one end only");
     });
 }
--- a/crates/http/tests/listener.rs
+++ b/crates/http/tests/listener.rs
@@ -9,7 +9,7 @@
 use crocushold_base::Millis;
 use crocushold_http::ListenerLimits;
 use crocushold_http::ServerLimits;
-use crocushold_http::Stop;
+use crocushold_http::StopSignal;
 use crocushold_http::serve_until;
 use futures::future::join;
 use http_types::Response;
@@ -123,7 +123,7 @@
         let (listener, addr) = bind().await;
         let mut caller = call(addr, "").await;
         let (stream, _) = listener.accept().await.unwrap();
-        let stop = Stop::new();
+        let stop = StopSignal::new();
         let limits = ServerLimits {
             stop_grace: Millis::from_secs(5),
             ..ServerLimits::default()
--- a/crates/http/tests/relay.rs
+++ b/crates/http/tests/relay.rs
@@ -6,8 +6,8 @@
 
 use async_std::io::ReadExt;
 use async_std::io::WriteExt;
+use crocushold_http::AnswerEnd;
 use crocushold_http::CutCause;
-use crocushold_http::End;
 use crocushold_http::SendErrorKind;
 use crocushold_http::Stage;
 use test_case::test_case;
@@ -59,7 +59,10 @@
             read_rest(&mut caller).await,
             "9\r\ndata: b\n\n\r\n0\r\n\r\n"
         );
-        assert_eq!(ends.recv().await.unwrap(), End::Complete { bytes: 19 });
+        assert_eq!(
+            ends.recv().await.unwrap(),
+            AnswerEnd::Complete { bytes: 19 }
+        );
     });
 }
 
@@ -76,7 +79,10 @@
         assert!(head.contains("content-length: 20"), "{head}");
         assert_eq!(read_rest(&mut caller).await, "four");
         let cause = CutCause::Short;
-        assert_eq!(ends.recv().await.unwrap(), End::Cut { bytes: 4, cause });
+        assert_eq!(
+            ends.recv().await.unwrap(),
+            AnswerEnd::Cut { bytes: 4, cause }
+        );
     });
 }
 
@@ -92,7 +98,10 @@
         read_head(&mut caller).await;
         assert_eq!(read_rest(&mut caller).await, "4\r\nfour\r\n");
         let cause = CutCause::Short;
-        assert_eq!(ends.recv().await.unwrap(), End::Cut { bytes: 4, cause });
+        assert_eq!(
+            ends.recv().await.unwrap(),
+            AnswerEnd::Cut { bytes: 4, cause }
+        );
     });
 }
 
@@ -106,7 +115,7 @@
         let mut caller = call(addr, GET).await;
         read_head(&mut caller).await;
         assert_eq!(read_rest(&mut caller).await, "4\r\nfour\r\n0\r\n\r\n");
-        assert_eq!(ends.recv().await.unwrap(), End::Complete { bytes: 4 });
+        assert_eq!(ends.recv().await.unwrap(), AnswerEnd::Complete { bytes: 4 });
     });
 }
 
--- a/crates/http/tests/server.rs
+++ b/crates/http/tests/server.rs
@@ -11,7 +11,7 @@
 use async_std::net::TcpStream;
 use async_std::task;
 use crocushold_base::Millis;
-use crocushold_http::End;
+use crocushold_http::AnswerEnd;
 use crocushold_http::ListenerLimits;
 use crocushold_http::ServerError;
 use crocushold_http::ServerLimits;
@@ -278,7 +278,7 @@
         let noticed = async_std::future::timeout(Duration::from_millis(100), both).await;
         let (server, end) = noticed.expect("cancelled within 100 ms");
         server.unwrap();
-        assert_eq!(end.unwrap(), End::Dropped { bytes: 4 });
+        assert_eq!(end.unwrap(), AnswerEnd::Dropped { bytes: 4 });
         assert!(ends.is_empty(), "one end only");
     });
 }
--- a/crates/http/tests/support/mod.rs
+++ b/crates/http/tests/support/mod.rs
@@ -19,8 +19,8 @@
 use async_std::task;
 use async_std::task::JoinHandle;
 use crocushold_http::Answer;
+use crocushold_http::AnswerEnd;
 use crocushold_http::Client;
-use crocushold_http::End;
 use crocushold_http::Hangup;
 use crocushold_http::Listener;
 use crocushold_http::ListenerHandle;
@@ -183,7 +183,7 @@
 }
 
 /// A relay that passes every request on to `server`; `ends` gets each answer's end.
-pub async fn relay(server: SocketAddr) -> (SocketAddr, Receiver<End>) {
+pub async fn relay(server: SocketAddr) -> (SocketAddr, Receiver<AnswerEnd>) {
     let (sender, ends) = unbounded();
     let client = client();
     let (addr, _, _) = serve(ListenerLimits::default(), move |_, _| {
@@ -206,12 +206,12 @@
 
 /// Notes how an answer ended.
 pub struct Ends {
-    sender: Sender<End>,
+    sender: Sender<AnswerEnd>,
     pub seen: Arc<Mutex<Vec<u8>>>,
 }
 
 impl Ends {
-    pub fn new(sender: Sender<End>) -> Ends {
+    pub fn new(sender: Sender<AnswerEnd>) -> Ends {
         Ends {
             sender,
             seen: Arc::default(),
@@ -224,7 +224,7 @@
         self.seen.lock().unwrap().extend_from_slice(bytes);
     }
 
-    fn end(&mut self, end: End) {
+    fn end(&mut self, end: AnswerEnd) {
         self.sender.try_send(end).unwrap();
     }
 }
--- a/crates/measure/src/proxy.rs
+++ b/crates/measure/src/proxy.rs
@@ -10,8 +10,8 @@
 use std::sync::PoisonError;
 
 use crocushold_base::Millis;
+use crocushold_http::AnswerEnd;
 use crocushold_http::Client;
-use crocushold_http::End;
 use crocushold_http::Hangup;
 use crocushold_http::Listener;
 use crocushold_http::ListenerLimits;
@@ -181,5 +181,5 @@
 impl Observer for Slot {
     fn chunk(&mut self, _bytes: &[u8]) {}
 
-    fn end(&mut self, _end: End) {}
+    fn end(&mut self, _end: AnswerEnd) {}
 }
--- a/crates/metrics/src/burn/report.rs
+++ b/crates/metrics/src/burn/report.rs
@@ -89,9 +89,9 @@
     /// The text comes from no instance of crocushold.
     NotInstance,
     /// The instance, named here, was already counted under another address.
-    Repeated(String),
+    Duplicate(String),
     /// The instance started within the longest window: what its predecessor counted is gone.
-    Young(Millis),
+    RecentStart(Millis),
     /// It states another objective for the class than an earlier one; the stricter one is used.
     OtherObjective(String),
     /// It counts requests of the class but states no objective; the class is left out if no other
@@ -111,8 +111,8 @@
         match self {
             Problem::Unreadable(cause) => write!(f, "not read: {cause}"),
             Problem::NotInstance => f.write_str("not read: no metrics of a crocushold instance"),
-            Problem::Repeated(name) => write!(f, "is {name}, which is already counted"),
-            Problem::Young(uptime) => write!(
+            Problem::Duplicate(name) => write!(f, "is {name}, which is already counted"),
+            Problem::RecentStart(uptime) => write!(
                 f,
                 "up for {} s only: earlier requests are not in the long windows",
                 uptime.as_secs_ceil()
@@ -183,10 +183,10 @@
         };
         // Two addresses of one instance, or one given twice, would count its requests twice.
         if !self.instances.insert(reading.instance.clone()) {
-            return self.find(scrape, Problem::Repeated(reading.instance));
+            return self.find(scrape, Problem::Duplicate(reading.instance));
         }
         if reading.uptime < self.longest {
-            self.find(scrape, Problem::Young(reading.uptime));
+            self.find(scrape, Problem::RecentStart(reading.uptime));
         }
         for (name, class) in reading.classes {
             self.add_class(scrape, name, class);
--- a/crates/metrics/src/class.rs
+++ b/crates/metrics/src/class.rs
@@ -53,7 +53,7 @@
     /// A cancelled request counts as missed once it was later than a target when the caller left:
     /// a caller who gave up because of the wait must not improve the figure. One that left in time
     /// is excluded.
-    pub fn judge(&self, record: &RequestRecord) -> Verdict {
+    pub fn evaluate(&self, record: &RequestRecord) -> Verdict {
         match record.end {
             RequestEnd::Completed if self.late(record) => Verdict::Missed,
             RequestEnd::Completed => Verdict::Attained,
@@ -144,13 +144,13 @@
     }
 
     /// Counts a request as queued until the guard is dropped.
-    pub fn queued(&self) -> Occupancy {
-        Occupancy::enter(&self.series().queue)
+    pub fn queued(&self) -> GaugeGuard {
+        GaugeGuard::enter(&self.series().queue)
     }
 
     /// Counts a request as in flight until the guard is dropped.
-    pub fn running(&self) -> Occupancy {
-        Occupancy::enter(&self.series().running)
+    pub fn running(&self) -> GaugeGuard {
+        GaugeGuard::enter(&self.series().running)
     }
 
     /// Requests queued now.
@@ -194,7 +194,7 @@
     /// Counts a finished request and judges it; call it exactly once for each request.
     pub fn finish(&self, record: &RequestRecord, now: Millis) -> Verdict {
         self.count_end(record);
-        let verdict = self.settings().judge(record);
+        let verdict = self.settings().evaluate(record);
         self.count_verdict(verdict, now);
         verdict
     }
@@ -235,20 +235,20 @@
 /// A request's task can be dropped at any await point; a guard lowers the gauge there too, where a
 /// call at the end of the task would be skipped and the gauge would drift upwards for ever.
 #[derive(Debug)]
-pub struct Occupancy {
+pub struct GaugeGuard {
     gauge: IntGauge,
 }
 
-impl Occupancy {
-    fn enter(gauge: &IntGauge) -> Occupancy {
+impl GaugeGuard {
+    fn enter(gauge: &IntGauge) -> GaugeGuard {
         gauge.inc();
-        Occupancy {
+        GaugeGuard {
             gauge: gauge.clone(),
         }
     }
 }
 
-impl Drop for Occupancy {
+impl Drop for GaugeGuard {
     fn drop(&mut self) {
         self.gauge.dec();
     }
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -43,7 +43,7 @@
 pub use burn::WindowBurn;
 pub use class::ClassMetrics;
 pub use class::ClassSettings;
-pub use class::Occupancy;
+pub use class::GaugeGuard;
 pub use exposition::Exposition;
 pub use exposition::ExpositionError;
 pub use exposition::Label;
--- a/crates/metrics/src/metrics.rs
+++ b/crates/metrics/src/metrics.rs
@@ -93,7 +93,7 @@
     }
 
     /// Adds tokens that a client account used.
-    pub fn account_tokens(&self, account: &str, tokens: u64) {
+    pub fn add_account_tokens(&self, account: &str, tokens: u64) {
         self.accounts().add(account, tokens);
     }
 
@@ -117,7 +117,7 @@
     /// Sets the time since the platform last confirmed the configuration; `None` when it never did.
     ///
     /// That is shown as an infinite age, so that a rule for old ones sees it too.
-    pub fn set_confirmed(&self, age: Option<Millis>) {
+    pub fn set_confirmed_age(&self, age: Option<Millis>) {
         let age = age.map_or(f64::INFINITY, Millis::as_secs_f64);
         self.inner.series.confirmed.set(age);
     }
--- a/crates/metrics/tests/burn.rs
+++ b/crates/metrics/tests/burn.rs
@@ -160,7 +160,7 @@
     assert_eq!(report.classes[0].page.long.counts.total(), 100);
     assert_eq!(
         report.findings[0].problem,
-        Problem::Repeated("entry-1".into())
+        Problem::Duplicate("entry-1".into())
     );
     assert!(report.is_complete());
 }
@@ -177,7 +177,7 @@
     let uptime = Millis::from_secs(40);
     let report = report(&[replaced.scrape_at("a", uptime), other.scrape("b")]);
     assert_eq!(report.classes[0].page.long.counts.total(), 100);
-    assert_eq!(report.findings[0].problem, Problem::Young(uptime));
+    assert_eq!(report.findings[0].problem, Problem::RecentStart(uptime));
     assert!(report.is_complete());
 }
 
--- a/crates/metrics/tests/metrics.rs
+++ b/crates/metrics/tests/metrics.rs
@@ -59,7 +59,7 @@
         end,
         ..answer(first, gap)
     };
-    assert_eq!(chat().judge(&record), verdict);
+    assert_eq!(chat().evaluate(&record), verdict);
 }
 
 #[test]
@@ -69,7 +69,7 @@
         whole: Millis(401),
         ..RequestRecord::default()
     };
-    assert_eq!(chat().judge(&record), Verdict::Missed);
+    assert_eq!(chat().evaluate(&record), Verdict::Missed);
 }
 
 #[test]
@@ -183,9 +183,9 @@
     let metrics = Metrics::default();
     for round in 0..3 {
         for account in 0..3_700u64 {
-            metrics.account_tokens(&format!("account-{account}"), 1 + round);
+            metrics.add_account_tokens(&format!("account-{account}"), 1 + round);
         }
-        metrics.account_tokens("portal", 1_000_000);
+        metrics.add_account_tokens("portal", 1_000_000);
     }
     let text = scrape(&metrics);
     let family = "crocushold_top_account_tokens";
