--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,12 +1,12 @@
-//! The side that speaks to backend servers.
+//! The HTTP client for backend servers.
 
 mod cancel;
 mod error;
 mod exchange;
 mod limits;
-mod look;
 mod observer;
 mod pool;
+mod probe;
 mod receive;
 mod relay_body;
 mod send;
@@ -18,10 +18,10 @@
 pub use limits::PoolLimits;
 pub use limits::Reuse;
 pub use limits::SendLimits;
-pub use look::refuses_connections;
 pub use observer::AnswerEnd;
 pub use observer::CutCause;
 pub use observer::Observer;
+pub use probe::refuses_connections;
 pub use relay_body::RelayBody;
 pub use send::Answer;
 pub use send::Client;
--- a/crates/http/src/client/cancel.rs
+++ b/crates/http/src/client/cancel.rs
@@ -1,39 +1,45 @@
-//! Cutting an answer off from outside.
+//! Cancellation of an answer in progress.
 
 use std::fmt;
 use std::sync::Arc;
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
-use crate::wire::Wire;
+use crate::connection::Connection;
 
-/// Cuts the connection to the server, which cancels the request there.
+/// Closes the connection to the server, which cancels the request there.
 #[derive(Clone)]
 pub struct Cancel {
-    wire: Arc<Mutex<Option<Arc<Wire>>>>,
+    connection: Arc<Mutex<Option<Arc<Connection>>>>,
 }
 
 impl Cancel {
-    pub(crate) fn new(wire: Arc<Wire>) -> Cancel {
+    pub(crate) fn new(connection: Arc<Connection>) -> Cancel {
         Cancel {
-            wire: Arc::new(Mutex::new(Some(wire))),
+            connection: Arc::new(Mutex::new(Some(connection))),
         }
     }
 
-    /// Cuts the connection at once; without effect once the answer was read to its end.
+    /// Closes the connection immediately. Has no effect after the answer was read to its end.
     pub fn cancel(&self) {
-        // The lock is held while cutting: otherwise the answer could end in between and the
-        // connection carry another request, which the cut would hit.
-        let mut wire = self.wire.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(wire) = wire.take() {
-            wire.cut();
+        // The lock is held during the shutdown. Otherwise the answer could end in between, and the
+        // shutdown would hit the next request on the same connection.
+        let mut connection = self
+            .connection
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if let Some(connection) = connection.take() {
+            connection.shutdown();
         }
     }
 
-    /// Takes the connection out of reach.
+    /// Drops the connection, so that a later cancel has no effect.
     pub(crate) fn disarm(&self) {
-        let mut wire = self.wire.lock().unwrap_or_else(PoisonError::into_inner);
-        *wire = None;
+        let mut connection = self
+            .connection
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        *connection = None;
     }
 }
 
--- a/crates/http/src/client/error.rs
+++ b/crates/http/src/client/error.rs
@@ -1,4 +1,4 @@
-//! Why a request got no answer, and how far it came.
+//! Errors of sent requests, with the stage that the request reached.
 
 use std::error::Error;
 use std::fmt;
@@ -6,14 +6,14 @@
 
 use quick_error::quick_error;
 
-/// How far a request came.
+/// The stage that a request reached.
 ///
-/// The first two prove that it can't have run: not one byte of it was given to the socket.
+/// The first two prove that the server can't have run it: no byte of it was written to the socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// There was no connection.
+    /// No connection was established.
     NotConnected,
-    /// There was a connection, and nothing was written on it.
+    /// A connection was established, but nothing was written to it.
     Connected,
     /// At least one byte of the request was written.
     Written,
@@ -22,7 +22,7 @@
 }
 
 impl Stage {
-    /// Whether the request certainly didn't run.
+    /// Whether the stage proves that the server didn't run the request.
     pub fn proves_unsent(self) -> bool {
         self <= Stage::Connected
     }
@@ -40,7 +40,7 @@
 }
 
 quick_error! {
-    /// What went wrong.
+    /// The cause of a failed request.
     #[derive(Debug)]
     pub enum SendErrorKind {
         /// No connection could be opened.
@@ -48,72 +48,73 @@
             display("connecting failed: {cause}")
             source(cause)
         }
-        /// No connection was opened in time.
+        /// No connection was established within the timeout.
         ConnectTimeout {
-            display("connecting took too long")
+            display("connecting timed out")
         }
         /// The request couldn't be written.
         Write(cause: io::Error) {
-            display("writing failed: {cause}")
+            display("writing the request failed: {cause}")
             source(cause)
         }
-        /// The server took nothing for too long.
+        /// The server read nothing within the write timeout.
         WriteTimeout {
             display("the server stopped reading")
         }
-        /// The body of the request failed.
+        /// The source of the request's body failed.
         Body(cause: io::Error) {
-            display("the request's body failed: {cause}")
+            display("reading the request's body failed: {cause}")
             source(cause)
         }
-        /// The connection ended before the head of an answer.
+        /// The connection was closed before the head of an answer was complete.
         Closed {
-            display("the connection ended before an answer")
+            display("the connection was closed before the answer's head was complete")
         }
-        /// Reading the answer's head failed.
+        /// The head of the answer couldn't be read.
         Read(cause: io::Error) {
-            display("reading failed: {cause}")
+            display("reading the answer's head failed: {cause}")
             source(cause)
         }
-        /// The head of the answer didn't come in time.
+        /// The head of the answer didn't arrive within the timeout.
         HeadTimeout {
-            display("the answer's head took too long")
+            display("the answer's head didn't arrive in time")
         }
-        /// The head of the answer is too long.
+        /// The head of the answer is longer than the limit.
         HeadTooLarge {
-            display("the answer's head is too long")
+            display("the answer's head is longer than the limit")
         }
-        /// The head of the answer isn't one that can be relayed.
+        /// The head of the answer is malformed or can't be relayed.
         HeadMalformed(cause: String) {
             display("the answer's head is malformed: {cause}")
         }
-        /// The answer's body has no length and no chunks, so a short one would look whole.
+        /// The answer has no valid `Content-Length` and isn't chunked, so a truncated body would
+        /// look complete.
         Unframed {
-            display("the answer's end can't be told from a cut")
+            display("the answer has no valid length and isn't chunked")
         }
     }
 }
 
-/// A request that got no answer.
+/// The failure of a request that got no answer.
 #[derive(Debug)]
 pub struct SendError {
-    /// How far the request came.
+    /// The stage that the request reached.
     pub stage: Stage,
-    /// What went wrong.
+    /// The cause.
     pub kind: SendErrorKind,
-    /// Whether the connection had carried an earlier request. Its server may have closed it for
-    /// being idle at the moment of the write.
+    /// Whether the connection had carried an earlier request. In that case the server may have
+    /// closed it as idle just as the request was written.
     pub reused: bool,
 }
 
 impl SendError {
-    /// Whether the server broke the connection off after a byte of the request had left.
+    /// Whether the connection was lost after at least one byte of the request was written.
     pub fn is_disconnect(&self) -> bool {
-        let broken = matches!(
+        let disconnected = matches!(
             self.kind,
             SendErrorKind::Closed | SendErrorKind::Write(_) | SendErrorKind::Read(_)
         );
-        broken && !self.stage.proves_unsent()
+        disconnected && !self.stage.proves_unsent()
     }
 }
 
--- a/crates/http/src/client/exchange.rs
+++ b/crates/http/src/client/exchange.rs
@@ -1,32 +1,33 @@
-//! One request and its answer on one connection.
+//! One request and its answer on a connection.
 
 use std::sync::Arc;
 
 use super::error::SendError;
 use super::error::SendErrorKind;
 use super::error::Stage;
-use crate::wire::Wire;
+use crate::connection::Connection;
 
-/// A connection on its way through one exchange.
+/// A connection in use for one request and its answer.
 pub(super) struct Exchange {
-    pub(super) wire: Arc<Wire>,
-    /// What the connection had written before this request.
-    pub(super) written: u64,
+    pub(super) connection: Arc<Connection>,
+    /// Bytes written to the connection before this request.
+    pub(super) written_before: u64,
     pub(super) reused: bool,
 }
 
 impl Exchange {
-    pub(super) fn stage(&self) -> Stage {
-        if self.wire.written() == self.written {
+    /// The stage reached while writing the request.
+    pub(super) fn write_stage(&self) -> Stage {
+        if self.connection.written() == self.written_before {
             Stage::Connected
         } else {
             Stage::Written
         }
     }
 
-    /// The stage while the head of the answer is awaited.
-    pub(super) fn answered(&self) -> Stage {
-        if self.wire.has_unread() {
+    /// The stage reached while waiting for the head of the answer.
+    pub(super) fn head_stage(&self) -> Stage {
+        if self.connection.has_unread() {
             Stage::Answered
         } else {
             Stage::Written
--- a/crates/http/src/client/limits.rs
+++ b/crates/http/src/client/limits.rs
@@ -1,30 +1,32 @@
-//! Bounds on requests to backend servers.
+//! Limits on requests to backend servers.
 
 use crocushold_base::Millis;
 
-/// Whether a request may travel on a connection that carried others.
+/// Whether a request may be sent on a connection that carried earlier requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// On a pooled connection where there is one.
+    /// Uses a pooled connection if there is one.
     Allowed,
-    /// On a new connection. A server may close a pooled one for being idle just when a request is
-    /// written, and then nobody knows whether it ran; so this is for requests that may run only once.
+    /// Opens a new connection. A server may close a pooled connection as idle just as a request is
+    /// written, which leaves unknown whether the request ran. Requests that must not run twice
+    /// therefore use a new one.
     Fresh,
 }
 
-/// Bounds on one request.
+/// Limits on one request.
 #[derive(Clone, Debug)]
 pub struct SendLimits {
-    /// For opening a connection.
+    /// The longest time to establish a connection.
     pub connect_timeout: Millis,
-    /// How long the server may take nothing while bytes wait for it.
+    /// The longest time without progress while writing the request.
     pub write_timeout: Millis,
-    /// From the last byte of the request to the end of the answer's head.
+    /// The longest time from the last byte of the request to the end of the answer's head.
     pub head_timeout: Millis,
-    /// The longest silence inside the answer's body.
+    /// The longest time without progress while reading the answer's body.
     pub stall_timeout: Millis,
-    /// Whether an answer may end with its connection, where no header tells its length. A server that
-    /// crashes may end its connection just so, and the answer looks whole; one that is reset doesn't.
+    /// Whether an answer without framing headers may be delimited by the end of its connection. A
+    /// server that crashes may close its connection in the same way, and the truncated answer then
+    /// looks complete. A reset connection is still detected.
     pub close_delimited: bool,
 }
 
@@ -40,14 +42,15 @@
     }
 }
 
-/// Bounds on the connections that are kept for reuse.
+/// Limits on the connections that are kept for reuse.
 #[derive(Clone, Debug)]
 pub struct PoolLimits {
-    /// Idle connections to one server.
+    /// The most idle connections to one server.
     pub per_server: usize,
-    /// Idle connections in all.
+    /// The most idle connections to all servers together.
     pub total: usize,
-    /// How long a connection is kept idle. It should be shorter than the servers' own bound.
+    /// How long an idle connection is kept. It should be shorter than the servers' own idle
+    /// timeout.
     pub idle_timeout: Millis,
 }
 
--- a/crates/http/src/client/observer.rs
+++ b/crates/http/src/client/observer.rs
@@ -1,28 +1,28 @@
-//! Watching an answer pass.
+//! Observing an answer as it is relayed.
 
-/// Why an answer ended before its end.
+/// Why an answer was cut off before its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CutCause {
-    /// The connection ended early.
+    /// The connection was closed before the end of the body.
     Short,
-    /// Nothing came for too long.
+    /// Nothing arrived within the stall timeout.
     Stalled,
-    /// It wasn't whole when the time for all of it had passed.
+    /// The body wasn't complete within the total timeout.
     Overdue,
-    /// The chunks are malformed.
+    /// The chunked encoding is malformed.
     Malformed,
     /// The socket failed.
     Failed,
 }
 
 impl CutCause {
-    /// Whether the connection broke, rather than that the answer was too slow or no answer.
+    /// Whether the connection was lost, as opposed to an answer that was too slow or malformed.
     pub fn is_disconnect(self) -> bool {
         matches!(self, CutCause::Short | CutCause::Failed)
     }
 }
 
-/// How an answer's body ended; `bytes` is what was read of it.
+/// How an answer's body ended. `bytes` counts the part of it that was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerEnd {
     /// The server's answer was read to its end. Its last bytes may not have reached the caller yet.
@@ -30,25 +30,26 @@
         /// Bytes of the body.
         bytes: u64,
     },
-    /// The server's answer broke off.
+    /// The server's answer was cut off.
     Cut {
         /// Bytes of the body.
         bytes: u64,
-        /// Why it broke off.
+        /// Why it was cut off.
         cause: CutCause,
     },
-    /// The reader gave up: the caller hung up or stalled, or the request was cancelled.
+    /// The body was dropped before its end: the caller disconnected or stalled, or the request was
+    /// cancelled.
     Dropped {
         /// Bytes of the body.
         bytes: u64,
     },
 }
 
-/// Sees an answer's body as it passes.
+/// Receives an answer's body as it is relayed.
 pub trait Observer: Send + Sync {
-    /// Called with each piece of the body, in order; pieces end at arbitrary places.
+    /// Called with each chunk of the body, in order. Chunks have arbitrary boundaries.
     fn chunk(&mut self, bytes: &[u8]);
 
-    /// Called exactly once, whatever happens to the body.
+    /// Called exactly once, however the body ends.
     fn end(&mut self, end: AnswerEnd);
 }
--- a/crates/http/src/client/pool.rs
+++ b/crates/http/src/client/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections that can carry another request.
+//! The pool of idle connections.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,24 +10,24 @@
 use crocushold_base::Millis;
 
 use super::limits::PoolLimits;
-use crate::wire::Wire;
+use crate::connection::Connection;
 
-struct Idle {
-    wire: Arc<Wire>,
+struct IdleConnection {
+    connection: Arc<Connection>,
     since: Millis,
 }
 
 #[derive(Default)]
-struct Shelves {
-    servers: HashMap<SocketAddr, Vec<Idle>>,
+struct IdleLists {
+    by_server: HashMap<SocketAddr, Vec<IdleConnection>>,
     total: usize,
 }
 
-/// The idle connections of a client, newest last.
+/// The idle connections of a client. Those of one server are ordered from the oldest to the newest.
 pub(crate) struct Pool {
     clock: Clock,
     limits: PoolLimits,
-    shelves: Mutex<Shelves>,
+    lists: Mutex<IdleLists>,
 }
 
 impl Pool {
@@ -35,73 +35,74 @@
         Pool {
             clock: Clock::start(),
             limits,
-            shelves: Mutex::default(),
+            lists: Mutex::default(),
         }
     }
 
-    fn shelves(&self) -> MutexGuard<'_, Shelves> {
-        match self.shelves.lock() {
-            Ok(shelves) => shelves,
+    fn lists(&self) -> MutexGuard<'_, IdleLists> {
+        match self.lists.lock() {
+            Ok(lists) => lists,
             Err(poisoned) => poisoned.into_inner(),
         }
     }
 
-    /// Takes the connection that was used last and is still open.
-    pub(crate) fn take(&self, server: SocketAddr) -> Option<Arc<Wire>> {
+    /// Takes the most recently used connection to `server` that is still open.
+    pub(crate) fn take(&self, server: SocketAddr) -> Option<Arc<Connection>> {
         loop {
             let idle = self.pop(server)?;
             let age = self.clock.now().since(idle.since);
-            // A server that closed an idle connection has done so before this look, or leaves the
-            // small window that only a fresh connection avoids.
-            if age < self.limits.idle_timeout && idle.wire.is_idle() {
-                return Some(idle.wire);
+            // This detects a connection that the server has already closed. A server that closes it
+            // between this check and the write isn't detected; only a new connection avoids that.
+            if age < self.limits.idle_timeout && idle.connection.is_idle() {
+                return Some(idle.connection);
             }
         }
     }
 
-    fn pop(&self, server: SocketAddr) -> Option<Idle> {
-        let mut shelves = self.shelves();
-        let shelf = shelves.servers.get_mut(&server)?;
-        let idle = shelf.pop();
-        if shelf.is_empty() {
-            shelves.servers.remove(&server);
+    fn pop(&self, server: SocketAddr) -> Option<IdleConnection> {
+        let mut lists = self.lists();
+        let list = lists.by_server.get_mut(&server)?;
+        let idle = list.pop();
+        if list.is_empty() {
+            lists.by_server.remove(&server);
         }
         if idle.is_some() {
-            shelves.total -= 1;
+            lists.total -= 1;
         }
         idle
     }
 
-    /// Keeps a connection whose last answer was read to its end.
-    pub(crate) fn give(&self, server: SocketAddr, wire: Arc<Wire>) {
+    /// Returns a connection whose last answer was read to its end.
+    pub(crate) fn put(&self, server: SocketAddr, connection: Arc<Connection>) {
         let since = self.clock.now();
-        let mut shelves = self.shelves();
-        if shelves.total >= self.limits.total {
-            shelves.drop_aged(since, self.limits.idle_timeout);
+        let mut lists = self.lists();
+        if lists.total >= self.limits.total {
+            lists.remove_expired(since, self.limits.idle_timeout);
         }
-        if shelves.total >= self.limits.total {
+        if lists.total >= self.limits.total {
             return;
         }
-        let shelf = shelves.servers.entry(server).or_default();
-        if shelf.len() >= self.limits.per_server {
+        let list = lists.by_server.entry(server).or_default();
+        if list.len() >= self.limits.per_server {
             return;
         }
-        shelf.push(Idle { wire, since });
-        shelves.total += 1;
+        list.push(IdleConnection { connection, since });
+        lists.total += 1;
     }
 
     /// The number of idle connections.
     pub(crate) fn len(&self) -> usize {
-        self.shelves().total
+        self.lists().total
     }
 }
 
-impl Shelves {
-    fn drop_aged(&mut self, now: Millis, limit: Millis) {
-        for shelf in self.servers.values_mut() {
-            shelf.retain(|idle| now.since(idle.since) < limit);
+impl IdleLists {
+    /// Drops the connections that have been idle for `limit` or longer.
+    fn remove_expired(&mut self, now: Millis, limit: Millis) {
+        for list in self.by_server.values_mut() {
+            list.retain(|idle| now.since(idle.since) < limit);
         }
-        self.servers.retain(|_, shelf| !shelf.is_empty());
-        self.total = self.servers.values().map(Vec::len).sum();
+        self.by_server.retain(|_, list| !list.is_empty());
+        self.total = self.by_server.values().map(Vec::len).sum();
     }
 }
--- /dev/null
+++ b/crates/http/src/client/probe.rs
@@ -0,0 +1,22 @@
+//! Probing whether a process listens at an address.
+
+use std::io::ErrorKind;
+
+use async_std::future::timeout;
+use async_std::net::SocketAddr;
+use async_std::net::TcpStream;
+use crocushold_base::Millis;
+
+/// How long a server may take to accept or refuse a connection. One that doesn't answer within that
+/// time may be busy and counts as listening.
+const PROBE_TIMEOUT: Millis = Millis(250);
+
+/// Whether an address refuses connections because no process listens there. An address that accepts
+/// the connection or doesn't answer within 250 ms doesn't count as refusing.
+pub async fn refuses_connections(address: SocketAddr) -> bool {
+    let connected = timeout(PROBE_TIMEOUT.into(), TcpStream::connect(address)).await;
+    match connected {
+        Ok(Err(error)) => error.kind() == ErrorKind::ConnectionRefused,
+        Ok(Ok(_)) | Err(_) => false,
+    }
+}
--- a/crates/http/src/client/relay_body.rs
+++ b/crates/http/src/client/relay_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer, passed on as it arrives.
+//! The body of an answer, relayed as it arrives.
 
 use std::fmt;
 use std::io;
@@ -20,16 +20,16 @@
 use super::observer::CutCause;
 use super::observer::Observer;
 use super::pool::Pool;
+use crate::connection::Connection;
 use crate::framing::Framing;
 use crate::stall::Sleep;
 use crate::stall::StallTimer;
-use crate::wire::Wire;
 
-/// Bytes read at a time by those who use [`BufRead`].
+/// Size of the buffer behind [`BufRead`], in bytes.
 const BUFFER_BYTES: usize = 8 * 1024;
 
-/// Where the connection goes after a clean end.
-pub(crate) struct Home {
+/// The pool that the connection returns to after a complete answer.
+pub(crate) struct PoolReturn {
     pub(crate) pool: Arc<Pool>,
     pub(crate) server: SocketAddr,
 }
@@ -42,21 +42,21 @@
 
 /// The body of an answer.
 ///
-/// Reading it yields an error where the answer ends before its announced length or its last chunk,
-/// and where nothing comes for the stall timeout. Dropping it early cuts the connection, which
+/// Reading it fails if the answer ends before its announced length or its last chunk, or if nothing
+/// arrives within the stall timeout. Dropping it before its end closes the connection, which
 /// cancels the request at the server.
 pub struct RelayBody {
     body: Body,
     framing: Framing,
     bytes: u64,
     state: State,
-    /// Gone once the answer ended.
-    wire: Option<Arc<Wire>>,
+    /// `None` once the answer has ended.
+    connection: Option<Arc<Connection>>,
     cancel: Cancel,
-    home: Option<Home>,
-    stall: StallTimer,
-    /// Fires when the whole answer is overdue.
-    expiry: Option<Sleep>,
+    pool_return: Option<PoolReturn>,
+    stall_timer: StallTimer,
+    /// Fires at the end of the total timeout.
+    deadline: Option<Sleep>,
     observer: Option<Box<dyn Observer>>,
     buffer: Vec<u8>,
     start: usize,
@@ -66,20 +66,20 @@
     pub(crate) fn new(
         body: Body,
         framing: Framing,
-        wire: Arc<Wire>,
-        home: Option<Home>,
-        stall: Millis,
+        connection: Arc<Connection>,
+        pool_return: Option<PoolReturn>,
+        stall_timeout: Millis,
     ) -> RelayBody {
         let mut relay = RelayBody {
             body,
             framing,
             bytes: 0,
             state: State::Open,
-            cancel: Cancel::new(wire.clone()),
-            wire: Some(wire),
-            home,
-            stall: StallTimer::new(stall),
-            expiry: None,
+            cancel: Cancel::new(connection.clone()),
+            connection: Some(connection),
+            pool_return,
+            stall_timer: StallTimer::new(stall_timeout),
+            deadline: None,
             observer: None,
             buffer: Vec::new(),
             start: 0,
@@ -103,18 +103,19 @@
         }
     }
 
-    /// Cuts the answer where it isn't whole after `span`; unlike the stall timeout, also while it
-    /// goes on.
+    /// Cuts the answer off if it isn't complete after `span`. Unlike the stall timeout, this also
+    /// applies while bytes keep arriving.
     pub fn set_total_timeout(&mut self, span: Millis) {
-        self.expiry = Some(Box::pin(task::sleep(span.into())));
+        self.deadline = Some(Box::pin(task::sleep(span.into())));
     }
 
-    /// A handle that cuts this answer off.
+    /// A handle that cancels this answer.
     pub fn cancel(&self) -> Cancel {
         self.cancel.clone()
     }
 
-    /// Makes a body for the caller's answer, with the same length or chunks, watched by `observer`.
+    /// Converts this into the body of the caller's answer, with the same framing. `observer`
+    /// receives its chunks and its end.
     pub fn into_body(mut self, observer: impl Observer + 'static) -> Body {
         let mut observer = Box::new(observer);
         if let State::Complete = self.state {
@@ -135,58 +136,64 @@
             State::Cut(cause) => return Poll::Ready(Err(cut_error(cause))),
         }
         match self.poll_body(cx, buf) {
-            Poll::Ready(Ok(0)) => Poll::Ready(self.ended().map(|()| 0)),
+            Poll::Ready(Ok(0)) => Poll::Ready(self.finish().map(|()| 0)),
             Poll::Ready(Ok(count)) => {
-                self.passed(&buf[..count]);
+                self.record_chunk(&buf[..count]);
                 Poll::Ready(Ok(count))
             }
-            Poll::Ready(Err(error)) => Poll::Ready(Err(self.cut(cause_of(&error)))),
-            Poll::Pending if self.stall.poll_expired(cx) => {
-                Poll::Ready(Err(self.cut(CutCause::Stalled)))
+            Poll::Ready(Err(error)) => Poll::Ready(Err(self.cut_off(cut_cause(&error)))),
+            Poll::Pending if self.stall_timer.poll_expired(cx) => {
+                Poll::Ready(Err(self.cut_off(CutCause::Stalled)))
+            }
+            Poll::Pending if self.poll_deadline(cx) => {
+                Poll::Ready(Err(self.cut_off(CutCause::Overdue)))
             }
-            Poll::Pending if self.poll_overdue(cx) => Poll::Ready(Err(self.cut(CutCause::Overdue))),
             Poll::Pending => Poll::Pending,
         }
     }
 
-    fn poll_overdue(&mut self, cx: &mut Context<'_>) -> bool {
-        let expiry = self.expiry.as_mut();
-        expiry.is_some_and(|expiry| expiry.as_mut().poll(cx).is_ready())
+    fn poll_deadline(&mut self, cx: &mut Context<'_>) -> bool {
+        let deadline = self.deadline.as_mut();
+        deadline.is_some_and(|deadline| deadline.as_mut().poll(cx).is_ready())
     }
 
     /// Polls async-h1's body.
     ///
-    /// Its chunk decoder returns "pending" without a waker when the last line of a body arrives in
-    /// two pieces, so the answer would hang a byte before its end. Where the socket itself had
-    /// something, "pending" isn't true, and the decoder is asked again.
+    /// Its chunk decoder returns `Pending` without registering a waker when the last line of a body
+    /// arrives in two reads, so the answer would hang one byte before its end. If the socket itself
+    /// wasn't pending, the decoder is polled again.
     fn poll_body(&mut self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         loop {
-            if let Some(wire) = &self.wire {
-                wire.clear_waiting();
+            if let Some(connection) = &self.connection {
+                connection.clear_read_pending();
             }
             let poll = Pin::new(&mut self.body).poll_read(cx, buf);
-            let waits = self.wire.as_ref().is_none_or(|wire| wire.is_waiting());
-            if poll.is_ready() || waits {
+            let read_pending = self
+                .connection
+                .as_ref()
+                .is_none_or(|connection| connection.is_read_pending());
+            if poll.is_ready() || read_pending {
                 return poll;
             }
         }
     }
 
-    fn passed(&mut self, bytes: &[u8]) {
+    fn record_chunk(&mut self, bytes: &[u8]) {
         self.bytes += bytes.len() as u64;
-        self.stall.touch();
+        self.stall_timer.reset();
         if let Some(observer) = &mut self.observer {
             observer.chunk(bytes);
         }
-        // A reader that knows the length doesn't ask for the end, so it is noted here.
+        // A reader that knows the length doesn't read again to see the end, so completion is
+        // detected here.
         if self.framing == Framing::Length(self.bytes) {
             self.complete();
         }
     }
 
-    fn ended(&mut self) -> io::Result<()> {
+    fn finish(&mut self) -> io::Result<()> {
         match self.framing {
-            Framing::Length(length) if length != self.bytes => Err(self.cut(CutCause::Short)),
+            Framing::Length(length) if length != self.bytes => Err(self.cut_off(CutCause::Short)),
             _ => {
                 self.complete();
                 Ok(())
@@ -196,41 +203,42 @@
 
     fn complete(&mut self) {
         self.state = State::Complete;
-        // async-h1's reader holds the connection as well.
+        // async-h1's reader holds a reference to the connection, which is released here.
         self.body = Body::empty();
-        // From here on a cancel would hit another request on the same connection.
+        // A later cancel would hit another request on the same connection.
         self.cancel.disarm();
-        if let (Some(wire), Some(home)) = (self.wire.take(), self.home.take())
-            && wire.is_idle()
+        if let (Some(connection), Some(pool_return)) =
+            (self.connection.take(), self.pool_return.take())
+            && connection.is_idle()
         {
-            home.pool.give(home.server, wire);
+            pool_return.pool.put(pool_return.server, connection);
         }
         let bytes = self.bytes;
-        self.tell(AnswerEnd::Complete { bytes });
+        self.notify_end(AnswerEnd::Complete { bytes });
     }
 
-    fn cut(&mut self, cause: CutCause) -> io::Error {
+    fn cut_off(&mut self, cause: CutCause) -> io::Error {
         self.state = State::Cut(cause);
         self.close();
         let bytes = self.bytes;
-        self.tell(AnswerEnd::Cut { bytes, cause });
+        self.notify_end(AnswerEnd::Cut { bytes, cause });
         cut_error(cause)
     }
 
     fn close(&mut self) {
-        if let Some(wire) = self.wire.take() {
-            wire.cut();
+        if let Some(connection) = self.connection.take() {
+            connection.shutdown();
         }
     }
 
-    fn tell(&mut self, end: AnswerEnd) {
+    fn notify_end(&mut self, end: AnswerEnd) {
         if let Some(mut observer) = self.observer.take() {
             observer.end(end);
         }
     }
 }
 
-fn cause_of(error: &io::Error) -> CutCause {
+fn cut_cause(error: &io::Error) -> CutCause {
     match error.kind() {
         io::ErrorKind::UnexpectedEof => CutCause::Short,
         io::ErrorKind::InvalidData => CutCause::Malformed,
@@ -240,10 +248,18 @@
 
 fn cut_error(cause: CutCause) -> io::Error {
     match cause {
-        CutCause::Short => io::Error::new(io::ErrorKind::UnexpectedEof, "the answer ended short"),
+        CutCause::Short => io::Error::new(
+            io::ErrorKind::UnexpectedEof,
+            "the answer ended before its announced end",
+        ),
         CutCause::Stalled => io::Error::new(io::ErrorKind::TimedOut, "the answer stalled"),
-        CutCause::Overdue => io::Error::new(io::ErrorKind::TimedOut, "the answer is overdue"),
-        CutCause::Malformed => io::Error::new(io::ErrorKind::InvalidData, "malformed chunks"),
+        CutCause::Overdue => io::Error::new(
+            io::ErrorKind::TimedOut,
+            "the answer exceeded its total timeout",
+        ),
+        CutCause::Malformed => {
+            io::Error::new(io::ErrorKind::InvalidData, "malformed chunked encoding")
+        }
         CutCause::Failed => io::Error::new(io::ErrorKind::ConnectionReset, "the connection failed"),
     }
 }
@@ -252,7 +268,7 @@
     fn drop(&mut self) {
         self.close();
         let bytes = self.bytes;
-        self.tell(AnswerEnd::Dropped { bytes });
+        self.notify_end(AnswerEnd::Dropped { bytes });
     }
 }
 
--- a/crates/http/src/client/send.rs
+++ b/crates/http/src/client/send.rs
@@ -33,17 +33,18 @@
 use super::receive::early_answer;
 use super::receive::final_head;
 use super::receive::read_answer;
-use super::relay_body::Home;
+use super::relay_body::PoolReturn;
 use super::relay_body::RelayBody;
+use crate::connection::Connection;
+use crate::connection::MessageStream;
 use crate::framing::Framing;
-use crate::headers::clean_headers;
 use crate::headers::has_connection_option;
+use crate::headers::sanitize_headers;
 use crate::transmit::Transmit;
 use crate::transmit::TransmitError;
-use crate::wire::Gate;
-use crate::wire::Wire;
 
-/// How long a connection is waited for after its bound, for what came while the process was stopped.
+/// How much longer to wait for a connection after its timeout, in case the timeout elapsed while
+/// the process was suspended.
 const CONNECT_GRACE: Millis = Millis(50);
 
 /// Sends requests to backend servers and keeps connections for reuse.
@@ -52,16 +53,17 @@
     pool: Arc<Pool>,
 }
 
-/// An answer whose body is still to come.
+/// An answer whose body hasn't been read yet.
 #[derive(Debug)]
 pub struct Answer {
     /// The status.
     pub status: StatusCode,
-    /// The headers, without the framing; pass them on with [`relay_headers`](crate::relay_headers).
+    /// The headers without the framing headers; copy them with
+    /// [`relay_headers`](crate::relay_headers).
     pub headers: Headers,
     /// The body.
     pub body: RelayBody,
-    /// Cuts the answer off.
+    /// Cancels the answer.
     pub cancel: Cancel,
     /// Whether the connection had carried an earlier request.
     pub reused: bool,
@@ -82,11 +84,12 @@
 
     /// Sends a request and waits for the head of the answer.
     ///
-    /// Dropping the future cuts the connection, which cancels the request at the server.
+    /// Dropping the future closes the connection, which cancels the request at the server.
     ///
     /// # Errors
     ///
-    /// Fails when the head of an answer doesn't arrive; the stage tells whether the request left.
+    /// Fails when no valid head of an answer arrives. The stage of the error says whether the
+    /// server may have run the request.
     pub async fn send(
         &self,
         server: SocketAddr,
@@ -107,22 +110,24 @@
         reuse: Reuse,
     ) -> Result<Exchange, SendError> {
         if reuse == Reuse::Allowed
-            && let Some(wire) = self.pool.take(server)
+            && let Some(connection) = self.pool.take(server)
         {
             return Ok(Exchange {
-                written: wire.written(),
-                wire,
+                written_before: connection.written(),
+                connection,
                 reused: true,
             });
         }
-        let stream = open(server, limits).await.map_err(|kind| SendError {
-            stage: Stage::NotConnected,
-            kind,
-            reused: false,
-        })?;
+        let stream = open_connection(server, limits)
+            .await
+            .map_err(|kind| SendError {
+                stage: Stage::NotConnected,
+                kind,
+                reused: false,
+            })?;
         Ok(Exchange {
-            wire: Wire::new(stream),
-            written: 0,
+            connection: Connection::new(stream),
+            written_before: 0,
             reused: false,
         })
     }
@@ -138,21 +143,23 @@
         let framing = answer_framing(&response, method, limits.close_delimited)
             .map_err(|kind| exchange.error(Stage::Answered, kind))?;
         let closes = framing == Framing::Close || has_connection_option(response.as_ref(), "close");
-        let home = (!closes).then(|| Home {
+        let pool_return = (!closes).then(|| PoolReturn {
             pool: self.pool.clone(),
             server,
         });
-        exchange.wire.allow(framing.allowance());
+        exchange.connection.set_remaining(framing.max_body_bytes());
         let status = response.status();
-        let wire = exchange.wire.clone();
-        // async-h1 gives an answer without framing an empty body.
+        let connection = exchange.connection.clone();
+        // async-h1 decodes an answer without framing headers as empty.
         let body = match framing {
-            Framing::Close => Body::from_reader(BufReader::new(Gate(wire.clone())), None),
+            Framing::Close => {
+                Body::from_reader(BufReader::new(MessageStream(connection.clone())), None)
+            }
             Framing::Length(_) | Framing::Chunked => response.take_body(),
         };
-        let body = RelayBody::new(body, framing, wire, home, limits.stall_timeout);
+        let body = RelayBody::new(body, framing, connection, pool_return, limits.stall_timeout);
         let cancel = body.cancel();
-        clean_headers(response.as_mut());
+        sanitize_headers(response.as_mut());
         let headers: &Headers = response.as_ref();
         Ok(Answer {
             status,
@@ -172,14 +179,18 @@
     }
 }
 
-async fn open(server: SocketAddr, limits: &SendLimits) -> Result<TcpStream, SendErrorKind> {
+async fn open_connection(
+    server: SocketAddr,
+    limits: &SendLimits,
+) -> Result<TcpStream, SendErrorKind> {
     let mut connect = pin!(TcpStream::connect(server));
     let connected = match timeout(limits.connect_timeout.into(), connect.as_mut()).await {
         Ok(connected) => connected,
-        // The bound may have passed while the process was stopped. The connection is open by then, but
-        // the timer is seen first, and a server that answered at once would count as unreachable: its
-        // caller is refused, and nobody is sent there. What the kernel already knows shows in the first
-        // round of events after the pause, so a moment more is enough.
+        // The timeout may have elapsed while the process was suspended. The connection may then be
+        // established already, but the timer is processed first, and a reachable server would count
+        // as unreachable: the caller would be refused, and no further requests sent to that server.
+        // The kernel reports the connection in the first round of events after the pause, so a
+        // short extra wait is enough.
         Err(_) => timeout(CONNECT_GRACE.into(), connect)
             .await
             .map_err(|_| SendErrorKind::ConnectTimeout)?,
@@ -189,10 +200,11 @@
     Ok(stream)
 }
 
-/// Writes the request and reads the head of the answer, which may come while the request is written.
+/// Writes the request and reads the head of the answer, which may arrive while the request is
+/// written.
 ///
-/// A server may answer by the head of a request alone and read the rest later, when it likes. Written
-/// first, a long body would hold the answer up for as long.
+/// A server may answer after the head of a request and read its body later. If the body were
+/// written completely first, a long one would delay the answer until then.
 async fn exchange_heads(
     exchange: &Exchange,
     request: Request,
@@ -204,12 +216,12 @@
         Either::Left((Ok(()), _)) => read_answer(exchange, limits.head_timeout).await,
         Either::Left((Err(error), _)) => early_answer(exchange, limits, error).await,
         Either::Right((Ok(mut response), _)) => {
-            // The rest of the request is still due on this connection, so it can't carry another.
+            // The request wasn't written completely, so the connection can't be reused.
             response.insert_header(CONNECTION, "close");
             Ok(response)
         }
         Either::Right((Err(mut error), _)) => {
-            if exchange.stage() == Stage::Connected {
+            if exchange.write_stage() == Stage::Connected {
                 error.stage = Stage::Connected;
             }
             Err(error)
@@ -222,9 +234,9 @@
     mut request: Request,
     limits: &SendLimits,
 ) -> Result<(), SendError> {
-    clean_headers(request.as_mut());
+    sanitize_headers(request.as_mut());
     let encoder = Encoder::new(request);
-    let transmit = Transmit::new(encoder, exchange.wire.clone(), limits.write_timeout);
+    let transmit = Transmit::new(encoder, exchange.connection.clone(), limits.write_timeout);
     let Err(error) = transmit.await else {
         return Ok(());
     };
@@ -233,5 +245,5 @@
         TransmitError::Sink(cause) => SendErrorKind::Write(cause),
         TransmitError::Stalled => SendErrorKind::WriteTimeout,
     };
-    Err(exchange.error(exchange.stage(), kind))
+    Err(exchange.error(exchange.write_stage(), kind))
 }
--- /dev/null
+++ b/crates/http/src/connection.rs
@@ -0,0 +1,283 @@
+//! The socket wrapper shared by client and server.
+
+mod head;
+mod message_stream;
+mod read_buffer;
+
+use std::io;
+use std::pin::Pin;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::MutexGuard;
+use std::sync::atomic::AtomicU64;
+use std::sync::atomic::Ordering;
+use std::task::Context;
+use std::task::Poll;
+use std::task::ready;
+
+use async_std::io::Read;
+use async_std::io::Write;
+use async_std::net::Shutdown;
+use async_std::net::TcpStream;
+use futures::FutureExt;
+use futures::future::poll_fn;
+
+use head::head_end;
+use read_buffer::ReadBuffer;
+
+pub(crate) use head::HeadError;
+pub(crate) use message_stream::MessageStream;
+
+/// Bytes read from the socket at a time while a head is read.
+const READ_CHUNK_BYTES: usize = 4096;
+
+/// The most bytes that are buffered while waiting for a disconnect; a disconnect behind more bytes
+/// isn't detected.
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
+
+/// The interim answer to `Expect: 100-continue`.
+const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+
+/// A TCP connection with a read buffer.
+///
+/// async-h1 wraps its reader in a buffer of its own and drops that buffer with the message. Bytes
+/// of the next message in it would be lost, and their sender would wait forever. A head is
+/// therefore read here first, and a [`MessageStream`] yields only the bytes of the current message.
+pub(crate) struct Connection {
+    stream: TcpStream,
+    read_buffer: Mutex<ReadBuffer>,
+    written: AtomicU64,
+}
+
+impl Connection {
+    pub(crate) fn new(stream: TcpStream) -> Arc<Connection> {
+        Arc::new(Connection {
+            stream,
+            read_buffer: Mutex::default(),
+            written: AtomicU64::new(0),
+        })
+    }
+
+    pub(crate) fn stream(&self) -> &TcpStream {
+        &self.stream
+    }
+
+    /// The number of bytes written to the socket so far. No further bytes can have been sent.
+    pub(crate) fn written(&self) -> u64 {
+        self.written.load(Ordering::Relaxed)
+    }
+
+    fn read_buffer(&self) -> MutexGuard<'_, ReadBuffer> {
+        match self.read_buffer.lock() {
+            Ok(read_buffer) => read_buffer,
+            Err(poisoned) => poisoned.into_inner(),
+        }
+    }
+
+    /// Shuts the connection down in both directions, for all of its holders.
+    pub(crate) fn shutdown(&self) {
+        // Fails only if the socket is already closed.
+        let _ = self.stream.shutdown(Shutdown::Both);
+    }
+
+    /// Waits for the first byte of a message; `false` if the peer closed the connection instead.
+    pub(crate) async fn first_byte(&self) -> io::Result<bool> {
+        loop {
+            {
+                let mut read_buffer = self.read_buffer();
+                read_buffer.skip_blank_lines();
+                if !read_buffer.unread().is_empty() {
+                    return Ok(true);
+                }
+                if read_buffer.eof {
+                    return Ok(false);
+                }
+            }
+            poll_fn(|cx| self.poll_fill(cx)).await?;
+        }
+    }
+
+    /// Reads up to the end of a head and returns its length; the head stays in the read buffer.
+    pub(crate) async fn read_head(&self, limit: usize) -> Result<usize, HeadError> {
+        let mut scanned = 0;
+        loop {
+            {
+                let read_buffer = self.read_buffer();
+                let unread = read_buffer.unread();
+                if let Some(length) = head_end(unread, scanned)? {
+                    if length > limit {
+                        return Err(HeadError::TooLarge);
+                    }
+                    return Ok(length);
+                }
+                if unread.len() >= limit {
+                    return Err(HeadError::TooLarge);
+                }
+                if read_buffer.eof {
+                    return Err(HeadError::Closed);
+                }
+                scanned = unread.len();
+            }
+            poll_fn(|cx| self.poll_fill(cx)).await?;
+        }
+    }
+
+    /// Calls `view` with the head of `length` bytes, which it may change before the head is parsed.
+    pub(crate) fn with_head<T>(&self, length: usize, view: impl FnOnce(&mut [u8]) -> T) -> T {
+        let mut read_buffer = self.read_buffer();
+        let start = read_buffer.start;
+        view(&mut read_buffer.bytes[start..start + length])
+    }
+
+    /// Replaces the head of `length` bytes by `head`.
+    pub(crate) fn replace_head(&self, length: usize, head: &[u8]) {
+        let mut read_buffer = self.read_buffer();
+        let start = read_buffer.start;
+        read_buffer
+            .bytes
+            .splice(start..start + length, head.iter().copied());
+    }
+
+    /// Sets the number of bytes that [`MessageStream`] may still yield.
+    pub(crate) fn set_remaining(&self, count: u64) {
+        self.read_buffer().remaining = count;
+    }
+
+    /// The number of bytes that [`MessageStream`] may still yield.
+    pub(crate) fn remaining(&self) -> u64 {
+        self.read_buffer().remaining
+    }
+
+    /// Writes the interim answer before the first read of the body.
+    pub(crate) fn expect_continue(&self) {
+        self.read_buffer().interim = CONTINUE;
+    }
+
+    /// Clears the flag that a read through [`MessageStream`] was pending.
+    pub(crate) fn clear_read_pending(&self) {
+        self.read_buffer().read_pending = false;
+    }
+
+    /// Whether a read through [`MessageStream`] was pending since the flag was cleared.
+    pub(crate) fn is_read_pending(&self) -> bool {
+        self.read_buffer().read_pending
+    }
+
+    /// Whether the read buffer holds unread bytes.
+    pub(crate) fn has_unread(&self) -> bool {
+        !self.read_buffer().unread().is_empty()
+    }
+
+    /// Whether the connection is open and has no unread bytes, so that it can carry another
+    /// request.
+    pub(crate) fn is_idle(&self) -> bool {
+        {
+            let read_buffer = self.read_buffer();
+            if read_buffer.eof || !read_buffer.unread().is_empty() {
+                return false;
+            }
+        }
+        let mut byte = [0];
+        self.stream.peek(&mut byte).now_or_never().is_none()
+    }
+
+    /// Resolves once the peer has closed its side.
+    ///
+    /// Bytes that arrive before that are buffered for the next message, because the end of the
+    /// stream is visible only after them.
+    pub(crate) async fn closed(&self) {
+        let mut byte = [0];
+        loop {
+            if self.read_buffer().eof {
+                return;
+            }
+            // Each peek registers its own waker, so several tasks can wait here while another one
+            // reads.
+            match self.stream.peek(&mut byte).await {
+                Ok(0) | Err(_) => {
+                    self.read_buffer().eof = true;
+                    return;
+                }
+                Ok(_) => {}
+            }
+            if self.read_buffer().unread().len() >= MAX_READ_AHEAD_BYTES {
+                futures::future::pending::<()>().await;
+            }
+            // The peek found bytes, so this isn't pending unless another task has read them.
+            let _ = poll_fn(|cx| self.poll_fill(cx)).now_or_never();
+        }
+    }
+
+    /// Reads and discards bytes until the peer closes the connection or `limit` bytes have arrived.
+    pub(crate) async fn discard(&self, limit: usize) -> io::Result<()> {
+        let mut count = 0;
+        while count < limit {
+            count += poll_fn(|cx| self.poll_fill(cx)).await?;
+            let mut read_buffer = self.read_buffer();
+            let unread = read_buffer.unread().len();
+            read_buffer.consume(unread);
+            if read_buffer.eof {
+                break;
+            }
+        }
+        Ok(())
+    }
+
+    /// Appends the bytes available on the socket to the read buffer.
+    fn poll_fill(&self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
+        let mut read_buffer = self.read_buffer();
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        let count = ready!(Pin::new(&mut &self.stream).poll_read(cx, &mut chunk))?;
+        if count == 0 {
+            read_buffer.eof = true;
+        }
+        read_buffer.append(&chunk[..count]);
+        Poll::Ready(Ok(count))
+    }
+
+    /// Reads bytes of the current message, first from the buffer and then from the socket.
+    fn poll_read_message(&self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
+        let mut read_buffer = self.read_buffer();
+        let limit = buf
+            .len()
+            .min(usize::try_from(read_buffer.remaining).unwrap_or(usize::MAX));
+        if limit == 0 {
+            return Poll::Ready(Ok(0));
+        }
+        let count = read_buffer.unread().len().min(limit);
+        if count > 0 {
+            buf[..count].copy_from_slice(&read_buffer.unread()[..count]);
+            read_buffer.consume(count);
+            read_buffer.remaining -= count as u64;
+            return Poll::Ready(Ok(count));
+        }
+        if read_buffer.eof {
+            return Poll::Ready(Ok(0));
+        }
+        while !read_buffer.interim.is_empty() {
+            let count = ready!(self.poll_write(cx, read_buffer.interim))?;
+            read_buffer.interim = &read_buffer.interim[count..];
+        }
+        match Pin::new(&mut &self.stream).poll_read(cx, &mut buf[..limit]) {
+            Poll::Ready(Ok(count)) => {
+                read_buffer.eof = count == 0;
+                read_buffer.remaining -= count as u64;
+                Poll::Ready(Ok(count))
+            }
+            Poll::Ready(Err(error)) => Poll::Ready(Err(error)),
+            Poll::Pending => {
+                read_buffer.read_pending = true;
+                Poll::Pending
+            }
+        }
+    }
+
+    pub(crate) fn poll_write(&self, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+        let count = ready!(Pin::new(&mut &self.stream).poll_write(cx, buf))?;
+        self.written.fetch_add(count as u64, Ordering::Relaxed);
+        if count == 0 && !buf.is_empty() {
+            return Poll::Ready(Err(io::ErrorKind::WriteZero.into()));
+        }
+        Poll::Ready(Ok(count))
+    }
+}
--- a/crates/http/src/wire/head.rs
+++ b/crates/http/src/connection/head.rs
@@ -6,15 +6,15 @@
 
 quick_error! {
     /// Why no head could be read.
-    // The macro knows no restricted visibility; the module is private.
+    // `quick_error!` doesn't support restricted visibility; the module is private.
     #[allow(unreachable_pub)]
     #[derive(Debug)]
     pub enum HeadError {
-        /// The connection ended inside the head.
+        /// The connection was closed before the end of the head.
         Closed {}
         /// The head is longer than the limit.
         TooLarge {}
-        /// The head isn't HTTP/1.1.
+        /// The head ends in bare line feeds.
         Malformed {}
         /// The socket failed.
         Io(cause: io::Error) {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Finds the end of a head behind `scanned` bytes that were looked at before.
+/// Finds the end of a head; the first `scanned` bytes were searched before.
 pub(super) fn head_end(bytes: &[u8], scanned: usize) -> Result<Option<usize>, HeadError> {
     let from = scanned.saturating_sub(3);
     for (index, _) in bytes[from..]
@@ -35,8 +35,8 @@
         if bytes[..end].ends_with(b"\r\n\r\n") {
             return Ok(Some(end));
         }
-        // Bare line feeds end a head for some parsers and not for others, which is how one request
-        // is smuggled inside another. async-h1 would wait for a line end that never comes.
+        // Some parsers accept bare line feeds as the end of a head and others don't, which allows
+        // request smuggling. async-h1 would wait for a line end that never arrives.
         if bytes[..end].ends_with(b"\n\n") {
             return Err(HeadError::Malformed);
         }
--- a/crates/http/src/wire/gate.rs
+++ b/crates/http/src/connection/message_stream.rs
@@ -1,4 +1,4 @@
-//! The stream that async-h1 sees.
+//! The stream that async-h1 reads from.
 
 use std::io;
 use std::pin::Pin;
@@ -9,27 +9,29 @@
 use async_std::io::Read;
 use async_std::io::Write;
 
-use super::Wire;
+use super::Connection;
 
-/// What async-h1 reads from: the bytes of the message at hand.
+/// A stream that yields only the bytes of the current message.
 #[derive(Clone)]
-pub(crate) struct Gate(pub(crate) Arc<Wire>);
+pub(crate) struct MessageStream(pub(crate) Arc<Connection>);
 
-impl Read for Gate {
+impl Read for MessageStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        self.0.poll_take(cx, buf)
+        self.0.poll_read_message(cx, buf)
     }
 }
 
-/// async-h1 writes one thing through the stream that it reads from: the interim answer to
-/// `Expect: 100-continue`, from a task of its own. That task can run late, and the interim answer
-/// would land inside the final one. So its writes are dropped, and the wire writes the interim
-/// answer itself before it reads the body.
-impl Write for Gate {
+/// Discards all writes.
+///
+/// async-h1 writes only the interim answer to `Expect: 100-continue` to the stream that it reads
+/// from, and does so from a separate task. That task can run late, and the interim answer would be
+/// written in the middle of the final one. The connection therefore writes the interim answer
+/// itself before it reads the body.
+impl Write for MessageStream {
     fn poll_write(
         self: Pin<&mut Self>,
         _cx: &mut Context<'_>,
--- /dev/null
+++ b/crates/http/src/connection/read_buffer.rs
@@ -0,0 +1,51 @@
+//! Bytes that were read from a socket but not consumed yet.
+
+/// The largest capacity that an empty buffer retains, in bytes.
+const RETAINED_CAPACITY: usize = 1024;
+
+/// The read buffer of a connection, and the state of its reading side.
+#[derive(Default)]
+pub(super) struct ReadBuffer {
+    /// Bytes read from the socket; those from `start` on are unread.
+    pub(super) bytes: Vec<u8>,
+    pub(super) start: usize,
+    /// How many bytes of the current message may still be read.
+    pub(super) remaining: u64,
+    /// Whether a read of the current message was pending.
+    pub(super) read_pending: bool,
+    /// Whether the peer has closed its side.
+    pub(super) eof: bool,
+    /// The rest of the interim answer, to be written before the body is read.
+    pub(super) interim: &'static [u8],
+}
+
+impl ReadBuffer {
+    pub(super) fn unread(&self) -> &[u8] {
+        &self.bytes[self.start..]
+    }
+
+    pub(super) fn consume(&mut self, count: usize) {
+        self.start += count;
+        if self.start == self.bytes.len() {
+            self.start = 0;
+            self.bytes.clear();
+            // Otherwise an idle connection would retain capacity for the longest head it ever
+            // received.
+            if self.bytes.capacity() > RETAINED_CAPACITY {
+                self.bytes = Vec::new();
+            }
+        }
+    }
+
+    pub(super) fn append(&mut self, bytes: &[u8]) {
+        self.bytes.drain(..self.start);
+        self.start = 0;
+        self.bytes.extend_from_slice(bytes);
+    }
+
+    pub(super) fn skip_blank_lines(&mut self) {
+        while self.unread().starts_with(b"\r\n") {
+            self.consume(2);
+        }
+    }
+}
--- a/crates/http/src/framing.rs
+++ b/crates/http/src/framing.rs
@@ -1,23 +1,23 @@
-//! How the end of a body is found.
+//! Framing of message bodies.
 
 use http_types::Headers;
 use http_types::headers::CONTENT_LENGTH;
 use http_types::headers::TRANSFER_ENCODING;
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Framing {
-    /// By its announced length; zero for messages without a body.
+    /// By `Content-Length`; zero for messages without a body.
     Length(u64),
-    /// By the last chunk.
+    /// By the last chunk of the chunked encoding.
     Chunked,
     /// By the end of the connection.
     Close,
 }
 
 impl Framing {
-    /// How many bytes the message may take from the connection.
-    pub(crate) fn allowance(self) -> u64 {
+    /// The most bytes of the connection that belong to the body.
+    pub(crate) fn max_body_bytes(self) -> u64 {
         match self {
             Framing::Length(length) => length,
             Framing::Chunked | Framing::Close => u64::MAX,
@@ -25,16 +25,16 @@
     }
 }
 
-/// The headers contradict each other or name a coding that isn't known.
+/// The framing headers contradict each other or name an unknown transfer coding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Ambiguous;
+pub(crate) struct AmbiguousFraming;
 
-/// Reads the framing more strictly than async-h1 does; nothing when no header tells.
+/// Reads the framing from the headers; `None` if there are no framing headers.
 ///
-/// Two parties that disagree on where a body ends can be made to read part of it as the next message
-/// (request smuggling). async-h1 takes the last of several lengths, accepts a sign, and ignores a
-/// transfer coding that it doesn't know.
-pub(crate) fn framing(headers: &Headers) -> Result<Option<Framing>, Ambiguous> {
+/// This is stricter than async-h1, which takes the last of several lengths, accepts a sign, and
+/// ignores unknown transfer codings. Two parties that disagree on where a body ends can be made to
+/// read part of it as the next message (request smuggling).
+pub(crate) fn framing(headers: &Headers) -> Result<Option<Framing>, AmbiguousFraming> {
     let lengths = headers.get(CONTENT_LENGTH);
     if let Some(codings) = headers.get(TRANSFER_ENCODING) {
         let mut values = codings.iter();
@@ -42,7 +42,7 @@
             .next()
             .is_some_and(|value| value.as_str().eq_ignore_ascii_case("chunked"));
         if lengths.is_some() || !chunked || values.next().is_some() {
-            return Err(Ambiguous);
+            return Err(AmbiguousFraming);
         }
         return Ok(Some(Framing::Chunked));
     }
@@ -53,8 +53,8 @@
     let agree = lengths.iter().all(|value| value.as_str() == first);
     let digits = first.bytes().all(|byte| byte.is_ascii_digit());
     if !agree || !digits {
-        return Err(Ambiguous);
+        return Err(AmbiguousFraming);
     }
-    let length = first.parse().map_err(|_| Ambiguous)?;
+    let length = first.parse().map_err(|_| AmbiguousFraming)?;
     Ok(Some(Framing::Length(length)))
 }
--- a/crates/http/src/headers.rs
+++ b/crates/http/src/headers.rs
@@ -1,4 +1,4 @@
-//! Which headers pass from one connection to the next.
+//! Selecting the headers that are relayed.
 
 use http_types::Headers;
 use http_types::headers::CONNECTION;
@@ -21,38 +21,40 @@
 
 /// Copies the end-to-end headers of a message.
 ///
-/// Left out are the hop-by-hop headers, those that the `Connection` header names, the framing (which
-/// is set from the body that is sent), and values that hold control characters.
+/// Leaves out the hop-by-hop headers, those named by the `Connection` header, the framing headers
+/// (which are set from the body that is sent), and values that contain control characters.
 pub fn relay_headers(from: &Headers, to: &mut Headers) {
     let named = connection_options(from);
     for (name, values) in from.iter() {
         if is_hop_by_hop(name) || named.iter().any(|option| option == name.as_str()) {
             continue;
         }
-        for value in values.iter().filter(|value| is_safe(value.as_str())) {
+        for value in values.iter().filter(|value| is_valid_value(value.as_str())) {
             to.append(name.clone(), value.clone());
         }
     }
 }
 
-/// Drops the headers whose values would break the head, and the framing that the encoder sets.
+/// Removes headers whose values contain control characters, and the framing headers, which the
+/// encoder sets.
 ///
-/// A line feed in a value starts a new header, and a blank line the body. async-h1 itself makes
-/// such a value: the `Date` that it adds to an answer without one ends in a line break.
-pub(crate) fn clean_headers(headers: &mut Headers) {
-    let unsafe_names: Vec<HeaderName> = headers
+/// A line feed in a value would start a new header, and a blank line would start the body. async-h1
+/// itself produces such a value: the `Date` that it adds to an answer without one ends in a line
+/// break.
+pub(crate) fn sanitize_headers(headers: &mut Headers) {
+    let removed: Vec<HeaderName> = headers
         .iter()
         .filter(|(name, values)| {
-            is_framing(name) || !values.iter().all(|value| is_safe(value.as_str()))
+            is_framing(name) || !values.iter().all(|value| is_valid_value(value.as_str()))
         })
         .map(|(name, _)| name.clone())
         .collect();
-    for name in unsafe_names {
+    for name in removed {
         headers.remove(name);
     }
 }
 
-/// Whether the `Connection` header holds `option`.
+/// Whether the `Connection` header contains `option`.
 pub(crate) fn has_connection_option(headers: &Headers, option: &str) -> bool {
     connection_options(headers).iter().any(|o| o == option)
 }
@@ -76,7 +78,7 @@
     matches!(name.as_str(), "content-length" | "transfer-encoding")
 }
 
-fn is_safe(value: &str) -> bool {
+fn is_valid_value(value: &str) -> bool {
     value
         .bytes()
         .all(|byte| byte == b'\t' || !byte.is_ascii_control())
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,27 +1,27 @@
 //! Bounded HTTP/1.1 exchanges over async-h1.
 //!
-//! async-h1 parses and writes the messages; this crate bounds them in size and time, and closes the
-//! gaps through which an answer could look whole without being so. The two sides share one socket
-//! wrapper, which reads a head on its own before async-h1 sees it and hands out no byte beyond the
-//! message at hand.
+//! async-h1 parses and writes the messages. This crate limits their size and duration, and detects
+//! truncated answers that async-h1 would deliver as complete. Client and server share a socket
+//! wrapper that reads a whole head before async-h1 parses it and never gives async-h1 bytes beyond
+//! the current message.
 //!
 //! * [`serve_connection`] answers the requests of one caller's connection; [`Listener`] accepts a
-//!   bounded number of such connections and stops gracefully.
+//!   bounded number of such connections and shuts down gracefully.
 //! * [`Client`] sends a request to a backend server. A [`SendError`] carries the [`Stage`] that was
-//!   reached, which tells whether the request can have run.
-//! * [`RelayBody`] passes an answer's body on as it arrives and fails where the body ends short. An
-//!   [`Observer`] sees each chunk and exactly one end.
+//!   reached, which says whether the server may have run the request.
+//! * [`RelayBody`] relays an answer's body as it arrives and fails if the body is truncated. An
+//!   [`Observer`] receives each chunk and exactly one end.
 //! * [`EventCounter`] counts server-sent events without parsing them.
 
 mod client;
+mod connection;
 mod framing;
 mod headers;
+mod poll_on_wake;
 mod server;
 mod sse;
 mod stall;
 mod transmit;
-mod watch;
-mod wire;
 
 pub use client::Answer;
 pub use client::AnswerEnd;
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,26 +1,26 @@
-//! The side that callers speak to.
+//! The HTTP server for callers.
 
 mod body;
-mod connection;
-mod exact;
+mod body_length;
 mod hangup;
 mod limits;
 mod listener;
+mod long_head;
 mod receive;
 mod refusal;
-mod shorten;
+mod serve;
 mod stop;
 
 pub use body::BodyError;
 pub use body::read_body;
-pub use connection::ConnectionSummary;
-pub use connection::ServerError;
-pub use connection::serve_connection;
-pub use connection::serve_until;
 pub use hangup::Hangup;
 pub use limits::ListenerLimits;
 pub use limits::RefusalFn;
 pub use limits::ServerLimits;
 pub use listener::Listener;
 pub use listener::ListenerHandle;
+pub use serve::ConnectionSummary;
+pub use serve::ServerError;
+pub use serve::serve_connection;
+pub use serve::serve_until;
 pub use stop::StopSignal;
--- a/crates/http/src/server/body.rs
+++ b/crates/http/src/server/body.rs
@@ -1,4 +1,4 @@
-//! Reading a request's body, bounded in size and time.
+//! Reading a request's body with limits on its size and duration.
 
 use std::io;
 
@@ -21,15 +21,15 @@
         TooLarge {
             display("the body is longer than the limit")
         }
-        /// It didn't arrive in time.
+        /// It didn't arrive within the timeout.
         Timeout {
             display("the body didn't arrive in time")
         }
-        /// The connection ended before the announced length.
+        /// The connection was closed before the announced length.
         Short {
             display("the body ended before its announced length")
         }
-        /// The socket failed, or the chunks are malformed.
+        /// The socket failed, or the chunked encoding is malformed.
         Io(cause: io::Error) {
             display("the body couldn't be read: {cause}")
             source(cause)
@@ -39,7 +39,7 @@
 }
 
 impl BodyError {
-    /// The status that tells the caller.
+    /// The status to answer with.
     pub fn status(&self) -> StatusCode {
         match self {
             BodyError::TooLarge => StatusCode::PayloadTooLarge,
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the body is longer than `limits` allow, doesn't arrive in time, ends early or is
+/// Fails when the body is longer than `limits` allow, doesn't arrive in time, is truncated or is
 /// malformed. Answer with [`BodyError::status`]; the connection is closed after that answer.
 pub async fn read_body(request: &mut Request, limits: &ServerLimits) -> Result<Vec<u8>, BodyError> {
     let body = read_bounded(request, limits.body_bytes);
@@ -68,8 +68,8 @@
     if announced.is_some_and(|length| length as u64 > limit) {
         return Err(BodyError::TooLarge);
     }
-    // Room for what came, not for what was announced: else many callers that announce much and send
-    // nothing would fill the memory.
+    // Memory is allocated for the bytes received, not for the announced length. Otherwise callers
+    // that announce long bodies and send nothing could exhaust the memory.
     let mut body = Vec::new();
     let mut chunk = [0; READ_BYTES];
     loop {
@@ -82,7 +82,7 @@
         }
         body.extend_from_slice(&chunk[..count]);
     }
-    // async-h1 reads an early end of the connection as the end of the body.
+    // async-h1 treats a connection that is closed early as the end of the body.
     if announced.is_some_and(|length| length != body.len()) {
         return Err(BodyError::Short);
     }
--- a/crates/http/src/server/exact.rs
+++ b/crates/http/src/server/body_length.rs
@@ -1,4 +1,4 @@
-//! Bodies that fail where they end short.
+//! Answer bodies that fail if they are shorter than announced.
 
 use std::io;
 use std::pin::Pin;
@@ -11,41 +11,44 @@
 use http_types::Body;
 use http_types::Response;
 
-/// Makes the body of an answer fail when it ends before its announced length.
+/// Makes the body of an answer fail if it ends before its announced length.
 ///
-/// async-h1 writes the fewer bytes and keeps the connection. The next answer's bytes would then
-/// complete this one, and the caller would read two answers as one.
-pub(crate) fn exact(response: &mut Response) {
+/// async-h1 writes a shorter body without an error and keeps the connection open. The caller would
+/// then read the first bytes of the next answer as the rest of this one.
+pub(crate) fn enforce_body_length(response: &mut Response) {
     let Some(length) = response.len().filter(|length| *length > 0) else {
         return;
     };
     let body = response.take_body();
-    let rest = length as u64;
-    response.set_body(Body::from_reader(ExactBody { body, rest }, Some(length)));
+    let remaining = length as u64;
+    response.set_body(Body::from_reader(
+        LengthCheckedBody { body, remaining },
+        Some(length),
+    ));
 }
 
-struct ExactBody {
+struct LengthCheckedBody {
     body: Body,
-    rest: u64,
+    remaining: u64,
 }
 
-impl Read for ExactBody {
+impl Read for LengthCheckedBody {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         let count = ready!(Pin::new(&mut self.body).poll_read(cx, buf))?;
-        self.rest = self.rest.saturating_sub(count as u64);
-        if count == 0 && self.rest > 0 && !buf.is_empty() {
+        self.remaining = self.remaining.saturating_sub(count as u64);
+        if count == 0 && self.remaining > 0 && !buf.is_empty() {
             return Poll::Ready(Err(io::ErrorKind::UnexpectedEof.into()));
         }
         Poll::Ready(Ok(count))
     }
 }
 
-/// Required by [`Body`]; the encoder only reads.
-impl BufRead for ExactBody {
+/// Required by [`Body`], but unused: the encoder calls only `poll_read`.
+impl BufRead for LengthCheckedBody {
     fn poll_fill_buf(mut self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let _ = &mut self;
         Poll::Ready(Err(io::ErrorKind::Unsupported.into()))
--- a/crates/http/src/server/hangup.rs
+++ b/crates/http/src/server/hangup.rs
@@ -1,30 +1,32 @@
-//! Noticing a caller that is gone.
+//! Detecting that a caller disconnected.
 
 use std::fmt;
 use std::sync::Arc;
 
-use crate::wire::Wire;
+use crate::connection::Connection;
 
-/// Tells when the caller of a request closed its connection.
+/// Reports when the caller of a request closes its connection.
 ///
-/// A caller that only closes its sending side counts as gone too: the two can't be told apart until
-/// something is written.
+/// A caller that closes only its sending side also counts as disconnected: the two cases can't be
+/// distinguished until something is written.
 #[derive(Clone)]
 pub struct Hangup {
-    wire: Arc<Wire>,
+    connection: Arc<Connection>,
 }
 
 impl Hangup {
-    pub(crate) fn new(wire: Arc<Wire>) -> Hangup {
-        Hangup { wire }
+    pub(crate) fn new(connection: Arc<Connection>) -> Hangup {
+        Hangup { connection }
     }
 
-    /// Resolves once the caller closed its connection; never before the request's answer otherwise.
+    /// Resolves once the caller has closed its connection, and otherwise not before the request is
+    /// answered.
     ///
-    /// The end shows behind bytes that the caller sent after the request (pipelined requests). Up to
-    /// 16 KiB of them are kept; behind more, a hang-up is noticed only by writing.
+    /// The end of the stream is visible only after the bytes that the caller sent after the request
+    /// (pipelined requests). Up to 16 KiB of them are buffered; behind more than that, a disconnect
+    /// is detected only by a failed write.
     pub async fn wait(&self) {
-        self.wire.closed().await;
+        self.connection.closed().await;
     }
 }
 
--- a/crates/http/src/server/limits.rs
+++ b/crates/http/src/server/limits.rs
@@ -1,38 +1,40 @@
-//! Bounds on what callers can send and hold.
+//! Limits on the resources of callers.
 
 use crocushold_base::Millis;
 use http_types::Response;
 use http_types::StatusCode;
 
-use super::refusal::plain;
+use super::refusal::plain_text;
 
 /// The longest head that async-h1 parses, in bytes.
 pub(crate) const MAX_HEAD_BYTES: usize = 8 * 1024 - 1;
 
-/// Makes the answer to what never becomes a request, from its status and when to come back. No handler
-/// saw anything of it.
+/// Builds the answer to a request or connection that is refused before it reaches a handler, from
+/// the status and the time to wait before a retry.
 pub type RefusalFn = fn(StatusCode, Option<Millis>) -> Response;
 
-/// Bounds on one connection.
+/// Limits on one connection.
 #[derive(Clone, Debug)]
 pub struct ServerLimits {
-    /// The longest head, in bytes. Above 8,191 its short lines may still take no more than that.
+    /// The longest head, in bytes. In a head longer than 8,191 bytes, the lines shorter than 256
+    /// bytes may still take no more than 8,191.
     pub head_bytes: usize,
     /// The longest body of a request, in bytes.
     pub body_bytes: u64,
-    /// From the first byte of a head to its end.
+    /// The longest time from the first byte of a head to its end.
     pub head_timeout: Millis,
-    /// For the whole body of a request, counted from when it is asked for.
+    /// The longest time to read the whole body of a request, from the call of
+    /// [`read_body`](crate::read_body).
     pub body_timeout: Millis,
-    /// Between one answer and the next request.
+    /// The longest time between an answer and the next request.
     pub idle_timeout: Millis,
-    /// How long an idle connection stays open after a graceful stop began. A request that was on its
-    /// way at that moment is still answered.
+    /// How long an idle connection stays open after the start of a graceful shutdown. A request
+    /// that was in transit at that moment is still answered.
     pub stop_grace: Millis,
-    /// How long a caller may take nothing while bytes wait for it.
+    /// The longest time without progress while writing an answer.
     pub write_timeout: Millis,
-    /// What is answered to that which never becomes a request; its framing and `Connection: close` are
-    /// set by the server.
+    /// Builds the answer to what is refused before it reaches a handler. The server sets the
+    /// framing and `Connection: close`.
     pub refuse: RefusalFn,
 }
 
@@ -46,19 +48,19 @@
             idle_timeout: Millis::from_secs(75),
             stop_grace: Millis(250),
             write_timeout: Millis::from_secs(30),
-            refuse: plain,
+            refuse: plain_text,
         }
     }
 }
 
-/// Bounds on a listener.
+/// Limits on a listener.
 #[derive(Clone, Debug)]
 pub struct ListenerLimits {
-    /// Connections at a time; one above it is answered 503 and closed.
+    /// The most concurrent connections; a further one is answered with 503 and closed.
     pub max_connections: usize,
     /// The `Retry-After` of that answer.
     pub retry_after: Millis,
-    /// Bounds on each connection.
+    /// Limits on each connection.
     pub server: ServerLimits,
 }
 
--- a/crates/http/src/server/listener.rs
+++ b/crates/http/src/server/listener.rs
@@ -29,40 +29,41 @@
 use log::debug;
 use log::warn;
 
-use super::connection::serve_until;
 use super::hangup::Hangup;
 use super::limits::ListenerLimits;
-use super::refusal::overload;
+use super::refusal::over_limit;
+use super::serve::serve_until;
 use super::stop::StopSignal;
+use crate::connection::Connection;
 use crate::transmit::Transmit;
-use crate::wire::Wire;
 
-/// How long to wait after a failed accept: without free file descriptors it fails at once, again
-/// and again.
-const ACCEPT_PAUSE: Millis = Millis(50);
+/// The delay after a failed accept. Without free file descriptors every accept fails immediately,
+/// and the loop would spin.
+const ACCEPT_RETRY_DELAY: Millis = Millis(50);
 
-/// Connections above the limit that are being told so at a time; further ones are just closed.
+/// The most connections above the limit that are answered at a time; further ones are closed
+/// without an answer.
 const MAX_REFUSALS: usize = 64;
 
-/// How long a refused connection may take to read its answer and close.
+/// How long a refused caller may take to read its answer and close the connection.
 const REFUSAL_TIMEOUT: Millis = Millis(500);
 
-/// How much a refused connection may send meanwhile.
-const REFUSAL_BYTES: usize = 64 * 1024;
+/// How many bytes a refused caller may send in that time.
+const MAX_REFUSED_BYTES: usize = 64 * 1024;
 
 /// A listening socket.
 #[derive(Debug)]
 pub struct Listener {
     listener: TcpListener,
     shared: Arc<Shared>,
-    /// Closed once every connection's clone of `alive` is gone.
-    ended: Receiver<()>,
+    /// Closed once every clone of `alive`, one for each connection, is dropped.
+    all_closed: Receiver<()>,
     alive: Sender<()>,
 }
 
 #[derive(Debug)]
 struct Shared {
-    /// Those of the connections that are still to come.
+    /// The limits on connections accepted from now on.
     limits: Mutex<Arc<ListenerLimits>>,
     stop: StopSignal,
     connections: AtomicUsize,
@@ -76,23 +77,23 @@
     }
 }
 
-/// Stops a listener and tells its state.
+/// Controls a running listener.
 #[derive(Clone, Debug)]
 pub struct ListenerHandle {
     shared: Arc<Shared>,
 }
 
 impl ListenerHandle {
-    /// Starts a graceful stop: no further connections, idle ones are closed, requests in progress
-    /// are answered and their connections closed after it.
+    /// Starts a graceful shutdown: no further connections are accepted, idle ones are closed, and
+    /// those with a request in progress are closed after its answer.
     pub fn stop(&self) {
         self.shared.stop.stop();
     }
 
-    /// Sets the bounds on connections that are accepted from now on; open ones keep theirs.
+    /// Sets the limits on connections accepted from now on; open ones keep theirs.
     pub fn set_limits(&self, limits: ListenerLimits) {
-        let held = self.shared.limits.lock();
-        *held.unwrap_or_else(PoisonError::into_inner) = Arc::new(limits);
+        let current = self.shared.limits.lock();
+        *current.unwrap_or_else(PoisonError::into_inner) = Arc::new(limits);
     }
 
     /// The number of open connections.
@@ -109,7 +110,7 @@
     /// Fails when the address can't be bound.
     pub async fn bind(address: SocketAddr, limits: ListenerLimits) -> io::Result<Listener> {
         let listener = TcpListener::bind(address).await?;
-        let (alive, ended) = bounded(1);
+        let (alive, all_closed) = bounded(1);
         Ok(Listener {
             listener,
             shared: Arc::new(Shared {
@@ -118,28 +119,28 @@
                 connections: AtomicUsize::new(0),
                 refusals: AtomicUsize::new(0),
             }),
-            ended,
+            all_closed,
             alive,
         })
     }
 
-    /// The address that is listened on.
+    /// The local address of the listening socket.
     ///
     /// # Errors
     ///
-    /// Fails when the socket doesn't tell.
+    /// Fails when the socket doesn't report its address.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// A handle that outlives [`Listener::run`].
+    /// A handle that stays valid after [`Listener::run`] has consumed the listener.
     pub fn handle(&self) -> ListenerHandle {
         ListenerHandle {
             shared: self.shared.clone(),
         }
     }
 
-    /// Accepts connections until it is stopped, then waits for those in progress.
+    /// Accepts connections until the listener is stopped, then waits until all of them are closed.
     pub async fn run<H, F>(self, handler: H)
     where
         H: Fn(Request, Hangup) -> F + Clone + Send + Sync + 'static,
@@ -148,9 +149,9 @@
         self.run_per_connection(move || handler.clone()).await;
     }
 
-    /// Like [`Listener::run`], with a handler of its own for each connection. It is dropped when the
-    /// connection has ended, so what belongs to a connection can be kept in it.
-    pub async fn run_per_connection<M, H, F>(self, make: M)
+    /// Like [`Listener::run`], with a separate handler for each connection. It is dropped when the
+    /// connection ends, so it can hold the state of a connection.
+    pub async fn run_per_connection<M, H, F>(self, make_handler: M)
     where
         M: Fn() -> H,
         H: Fn(Request, Hangup) -> F + Send + Sync + 'static,
@@ -162,45 +163,46 @@
             let stopped = std::pin::pin!(stop.wait());
             match select(stopped, accept).await {
                 Either::Left(_) => break,
-                Either::Right((Ok((stream, _)), _)) => self.admit(stream, &make),
+                Either::Right((Ok((stream, _)), _)) => self.admit(stream, &make_handler),
                 Either::Right((Err(error), _)) => {
                     warn!("{}", Event::new("accept-failed").with("error", &error));
-                    task::sleep(ACCEPT_PAUSE.into()).await;
+                    task::sleep(ACCEPT_RETRY_DELAY.into()).await;
                 }
             }
         }
-        self.accept_backlog(&make);
-        let ended = self.ended.clone();
+        self.accept_backlog(&make_handler);
+        let all_closed = self.all_closed.clone();
         drop(self);
-        // Nothing is ever sent; the channel closes with the last connection.
-        let _ = ended.recv().await;
+        // Nothing is sent on this channel; it is closed with the last connection.
+        let _ = all_closed.recv().await;
     }
 
-    /// Takes in the connections that the kernel has already accepted; closing the socket would reset
-    /// them.
-    fn accept_backlog<M, H, F>(&self, make: &M)
+    /// Accepts the connections that are already in the kernel's backlog; closing the socket would
+    /// reset them.
+    fn accept_backlog<M, H, F>(&self, make_handler: &M)
     where
         M: Fn() -> H,
         H: Fn(Request, Hangup) -> F + Send + Sync + 'static,
         F: Future<Output = Response> + Send + 'static,
     {
         while let Some(Ok((stream, _))) = self.listener.accept().now_or_never() {
-            self.admit(stream, make);
+            self.admit(stream, make_handler);
         }
     }
 
-    fn admit<M, H, F>(&self, stream: TcpStream, make: &M)
+    fn admit<M, H, F>(&self, stream: TcpStream, make_handler: &M)
     where
         M: Fn() -> H,
         H: Fn(Request, Hangup) -> F + Send + Sync + 'static,
         F: Future<Output = Response> + Send + 'static,
     {
         let limits = self.shared.limits();
-        let Some(slot) = Slot::take(&self.shared, limits.max_connections, &self.alive) else {
+        let Some(slot) = ConnectionSlot::take(&self.shared, limits.max_connections, &self.alive)
+        else {
             self.refuse(stream);
             return;
         };
-        let handler = make();
+        let handler = make_handler();
         task::spawn(async move {
             let served = serve_until(stream, &limits.server, &slot.shared.stop, handler).await;
             if let Err(error) = served {
@@ -216,47 +218,47 @@
             shared.refusals.fetch_sub(1, Ordering::Relaxed);
             return;
         }
-        let response = overload(&shared.limits());
+        let response = over_limit(&shared.limits());
         task::spawn(async move {
-            let _ = timeout(REFUSAL_TIMEOUT.into(), tell(stream, response)).await;
+            let _ = timeout(REFUSAL_TIMEOUT.into(), send_refusal(stream, response)).await;
             shared.refusals.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
-/// Writes an answer without reading the request, then waits for the caller to close.
-async fn tell(stream: TcpStream, response: Response) {
-    let wire = Wire::new(stream);
+/// Writes an answer without reading the request, then waits for the caller to close the connection.
+async fn send_refusal(stream: TcpStream, response: Response) {
+    let connection = Connection::new(stream);
     let encoder = Encoder::new(response, Method::Get);
-    if Transmit::new(encoder, wire.clone(), REFUSAL_TIMEOUT)
+    if Transmit::new(encoder, connection.clone(), REFUSAL_TIMEOUT)
         .await
         .is_ok()
     {
-        let _ = wire.stream().shutdown(Shutdown::Write);
-        let _ = wire.discard(REFUSAL_BYTES).await;
+        let _ = connection.stream().shutdown(Shutdown::Write);
+        let _ = connection.discard(MAX_REFUSED_BYTES).await;
     }
 }
 
-/// One of the connections that a listener allows, given back when dropped.
-struct Slot {
+/// A place among the connections that a listener allows, released when dropped.
+struct ConnectionSlot {
     shared: Arc<Shared>,
     _alive: Sender<()>,
 }
 
-impl Slot {
-    fn take(shared: &Arc<Shared>, limit: usize, alive: &Sender<()>) -> Option<Slot> {
+impl ConnectionSlot {
+    fn take(shared: &Arc<Shared>, limit: usize, alive: &Sender<()>) -> Option<ConnectionSlot> {
         if shared.connections.fetch_add(1, Ordering::Relaxed) >= limit {
             shared.connections.fetch_sub(1, Ordering::Relaxed);
             return None;
         }
-        Some(Slot {
+        Some(ConnectionSlot {
             shared: shared.clone(),
             _alive: alive.clone(),
         })
     }
 }
 
-impl Drop for Slot {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.shared.connections.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/http/src/server/receive.rs
+++ b/crates/http/src/server/receive.rs
@@ -1,4 +1,4 @@
-//! Taking the next request off a connection.
+//! Reading the next request of a connection.
 
 use std::sync::Arc;
 
@@ -11,23 +11,24 @@
 
 use super::limits::MAX_HEAD_BYTES;
 use super::limits::ServerLimits;
-use super::shorten::restore;
-use super::shorten::shorten;
+use super::long_head::remove_long_lines;
+use super::long_head::restore_lines;
 use super::stop::StopSignal;
-use crate::framing::Ambiguous;
+use crate::connection::Connection;
+use crate::connection::HeadError;
+use crate::connection::MessageStream;
+use crate::framing::AmbiguousFraming;
 use crate::framing::Framing;
 use crate::framing::framing;
-use crate::wire::Gate;
-use crate::wire::HeadError;
-use crate::wire::Wire;
 
-/// What comes next on a connection.
+/// The outcome of waiting for the next request.
 pub(crate) enum Next {
-    /// A request; its body is still to be read.
+    /// A request whose body hasn't been read yet.
     Request(Box<Incoming>),
-    /// No further request: closed, idle for too long, or stopped.
+    /// No further request: the connection was closed, idle for too long, or the listener is
+    /// stopped.
     End,
-    /// Something that can't be taken, to be answered with this status.
+    /// A request that can't be served, to be answered with this status.
     Refused(StatusCode),
 }
 
@@ -39,15 +40,15 @@
 
 /// Waits for the next request.
 pub(crate) async fn next_request(
-    wire: &Arc<Wire>,
+    connection: &Arc<Connection>,
     limits: &ServerLimits,
     stop: &StopSignal,
 ) -> Next {
-    if !wait_for_byte(wire, limits, stop).await {
+    if !wait_for_byte(connection, limits, stop).await {
         return Next::End;
     }
     let limit = limits.head_bytes;
-    let mut length = match timeout(limits.head_timeout.into(), wire.read_head(limit)).await {
+    let mut length = match timeout(limits.head_timeout.into(), connection.read_head(limit)).await {
         Ok(Ok(length)) => length,
         Ok(Err(HeadError::TooLarge)) => {
             return Next::Refused(StatusCode::RequestHeaderFieldsTooLarge);
@@ -56,44 +57,45 @@
         Ok(Err(HeadError::Closed | HeadError::Io(_))) => return Next::End,
         Err(_) => return Next::Refused(StatusCode::RequestTimeout),
     };
-    if let Err(status) = wire.with_head(length, |head| check_head(head)) {
+    if let Err(status) = connection.with_head(length, |head| check_head(head)) {
         return Next::Refused(status);
     }
-    let mut taken = Vec::new();
+    let mut removed = Vec::new();
     if length > MAX_HEAD_BYTES {
-        match wire.with_head(length, |head| shorten(head, MAX_HEAD_BYTES)) {
+        match connection.with_head(length, |head| remove_long_lines(head, MAX_HEAD_BYTES)) {
             Some((head, lines)) => {
-                wire.replace_head(length, &head);
+                connection.replace_head(length, &head);
                 length = head.len();
-                taken = lines;
+                removed = lines;
             }
             None => return Next::Refused(StatusCode::RequestHeaderFieldsTooLarge),
         }
     }
-    match parse(wire, length).await {
+    match parse(connection, length).await {
         Ok(mut incoming) => {
-            restore(&mut incoming.request, taken);
-            bound(wire, limits, incoming)
+            restore_lines(&mut incoming.request, removed);
+            apply_limits(connection, limits, incoming)
         }
         Err(status) => Next::Refused(status),
     }
 }
 
-async fn wait_for_byte(wire: &Wire, limits: &ServerLimits, stop: &StopSignal) -> bool {
-    let byte = std::pin::pin!(timeout(limits.idle_timeout.into(), wire.first_byte()));
+async fn wait_for_byte(connection: &Connection, limits: &ServerLimits, stop: &StopSignal) -> bool {
+    let byte = std::pin::pin!(timeout(limits.idle_timeout.into(), connection.first_byte()));
     let stopped = std::pin::pin!(stop.wait());
     match select(byte, stopped).await {
         Either::Left((arrived, _)) => matches!(arrived, Ok(Ok(true))),
         Either::Right((_, byte)) => {
-            let last = timeout(limits.stop_grace.into(), byte).await;
-            matches!(last, Ok(Ok(Ok(true))))
+            let arrived = timeout(limits.stop_grace.into(), byte).await;
+            matches!(arrived, Ok(Ok(Ok(true))))
         }
     }
 }
 
-/// Refuses heads that async-h1 would panic on or leave unanswered.
+/// Refuses heads on which async-h1 would panic or close the connection without an answer.
 fn check_head(head: &[u8]) -> Result<(), StatusCode> {
-    // http-types panics on a value that isn't ASCII, and the caller would see a bare close.
+    // http-types panics on a header value that isn't ASCII, and the connection would be closed
+    // without an answer.
     if !head.is_ascii() {
         return Err(StatusCode::BadRequest);
     }
@@ -108,36 +110,41 @@
     Err(StatusCode::BadRequest)
 }
 
-async fn parse(wire: &Arc<Wire>, length: usize) -> Result<Incoming, StatusCode> {
-    wire.allow(length as u64);
-    // The whole head is at hand, so this doesn't wait. It is boxed because its state holds room for
-    // 128 headers, which every connection would hold as well, for as long as it lives.
-    let decoded = Box::pin(async_h1::server::decode(Gate(wire.clone()))).await;
+async fn parse(connection: &Arc<Connection>, length: usize) -> Result<Incoming, StatusCode> {
+    connection.set_remaining(length as u64);
+    // The whole head has been read, so decoding doesn't wait. The future is boxed because its state
+    // has room for 128 headers, which would otherwise enlarge the state of every connection for its
+    // whole lifetime.
+    let decoded = Box::pin(async_h1::server::decode(MessageStream(connection.clone()))).await;
     let (request, _) = match decoded {
         Ok(Some(decoded)) => decoded,
         Ok(None) | Err(_) => return Err(StatusCode::BadRequest),
     };
     let framing = match framing(request.as_ref()) {
         Ok(framing) => framing.unwrap_or(Framing::Length(0)),
-        Err(Ambiguous) => return Err(StatusCode::BadRequest),
+        Err(AmbiguousFraming) => return Err(StatusCode::BadRequest),
     };
     Ok(Incoming { request, framing })
 }
 
-fn bound(wire: &Arc<Wire>, limits: &ServerLimits, mut incoming: Incoming) -> Next {
+fn apply_limits(
+    connection: &Arc<Connection>,
+    limits: &ServerLimits,
+    mut incoming: Incoming,
+) -> Next {
     if let Framing::Length(length) = incoming.framing
         && length > limits.body_bytes
     {
         return Next::Refused(StatusCode::PayloadTooLarge);
     }
-    wire.allow(incoming.framing.allowance());
+    connection.set_remaining(incoming.framing.max_body_bytes());
     if let Some(expected) = incoming.request.header(EXPECT) {
         if !expected.as_str().eq_ignore_ascii_case("100-continue") {
             return Next::Refused(StatusCode::ExpectationFailed);
         }
-        wire.expect_continue();
+        connection.expect_continue();
     }
-    if let Ok(peer) = wire.stream().peer_addr() {
+    if let Ok(peer) = connection.stream().peer_addr() {
         incoming.request.set_peer_addr(Some(peer));
     }
     Next::Request(Box::new(incoming))
--- a/crates/http/src/server/refusal.rs
+++ b/crates/http/src/server/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers to what never becomes a request.
+//! Answers to requests and connections that are refused before they reach a handler.
 
 use crocushold_base::Millis;
 use http_types::Response;
@@ -9,8 +9,8 @@
 use super::limits::ListenerLimits;
 use super::limits::ServerLimits;
 
-/// A refusal in plain text, for those who make none of their own.
-pub(crate) fn plain(status: StatusCode, retry_after: Option<Millis>) -> Response {
+/// The default [`RefusalFn`](super::limits::RefusalFn): a refusal in plain text.
+pub(crate) fn plain_text(status: StatusCode, retry_after: Option<Millis>) -> Response {
     let mut response = Response::new(status);
     response.set_body(format!("{}\n", status.canonical_reason()));
     if let Some(span) = retry_after {
@@ -19,18 +19,18 @@
     response
 }
 
-/// The answer to a connection whose next request can't be taken; the connection is closed after it.
+/// The answer to a request that can't be served; the connection is closed after it.
 pub(crate) fn refusal(limits: &ServerLimits, status: StatusCode) -> Response {
-    closing((limits.refuse)(status, None))
+    with_close((limits.refuse)(status, None))
 }
 
-/// The answer to a connection above the listener's limit.
-pub(crate) fn overload(limits: &ListenerLimits) -> Response {
+/// The answer on a connection above the listener's limit.
+pub(crate) fn over_limit(limits: &ListenerLimits) -> Response {
     let status = StatusCode::ServiceUnavailable;
-    closing((limits.server.refuse)(status, Some(limits.retry_after)))
+    with_close((limits.server.refuse)(status, Some(limits.retry_after)))
 }
 
-fn closing(mut response: Response) -> Response {
+fn with_close(mut response: Response) -> Response {
     response.insert_header(CONNECTION, "close");
     response
 }
--- a/crates/http/src/server/stop.rs
+++ b/crates/http/src/server/stop.rs
@@ -1,10 +1,10 @@
-//! The signal of a graceful stop.
+//! The signal that starts a graceful shutdown.
 
 use async_std::channel::Receiver;
 use async_std::channel::Sender;
 use async_std::channel::bounded;
 
-/// A signal that is given once and seen by every clone.
+/// A one-time signal that is shared by all clones.
 #[derive(Clone, Debug)]
 pub struct StopSignal {
     sender: Sender<()>,
@@ -12,25 +12,25 @@
 }
 
 impl StopSignal {
-    /// Makes a signal that isn't given yet.
+    /// Creates a signal that isn't set.
     pub fn new() -> StopSignal {
         let (sender, receiver) = bounded(1);
         StopSignal { sender, receiver }
     }
 
-    /// Gives the signal.
+    /// Sets the signal.
     pub fn stop(&self) {
         self.sender.close();
     }
 
-    /// Whether the signal was given.
+    /// Whether the signal is set.
     pub fn is_stopped(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Waits for the signal.
+    /// Waits until the signal is set.
     pub async fn wait(&self) {
-        // Nothing is ever sent, so this ends with the error of the closed channel.
+        // Nothing is sent on this channel, so this returns with an error once it is closed.
         let _ = self.receiver.recv().await;
     }
 }
--- a/crates/http/src/sse.rs
+++ b/crates/http/src/sse.rs
@@ -1,50 +1,50 @@
 //! Counting server-sent events in a stream of bytes.
 
-/// The most bytes of one event that are kept.
-const KEEP_BYTES: usize = 16 * 1024;
+/// The most bytes of an event that are kept.
+const MAX_KEPT_BYTES: usize = 16 * 1024;
 
-const FIELD: &[u8] = b"data:";
-const DONE: &[u8] = b"[DONE]";
+const DATA_FIELD: &[u8] = b"data:";
+const DONE_MARKER: &[u8] = b"[DONE]";
 
-/// Counts `data:` events across arbitrary chunk borders.
+/// Counts `data:` events across arbitrary chunk boundaries.
 ///
-/// The end marker `[DONE]` isn't counted. The last event before it is kept, since it carries the
-/// usage that a model engine reports; an event longer than 16 KiB isn't kept.
+/// The end marker `[DONE]` isn't counted. The last event before it is kept, because it carries the
+/// token usage that a model engine reports. An event longer than 16 KiB is counted but not kept.
 #[derive(Debug, Default)]
 pub struct EventCounter {
     events: u64,
     done: bool,
-    /// Bytes of the line at hand that came with earlier chunks.
+    /// Bytes of the current line from earlier chunks.
     partial: Vec<u8>,
-    /// The line at hand is longer than what is kept.
+    /// Whether the current line is longer than [`MAX_KEPT_BYTES`].
     oversized: bool,
     last: Vec<u8>,
 }
 
 impl EventCounter {
-    /// Starts a count.
+    /// Creates a counter at zero.
     pub fn new() -> EventCounter {
         EventCounter::default()
     }
 
-    /// Takes the next bytes of the stream and returns how many events ended in them.
+    /// Processes the next bytes of the stream and returns the number of events that ended in them.
     pub fn push(&mut self, mut bytes: &[u8]) -> u64 {
         let before = self.events;
         while let Some(end) = find_line_feed(bytes) {
             let line = &bytes[..end];
             if self.partial.is_empty() && !self.oversized {
-                self.line(line);
+                self.process_line(line);
             } else {
-                self.keep(line);
-                self.end_partial();
+                self.append_partial(line);
+                self.finish_partial();
             }
             bytes = &bytes[end + 1..];
         }
-        self.keep(bytes);
+        self.append_partial(bytes);
         self.events - before
     }
 
-    /// Events so far, without the end marker.
+    /// The number of events so far, without the end marker.
     pub fn events(&self) -> u64 {
         self.events
     }
@@ -54,41 +54,41 @@
         self.done
     }
 
-    /// The data of the last event that isn't the end marker; empty when there is none.
+    /// The data of the last event before the end marker; empty if there is none or it was too long.
     pub fn last_event(&self) -> &[u8] {
         &self.last
     }
 
-    fn keep(&mut self, bytes: &[u8]) {
-        if self.partial.len() + bytes.len() > KEEP_BYTES {
+    fn append_partial(&mut self, bytes: &[u8]) {
+        if self.partial.len() + bytes.len() > MAX_KEPT_BYTES {
             self.oversized = true;
         }
-        let room = KEEP_BYTES - self.partial.len();
+        let space = MAX_KEPT_BYTES - self.partial.len();
         self.partial
-            .extend_from_slice(&bytes[..bytes.len().min(room)]);
+            .extend_from_slice(&bytes[..bytes.len().min(space)]);
     }
 
-    fn end_partial(&mut self) {
+    fn finish_partial(&mut self) {
         let mut partial = std::mem::take(&mut self.partial);
         if self.oversized {
             self.oversized = false;
-            if partial.starts_with(FIELD) {
+            if partial.starts_with(DATA_FIELD) {
                 self.events += 1;
                 self.last.clear();
             }
         } else {
-            self.line(&partial);
+            self.process_line(&partial);
         }
         partial.clear();
         self.partial = partial;
     }
 
-    fn line(&mut self, line: &[u8]) {
-        let Some(data) = line.strip_prefix(FIELD) else {
+    fn process_line(&mut self, line: &[u8]) {
+        let Some(data) = line.strip_prefix(DATA_FIELD) else {
             return;
         };
         let data = data.trim_ascii();
-        if data == DONE {
+        if data == DONE_MARKER {
             self.done = true;
             return;
         }
--- a/crates/http/src/stall.rs
+++ b/crates/http/src/stall.rs
@@ -1,4 +1,4 @@
-//! A timer for streams that must not stand still.
+//! A timer that detects stalled streams.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,53 +10,52 @@
 
 pub(crate) type Sleep = Pin<Box<dyn Future<Output = ()> + Send + Sync>>;
 
-/// Expires when a wait lasts longer than a span.
+/// Expires when a wait lasts longer than `timeout`.
 ///
-/// The time counts from the start of the wait, so that a stream that wasn't polled (since its bytes
-/// had nowhere to go) isn't taken for one that stands still. The timer underneath is armed again
-/// when it fires, not at each wait, so a stream of many small chunks costs no timer operation a
-/// chunk.
+/// The time counts from the start of the wait, so a stream that isn't polled because of
+/// backpressure doesn't count as stalled. The underlying timer is rearmed when it fires, not at
+/// each wait, so a stream of many small chunks needs no timer operation for each chunk.
 pub(crate) struct StallTimer {
     clock: Clock,
-    span: Millis,
-    since: Option<Millis>,
+    timeout: Millis,
+    waiting_since: Option<Millis>,
     sleep: Option<Sleep>,
 }
 
 impl StallTimer {
-    pub(crate) fn new(span: Millis) -> StallTimer {
+    pub(crate) fn new(timeout: Millis) -> StallTimer {
         StallTimer {
             clock: Clock::start(),
-            span,
-            since: None,
+            timeout,
+            waiting_since: None,
             sleep: None,
         }
     }
 
-    /// Notes progress: the wait is over.
-    pub(crate) fn touch(&mut self) {
-        self.since = None;
+    /// Ends the current wait because of progress.
+    pub(crate) fn reset(&mut self) {
+        self.waiting_since = None;
     }
 
-    /// Tells whether the wait is too long; otherwise the task is woken when it might be.
+    /// Whether the wait has exceeded its timeout. If not, the task is woken when it may have.
     pub(crate) fn poll_expired(&mut self, cx: &mut Context<'_>) -> bool {
-        let since = match self.since {
+        let since = match self.waiting_since {
             Some(since) => since,
-            None => *self.since.insert(self.clock.now()),
+            None => *self.waiting_since.insert(self.clock.now()),
         };
         loop {
             let sleep = match &mut self.sleep {
                 Some(sleep) => sleep,
                 None => {
-                    let rest = self.span.since(self.clock.now().since(since));
-                    self.sleep.insert(Box::pin(task::sleep(rest.into())))
+                    let remaining = self.timeout.since(self.clock.now().since(since));
+                    self.sleep.insert(Box::pin(task::sleep(remaining.into())))
                 }
             };
             if sleep.as_mut().poll(cx).is_pending() {
                 return false;
             }
             self.sleep = None;
-            if self.clock.now().since(since) >= self.span {
+            if self.clock.now().since(since) >= self.timeout {
                 return true;
             }
         }
--- a/crates/http/src/transmit.rs
+++ b/crates/http/src/transmit.rs
@@ -12,18 +12,19 @@
 use crocushold_base::Millis;
 use quick_error::quick_error;
 
+use crate::connection::Connection;
 use crate::stall::StallTimer;
-use crate::wire::Wire;
 
-/// Bytes that are gathered before a write.
+/// Size of the write buffer, in bytes.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Room that a read must find in the buffer; async-h1's chunk encoder panics on tiny buffers.
-const READ_BYTES: usize = 2 * 1024;
+/// The least free space in the buffer for a read, because async-h1's chunk encoder panics on tiny
+/// buffers.
+const MIN_READ_BYTES: usize = 2 * 1024;
 
 quick_error! {
-    /// Why a message wasn't written whole.
-    // The macro knows no restricted visibility; the module is private.
+    /// Why a message wasn't written completely.
+    // `quick_error!` doesn't support restricted visibility; the module is private.
     #[allow(unreachable_pub)]
     #[derive(Debug)]
     pub enum TransmitError {
@@ -31,46 +32,47 @@
         Source(cause: io::Error) {}
         /// The socket failed.
         Sink(cause: io::Error) {}
-        /// The peer took nothing for too long.
+        /// The peer read nothing within the timeout.
         Stalled {}
     }
 }
 
-/// Copies an encoded message to a wire.
+/// Copies an encoded message to a connection.
 ///
-/// What the source has at hand goes out in one write, and each read that would wait is preceded by
-/// a write of what was gathered, so no token is held back.
+/// The bytes that the source has available are combined into one write. Before the source is waited
+/// for, the buffered bytes are written, so no token is delayed.
 pub(crate) struct Transmit<R> {
     source: R,
-    wire: Arc<Wire>,
+    connection: Arc<Connection>,
     buffer: Box<[u8]>,
     start: usize,
     end: usize,
     finished: bool,
     failure: Option<io::Error>,
-    stall: StallTimer,
+    stall_timer: StallTimer,
 }
 
 impl<R: Read + Unpin> Transmit<R> {
-    pub(crate) fn new(source: R, wire: Arc<Wire>, timeout: Millis) -> Transmit<R> {
+    pub(crate) fn new(source: R, connection: Arc<Connection>, timeout: Millis) -> Transmit<R> {
         Transmit {
             source,
-            wire,
+            connection,
             buffer: vec![0; BUFFER_BYTES].into_boxed_slice(),
             start: 0,
             end: 0,
             finished: false,
             failure: None,
-            stall: StallTimer::new(timeout),
+            stall_timer: StallTimer::new(timeout),
         }
     }
 
-    /// Gathers bytes until the source would wait, ends, or the buffer is full; `true` when the
-    /// source would wait.
+    /// Buffers bytes until the source is pending or at its end, or the buffer is full. Returns
+    /// `true` if the source is pending.
     ///
-    /// A failure ends it too; it is reported after what came before it was written.
+    /// A failure of the source counts as its end and is reported after the bytes before it are
+    /// written.
     fn poll_gather(&mut self, cx: &mut Context<'_>) -> bool {
-        while !self.finished && self.buffer.len() - self.end >= READ_BYTES {
+        while !self.finished && self.buffer.len() - self.end >= MIN_READ_BYTES {
             match Pin::new(&mut self.source).poll_read(cx, &mut self.buffer[self.end..]) {
                 Poll::Pending => return true,
                 Poll::Ready(Ok(0)) => self.finished = true,
@@ -86,13 +88,16 @@
 
     fn poll_drain(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), TransmitError>> {
         while self.start < self.end {
-            match self.wire.poll_write(cx, &self.buffer[self.start..self.end]) {
+            match self
+                .connection
+                .poll_write(cx, &self.buffer[self.start..self.end])
+            {
                 Poll::Ready(Ok(count)) => {
                     self.start += count;
-                    self.stall.touch();
+                    self.stall_timer.reset();
                 }
                 Poll::Ready(Err(error)) => return Poll::Ready(Err(TransmitError::Sink(error))),
-                Poll::Pending if self.stall.poll_expired(cx) => {
+                Poll::Pending if self.stall_timer.poll_expired(cx) => {
                     return Poll::Ready(Err(TransmitError::Stalled));
                 }
                 Poll::Pending => return Poll::Pending,
@@ -110,12 +115,12 @@
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
         let this = &mut *self;
         loop {
-            // What a write left over goes first, so a caller that doesn't read holds its server back
-            // instead of filling the memory.
+            // Buffered bytes are written first, so a caller that doesn't read slows its server down
+            // (backpressure) instead of growing the memory.
             ready!(this.poll_drain(cx))?;
-            let waits = this.poll_gather(cx);
+            let source_pending = this.poll_gather(cx);
             ready!(this.poll_drain(cx))?;
-            if waits {
+            if source_pending {
                 return Poll::Pending;
             }
             if this.finished {
