--- a/crates/http/examples/relay_cost/main.rs
+++ b/crates/http/examples/relay_cost/main.rs
@@ -1,12 +1,13 @@
-//! What relaying costs: processor time per token event and per request, and the delay it adds.
+//! Measures the cost of relaying: processor time per token event and per request, and added
+//! latency.
 //!
 //! `cargo run --release -p crocushold-http --example relay_cost [STREAMS] [SECONDS]`
 //!
-//! This process is the relay and counts its own processor time, on two threads unless
-//! `ASYNC_STD_THREAD_COUNT` says otherwise. It starts itself once more as the peers: an engine that
-//! writes an event of about 200 bytes on each stream 50 times a second, and the callers that read
-//! them. Each event carries the time of its write, so the callers see its delay. The peers run once
-//! without the relay and once through it.
+//! This process is the relay. It measures its own processor time and runs on two threads unless
+//! `ASYNC_STD_THREAD_COUNT` is set. It starts a second process of itself for the peers: an engine
+//! that writes an event of about 200 bytes on each stream 50 times a second, and the callers that
+//! read them. Each event carries its send time, from which the callers compute its latency. The
+//! peers run once without the relay and once through it.
 
 #![allow(clippy::unwrap_used)]
 
@@ -38,9 +39,9 @@
 use http_types::Request;
 use http_types::Response;
 
-struct Count(EventCounter);
+struct CountingObserver(EventCounter);
 
-impl Observer for Count {
+impl Observer for CountingObserver {
     fn chunk(&mut self, bytes: &[u8]) {
         self.0.push(bytes);
     }
@@ -65,20 +66,20 @@
         .unwrap();
     let mut response = Response::new(answer.status);
     relay_headers(&answer.headers, response.as_mut());
-    response.set_body(answer.body.into_body(Count(EventCounter::new())));
+    response.set_body(answer.body.into_body(CountingObserver(EventCounter::new())));
     response
 }
 
-/// What the threads did so far, in nanoseconds.
-struct Times {
-    /// They ran.
+/// Total times of all threads of this process, in nanoseconds.
+struct ThreadTimes {
+    /// Time spent running.
     ran: u64,
-    /// They were ready to run and waited for a processor, which other processes held.
+    /// Time spent runnable but waiting for a processor that other processes used.
     waited: u64,
 }
 
-fn times() -> Times {
-    let mut times = Times { ran: 0, waited: 0 };
+fn thread_times() -> ThreadTimes {
+    let mut times = ThreadTimes { ran: 0, waited: 0 };
     for task in fs::read_dir("/proc/self/task").unwrap() {
         let text = fs::read_to_string(task.unwrap().path().join("schedstat")).unwrap_or_default();
         let mut fields = text.split(' ').map(|field| field.parse().unwrap_or(0));
@@ -123,12 +124,13 @@
             listener.run(move |request: Request, _: Hangup| relay(client.clone(), server, request)),
         );
         let report = move || {
-            let mut start = times();
+            let mut start = thread_times();
             for line in lines.map_while(Result::ok) {
-                // "mark" ends a phase; its work is `count` things of the named kind.
+                // A "mark" line ends a phase and gives the kind and number of the units processed
+                // in it.
                 let words: Vec<&str> = line.split(' ').collect();
                 if let ["mark", kind, count, millis] = words[..] {
-                    let now = times();
+                    let now = thread_times();
                     let spent = (now.ran - start.ran) as f64 / 1e3;
                     let waited = (now.waited - start.waited) as f64 / 1e3;
                     let (count, millis): (f64, f64) =
@@ -142,7 +144,7 @@
                             share(waited),
                         );
                     }
-                    start = times();
+                    start = thread_times();
                 } else {
                     println!("{line}");
                 }
--- a/crates/http/examples/relay_cost/peers.rs
+++ b/crates/http/examples/relay_cost/peers.rs
@@ -1,4 +1,4 @@
-//! The engine and the callers.
+//! The engine and the callers of the measurement.
 
 use std::io::Read;
 use std::io::Write;
@@ -18,18 +18,18 @@
 use async_std::task;
 
 const TICK: Duration = Duration::from_millis(20);
-/// How long the streams run before their events count.
-const SETTLE: Duration = Duration::from_millis(500);
+/// How long the streams run before their events are measured.
+const WARMUP: Duration = Duration::from_millis(500);
 
-const OPENING: u8 = 0;
-const COUNTING: u8 = 1;
+const WARMING_UP: u8 = 0;
+const MEASURING: u8 = 1;
 const CLOSING: u8 = 2;
 
-const PACERS: usize = 3;
+const WRITER_THREADS: usize = 3;
 const PADDING: &str = "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx\
     xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx";
-const STAMP: &[u8] = b"\"t\":\"";
-const DIGITS: usize = 12;
+const TIME_FIELD: &[u8] = b"\"t\":\"";
+const TIME_DIGITS: usize = 12;
 
 type Streams = Arc<Mutex<Vec<TcpStream>>>;
 
@@ -40,15 +40,15 @@
     let start = Instant::now();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let engine = listener.local_addr().unwrap();
-    let shelves: Vec<Streams> = (0..PACERS).map(|_| Streams::default()).collect();
-    for shelf in &shelves {
-        let shelf = shelf.clone();
-        thread::spawn(move || pace(&shelf, start));
+    let groups: Vec<Streams> = (0..WRITER_THREADS).map(|_| Streams::default()).collect();
+    for group in &groups {
+        let group = group.clone();
+        thread::spawn(move || write_events(&group, start));
     }
-    thread::spawn(move || accept(&listener, &shelves));
+    thread::spawn(move || accept(&listener, &groups));
     println!("{engine}");
     for (name, addr) in [("direct", engine), ("relayed", relay)] {
-        let mut delays = task::block_on(listen(addr, streams, span, start));
+        let mut delays = task::block_on(read_streams(addr, streams, span, start));
         delays.sort_unstable();
         let at = |share: f64| delays[(delays.len() as f64 * share) as usize];
         println!(
@@ -60,7 +60,7 @@
         );
         println!("mark event {} {}", delays.len(), span.as_millis());
         let begun = Instant::now();
-        let requests = task::block_on(ask(addr, 16, span / 2));
+        let requests = task::block_on(send_requests(addr, 16, span / 2));
         let millis = begun.elapsed().as_millis();
         println!(
             "{name}: {:.0} requests a second",
@@ -70,20 +70,20 @@
     }
 }
 
-/// Accepts connections; each either becomes a stream or answers short requests.
-fn accept(listener: &TcpListener, shelves: &[Streams]) {
+/// Accepts connections. Each one serves either an event stream or short requests.
+fn accept(listener: &TcpListener, groups: &[Streams]) {
     for (number, stream) in listener.incoming().enumerate() {
         let mut stream = stream.unwrap();
         stream.set_nodelay(true).unwrap();
-        let shelf = shelves[number % shelves.len()].clone();
+        let group = groups[number % groups.len()].clone();
         thread::Builder::new()
             .stack_size(64 * 1024)
-            .spawn(move || serve(&mut stream, &shelf))
+            .spawn(move || serve(&mut stream, &group))
             .unwrap();
     }
 }
 
-fn serve(stream: &mut TcpStream, shelf: &Streams) {
+fn serve(stream: &mut TcpStream, group: &Streams) {
     let mut head = [0; 2048];
     loop {
         let count = stream.read(&mut head).unwrap_or(0);
@@ -94,7 +94,7 @@
             let answer = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\
                           transfer-encoding: chunked\r\n\r\n";
             stream.write_all(answer.as_bytes()).unwrap();
-            shelf.lock().unwrap().push(stream.try_clone().unwrap());
+            group.lock().unwrap().push(stream.try_clone().unwrap());
             return;
         }
         let answer =
@@ -105,13 +105,13 @@
     }
 }
 
-/// Writes an event on each stream a tick, spread over the tick.
-fn pace(shelf: &Streams, start: Instant) {
+/// Writes one event per tick to each stream, with the writes spread evenly over the tick.
+fn write_events(group: &Streams, start: Instant) {
     let mut next = Instant::now();
     let mut streams = Vec::new();
     loop {
         next += TICK;
-        streams.append(&mut shelf.lock().unwrap());
+        streams.append(&mut group.lock().unwrap());
         let count = streams.len();
         let mut index = 0;
         streams.retain(|mut stream| {
@@ -123,7 +123,7 @@
                 thread::sleep(rest);
             }
             let stamp = start.elapsed().as_micros();
-            let data = format!("data: {{\"t\":\"{stamp:0DIGITS$}\",\"x\":\"{PADDING}\"}}\n\n");
+            let data = format!("data: {{\"t\":\"{stamp:0TIME_DIGITS$}\",\"x\":\"{PADDING}\"}}\n\n");
             let chunk = format!("{:x}\r\n{data}\r\n", data.len());
             stream.write_all(chunk.as_bytes()).is_ok()
         });
@@ -133,20 +133,20 @@
     }
 }
 
-/// Reads `count` streams and returns the delay in microseconds of each event within `span`.
-async fn listen(addr: SocketAddr, count: usize, span: Duration, start: Instant) -> Vec<u32> {
-    let phase = Arc::new(AtomicU8::new(OPENING));
+/// Reads `count` streams for `span` and returns the latency of each event in microseconds.
+async fn read_streams(addr: SocketAddr, count: usize, span: Duration, start: Instant) -> Vec<u32> {
+    let phase = Arc::new(AtomicU8::new(WARMING_UP));
     let mut tasks = Vec::new();
     for _ in 0..count {
         let mut stream = async_std::net::TcpStream::connect(addr).await.unwrap();
         let request = "GET /stream HTTP/1.1\r\nhost: engine\r\n\r\n";
         stream.write_all(request.as_bytes()).await.unwrap();
         let phase = phase.clone();
-        tasks.push(task::spawn(read(stream, start, phase)));
+        tasks.push(task::spawn(read_events(stream, start, phase)));
     }
-    task::sleep(SETTLE).await;
+    task::sleep(WARMUP).await;
     println!("mark stream {count} 1000");
-    phase.store(COUNTING, Ordering::Relaxed);
+    phase.store(MEASURING, Ordering::Relaxed);
     task::sleep(span).await;
     phase.store(CLOSING, Ordering::Relaxed);
     let mut delays = Vec::new();
@@ -156,7 +156,7 @@
     delays
 }
 
-async fn read(
+async fn read_events(
     mut stream: async_std::net::TcpStream,
     start: Instant,
     phase: Arc<AtomicU8>,
@@ -170,24 +170,25 @@
         if count == 0 || phase == CLOSING {
             return delays;
         }
-        if phase == OPENING {
+        if phase == WARMING_UP {
             continue;
         }
         let text = &buffer[..count];
-        for place in 0..count {
-            if !text[place..].starts_with(STAMP) {
+        for offset in 0..count {
+            if !text[offset..].starts_with(TIME_FIELD) {
                 continue;
             }
-            let from = place + STAMP.len();
-            let digits = text.get(from..from + DIGITS);
+            let from = offset + TIME_FIELD.len();
+            let digits = text.get(from..from + TIME_DIGITS);
             let stamp = digits.and_then(|d| std::str::from_utf8(d).ok()?.parse::<u64>().ok());
             delays.extend(stamp.map(|stamp| now.saturating_sub(stamp) as u32));
         }
     }
 }
 
-/// Sends short requests on `count` kept connections, each after the answer to the one before.
-async fn ask(addr: SocketAddr, count: usize, span: Duration) -> usize {
+/// Sends short requests on `count` persistent connections, each after the previous answer, and
+/// returns the number of answers.
+async fn send_requests(addr: SocketAddr, count: usize, span: Duration) -> usize {
     let mut tasks = Vec::new();
     for _ in 0..count {
         tasks.push(task::spawn(async move {
--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -1,4 +1,5 @@
-//! How far a request came is known, and what comes back is whole or an error.
+//! The client reports the stage that a failed request reached, and never a truncated answer as
+//! complete.
 
 #![allow(clippy::unwrap_used)]
 
@@ -24,21 +25,21 @@
 use http_types::Request;
 use test_case::test_case;
 
-use support::Ends;
+use support::EndRecorder;
 use support::bind;
-use support::call;
-use support::canned;
+use support::block_on;
 use support::client;
-use support::fake;
+use support::connect_and_send;
+use support::fixed_answer_server;
 use support::get;
 use support::post;
 use support::read_head;
 use support::read_rest;
 use support::read_until;
 use support::relay;
-use support::run;
+use support::scripted_server;
 use support::send;
-use support::soon;
+use support::with_timeout;
 
 const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
@@ -50,10 +51,10 @@
     }
 }
 
-// Nothing listens at the address. The request can't have left, so it may be sent elsewhere.
+// No process listens at the address. Nothing was sent, so the request may be sent elsewhere.
 #[test]
 fn refused_connection_proves_unsent() {
-    run(async {
+    block_on(async {
         let (listener, addr) = bind().await;
         drop(listener);
         let error = send(addr).await.unwrap_err();
@@ -62,17 +63,18 @@
     });
 }
 
-// The request fails before its first byte: there was a connection, and nothing left on it.
+// The request fails before its first byte: a connection was established, but nothing was written to
+// it.
 #[test]
 fn failure_before_the_first_byte_proves_unsent() {
-    run(async {
-        let server = canned(OK).await;
-        // Without a host there is no head to write.
+    block_on(async {
+        let server = fixed_answer_server(OK).await;
+        // The encoder can't write a head without a host.
         let request = Request::new(
             http_types::Method::Get,
             http_types::Url::parse("data:x").unwrap(),
         );
-        let error = soon(client().send(server, request, &limits(), Reuse::Fresh))
+        let error = with_timeout(client().send(server, request, &limits(), Reuse::Fresh))
             .await
             .unwrap_err();
         assert_eq!(error.stage, Stage::Connected);
@@ -80,26 +82,27 @@
     });
 }
 
-// The request was read, and then the server closed, stayed silent, or answered in part. It may have
-// run: the stage must not prove otherwise.
+// The server reads the request and then closes the connection or sends only a part of an answer, or
+// one that can't be relayed. The request may have run, so the stage must not prove that it was
+// unsent.
 #[test_case("", Stage::Written; "closed without an answer")]
 #[test_case("HTTP/1.1 200 O", Stage::Answered; "closed inside the head")]
 #[test_case("HTTP/1.1 200 OK\n\n", Stage::Answered; "bare line feeds")]
 #[test_case("HTTP/1.0 200 OK\r\ncontent-length: 2\r\n\r\nok", Stage::Answered; "older version")]
 #[test_case("HTTP/1.1 101 Switching Protocols\r\n\r\n", Stage::Answered; "upgrade")]
 fn failure_after_the_request_left_proves_nothing(answer: &'static str, stage: Stage) {
-    run(async move {
-        let error = send(canned(answer).await).await.unwrap_err();
+    block_on(async move {
+        let error = send(fixed_answer_server(answer).await).await.unwrap_err();
         assert_eq!(error.stage, stage, "{error}");
         assert!(!error.stage.proves_unsent());
     });
 }
 
 #[test]
-fn silent_server_is_given_up_and_sees_the_close() {
-    run(async {
+fn silent_server_times_out_and_sees_the_close() {
+    block_on(async {
         let (gone, closed) = unbounded();
-        let server = fake(move |_, mut stream| {
+        let server = scripted_server(move |_, mut stream| {
             let gone = gone.clone();
             async move {
                 read_rest(&mut stream).await;
@@ -117,12 +120,12 @@
     });
 }
 
-// The server refuses a large request by its head and closes while the body is still being written.
-// The write fails, but the answer is there and must not be lost.
+// The server refuses a large request because of its head and closes the connection while the body
+// is still being written. The write fails, but the answer must be delivered.
 #[test]
 fn early_answer_is_read_although_the_write_fails() {
-    run(async {
-        let server = fake(|_, mut stream| async move {
+    block_on(async {
+        let server = scripted_server(|_, mut stream| async move {
             read_head(&mut stream).await;
             let answer = "HTTP/1.1 413 Payload Too Large\r\ncontent-length: 0\r\n\r\n";
             stream.write_all(answer.as_bytes()).await.unwrap();
@@ -134,7 +137,7 @@
             None,
         ));
         let client = client();
-        let sent = soon(client.send(server, request, &limits(), Reuse::Allowed)).await;
+        let sent = with_timeout(client.send(server, request, &limits(), Reuse::Allowed)).await;
         let answer = sent.unwrap();
         assert_eq!(u16::from(answer.status), 413);
         drop(answer);
@@ -144,9 +147,9 @@
 
 // The server stops in the middle of its answer and keeps the connection open.
 #[test]
-fn stalled_answer_is_cut() {
-    run(async {
-        let server = fake(|_, mut stream| async move {
+fn stalled_answer_is_cut_off() {
+    block_on(async {
+        let server = scripted_server(|_, mut stream| async move {
             read_head(&mut stream).await;
             let head = "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf";
             stream.write_all(head.as_bytes()).await.unwrap();
@@ -158,7 +161,7 @@
             .await
             .unwrap();
         let (sender, ends) = unbounded();
-        let mut body = answer.body.into_body(Ends::new(sender));
+        let mut body = answer.body.into_body(EndRecorder::new(sender));
         let error = body.read_to_end(&mut Vec::new()).await.unwrap_err();
         assert_eq!(error.kind(), std::io::ErrorKind::TimedOut);
         drop(body);
@@ -171,48 +174,50 @@
     });
 }
 
-// The last line of a chunked answer arrives in two reads. async-h1's decoder then waits without
-// having asked to be woken, and the caller waits for the last byte of a finished answer until it
-// gives up. The server here sends that byte once the client has read all that stands before it.
+// The last line of a chunked answer arrives in two reads. async-h1's decoder then returns `Pending`
+// without registering a waker, and the caller would wait for the end of a complete answer until it
+// times out. The server sends the last byte only after the client has read everything before it.
 #[test]
 fn last_line_in_two_reads_does_not_hang() {
-    run(async {
-        let (go, gate) = unbounded::<()>();
-        let server = fake(move |_, mut stream| {
-            let gate = gate.clone();
+    block_on(async {
+        let (release, released) = unbounded::<()>();
+        let server = scripted_server(move |_, mut stream| {
+            let released = released.clone();
             async move {
                 read_head(&mut stream).await;
                 let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
                 let most = format!("{head}4\r\nfour\r\n0\r\n\r");
                 stream.write_all(most.as_bytes()).await.unwrap();
-                gate.recv().await.unwrap();
+                released.recv().await.unwrap();
                 stream.write_all(b"\n").await.unwrap();
                 read_rest(&mut stream).await;
             }
         })
         .await;
         let mut answer = send(server).await.unwrap();
-        // In a task of its own, which nothing but its own wakers polls.
+        // A separate task is polled only when its own wakers are called.
         let reader = task::spawn(async move {
             let mut data = [0; 4];
             answer.body.read_exact(&mut data).await.unwrap();
-            go.send(()).await.unwrap();
+            release.send(()).await.unwrap();
             let mut rest = Vec::new();
             answer.body.read_to_end(&mut rest).await.unwrap();
             (data, rest.len())
         });
-        assert_eq!(soon(reader).await, (*b"four", 0));
+        assert_eq!(with_timeout(reader).await, (*b"four", 0));
     });
 }
 
-// The server's answer has no date. async-h1 adds one whose value ends in a line break; written on,
-// it would end the head early and push the rest of the headers into the body.
+// The server's answer has no date. async-h1 adds one whose value ends in a line break. If it were
+// relayed, it would end the head early, and the remaining headers would become part of the body.
 #[test]
 fn answer_without_a_date_keeps_its_head_whole() {
-    run(async {
-        let (addr, _ends) =
-            relay(canned("HTTP/1.1 200 OK\r\nx-z: 1\r\ncontent-length: 2\r\n\r\nok").await).await;
-        let mut caller = call(
+    block_on(async {
+        let (addr, _ends) = relay(
+            fixed_answer_server("HTTP/1.1 200 OK\r\nx-z: 1\r\ncontent-length: 2\r\n\r\nok").await,
+        )
+        .await;
+        let mut caller = connect_and_send(
             addr,
             "GET / HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n",
         )
@@ -228,21 +233,21 @@
 
 #[test_case("HTTP/1.1 100 Continue\r\n\r\n", "200"; "interim answer first")]
 #[test_case("HTTP/1.1 200 OK\r\nx: caf\u{e9}\r\ncontent-length: 0\r\n\r\n", "200"; "header that is not ascii")]
-fn odd_heads_do_not_lose_the_answer(first: &'static str, expected: &'static str) {
-    run(async move {
-        let server = canned(format!("{first}{OK}")).await;
+fn interim_or_non_ascii_heads_do_not_lose_the_answer(first: &'static str, expected: &'static str) {
+    block_on(async move {
+        let server = fixed_answer_server(format!("{first}{OK}")).await;
         let answer = send(server).await.unwrap();
         assert_eq!(answer.status.to_string(), expected);
     });
 }
 
-/// A server that counts its connections and answers each request on them.
-async fn counting() -> (
+/// A server that answers every request and sends the number of the connection it arrived on.
+async fn counting_server() -> (
     async_std::net::SocketAddr,
     async_std::channel::Receiver<usize>,
 ) {
     let (sender, numbers) = unbounded();
-    let server = fake(move |number, mut stream| {
+    let server = scripted_server(move |number, mut stream| {
         let sender = sender.clone();
         async move {
             while !read_head(&mut stream).await.is_empty() {
@@ -263,12 +268,12 @@
     answer.body.read_to_end(&mut Vec::new()).await.unwrap();
 }
 
-// A connection is kept after a whole answer only, and carries another request only where that is
-// allowed: the close of a kept connection can't be told from a request that was lost.
+// A connection is pooled only after a complete answer, and reused only if the request allows it. If
+// a pooled connection is closed, it is unknown whether the request on it ran.
 #[test]
-fn only_clean_connections_are_reused_and_only_where_allowed() {
-    run(async {
-        let (server, numbers) = counting().await;
+fn connections_are_reused_only_after_complete_answers_and_if_allowed() {
+    block_on(async {
+        let (server, numbers) = counting_server().await;
         let client = client();
         exchange(&client, server, Reuse::Allowed).await;
         exchange(&client, server, Reuse::Allowed).await;
@@ -278,7 +283,7 @@
             .await
             .unwrap();
         let idle = client.idle_connections();
-        // Dropped in the middle: not kept.
+        // Dropped before its end, so its connection isn't pooled.
         drop(answer);
         assert_eq!(client.idle_connections(), idle);
         let mut seen = Vec::new();
@@ -290,11 +295,11 @@
 }
 
 #[test_case(PoolLimits { per_server: 1, ..PoolLimits::default() }, 1, true; "to one server")]
-#[test_case(PoolLimits { total: 1, ..PoolLimits::default() }, 1, true; "in all")]
-#[test_case(PoolLimits { idle_timeout: Millis::ZERO, ..PoolLimits::default() }, 2, false; "in time")]
+#[test_case(PoolLimits { total: 1, ..PoolLimits::default() }, 1, true; "to all servers")]
+#[test_case(PoolLimits { idle_timeout: Millis::ZERO, ..PoolLimits::default() }, 2, false; "idle timeout")]
 fn pool_is_bounded(pool: PoolLimits, idle: usize, reused: bool) {
-    run(async move {
-        let (server, _numbers) = counting().await;
+    block_on(async move {
+        let (server, _numbers) = counting_server().await;
         let client = Client::new(pool);
         exchange(&client, server, Reuse::Fresh).await;
         exchange(&client, server, Reuse::Fresh).await;
@@ -306,19 +311,19 @@
     });
 }
 
-// The server closes a kept connection. The next request must notice before it writes, and go out on
-// a new connection, so that nothing ambiguous happens.
+// The server closes a pooled connection. The client must detect this before it writes the next
+// request, and use a new connection. Otherwise it would be unknown whether the request ran.
 #[test]
-fn closed_idle_connection_is_not_written_on() {
-    run(async {
-        let (go, gate) = unbounded::<()>();
+fn closed_idle_connection_is_not_reused() {
+    block_on(async {
+        let (release, released) = unbounded::<()>();
         let (closed, wait) = unbounded();
-        let server = fake(move |_, mut stream| {
-            let (closed, gate) = (closed.clone(), gate.clone());
+        let server = scripted_server(move |_, mut stream| {
+            let (closed, released) = (closed.clone(), released.clone());
             async move {
                 read_head(&mut stream).await;
                 stream.write_all(OK.as_bytes()).await.unwrap();
-                gate.recv().await.unwrap();
+                released.recv().await.unwrap();
                 stream.shutdown(Shutdown::Both).unwrap();
                 closed.send(()).await.unwrap();
             }
@@ -328,33 +333,33 @@
         for _ in 0..2 {
             exchange(&client, server, Reuse::Allowed).await;
             assert_eq!(client.idle_connections(), 1);
-            go.send(()).await.unwrap();
+            release.send(()).await.unwrap();
             wait.recv().await.unwrap();
         }
     });
 }
 
-// A cancel comes after the answer's end, while the connection carries another request. It must not
-// hit that one.
+// An answer is cancelled after its end, while its connection carries another request. The cancel
+// must not close that connection.
 #[test]
 fn late_cancel_does_not_hit_the_next_request() {
-    run(async {
+    block_on(async {
         let (sender, requests) = unbounded();
-        let (go, gate) = unbounded::<()>();
-        let server = fake(move |_, mut stream| {
-            let (sender, gate) = (sender.clone(), gate.clone());
+        let (release, released) = unbounded::<()>();
+        let server = scripted_server(move |_, mut stream| {
+            let (sender, released) = (sender.clone(), released.clone());
             async move {
                 for _ in 0..2 {
                     read_head(&mut stream).await;
                     sender.send(()).await.unwrap();
-                    gate.recv().await.unwrap();
+                    released.recv().await.unwrap();
                     stream.write_all(OK.as_bytes()).await.unwrap();
                 }
             }
         })
         .await;
         let client = client();
-        go.send(()).await.unwrap();
+        release.send(()).await.unwrap();
         let mut first = client
             .send(server, get(server), &limits(), Reuse::Allowed)
             .await
@@ -366,7 +371,7 @@
         let cancel = async {
             requests.recv().await.unwrap();
             first.cancel.cancel();
-            go.send(()).await.unwrap();
+            release.send(()).await.unwrap();
         };
         let (second, ()) = join(second, cancel).await;
         let mut second = second.unwrap();
@@ -377,14 +382,15 @@
     });
 }
 
-// A caller is gone: its answer is cancelled, or its body is dropped while the handle to cancel it
-// lives on. The server must see its connection end, or it goes on working for nobody.
+// A caller disconnects: its answer is cancelled, or its body is dropped while the cancel handle
+// still exists. The connection to the server must be closed, or the server would keep working on
+// the request.
 #[test_case(true; "cancelled")]
 #[test_case(false; "dropped")]
-fn answer_given_up_closes_the_connection_to_the_server(cancelled: bool) {
-    run(async move {
+fn abandoned_answer_closes_the_connection_to_the_server(cancelled: bool) {
+    block_on(async move {
         let (gone, closed) = unbounded();
-        let server = fake(move |_, mut stream| {
+        let server = scripted_server(move |_, mut stream| {
             let gone = gone.clone();
             async move {
                 let request = read_until(&mut stream, "\r\n\r\nbody").await;
@@ -407,7 +413,7 @@
         } else {
             drop(body);
         }
-        assert_eq!(soon(closed.recv()).await.unwrap(), "");
+        assert_eq!(with_timeout(closed.recv()).await.unwrap(), "");
         drop((cancel, kept));
     });
 }
--- a/crates/http/tests/exhaustion.rs
+++ b/crates/http/tests/exhaustion.rs
@@ -1,6 +1,6 @@
-//! A listener outlives a shortage of file descriptors.
+//! A listener survives the exhaustion of file descriptors.
 //!
-//! The test uses up the process's descriptors, so it stands alone in its program.
+//! The test uses up the file descriptors of its process, so it is the only test in this file.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,25 +20,25 @@
 use log::Metadata;
 use log::Record;
 
-use support::call;
+use support::block_on;
+use support::connect_and_send;
 use support::read_head;
-use support::run;
 use support::serve;
 use support::status;
 
 const GET: &str = "GET / HTTP/1.1\r\nhost: a\r\n\r\n";
 
-/// Passes on that an accept failed.
-struct Failures(Mutex<Sender<()>>);
+/// A logger that signals each failed accept.
+struct AcceptFailures(Mutex<Sender<()>>);
 
-impl Log for Failures {
+impl Log for AcceptFailures {
     fn enabled(&self, _metadata: &Metadata<'_>) -> bool {
         true
     }
 
     fn log(&self, record: &Record<'_>) {
         if record.args().to_string().contains("accept-failed") {
-            // The receiver is gone once the test has seen the first.
+            // The receiver is dropped once the test has seen the first failure.
             let _ = self.0.lock().unwrap().send(());
         }
     }
@@ -46,24 +46,24 @@
     fn flush(&self) {}
 }
 
-// All descriptors are in use when a caller connects: its accept fails, again and again, until some
-// are given back. The caller must then be answered; a listener that had ended would leave it, and
-// all after it, without an answer.
+// All file descriptors are in use when a caller connects, so accepting fails repeatedly until some
+// are released. The caller must then be answered. If the listener stopped at the error, neither
+// this caller nor any later one would get an answer.
 #[test]
-fn failed_accepts_are_tried_again() {
+fn failed_accepts_are_retried() {
     let (sender, failed) = channel();
-    log::set_logger(Box::leak(Box::new(Failures(Mutex::new(sender))))).unwrap();
+    log::set_logger(Box::leak(Box::new(AcceptFailures(Mutex::new(sender))))).unwrap();
     log::set_max_level(LevelFilter::Warn);
-    run(async move {
+    block_on(async move {
         let (addr, _, _) = serve(ListenerLimits::default(), |_, _| async {
             Response::new(200)
         })
         .await;
-        read_head(&mut call(addr, GET).await).await;
+        read_head(&mut connect_and_send(addr, GET).await).await;
 
         let null = File::open("/dev/null").unwrap();
         let mut files: Vec<File> = std::iter::from_fn(|| null.try_clone().ok()).collect();
-        // One for the caller's own socket.
+        // Frees one descriptor for the caller's own socket.
         files.pop();
         let mut caller = TcpStream::connect(addr).await.unwrap();
         failed.recv().unwrap();
@@ -71,7 +71,7 @@
 
         caller.write_all(GET.as_bytes()).await.unwrap();
         assert_eq!(status(&read_head(&mut caller).await), "200");
-        let mut next = call(addr, GET).await;
+        let mut next = connect_and_send(addr, GET).await;
         assert_eq!(status(&read_head(&mut next).await), "200");
     });
 }
--- a/crates/http/tests/headers.rs
+++ b/crates/http/tests/headers.rs
@@ -1,11 +1,12 @@
-//! Headers of one connection stay on it.
+//! Hop-by-hop headers aren't relayed.
 
 use crocushold_http::relay_headers;
 use http_types::Headers;
 use http_types::Response;
 
-// A header that describes the connection to one side would, passed on, mislead the other: framing
-// that isn't the body's, or a name that the `Connection` header marks as private.
+// Headers that describe one connection must not be relayed to the other: they would announce a
+// framing that the relayed body doesn't have, or expose headers that `Connection` names as
+// hop-by-hop.
 #[test]
 fn only_end_to_end_headers_are_relayed() {
     let mut from = Response::new(200);
--- a/crates/http/tests/listener.rs
+++ b/crates/http/tests/listener.rs
@@ -1,4 +1,4 @@
-//! A listener holds a bounded number of connections and stops without cutting a request.
+//! A listener limits its connections and shuts down without cutting requests off.
 
 #![allow(clippy::unwrap_used)]
 
@@ -15,17 +15,17 @@
 use http_types::Response;
 
 use support::bind;
-use support::call;
+use support::block_on;
+use support::connect_and_send;
 use support::read_head;
 use support::read_rest;
-use support::run;
 use support::serve;
-use support::soon;
 use support::status;
+use support::with_timeout;
 
 const GET: &str = "GET / HTTP/1.1\r\nhost: a\r\n\r\n";
 
-fn stopping() -> ListenerLimits {
+fn short_stop_grace() -> ListenerLimits {
     ListenerLimits {
         server: ServerLimits {
             stop_grace: Millis(20),
@@ -35,37 +35,40 @@
     }
 }
 
-// One connection more than allowed: it gets an answer with when to come back, at once, and the
-// place is free again when the first one closes.
+// A connection above the limit is answered immediately with 503 and `Retry-After`. A new connection
+// is accepted again once the first one is closed.
 #[test]
-fn connection_above_the_limit_is_told_when_to_come_back() {
-    run(async {
+fn connection_above_the_limit_is_refused_with_retry_after() {
+    block_on(async {
         let limits = ListenerLimits {
             max_connections: 1,
             retry_after: Millis(1500),
             ..ListenerLimits::default()
         };
         let (addr, handle, _) = serve(limits, |_, _| async { Response::new(200) }).await;
-        let mut first = call(addr, GET).await;
+        let mut first = connect_and_send(addr, GET).await;
         read_head(&mut first).await;
-        let refused = read_rest(&mut call(addr, GET).await).await;
+        let refused = read_rest(&mut connect_and_send(addr, GET).await).await;
         assert_eq!(status(&refused), "503");
         assert!(refused.contains("retry-after: 2\r\n"), "{refused}");
         drop(first);
         while handle.connections() > 0 {
             async_std::task::yield_now().await;
         }
-        assert_eq!(status(&read_head(&mut call(addr, GET).await).await), "200");
+        assert_eq!(
+            status(&read_head(&mut connect_and_send(addr, GET).await).await),
+            "200"
+        );
     });
 }
 
-// A stop comes while one request is in progress and another is being written on an idle connection.
-// Both are answered, each with a close.
+// The listener is stopped while one request is in progress and another is being written on an idle
+// connection. Both must be answered, with `Connection: close`.
 #[test]
-fn stop_answers_what_is_in_progress() {
-    run(async {
+fn stop_answers_requests_in_progress() {
+    block_on(async {
         let (started, starts) = unbounded();
-        let (go, gate) = unbounded::<()>();
+        let (release, released) = unbounded::<()>();
         let limits = ListenerLimits {
             server: ServerLimits {
                 stop_grace: Millis::from_secs(5),
@@ -74,30 +77,30 @@
             ..ListenerLimits::default()
         };
         let (addr, handle, ended) = serve(limits, move |request, _| {
-            let (started, gate) = (started.clone(), gate.clone());
+            let (started, released) = (started.clone(), released.clone());
             async move {
                 if request.url().path() == "/slow" {
                     started.send(()).await.unwrap();
-                    gate.recv().await.unwrap();
+                    released.recv().await.unwrap();
                 }
                 Response::new(200)
             }
         })
         .await;
-        let mut late = call(addr, GET).await;
+        let mut late = connect_and_send(addr, GET).await;
         read_head(&mut late).await;
-        let mut slow = call(addr, "GET /slow HTTP/1.1\r\nhost: a\r\n\r\n").await;
+        let mut slow = connect_and_send(addr, "GET /slow HTTP/1.1\r\nhost: a\r\n\r\n").await;
         starts.recv().await.unwrap();
         handle.stop();
         late.write_all(GET.as_bytes()).await.unwrap();
-        go.send(()).await.unwrap();
+        release.send(()).await.unwrap();
         for caller in [&mut slow, &mut late] {
             let answer = read_rest(caller).await;
             assert_eq!(status(&answer), "200", "{answer}");
             assert!(answer.contains("connection: close"), "{answer}");
         }
         drop((slow, late));
-        soon(ended).await;
+        with_timeout(ended).await;
         assert_eq!(handle.connections(), 0);
         assert!(async_std::net::TcpStream::connect(addr).await.is_err());
     });
@@ -105,23 +108,24 @@
 
 #[test]
 fn stop_closes_idle_connections() {
-    run(async {
-        let (addr, handle, ended) = serve(stopping(), |_, _| async { Response::new(200) }).await;
-        let mut idle = call(addr, GET).await;
+    block_on(async {
+        let (addr, handle, ended) =
+            serve(short_stop_grace(), |_, _| async { Response::new(200) }).await;
+        let mut idle = connect_and_send(addr, GET).await;
         read_head(&mut idle).await;
         handle.stop();
         assert_eq!(read_rest(&mut idle).await, "");
-        soon(ended).await;
+        with_timeout(ended).await;
     });
 }
 
-// The stop is seen while the connection is idle, and only then does a request arrive that was on its
-// way. A connection closed at the stop would reset it.
+// The connection is idle when the listener is stopped, and a request that was in transit arrives
+// after that. Closing the connection immediately would reset it.
 #[test]
-fn request_on_its_way_at_the_stop_is_answered() {
-    run(async {
+fn request_in_transit_at_the_stop_is_answered() {
+    block_on(async {
         let (listener, addr) = bind().await;
-        let mut caller = call(addr, "").await;
+        let mut caller = connect_and_send(addr, "").await;
         let (stream, _) = listener.accept().await.unwrap();
         let stop = StopSignal::new();
         let limits = ServerLimits {
--- a/crates/http/tests/relay.rs
+++ b/crates/http/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Answers pass through whole, and a short one never looks whole.
+//! Answers are relayed completely, and a truncated answer is never relayed as complete.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,25 +12,25 @@
 use crocushold_http::Stage;
 use test_case::test_case;
 
-use support::call;
-use support::canned;
-use support::fake;
+use support::block_on;
+use support::connect_and_send;
+use support::fixed_answer_server;
 use support::read_head;
 use support::read_rest;
 use support::relay;
-use support::run;
+use support::scripted_server;
 use support::send;
-use support::soon;
+use support::with_timeout;
 
 const GET: &str = "GET / HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
-const KEEP: &str = "GET / HTTP/1.1\r\nhost: a\r\n\r\n";
+const GET_KEEP_ALIVE: &str = "GET / HTTP/1.1\r\nhost: a\r\n\r\n";
 
 #[test]
-fn streamed_answer_passes_token_by_token() {
-    run(async {
-        let (go, gate) = async_std::channel::bounded::<()>(1);
-        let server = fake(move |_, mut stream| {
-            let gate = gate.clone();
+fn streamed_answer_is_relayed_token_by_token() {
+    block_on(async {
+        let (release, released) = async_std::channel::bounded::<()>(1);
+        let server = scripted_server(move |_, mut stream| {
+            let released = released.clone();
             async move {
                 read_head(&mut stream).await;
                 let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
@@ -39,7 +39,7 @@
                     .write_all(format!("{head}{first}").as_bytes())
                     .await
                     .unwrap();
-                gate.recv().await.unwrap();
+                released.recv().await.unwrap();
                 stream
                     .write_all(b"9\r\ndata: b\n\n\r\n0\r\n\r\n")
                     .await
@@ -48,13 +48,14 @@
         })
         .await;
         let (addr, ends) = relay(server).await;
-        let mut caller = call(addr, GET).await;
+        let mut caller = connect_and_send(addr, GET).await;
         read_head(&mut caller).await;
-        // The second token is only sent once the caller has the first: none is held back.
+        // The server sends the second token only after the caller has received the first, so the
+        // test times out if a token is held back.
         let mut first = [0; 15];
-        soon(caller.read_exact(&mut first)).await.unwrap();
+        with_timeout(caller.read_exact(&mut first)).await.unwrap();
         assert_eq!(&first, b"A\r\ndata: a\n\n\n\r\n");
-        go.send(()).await.unwrap();
+        release.send(()).await.unwrap();
         assert_eq!(
             read_rest(&mut caller).await,
             "9\r\ndata: b\n\n\r\n0\r\n\r\n"
@@ -66,15 +67,15 @@
     });
 }
 
-// The server announces 20 bytes, sends 4 and closes. async-h1 reads that as a clean end: the caller
-// would get 4 of 20 bytes on a connection that stays open, and the next answer's bytes as the rest.
-// The caller must see its connection end short instead.
+// The server announces 20 bytes, sends 4 and closes the connection. async-h1 treats that as the end
+// of the body: the caller would get 4 of 20 bytes on a connection that stays open, and would read
+// the next answer as the rest. The caller's connection must be closed after the 4 bytes instead.
 #[test]
-fn short_answer_cuts_the_callers_connection() {
-    run(async {
-        let server = canned("HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\nfour").await;
+fn truncated_answer_closes_the_callers_connection() {
+    block_on(async {
+        let server = fixed_answer_server("HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\nfour").await;
         let (addr, ends) = relay(server).await;
-        let mut caller = call(addr, &format!("{KEEP}{KEEP}")).await;
+        let mut caller = connect_and_send(addr, &format!("{GET_KEEP_ALIVE}{GET_KEEP_ALIVE}")).await;
         let head = read_head(&mut caller).await;
         assert!(head.contains("content-length: 20"), "{head}");
         assert_eq!(read_rest(&mut caller).await, "four");
@@ -86,15 +87,15 @@
     });
 }
 
-// The server's stream breaks off between two chunks. The caller's copy must lack the last chunk too,
-// so that its reader sees the cut.
+// The server closes the connection between two chunks. The relayed answer must lack the last chunk
+// too, so that the caller detects the truncation.
 #[test]
-fn chunked_answer_without_its_last_chunk_stays_without() {
-    run(async {
+fn chunked_answer_without_its_last_chunk_is_relayed_without_it() {
+    block_on(async {
         let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nfour\r\n";
-        let server = canned(head).await;
+        let server = fixed_answer_server(head).await;
         let (addr, ends) = relay(server).await;
-        let mut caller = call(addr, KEEP).await;
+        let mut caller = connect_and_send(addr, GET_KEEP_ALIVE).await;
         read_head(&mut caller).await;
         assert_eq!(read_rest(&mut caller).await, "4\r\nfour\r\n");
         let cause = CutCause::Short;
@@ -105,28 +106,29 @@
     });
 }
 
-// Trailers end a chunked body in more than one line. They aren't relayed, and the body is whole.
+// Trailers follow the last chunk. They aren't relayed, and the body is complete.
 #[test]
-fn trailers_do_not_spoil_the_end() {
-    run(async {
+fn chunked_answer_with_trailers_is_complete() {
+    block_on(async {
         let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
-        let server = canned(format!("{head}4\r\nfour\r\n0\r\nx-sum: 1\r\n\r\n")).await;
+        let server = fixed_answer_server(format!("{head}4\r\nfour\r\n0\r\nx-sum: 1\r\n\r\n")).await;
         let (addr, ends) = relay(server).await;
-        let mut caller = call(addr, GET).await;
+        let mut caller = connect_and_send(addr, GET).await;
         read_head(&mut caller).await;
         assert_eq!(read_rest(&mut caller).await, "4\r\nfour\r\n0\r\n\r\n");
         assert_eq!(ends.recv().await.unwrap(), AnswerEnd::Complete { bytes: 4 });
     });
 }
 
-// The server sends a body without a length and closes. async-h1 drops such a body, so the caller
-// would get an empty success. It must be an error: a cut couldn't be told from the end.
+// The server sends a body without valid framing and closes the connection. async-h1 drops such a
+// body, so the caller would get an empty success. It must be an error, because a truncated body
+// couldn't be told from a complete one.
 #[test_case("HTTP/1.1 200 OK\r\n\r\nall of it"; "no framing at all")]
 #[test_case("HTTP/1.1 200 OK\r\ntransfer-encoding: gzip\r\n\r\nall of it"; "unknown coding")]
 #[test_case("HTTP/1.1 200 OK\r\ncontent-length: 4\r\ncontent-length: 9\r\n\r\nall of it"; "two lengths")]
-fn answer_that_ends_at_close_is_an_error(answer: &'static str) {
-    run(async move {
-        let server = canned(answer).await;
+fn answer_without_valid_framing_is_an_error(answer: &'static str) {
+    block_on(async move {
+        let server = fixed_answer_server(answer).await;
         let error = send(server).await.unwrap_err();
         assert_eq!(error.stage, Stage::Answered);
         assert!(matches!(error.kind, SendErrorKind::Unframed), "{error}");
--- a/crates/http/tests/server.rs
+++ b/crates/http/tests/server.rs
@@ -1,4 +1,4 @@
-//! What callers can send and hold is bounded, and every caller gets an answer or a close.
+//! The resources of callers are limited, and every caller is answered or disconnected.
 
 #![allow(clippy::unwrap_used)]
 
@@ -22,18 +22,18 @@
 use test_case::test_case;
 
 use support::bind;
-use support::call;
+use support::block_on;
+use support::connect_and_send;
 use support::echo;
 use support::read_head;
 use support::read_rest;
 use support::read_until;
-use support::run;
 use support::serve;
-use support::soon;
 use support::status;
+use support::with_timeout;
 
-/// Limits small enough to be reached in a test, times long enough not to be.
-fn small() -> ServerLimits {
+/// Size limits small enough to be reached in a test, with the default timeouts.
+fn small_limits() -> ServerLimits {
     ServerLimits {
         head_bytes: 200,
         body_bytes: 10,
@@ -41,9 +41,10 @@
     }
 }
 
-// The caller sends something that async-h1 would refuse by closing without a word, would panic on,
-// or would read otherwise than the party before it (request smuggling). It must get an answer, and
-// the connection must close, since nobody knows where the next request starts.
+// The caller sends a request for which async-h1 would close the connection without an answer or
+// panic, or which it would parse differently from a proxy in front of it (request smuggling). It
+// must be answered, and the connection must be closed, because the start of the next request is
+// unknown.
 #[test_case("GET / HTTP/1.0\r\nhost: a\r\n\r\n", "505"; "older version")]
 #[test_case("GET / HTTP/2.0\r\nhost: a\r\n\r\n", "505"; "newer version")]
 #[test_case("nonsense\r\n\r\n", "400"; "no request line")]
@@ -59,10 +60,10 @@
 #[test_case("POST / HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\nb\r\nhello world\r\n0\r\n\r\n", "413"; "chunked body over the limit")]
 #[test_case("POST / HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n", "400"; "malformed chunks")]
 #[test_case("GET /ffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffff", "431"; "head over the limit")]
-fn what_cannot_be_served_is_answered_and_closed(text: &'static str, expected: &'static str) {
-    run(async move {
-        let addr = echo(small()).await;
-        let mut caller = call(addr, text).await;
+fn invalid_requests_are_answered_and_closed(text: &'static str, expected: &'static str) {
+    block_on(async move {
+        let addr = echo(small_limits()).await;
+        let mut caller = connect_and_send(addr, text).await;
         let answer = read_rest(&mut caller).await;
         assert_eq!(status(&answer), expected, "{answer}");
         assert!(answer.contains("connection: close"), "{answer}");
@@ -70,46 +71,46 @@
     });
 }
 
-// The announced length alone is too much. The handler must not see the request: one that doesn't
-// read the body would answer as if it were served.
+// The announced length exceeds the limit. The request must not reach the handler, because a handler
+// that doesn't read the body would answer it with success.
 #[test]
 fn announced_body_over_the_limit_never_reaches_the_handler() {
-    run(async {
+    block_on(async {
         let limits = ListenerLimits {
-            server: small(),
+            server: small_limits(),
             ..ListenerLimits::default()
         };
         let (addr, _, _) = serve(limits, |_, _| async { Response::new(200) }).await;
         let head = "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 11\r\n\r\n";
-        let mut caller = call(addr, head).await;
+        let mut caller = connect_and_send(addr, head).await;
         assert_eq!(status(&read_rest(&mut caller).await), "413");
     });
 }
 
-// Two requests arrive in one segment. async-h1 drops the second with its read buffer, and its
-// caller waits for ever.
+// Two requests arrive in one segment. async-h1 would drop the second with its read buffer, and the
+// caller would wait forever.
 #[test]
 fn pipelined_requests_are_all_answered() {
-    run(async {
+    block_on(async {
         let addr = echo(ServerLimits::default()).await;
         let one = "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\n\r\none";
         let two = "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\nconnection: close\r\n\r\ntwo";
-        let mut caller = call(addr, &format!("{one}{two}")).await;
+        let mut caller = connect_and_send(addr, &format!("{one}{two}")).await;
         let answers = read_rest(&mut caller).await;
         let (first, second) = (answers.find("\r\n\r\none"), answers.find("\r\n\r\ntwo"));
         assert!(first.is_some() && first < second, "{answers}");
     });
 }
 
-// The caller waits for leave to send its body. The leave must come before the answer and never
-// inside it.
+// The caller waits for `100 Continue` before it sends its body. The interim answer must be written
+// once, before the final answer and never inside it.
 #[test]
-fn body_that_waits_for_leave_gets_it_once() {
-    run(async {
+fn expect_continue_is_answered_once() {
+    block_on(async {
         let addr = echo(ServerLimits::default()).await;
         let head = "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\n\
                     expect: 100-continue\r\nconnection: close\r\n\r\n";
-        let mut caller = call(addr, head).await;
+        let mut caller = connect_and_send(addr, head).await;
         assert_eq!(
             read_head(&mut caller).await,
             "HTTP/1.1 100 Continue\r\n\r\n"
@@ -123,13 +124,13 @@
     });
 }
 
-// The caller starts something and goes quiet. Each stage has its own bound, or quiet callers would
-// hold every connection.
+// The caller stops sending in the middle of a request or before it. Each stage has its own timeout;
+// otherwise idle callers could occupy all connections.
 #[test_case("GET / HT", "408"; "inside the head")]
 #[test_case("POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\n\r\na", "408"; "inside the body")]
 #[test_case("", ""; "before the first request")]
-fn quiet_callers_are_let_go(text: &'static str, expected: &'static str) {
-    run(async move {
+fn idle_callers_are_disconnected(text: &'static str, expected: &'static str) {
+    block_on(async move {
         let addr = echo(ServerLimits {
             head_timeout: Millis(50),
             body_timeout: Millis(50),
@@ -137,10 +138,10 @@
             ..ServerLimits::default()
         })
         .await;
-        let mut caller = call(addr, text).await;
+        let mut caller = connect_and_send(addr, text).await;
         let answer = read_rest(&mut caller).await;
         assert_eq!(status(&answer), expected);
-        // The rest of the body may still come and would be read as a request.
+        // The rest of the body may still arrive and would be parsed as a request.
         assert!(
             answer.is_empty() || answer.contains("connection: close"),
             "{answer}"
@@ -148,19 +149,19 @@
     });
 }
 
-// The caller closes its sending side in the middle of its body. async-h1 reads that as the end of
-// the body, so the handler would act on half of it.
+// The caller closes its sending side in the middle of its body. async-h1 treats that as the end of
+// the body, so the handler would process a truncated body.
 #[test]
-fn body_that_ends_short_is_refused() {
-    run(async {
+fn truncated_body_is_refused() {
+    block_on(async {
         let (listener, addr) = bind().await;
         let head = "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n\r\nhalf";
-        let caller = call(addr, head).await;
+        let caller = connect_and_send(addr, head).await;
         caller.shutdown(async_std::net::Shutdown::Write).unwrap();
         let (stream, _) = listener.accept().await.unwrap();
         let (sender, bodies) = async_std::channel::unbounded();
         let limits = ServerLimits::default();
-        let _ = soon(serve_connection(stream, &limits, |mut request, _| {
+        let _ = with_timeout(serve_connection(stream, &limits, |mut request, _| {
             let sender = sender.clone();
             async move {
                 let body = crocushold_http::read_body(&mut request, &ServerLimits::default()).await;
@@ -179,19 +180,19 @@
     });
 }
 
-// The caller stops reading while its answer is produced. The socket's buffers fill; without a bound
-// on the write the answer, and the server behind it, would be held for ever.
+// The caller stops reading while its answer is produced, and the socket's buffers fill up. Without
+// a write timeout the answer and the backend server behind it would be blocked forever.
 #[test]
-fn caller_that_stops_reading_is_cut() {
-    run(async {
+fn caller_that_stops_reading_is_disconnected() {
+    block_on(async {
         let (listener, addr) = bind().await;
-        let caller = call(addr, "GET / HTTP/1.1\r\nhost: a\r\n\r\n").await;
+        let caller = connect_and_send(addr, "GET / HTTP/1.1\r\nhost: a\r\n\r\n").await;
         let (stream, _) = listener.accept().await.unwrap();
         let limits = ServerLimits {
             write_timeout: Millis(50),
             ..ServerLimits::default()
         };
-        let served = soon(serve_connection(stream, &limits, |_, _| async {
+        let served = with_timeout(serve_connection(stream, &limits, |_, _| async {
             let mut response = Response::new(200);
             response.set_body(Body::from_reader(
                 async_std::io::BufReader::new(async_std::io::repeat(b'x')),
@@ -205,13 +206,13 @@
     });
 }
 
-// The handler's own body is shorter than it says. The connection must end there: on a kept one the
-// next answer's bytes would complete this one.
+// The body of the handler's answer is shorter than announced. The connection must be closed after
+// it; otherwise the caller would read the next answer as the rest of this one.
 #[test]
-fn handlers_short_body_closes_the_connection() {
-    run(async {
+fn truncated_body_of_a_handler_closes_the_connection() {
+    block_on(async {
         let (addr, _, _) = serve(ListenerLimits::default(), |_, hangup| async {
-            // Whoever still watches for the hang-up must not keep the connection open.
+            // A `Hangup` that is still alive must not keep the connection open.
             std::mem::forget(hangup);
             let mut response = Response::new(200);
             response.set_body(Body::from_reader(
@@ -222,17 +223,18 @@
         })
         .await;
         let request = "GET / HTTP/1.1\r\nhost: a\r\n\r\n";
-        let mut caller = call(addr, &format!("{request}{request}")).await;
+        let mut caller = connect_and_send(addr, &format!("{request}{request}")).await;
         read_head(&mut caller).await;
         assert_eq!(read_rest(&mut caller).await, "four");
     });
 }
 
-// The caller hangs up while its request waits, or between two tokens. Nothing is written then, so
-// only watching the socket tells; otherwise the server behind goes on working for nobody.
+// The caller disconnects while its request waits, or between two tokens. Nothing is written at that
+// time, so only polling the socket detects it. Otherwise the backend server would keep working on
+// the request.
 #[test]
-fn hang_up_is_noticed_while_waiting() {
-    run(async {
+fn disconnect_is_detected_while_waiting() {
+    block_on(async {
         let (sender, waits) = async_std::channel::unbounded();
         let (addr, _, _) = serve(ListenerLimits::default(), move |_, hangup| {
             let sender = sender.clone();
@@ -244,9 +246,9 @@
             }
         })
         .await;
-        let mut caller = call(addr, "GET / HTTP/1.1\r\nhost: a\r\n\r\n").await;
+        let mut caller = connect_and_send(addr, "GET / HTTP/1.1\r\nhost: a\r\n\r\n").await;
         assert_eq!(waits.recv().await.unwrap(), "started");
-        // The end of the connection shows only behind these.
+        // The end of the stream is visible only after these bytes.
         caller.write_all(b"GET /pipelined").await.unwrap();
         drop(caller);
         let noticed = async_std::future::timeout(Duration::from_millis(100), waits.recv()).await;
@@ -255,23 +257,24 @@
 }
 
 #[test]
-fn hang_up_between_tokens_cancels_the_server() {
-    run(async {
+fn disconnect_between_tokens_cancels_the_request() {
+    block_on(async {
         let (gone, cancelled) = async_std::channel::unbounded();
-        let server = support::fake(move |_, mut stream| {
+        let server = support::scripted_server(move |_, mut stream| {
             let gone = gone.clone();
             async move {
                 read_head(&mut stream).await;
                 let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nfour\r\n";
                 stream.write_all(head.as_bytes()).await.unwrap();
-                // Silent from here; only the end of the connection tells it to stop.
+                // Sends nothing more; only the end of the connection makes it stop.
                 read_rest(&mut stream).await;
                 gone.send(()).await.unwrap();
             }
         })
         .await;
         let (addr, ends) = support::relay(server).await;
-        let mut caller: TcpStream = call(addr, "GET / HTTP/1.1\r\nhost: a\r\n\r\n").await;
+        let mut caller: TcpStream =
+            connect_and_send(addr, "GET / HTTP/1.1\r\nhost: a\r\n\r\n").await;
         read_until(&mut caller, "four\r\n").await;
         drop(caller);
         let both = join(cancelled.recv(), ends.recv());
@@ -283,20 +286,21 @@
     });
 }
 
-/// A head hides its framing in a long line. Taken out with the other long lines, the framing would be
-/// unknown to the parser, and the body would be read as the next request: smuggled past the router.
+/// The framing header of a request is a long line. If it were removed with the other long lines,
+/// the parser wouldn't know the framing and would read the body as the next request (request
+/// smuggling).
 #[test_case("Transfer-Encoding:"; "coding")]
 #[test_case("Content-Length:"; "length")]
 #[test_case("Transfer-Encoding :"; "space before the colon")]
-#[test_case("X-Long: x\r\n "; "a line that goes on")]
-fn long_head_that_hides_its_framing_is_refused(name: &str) {
+#[test_case("X-Long: x\r\n "; "folded line")]
+fn long_head_with_a_long_framing_header_is_refused(name: &str) {
     let padding = " ".repeat(9000);
     let head = format!("POST / HTTP/1.1\r\nHost: a\r\n{name}{padding}chunked\r\n\r\n");
     let limits = ServerLimits {
         head_bytes: 16_384,
         ..ServerLimits::default()
     };
-    let answer = run(async {
+    let answer = block_on(async {
         let (listener, addr) = bind().await;
         let server = task::spawn(async move {
             let (stream, _) = listener.accept().await.unwrap();
--- a/crates/http/tests/sse.rs
+++ b/crates/http/tests/sse.rs
@@ -1,4 +1,4 @@
-//! Events are counted the same wherever the chunks are cut.
+//! The event count is independent of chunk boundaries.
 
 use crocushold_http::EventCounter;
 
@@ -6,7 +6,7 @@
     data:{\"usage\":3}\n\ndata: [DONE]\n\n";
 
 #[test]
-fn count_does_not_depend_on_the_cuts() {
+fn count_is_independent_of_chunk_boundaries() {
     for size in 1..=STREAM.len() {
         let mut counter = EventCounter::new();
         let pushed: u64 = STREAM.chunks(size).map(|chunk| counter.push(chunk)).sum();
@@ -16,7 +16,7 @@
     }
 }
 
-// A server sends an event without end. It must be counted, but not kept: memory stays bounded.
+// A server sends a very long event. It must be counted but not kept, so that memory stays bounded.
 #[test]
 fn oversized_event_is_counted_and_not_kept() {
     let mut counter = EventCounter::new();
--- a/crates/http/tests/support/mod.rs
+++ b/crates/http/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Raw peers on loopback.
+//! Servers and callers on loopback for the tests.
 
 #![allow(dead_code, unreachable_pub, missing_docs, clippy::unwrap_used)]
 
@@ -38,18 +38,19 @@
 use http_types::Response;
 use http_types::Url;
 
-/// The bound on anything a test waits for; a test that reaches it has failed.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// The longest time that a test may wait for one event; a test that reaches it fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-pub fn run<T>(future: impl Future<Output = T>) -> T {
-    task::block_on(soon(future))
+pub fn block_on<T>(future: impl Future<Output = T>) -> T {
+    task::block_on(with_timeout(future))
 }
 
-pub async fn soon<T>(future: impl Future<Output = T>) -> T {
-    // Boxed: unoptimized executors move the future about, and test threads have small stacks.
-    timeout(PATIENCE, Box::pin(future))
+pub async fn with_timeout<T>(future: impl Future<Output = T>) -> T {
+    // The future is boxed because unoptimized executors move it, and test threads have small
+    // stacks.
+    timeout(TEST_TIMEOUT, Box::pin(future))
         .await
-        .expect("nothing happened for ten seconds")
+        .expect("the future didn't complete within 10 s")
 }
 
 pub async fn bind() -> (TcpListener, SocketAddr) {
@@ -58,8 +59,8 @@
     (listener, addr)
 }
 
-/// A server that runs `script` on each connection it accepts, numbered from zero.
-pub async fn fake<S, F>(script: S) -> SocketAddr
+/// Starts a server that runs `script` on each accepted connection, numbered from zero.
+pub async fn scripted_server<S, F>(script: S) -> SocketAddr
 where
     S: Fn(usize, TcpStream) -> F + Send + Sync + 'static,
     F: Future<Output = ()> + Send + 'static,
@@ -76,10 +77,11 @@
     addr
 }
 
-/// A server that reads one request a connection, writes `answer` and closes.
-pub async fn canned(answer: impl Into<String>) -> SocketAddr {
+/// Starts a server that reads one request per connection, writes `answer` and closes the
+/// connection.
+pub async fn fixed_answer_server(answer: impl Into<String>) -> SocketAddr {
     let answer = answer.into();
-    fake(move |_, mut stream| {
+    scripted_server(move |_, mut stream| {
         let answer = answer.clone();
         async move {
             read_head(&mut stream).await;
@@ -89,17 +91,17 @@
     .await
 }
 
-/// Reads up to a blank line; what follows the head is lost.
+/// Reads up to the end of a head.
 pub async fn read_head(stream: &mut TcpStream) -> String {
     read_until(stream, "\r\n\r\n").await
 }
 
-/// Reads until `mark` was seen or the connection ended.
+/// Reads until `mark` has been read or the connection has ended.
 pub async fn read_until(stream: &mut TcpStream, mark: &str) -> String {
     let mut text = Vec::new();
     let mut byte = [0];
     while !text.ends_with(mark.as_bytes()) {
-        match soon(stream.read(&mut byte)).await {
+        match with_timeout(stream.read(&mut byte)).await {
             Ok(1) => text.push(byte[0]),
             _ => break,
         }
@@ -112,7 +114,7 @@
     read_until(stream, "\0never").await
 }
 
-/// Starts a listener and returns its address and handle, and the task that ends with it.
+/// Starts a listener and returns its address, its handle and its task.
 pub async fn serve<H, F>(
     limits: ListenerLimits,
     handler: H,
@@ -129,7 +131,7 @@
     (addr, handle, task::spawn(listener.run(handler)))
 }
 
-/// A server that answers with the body it was sent.
+/// Starts a server that answers with the body of the request.
 pub async fn echo(server: ServerLimits) -> SocketAddr {
     let limits = ListenerLimits {
         server: server.clone(),
@@ -152,7 +154,7 @@
     addr
 }
 
-/// The status line's code, or what there is of the line.
+/// The status code of an answer, or all of `answer` if it has no status line.
 pub fn status(answer: &str) -> &str {
     answer.split(' ').nth(1).unwrap_or(answer)
 }
@@ -179,10 +181,11 @@
 
 pub async fn send(server: SocketAddr) -> Result<Answer, SendError> {
     let request = get(server);
-    soon(client().send(server, request, &SendLimits::default(), Reuse::Fresh)).await
+    with_timeout(client().send(server, request, &SendLimits::default(), Reuse::Fresh)).await
 }
 
-/// A relay that passes every request on to `server`; `ends` gets each answer's end.
+/// Starts a relay that sends every request to `server`, and returns the ends of the relayed
+/// answers.
 pub async fn relay(server: SocketAddr) -> (SocketAddr, Receiver<AnswerEnd>) {
     let (sender, ends) = unbounded();
     let client = client();
@@ -196,7 +199,7 @@
                 .unwrap();
             let mut response = Response::new(answer.status);
             relay_headers(&answer.headers, response.as_mut());
-            response.set_body(answer.body.into_body(Ends::new(sender)));
+            response.set_body(answer.body.into_body(EndRecorder::new(sender)));
             response
         }
     })
@@ -204,22 +207,22 @@
     (addr, ends)
 }
 
-/// Notes how an answer ended.
-pub struct Ends {
+/// An observer that records the chunks of an answer and sends its end.
+pub struct EndRecorder {
     sender: Sender<AnswerEnd>,
     pub seen: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Ends {
-    pub fn new(sender: Sender<AnswerEnd>) -> Ends {
-        Ends {
+impl EndRecorder {
+    pub fn new(sender: Sender<AnswerEnd>) -> EndRecorder {
+        EndRecorder {
             sender,
             seen: Arc::default(),
         }
     }
 }
 
-impl Observer for Ends {
+impl Observer for EndRecorder {
     fn chunk(&mut self, bytes: &[u8]) {
         self.seen.lock().unwrap().extend_from_slice(bytes);
     }
@@ -230,7 +233,7 @@
 }
 
 /// Connects to `server` and writes `text`.
-pub async fn call(server: SocketAddr, text: &str) -> TcpStream {
+pub async fn connect_and_send(server: SocketAddr, text: &str) -> TcpStream {
     let mut stream = TcpStream::connect(server).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
     stream
