--- a/crates/metrics/src/accounts.rs
+++ b/crates/metrics/src/accounts.rs
@@ -1,23 +1,24 @@
-//! The accounts that use most tokens, in bounded memory.
+//! The client accounts that use the most tokens, in bounded memory.
 
 use std::collections::HashMap;
 
-/// One account of the sketch.
+/// The estimated tokens of an account.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AccountTokens {
     /// Name of the account.
     pub account: String,
-    /// Tokens, at least the true number.
+    /// Estimated tokens, never less than the true number.
     pub tokens: u64,
-    /// By how much `tokens` may exceed the true number.
+    /// The most by which `tokens` may exceed the true number.
     pub error: u64,
 }
 
-/// Space-saving sketch (Metwally et al.): the heaviest accounts in a fixed number of counters.
+/// A space-saving sketch (Metwally et al.) of the heaviest accounts with a fixed number of
+/// counters.
 ///
-/// With `k` counters an account's estimate exceeds its true number by at most the sum of all tokens
-/// divided by `k`, and an account above that share is never missing. 3,700 accounts thus cost no
-/// more than `k` entries.
+/// With `k` counters the estimate of an account exceeds its true number by at most the sum of all
+/// tokens divided by `k`, and an account above that share is never missing. Any number of accounts,
+/// such as 3,700, therefore needs no more than `k` entries.
 #[derive(Clone, Debug)]
 pub struct AccountSketch {
     limit: usize,
@@ -31,7 +32,7 @@
 }
 
 impl AccountSketch {
-    /// A sketch of `limit` counters, at least one.
+    /// Creates a sketch with `limit` counters, at least one.
     pub fn new(limit: usize) -> AccountSketch {
         AccountSketch {
             limit: limit.max(1),
@@ -39,13 +40,13 @@
         }
     }
 
-    /// Adds `tokens` of `account`.
+    /// Adds `tokens` to `account`.
     pub fn add(&mut self, account: &str, tokens: u64) {
         if let Some(entry) = self.entries.get_mut(account) {
             entry.tokens = entry.tokens.saturating_add(tokens);
             return;
         }
-        let error = self.make_room();
+        let error = self.evict_lightest();
         let entry = Entry {
             tokens: error.saturating_add(tokens),
             error,
@@ -53,7 +54,8 @@
         self.entries.insert(account.to_owned(), entry);
     }
 
-    /// The heaviest `count` accounts, heaviest first; equal ones by name.
+    /// The heaviest `count` accounts, heaviest first; accounts with equal tokens are ordered by
+    /// name.
     pub fn top(&self, count: usize) -> Vec<AccountTokens> {
         let mut all: Vec<AccountTokens> = self.entries.iter().map(account_tokens).collect();
         all.sort_by(|a, b| {
@@ -65,9 +67,9 @@
         all
     }
 
-    /// Evicts the lightest account of a full sketch and returns its tokens, which the newcomer
-    /// inherits as its possible error.
-    fn make_room(&mut self) -> u64 {
+    /// Evicts the lightest account if the sketch is full and returns its tokens, which become the
+    /// error of the new account; 0 if there is a free counter.
+    fn evict_lightest(&mut self) -> u64 {
         if self.entries.len() < self.limit {
             return 0;
         }
--- a/crates/metrics/src/burn.rs
+++ b/crates/metrics/src/burn.rs
@@ -1,8 +1,9 @@
-//! Burn of the error budget, over a short and a long window.
+//! Burn rates of the error budget over a short and a long window.
 //!
-//! The burn rate of a window is the share of missed requests divided by the share that the objective
-//! leaves for misses. A rule fires when *both* its windows burn at its factor: the long one shows
-//! that it matters, the short one that it still goes on.
+//! The burn rate of a window is the share of missed requests divided by the error budget, which is
+//! the share of requests that may miss under the objective. A rule fires when *both* its windows
+//! reach its burn rate: the long window shows that the misses are significant, the short one that
+//! they continue.
 
 use serde::Serialize;
 
@@ -20,23 +21,23 @@
 pub use report::WindowBurn;
 pub use scrape::Scrape;
 
-/// Burn rate that spends the error budget exactly.
-const SUSTAINABLE: f64 = 1.0;
+/// The burn rate that spends exactly the error budget.
+const SUSTAINABLE_BURN_RATE: f64 = 1.0;
 
-/// How urgent a burning class is.
+/// The severity of the burn rate of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Severity {
-    /// Within the budget.
+    /// No rule fires.
     Fine,
-    /// The budget will be gone in days: worth a ticket.
+    /// The budget will be exhausted within days, which justifies a ticket.
     Ticket,
-    /// The budget will be gone in hours: worth waking somebody.
+    /// The budget will be exhausted within hours, which justifies paging an operator.
     Page,
 }
 
 impl Severity {
-    /// The word that the table shows.
+    /// The word shown in the table.
     pub const fn label(self) -> &'static str {
         match self {
             Severity::Fine => "fine",
@@ -46,32 +47,32 @@
     }
 }
 
-/// A pair of windows and the burn rate at which both together fire.
+/// A pair of windows and the burn rate that both must reach for the rule to fire.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct BurnRule {
-    /// The window that shows that the burn goes on.
+    /// The short window, which shows that the misses continue.
     pub short: Window,
-    /// The window that shows that it matters.
+    /// The long window, which shows that the misses are significant.
     pub long: Window,
-    /// Burn rate that both must reach.
+    /// The burn rate that both windows must reach.
     pub factor: f64,
-    /// Share of missed requests that is enough in any case, 0 to 1.
+    /// The share of missed requests that always suffices for the rule to fire, 0 to 1.
     pub ceiling: f64,
 }
 
 impl BurnRule {
     /// The burn rate at which the rule fires for an error budget.
     ///
-    /// An objective of 90% can't burn faster than 10 times even when every request misses: a fixed
-    /// factor of 14.4 would never page for it. A share of `ceiling` missed is therefore always
-    /// enough, unless the objective itself allows for it.
+    /// The burn rate of an objective of 90% can't exceed 10 even if every request misses, so a
+    /// fixed factor of 14.4 would never page for it. A share of `ceiling` missed requests is
+    /// therefore always enough, unless the objective itself allows that share.
     pub fn threshold(&self, budget: f64) -> f64 {
-        let reachable = (self.ceiling / budget).max(SUSTAINABLE);
+        let reachable = (self.ceiling / budget).max(SUSTAINABLE_BURN_RATE);
         self.factor.min(reachable)
     }
 }
 
-/// The rules that a report applies.
+/// The rules applied by a report.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct BurnRules {
     /// Fires [`Severity::Page`].
@@ -81,9 +82,9 @@
 }
 
 impl Default for BurnRules {
-    /// 14.4 times over 5 minutes and an hour (2% of a month's budget in that hour) pages; 6 times
-    /// over 30 minutes and six hours (5% of it) is a ticket. So are half, and a quarter, of the
-    /// requests missed.
+    /// A burn rate of 14.4 over 5 minutes and one hour (2% of a month's budget in that hour) pages,
+    /// and a burn rate of 6 over 30 minutes and six hours (5% of it) is a ticket. A share of missed
+    /// requests of one half, or one quarter respectively, always suffices.
     fn default() -> BurnRules {
         BurnRules {
             page: BurnRule {
--- a/crates/metrics/src/burn/report.rs
+++ b/crates/metrics/src/burn/report.rs
@@ -1,4 +1,4 @@
-//! The report over all instances.
+//! The burn report over all instances.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,90 +17,93 @@
 use crate::window::Counts;
 use crate::window::Window;
 
-/// Smallest error budget: an objective of 1 leaves none, and dividing by zero would not fit JSON.
+/// The smallest error budget. An objective of 1 leaves no budget, and JSON can't represent the
+/// result of a division by zero.
 const MIN_BUDGET: f64 = 1e-6;
 
-/// Burn of every class, summed over the instances that could be read.
+/// The burn rates of all classes, summed over the instances that could be read.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct BurnReport {
     /// The rules that were applied.
     pub rules: BurnRules,
-    /// Names of the instances that were counted, sorted.
+    /// Names of the counted instances, sorted.
     pub instances: Vec<String>,
-    /// One entry a class, sorted by name.
+    /// The classes, sorted by name.
     pub classes: Vec<ClassBurn>,
-    /// What makes the figures incomplete.
+    /// The reasons why the figures are incomplete.
     pub findings: Vec<Finding>,
 }
 
-/// Burn of one class.
+/// The burn rates of a class.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ClassBurn {
     /// Name of the class.
     pub class: String,
     /// Share of requests that should attain their targets.
     pub objective: f64,
-    /// The stronger of the rules that fire.
+    /// The severity of the most severe rule that fires.
     pub severity: Severity,
-    /// The pair that pages.
+    /// The windows of the rule for pages.
     pub page: PairBurn,
-    /// The pair that makes a ticket.
+    /// The windows of the rule for tickets.
     pub ticket: PairBurn,
 }
 
-/// Burn over the two windows of a rule.
+/// The burn rates over the two windows of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PairBurn {
     /// The short window.
     pub short: WindowBurn,
     /// The long window.
     pub long: WindowBurn,
-    /// Burn rate at which the rule fires for this class.
+    /// The burn rate at which the rule fires for this class.
     pub threshold: f64,
-    /// Whether both reach it.
+    /// Whether both windows reach the threshold.
     pub burning: bool,
 }
 
-/// Burn over one window.
+/// The burn rate over a window.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct WindowBurn {
     /// The window.
     pub window: Window,
-    /// Requests over it.
+    /// The requests in the window.
     pub counts: Counts,
-    /// Share missed, divided by the share that may miss; 0 without requests.
+    /// The share of missed requests divided by the error budget; 0 without requests.
     pub burn: f64,
 }
 
-/// Something that makes the report's figures incomplete.
+/// A reason why the figures of the report are incomplete.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Finding {
-    /// The address that was asked.
+    /// The address of the instance.
     pub address: String,
-    /// What is wrong.
+    /// The problem with the instance.
     pub problem: Problem,
 }
 
-/// Why an instance's figures are missing or partial.
+/// Why the figures of an instance are missing or partial.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Problem {
-    /// No text came, or it is malformed.
+    /// The metrics weren't received or are malformed.
     Unreadable(String),
-    /// The text comes from no instance of crocushold.
+    /// The metrics aren't those of a crocushold instance.
     NotInstance,
-    /// The instance, named here, was already counted under another address.
+    /// The instance with this name was already counted under another address.
     Duplicate(String),
-    /// The instance started within the longest window: what its predecessor counted is gone.
+    /// The instance has been up for this time, less than the longest window. The counts of its
+    /// predecessor are lost.
     RecentStart(Millis),
-    /// It states another objective for the class than an earlier one; the stricter one is used.
+    /// The objective of this class differs from that of an earlier instance; the stricter one is
+    /// used.
     OtherObjective(String),
-    /// It counts requests of the class but states no objective; the class is left out if no other
-    /// instance states one.
+    /// The instance counts requests of this class but exposes no objective. The class is left out
+    /// if no other instance exposes one.
     NoObjective(String),
 }
 
 impl Problem {
-    /// Whether the instance's figures are missing altogether.
+    /// Whether all figures of the instance are missing.
     pub const fn is_missing(&self) -> bool {
         matches!(self, Problem::Unreadable(_) | Problem::NotInstance)
     }
@@ -134,42 +137,42 @@
 impl BurnReport {
     /// Sums the scrapes of one or more instances and applies the rules.
     ///
-    /// The windows are kept by the instances themselves, so that no counters are subtracted here
-    /// and an instance that was replaced can't cause a negative rate: its counts start anew, which
-    /// is a finding.
+    /// The instances keep the windows themselves, so no counters are subtracted here, and a
+    /// replaced instance can't cause a negative rate. Its counts restart from zero, which is
+    /// reported as a finding.
     pub fn from_scrapes(rules: &BurnRules, scrapes: &[Scrape]) -> BurnReport {
-        let mut sum = Sum::new(rules);
+        let mut sum = BurnSum::new(rules);
         for scrape in scrapes {
             sum.add(scrape);
         }
         sum.into_report(rules)
     }
 
-    /// The strongest severity of any class.
+    /// The highest severity of all classes.
     pub fn severity(&self) -> Severity {
         let severities = self.classes.iter().map(|c| c.severity);
         severities.max().unwrap_or(Severity::Fine)
     }
 
-    /// Whether every instance that was asked could be read.
+    /// Whether all instances could be read.
     pub fn is_complete(&self) -> bool {
         !self.findings.iter().any(|f| f.problem.is_missing())
     }
 }
 
-/// Readings added up so far.
-struct Sum {
-    longest: Millis,
+/// The sum of the readings so far.
+struct BurnSum {
+    longest_window: Millis,
     instances: BTreeSet<String>,
     classes: BTreeMap<String, ClassReading>,
     findings: Vec<Finding>,
 }
 
-impl Sum {
-    fn new(rules: &BurnRules) -> Sum {
+impl BurnSum {
+    fn new(rules: &BurnRules) -> BurnSum {
         let longest = rules.page.long.max(rules.ticket.long);
-        Sum {
-            longest: longest.span(),
+        BurnSum {
+            longest_window: longest.span(),
             instances: BTreeSet::new(),
             classes: BTreeMap::new(),
             findings: Vec::new(),
@@ -179,14 +182,15 @@
     fn add(&mut self, scrape: &Scrape) {
         let reading = match Reading::parse(scrape) {
             Ok(reading) => reading,
-            Err(problem) => return self.find(scrape, problem),
+            Err(problem) => return self.add_finding(scrape, problem),
         };
-        // Two addresses of one instance, or one given twice, would count its requests twice.
+        // If an instance has two addresses, or one address is given twice, its requests would be
+        // counted twice.
         if !self.instances.insert(reading.instance.clone()) {
-            return self.find(scrape, Problem::Duplicate(reading.instance));
+            return self.add_finding(scrape, Problem::Duplicate(reading.instance));
         }
-        if reading.uptime < self.longest {
-            self.find(scrape, Problem::RecentStart(reading.uptime));
+        if reading.uptime < self.longest_window {
+            self.add_finding(scrape, Problem::RecentStart(reading.uptime));
         }
         for (name, class) in reading.classes {
             self.add_class(scrape, name, class);
@@ -208,11 +212,11 @@
             (known, stated) => known.or(stated),
         };
         if let Some(problem) = problem {
-            self.find(scrape, problem);
+            self.add_finding(scrape, problem);
         }
     }
 
-    fn find(&mut self, scrape: &Scrape, problem: Problem) {
+    fn add_finding(&mut self, scrape: &Scrape, problem: Problem) {
         self.findings.push(Finding {
             address: scrape.address.clone(),
             problem,
--- a/crates/metrics/src/burn/scrape.rs
+++ b/crates/metrics/src/burn/scrape.rs
@@ -1,4 +1,4 @@
-//! What one instance's metrics say about burn.
+//! Parsing the burn metrics of an instance.
 
 use std::collections::BTreeMap;
 
@@ -10,12 +10,12 @@
 use crate::window::Counts;
 use crate::window::Window;
 
-/// The attempt to read one instance.
+/// The result of scraping an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scrape {
-    /// The address that was asked.
+    /// The address of the instance.
     pub address: String,
-    /// The text of its metrics, or why there is none.
+    /// The text of its metrics, or the reason why the scrape failed.
     pub text: Result<String, String>,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl Reading {
-    /// Reads a scrape, or says why it can't serve.
+    /// Parses a scrape, or returns the problem that makes it unusable.
     pub(crate) fn parse(scrape: &Scrape) -> Result<Reading, Problem> {
         let text = scrape.text.as_ref();
         let text = text.map_err(|cause| Problem::Unreadable(cause.clone()))?;
@@ -61,7 +61,7 @@
     }
 
     fn add_window(&mut self, sample: &Sample) -> Result<(), Problem> {
-        // A newer program may expose further windows; they are none of this reader's business.
+        // Windows that only a newer version of the program exposes are skipped.
         let Ok(window) = sample.label("window").parse() else {
             return Ok(());
         };
--- a/crates/metrics/src/burn/table.rs
+++ b/crates/metrics/src/burn/table.rs
@@ -9,7 +9,7 @@
 use crate::burn::WindowBurn;
 use crate::table::Column;
 use crate::table::Table;
-use crate::table::plain;
+use crate::table::replace_control_characters;
 
 impl fmt::Display for BurnReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -20,7 +20,7 @@
         write!(f, "{table}")?;
         self.write_legend(f)?;
         for finding in &self.findings {
-            let problem = plain(&finding.problem.to_string());
+            let problem = replace_control_characters(&finding.problem.to_string());
             writeln!(f, "finding: {}: {problem}", finding.address)?;
         }
         Ok(())
@@ -32,11 +32,11 @@
         let page = &self.rules.page;
         let ticket = &self.rules.ticket;
         let windows = [page.short, page.long, ticket.short, ticket.long];
-        let mut columns = vec![Column::words("CLASS"), Column::numbers("OBJECTIVE")];
-        columns.extend(windows.map(|w| Column::numbers(format!("BURN {w}"))));
-        columns.push(Column::numbers("ATTAINED"));
-        columns.push(Column::numbers("MISSED"));
-        columns.push(Column::words("STATE"));
+        let mut columns = vec![Column::text("CLASS"), Column::number("OBJECTIVE")];
+        columns.extend(windows.map(|w| Column::number(format!("BURN {w}"))));
+        columns.push(Column::number("ATTAINED"));
+        columns.push(Column::number("MISSED"));
+        columns.push(Column::text("STATE"));
         columns
     }
 
@@ -47,13 +47,13 @@
             "instances read: {}; attained and missed over {}; page at {}, ticket at {}",
             self.instances.len(),
             ticket.long,
-            limit(page),
-            limit(ticket)
+            format_rule(page),
+            format_rule(ticket)
         )
     }
 }
 
-fn limit(rule: &BurnRule) -> String {
+fn format_rule(rule: &BurnRule) -> String {
     format!("{}x or {}% missed", rule.factor, rule.ceiling * 100.0)
 }
 
@@ -62,17 +62,17 @@
     [
         class.class.clone(),
         format!("{:.3}%", class.objective * 100.0),
-        burn(&class.page.short),
-        burn(&class.page.long),
-        burn(&class.ticket.short),
-        burn(&class.ticket.long),
+        format_burn(&class.page.short),
+        format_burn(&class.page.long),
+        format_burn(&class.ticket.short),
+        format_burn(&class.ticket.long),
         counts.attained.to_string(),
         counts.missed.to_string(),
         class.severity.label().to_owned(),
     ]
 }
 
-fn burn(window: &WindowBurn) -> String {
+fn format_burn(window: &WindowBurn) -> String {
     if window.counts.total() == 0 {
         return "-".to_owned();
     }
--- a/crates/metrics/src/class.rs
+++ b/crates/metrics/src/class.rs
@@ -1,4 +1,4 @@
-//! The series of one class, resolved once and updated without label lookups.
+//! The series of a class, resolved once and updated without label lookups.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -20,18 +20,18 @@
 
 pub(crate) mod series;
 
-/// A class's name, targets and objective, from the configuration.
+/// The name, targets and objective of a class, from the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// Name of the class, the value of the `class` label.
+    /// The name of the class, which is the value of the `class` label.
     pub name: String,
-    /// Target for the first token.
+    /// The target for the time to the first token.
     pub first_token: Option<Millis>,
-    /// Target for the mean time per output token after the first.
+    /// The target for the mean time per output token after the first.
     pub token_gap: Option<Millis>,
-    /// Target for the whole answer.
+    /// The target for the time to the whole answer.
     pub whole: Option<Millis>,
-    /// Share of requests that should attain their targets, 0 to 1.
+    /// The share of requests that should attain their targets, 0 to 1.
     pub objective: f64,
 }
 
@@ -48,24 +48,24 @@
 }
 
 impl ClassSettings {
-    /// Judges a finished request against the targets.
+    /// Evaluates a finished request against the targets.
     ///
-    /// A cancelled request counts as missed once it was later than a target when the caller left:
-    /// a caller who gave up because of the wait must not improve the figure. One that left in time
-    /// is excluded.
+    /// A cancelled request counts as missed if a target was already exceeded when the caller left,
+    /// so that callers who give up because of the wait don't improve the figure. Otherwise it is
+    /// excluded.
     pub fn evaluate(&self, record: &RequestRecord) -> Verdict {
         match record.end {
-            RequestEnd::Completed if self.late(record) => Verdict::Missed,
+            RequestEnd::Completed if self.exceeds_targets(record) => Verdict::Missed,
             RequestEnd::Completed => Verdict::Attained,
             RequestEnd::Cut | RequestEnd::Unknown => Verdict::Missed,
             RequestEnd::Refused(reason) if reason.spends_budget() => Verdict::Missed,
             RequestEnd::Refused(_) => Verdict::Excluded,
-            RequestEnd::Cancelled if self.late(record) => Verdict::Missed,
+            RequestEnd::Cancelled if self.exceeds_targets(record) => Verdict::Missed,
             RequestEnd::Cancelled => Verdict::Excluded,
         }
     }
 
-    fn late(&self, record: &RequestRecord) -> bool {
+    fn exceeds_targets(&self, record: &RequestRecord) -> bool {
         let first = record.first_token.unwrap_or(record.whole);
         exceeds(Some(first), self.first_token)
             || exceeds(record.token_gap, self.token_gap)
@@ -77,10 +77,10 @@
     matches!((measured, target), (Some(m), Some(t)) if m > t)
 }
 
-/// Handles of one class's series; cheap to clone, and to update on the request path.
+/// Handles to the series of a class. Cloning them and updating them on the request path is cheap.
 ///
-/// A handle that outlives its class (removed from the configuration, or registered again with other
-/// targets) keeps working, and its requests are judged by the targets they started under.
+/// A handle stays usable after its class is removed from the configuration or registered again with
+/// other targets, and its requests are evaluated against the targets they started with.
 #[derive(Clone, Debug)]
 pub struct ClassMetrics {
     shared: Arc<Shared>,
@@ -93,7 +93,7 @@
     durations: DurationSeries,
 }
 
-/// What a class keeps when its targets change.
+/// The series and windows that a class keeps when its targets change.
 #[derive(Debug)]
 pub(crate) struct ClassCounts {
     pub(crate) series: CountSeries,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Copies the sums over the windows into their gauges.
+    /// Sets the gauges of the windows to their sums at `now`.
     pub(crate) fn refresh_windows(&self, now: Millis) {
         for (slot, window) in Window::ALL.into_iter().enumerate() {
             let sum = self.windows().sum(now, window);
@@ -117,7 +117,7 @@
     }
 
     fn windows(&self) -> MutexGuard<'_, Windows> {
-        // A panic between two additions leaves whole numbers behind: the rings stay usable.
+        // A panic between two additions leaves the rings in a valid state.
         self.windows.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -138,32 +138,32 @@
         }
     }
 
-    /// The settings that requests of this handle are judged by.
+    /// The settings against which the requests of this handle are evaluated.
     pub fn settings(&self) -> &ClassSettings {
         &self.shared.settings
     }
 
     /// Counts a request as queued until the guard is dropped.
     pub fn queued(&self) -> GaugeGuard {
-        GaugeGuard::enter(&self.series().queue)
+        GaugeGuard::increment(&self.series().queue)
     }
 
     /// Counts a request as in flight until the guard is dropped.
     pub fn running(&self) -> GaugeGuard {
-        GaugeGuard::enter(&self.series().running)
+        GaugeGuard::increment(&self.series().running)
     }
 
-    /// Requests queued now.
+    /// The number of queued requests.
     pub fn queue_length(&self) -> u64 {
         self.series().queue.get().unsigned_abs()
     }
 
-    /// Requests in flight now.
+    /// The number of requests in flight.
     pub fn running_count(&self) -> u64 {
         self.series().running.get().unsigned_abs()
     }
 
-    /// Records how long a request waited in the queue.
+    /// Records the time that a request waited in the queue.
     pub fn observe_wait(&self, waited: Millis) {
         self.shared.durations.wait.observe(waited.as_secs_f64());
     }
@@ -179,19 +179,19 @@
         self.shared.durations.token_gap.observe(gap.as_secs_f64());
     }
 
-    /// Counts a repetition of a request on another backend server.
+    /// Counts a retry of a request on another backend server.
     pub fn retried(&self) {
         self.series().retries.inc();
     }
 
-    /// Counts compute spent for nothing: tokens generated and time on the server.
+    /// Counts wasted compute: generated tokens and time on the server.
     pub fn wasted(&self, cause: WasteCause, tokens: u64, time: Millis) {
         let waste = &self.series().waste[cause as usize];
         waste.tokens.inc_by(tokens);
         waste.seconds.inc_by(time.as_secs_f64());
     }
 
-    /// Counts a finished request and judges it; call it exactly once for each request.
+    /// Counts a finished request and evaluates it. Must be called exactly once for each request.
     pub fn finish(&self, record: &RequestRecord, now: Millis) -> Verdict {
         self.count_end(record);
         let verdict = self.settings().evaluate(record);
@@ -199,14 +199,14 @@
         verdict
     }
 
-    /// Attained and missed requests over the window that ends at `now`.
+    /// The attained and missed requests over the window that ends at `now`.
     pub fn window(&self, now: Millis, window: Window) -> Counts {
         self.shared.counts.windows().sum(now, window)
     }
 
     fn count_end(&self, record: &RequestRecord) {
         let series = self.series();
-        series.end(record.end).inc();
+        series.end_counter(record.end).inc();
         if record.end == RequestEnd::Completed {
             series.goodput_requests.inc();
             series.goodput_tokens.inc_by(record.tokens);
@@ -230,17 +230,17 @@
     }
 }
 
-/// Keeps a gauge raised by one while it lives.
+/// Increments a gauge, and decrements it when dropped.
 ///
-/// A request's task can be dropped at any await point; a guard lowers the gauge there too, where a
-/// call at the end of the task would be skipped and the gauge would drift upwards for ever.
+/// The task of a request can be dropped at any await point. A call at the end of the task would
+/// then be skipped, and the gauge would drift upwards.
 #[derive(Debug)]
 pub struct GaugeGuard {
     gauge: IntGauge,
 }
 
 impl GaugeGuard {
-    fn enter(gauge: &IntGauge) -> GaugeGuard {
+    fn increment(gauge: &IntGauge) -> GaugeGuard {
         gauge.inc();
         GaugeGuard {
             gauge: gauge.clone(),
--- a/crates/metrics/src/class/series.rs
+++ b/crates/metrics/src/class/series.rs
@@ -1,4 +1,4 @@
-//! Registration and removal of one class's series.
+//! Registration and removal of the series of a class.
 
 use prometheus::Counter;
 use prometheus::CounterVec;
@@ -22,19 +22,19 @@
 use crate::window::Counts;
 use crate::window::Window;
 
-/// Collectors registered for one class, so that they can be removed together.
+/// The collectors registered for a class, which are removed together.
 ///
-/// Each class has collectors of its own with the class as a constant label: histograms then have
-/// their buckets at the class's own targets, and a removed class leaves no series behind.
-pub(crate) struct Group {
+/// Each class has separate collectors with the class as a constant label. This allows histograms
+/// with buckets at the targets of the class, and a removed class leaves no series behind.
+pub(crate) struct CollectorGroup {
     registry: Registry,
     class: String,
     collectors: Vec<Box<dyn Collector>>,
 }
 
-impl Group {
-    pub(crate) fn new(registry: &Registry, class: &str) -> Group {
-        Group {
+impl CollectorGroup {
+    pub(crate) fn new(registry: &Registry, class: &str) -> CollectorGroup {
+        CollectorGroup {
             registry: registry.clone(),
             class: class.to_owned(),
             collectors: Vec::new(),
@@ -97,14 +97,14 @@
     }
 }
 
-/// Wasted compute of one cause.
+/// The series of compute wasted for one cause.
 #[derive(Debug)]
 pub(crate) struct WasteSeries {
     pub(crate) tokens: IntCounter,
     pub(crate) seconds: Counter,
 }
 
-/// Gauges of one window.
+/// The gauges of a window.
 #[derive(Debug)]
 pub(crate) struct WindowSeries {
     attained: IntGauge,
@@ -120,7 +120,7 @@
     }
 }
 
-/// Counters and gauges of one class.
+/// The counters and gauges of a class.
 #[derive(Debug)]
 pub(crate) struct CountSeries {
     completed: IntCounter,
@@ -141,7 +141,7 @@
 }
 
 impl CountSeries {
-    pub(crate) fn register(group: &mut Group) -> CountSeries {
+    pub(crate) fn register(group: &mut CollectorGroup) -> CountSeries {
         let ends = ends(group);
         let end = |e: RequestEnd| ends.with_label_values(&[e.label(), ""]);
         CountSeries {
@@ -176,7 +176,7 @@
         }
     }
 
-    pub(crate) fn end(&self, end: RequestEnd) -> &IntCounter {
+    pub(crate) fn end_counter(&self, end: RequestEnd) -> &IntCounter {
         match end {
             RequestEnd::Completed => &self.completed,
             RequestEnd::Cut => &self.cut,
@@ -187,7 +187,7 @@
     }
 }
 
-/// Histograms of one class, with buckets at its targets.
+/// The histograms of a class, with buckets at its targets.
 #[derive(Clone, Debug)]
 pub(crate) struct DurationSeries {
     pub(crate) wait: Histogram,
@@ -197,40 +197,40 @@
 }
 
 impl DurationSeries {
-    pub(crate) fn register(group: &mut Group, settings: &ClassSettings) -> DurationSeries {
-        let wait_target = settings.first_token.or(settings.whole);
+    pub(crate) fn register(group: &mut CollectorGroup, settings: &ClassSettings) -> DurationSeries {
+        let queue_wait_target = settings.first_token.or(settings.whole);
         DurationSeries {
             wait: group.histogram(
                 "crocushold_queue_wait_seconds",
                 "Time in the queue.",
-                buckets::around(wait_target),
+                buckets::bounds_for(queue_wait_target),
             ),
             first_token: group.histogram(
                 "crocushold_first_token_seconds",
                 "Time to the first token.",
-                buckets::around(settings.first_token),
+                buckets::bounds_for(settings.first_token),
             ),
             token_gap: group.histogram(
                 "crocushold_token_gap_seconds",
                 "Time between two tokens.",
-                buckets::around(settings.token_gap),
+                buckets::bounds_for(settings.token_gap),
             ),
             answer: group.histogram(
                 "crocushold_answer_seconds",
                 "Time to the whole answer, of completed requests.",
-                buckets::around(settings.whole),
+                buckets::bounds_for(settings.whole),
             ),
         }
     }
 }
 
-fn ends(group: &mut Group) -> IntCounterVec {
+fn ends(group: &mut CollectorGroup) -> IntCounterVec {
     let opts = group.opts("crocushold_requests_total", "Finished requests.");
     let family = IntCounterVec::new(opts, &["end", "reason"]);
     group.add(family.expect("constant names are valid"))
 }
 
-fn waste(group: &mut Group) -> [WasteSeries; WasteCause::ALL.len()] {
+fn waste(group: &mut CollectorGroup) -> [WasteSeries; WasteCause::ALL.len()] {
     let tokens = group.counters(
         "crocushold_wasted_tokens_total",
         "Tokens generated for nothing.",
@@ -247,7 +247,7 @@
     })
 }
 
-fn windows(group: &mut Group) -> [WindowSeries; Window::ALL.len()] {
+fn windows(group: &mut CollectorGroup) -> [WindowSeries; Window::ALL.len()] {
     let family = group.gauges(
         "crocushold_window_requests",
         "Requests by verdict over a sliding window.",
--- a/crates/metrics/src/exposition.rs
+++ b/crates/metrics/src/exposition.rs
@@ -1,68 +1,68 @@
-//! Reading back the lines that [`Metrics::render`](crate::Metrics::render) writes.
+//! Parsing the text format that [`Metrics::render`](crate::Metrics::render) writes.
 
 use std::str::Chars;
 
 use quick_error::quick_error;
 
-/// Prefix of the metrics that are read; others are skipped.
+/// The prefix of the metrics that are parsed; others are skipped.
 const OWN_PREFIX: &str = "crocushold_";
 
 quick_error! {
-    /// A scrape that can't be read.
+    /// Why a scrape couldn't be parsed.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ExpositionError {
-        /// The line isn't of the form `name{label="value",...} number`.
+        /// The line with this number isn't of the form `name{label="value",...} number`.
         Malformed(line: usize) {
             display("line {line} isn't a metric")
         }
-        /// The last line has no end.
+        /// The last line doesn't end with a line feed.
         Truncated {
             display("the text breaks off inside its last line")
         }
     }
 }
 
-/// One metric line.
+/// A line of the text format with the value of a metric.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sample {
-    /// Name of the metric.
+    /// The name of the metric.
     pub name: String,
-    /// Labels in the order of the line.
+    /// The labels in the order of the line.
     pub labels: Vec<Label>,
     /// The value.
     pub value: f64,
 }
 
-/// One label of a sample.
+/// A label of a sample.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Label {
-    /// Name of the label.
+    /// The name of the label.
     pub name: String,
-    /// Its unescaped value.
+    /// The unescaped value of the label.
     pub value: String,
 }
 
 impl Sample {
-    /// The value of a label; empty when it is absent, as Prometheus defines it.
+    /// The value of a label; empty if it is absent, as Prometheus defines it.
     pub fn label(&self, name: &str) -> &str {
         let label = self.labels.iter().find(|l| l.name == name);
         label.map_or("", |l| &l.value)
     }
 }
 
-/// The crocushold metrics of one scrape.
+/// The crocushold metrics of a scrape.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Exposition {
     samples: Vec<Sample>,
 }
 
 impl Exposition {
-    /// Reads the text format; comments and metrics of other programs are skipped.
+    /// Parses the text format. Comments and metrics of other programs are skipped.
     ///
     /// # Errors
     ///
-    /// The first own line that is malformed, or a last line without an end: a text cut short by a
-    /// broken connection must not pass `12` off for `1234`.
+    /// Fails on the first malformed line of a crocushold metric, and on a last line without a line
+    /// feed. A text truncated by a lost connection could otherwise show `12` in place of `1234`.
     pub fn parse(text: &str) -> Result<Exposition, ExpositionError> {
         if !text.is_empty() && !text.ends_with('\n') {
             return Err(ExpositionError::Truncated);
@@ -121,7 +121,7 @@
     }
 }
 
-/// Reads an escaped value up to its closing quote, and returns what stands behind it.
+/// Parses an escaped value up to its closing quote, and returns it with the rest of the text.
 fn parse_value(text: &str) -> Option<(String, &str)> {
     let mut value = String::new();
     let mut chars = text.chars();
--- a/crates/metrics/src/instance.rs
+++ b/crates/metrics/src/instance.rs
@@ -11,18 +11,18 @@
 
 use crate::process;
 
-/// Who this instance is, from its settings.
+/// The identity of this instance, from its settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InstanceInfo {
-    /// Name of the instance in the platform's list.
+    /// The name of the instance in the platform's list.
     pub instance: String,
-    /// Availability zone.
+    /// The availability zone.
     pub zone: String,
-    /// Version of the program.
+    /// The version of the program.
     pub version: String,
 }
 
-/// The series without a class.
+/// The series of the instance, which have no class.
 #[derive(Debug)]
 pub(crate) struct InstanceSeries {
     pub(crate) ejections: IntCounter,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Takes the processor time and memory of this moment.
+    /// Updates the processor time and the resident memory of the process.
     pub(crate) fn refresh_process(&self) {
         let Some(usage) = process::usage() else {
             return;
@@ -89,7 +89,7 @@
     }
 }
 
-/// Registers a collector whose name this crate chose.
+/// Registers a collector whose name is a constant of this crate.
 pub(crate) fn register<C: Collector + Clone + 'static>(registry: &Registry, collector: C) -> C {
     registry
         .register(Box::new(collector.clone()))
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,20 +1,20 @@
-//! Metrics, the status document, and service-level burn.
+//! Metrics, the status document, and burn rates of error budgets.
 //!
-//! Three parts, used on both sides of an instance's operator address:
+//! The crate has three parts, which both the instances and the operator's commands use:
 //!
-//! * **Recording.** [`Metrics`] owns a registry (there is no global one). [`Metrics::class`] resolves
-//!   the handles of one class once; the [`ClassMetrics`] that it returns is cloned into the request
-//!   path, where an update is an atomic addition without a label lookup. [`Metrics::render`] writes
-//!   the text format that Prometheus scrapes.
-//! * **Burn.** Nothing is stored anywhere, so every instance keeps a bounded ring of attained and
+//! * **Recording.** [`Metrics`] owns a registry (there is no global one). [`Metrics::class`]
+//!   resolves the handles of a class once. The [`ClassMetrics`] that it returns is cloned into the
+//!   request path, where an update is an atomic addition without a label lookup.
+//!   [`Metrics::render`] writes the text format that Prometheus scrapes.
+//! * **Burn rates.** Scrapes aren't stored, so every instance keeps bounded rings of attained and
 //!   missed counts ([`Windows`]) and exposes their sums over fixed [`Window`]s. One scrape of each
-//!   instance is then enough for [`BurnReport::from_scrapes`] to compute the burn of the error
+//!   instance is then enough for [`BurnReport::from_scrapes`] to compute the burn rate of the error
 //!   budget over a short and a long window.
 //! * **Status.** [`status::Status`] is the document behind `GET /status`.
 //!
 //! Cardinality is bounded: the only label that callers influence is the account of
 //! `crocushold_top_account_tokens`, which comes from a space-saving sketch and never exceeds
-//! [`TOP_ACCOUNTS`] series. A class that left the configuration takes its series with it.
+//! [`TOP_ACCOUNTS`] series. The series of a class are removed with the class.
 
 mod accounts;
 mod buckets;
--- a/crates/metrics/src/metrics.rs
+++ b/crates/metrics/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The registry of an instance.
+//! The metrics registry of an instance.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,18 +16,19 @@
 use crate::class::ClassCounts;
 use crate::class::ClassMetrics;
 use crate::class::ClassSettings;
+use crate::class::series::CollectorGroup;
 use crate::class::series::CountSeries;
 use crate::class::series::DurationSeries;
-use crate::class::series::Group;
 use crate::instance::InstanceInfo;
 use crate::instance::InstanceSeries;
 
-/// Most accounts that are exposed as series of their own.
+/// The most accounts that are exposed as separate series.
 pub const TOP_ACCOUNTS: usize = 20;
-/// Counters of the sketch: more than are exposed, so that the exposed ones are nearly exact.
+/// The counters of the sketch. They are more than the exposed accounts, so that the exposed values
+/// are nearly exact.
 const SKETCH_ACCOUNTS: usize = 100;
 
-/// All metrics of one instance; clones share them.
+/// All metrics of an instance, shared between clones.
 #[derive(Clone)]
 pub struct Metrics {
     inner: Arc<Inner>,
@@ -43,12 +44,12 @@
 struct ClassEntry {
     handle: ClassMetrics,
     counts: Arc<ClassCounts>,
-    count_group: Group,
-    duration_group: Group,
+    count_group: CollectorGroup,
+    duration_group: CollectorGroup,
 }
 
 impl Metrics {
-    /// An empty registry for the instance `info`.
+    /// Creates the metrics of the instance `info`, without classes.
     pub fn new(info: &InstanceInfo) -> Metrics {
         let registry = Registry::new();
         let series = InstanceSeries::register(&registry, info);
@@ -64,16 +65,16 @@
         }
     }
 
-    /// The handles of a class, registered at the first call.
+    /// Returns the handles of a class, and registers the class at the first call.
     ///
-    /// Call it when a configuration is applied, not for each request. A class that is known with
-    /// other settings keeps its counters and windows and gets new histograms, because their buckets
-    /// stand at the targets.
+    /// This is meant to be called when a configuration is applied, not for each request. A class
+    /// that is registered with other settings keeps its counters and windows but gets new
+    /// histograms, because their buckets depend on the targets.
     pub fn class(&self, settings: &ClassSettings) -> ClassMetrics {
         let mut classes = self.classes();
         let entry = match classes.remove(&settings.name) {
             Some(entry) if entry.handle.settings() == settings => entry,
-            Some(entry) => self.retarget(entry, settings),
+            Some(entry) => self.replace_durations(entry, settings),
             None => self.register(settings),
         };
         let handle = entry.handle.clone();
@@ -81,7 +82,7 @@
         handle
     }
 
-    /// Removes the series of every class that isn't among `names`.
+    /// Removes the classes that aren't in `names`, and their series.
     pub fn retain_classes<'a>(&self, names: impl IntoIterator<Item = &'a str>) {
         let kept: BTreeSet<&str> = names.into_iter().collect();
         let mut classes = self.classes();
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Adds tokens that a client account used.
+    /// Adds tokens used by a client account.
     pub fn add_account_tokens(&self, account: &str, tokens: u64) {
         self.accounts().add(account, tokens);
     }
@@ -114,23 +115,24 @@
         self.inner.series.peers.set(value);
     }
 
-    /// Sets the time since the platform last confirmed the configuration; `None` when it never did.
+    /// Sets the time since the platform last confirmed the configuration; `None` if it never did.
     ///
-    /// That is shown as an infinite age, so that a rule for old ones sees it too.
+    /// `None` is exposed as an infinite age, so that alert rules on old configurations also match
+    /// it.
     pub fn set_confirmed_age(&self, age: Option<Millis>) {
         let age = age.map_or(f64::INFINITY, Millis::as_secs_f64);
         self.inner.series.confirmed.set(age);
     }
 
-    /// Sets the most bytes that callers can make the instance hold.
+    /// Sets the upper bound on the memory that callers can make the instance hold, in bytes.
     pub fn set_memory_bound(&self, bytes: u64) {
         let value = i64::try_from(bytes).unwrap_or(i64::MAX);
         self.inner.series.memory_bound.set(value);
     }
 
-    /// The text format of Prometheus, with the windows that end at `now`.
+    /// Renders the metrics in the text format of Prometheus, with the windows that end at `now`.
     ///
-    /// `now` is read from the clock that was started with the process.
+    /// `now` is the time since the start of the process.
     pub fn render(&self, now: Millis) -> String {
         self.inner.series.uptime.set(now.as_secs_f64());
         self.inner.series.refresh_process();
@@ -144,25 +146,25 @@
     }
 
     fn register(&self, settings: &ClassSettings) -> ClassEntry {
-        let mut count_group = Group::new(&self.inner.registry, &settings.name);
+        let mut count_group = CollectorGroup::new(&self.inner.registry, &settings.name);
         let series = CountSeries::register(&mut count_group);
         let counts = Arc::new(ClassCounts::new(series));
-        self.attach(counts, count_group, settings)
+        self.new_entry(counts, count_group, settings)
     }
 
-    fn retarget(&self, entry: ClassEntry, settings: &ClassSettings) -> ClassEntry {
+    fn replace_durations(&self, entry: ClassEntry, settings: &ClassSettings) -> ClassEntry {
         entry.duration_group.unregister();
-        self.attach(entry.counts, entry.count_group, settings)
+        self.new_entry(entry.counts, entry.count_group, settings)
     }
 
-    fn attach(
+    fn new_entry(
         &self,
         counts: Arc<ClassCounts>,
-        count_group: Group,
+        count_group: CollectorGroup,
         settings: &ClassSettings,
     ) -> ClassEntry {
         counts.series.objective.set(settings.objective);
-        let mut duration_group = Group::new(&self.inner.registry, &settings.name);
+        let mut duration_group = CollectorGroup::new(&self.inner.registry, &settings.name);
         let durations = DurationSeries::register(&mut duration_group, settings);
         let handle = ClassMetrics::new(settings.clone(), Arc::clone(&counts), durations);
         ClassEntry {
@@ -183,8 +185,8 @@
         }
     }
 
-    // Nothing between lock and unlock leaves the maps half changed, so a panic elsewhere while a
-    // lock is held doesn't make them unusable.
+    // No operation leaves the maps in an inconsistent state while a lock is held, so they stay
+    // usable after a panic, and poisoning is ignored.
 
     fn classes(&self) -> MutexGuard<'_, BTreeMap<String, ClassEntry>> {
         let lock = self.inner.classes.lock();
--- a/crates/metrics/src/process.rs
+++ b/crates/metrics/src/process.rs
@@ -1,24 +1,24 @@
-//! Processor time and memory of this process, from procfs.
+//! Processor time and resident memory of this process, from procfs.
 
 use std::fs;
 
-/// Clock ticks a second in `/proc/self/stat`; Linux fixes it at 100 for user space.
+/// Clock ticks per second in `/proc/self/stat`, which Linux fixes at 100 for user space.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Position of `utime` behind the command's closing parenthesis; `stime` follows it.
+/// Index of `utime` among the fields after the command name; `stime` follows it.
 const UTIME_FIELD: usize = 11;
-/// `VmRSS` is stated in units of 1024 bytes.
+/// The unit of `VmRSS`, in bytes.
 const BYTES_PER_KB: i64 = 1024;
 
-/// What procfs says of this process.
+/// The resource usage of this process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProcessUsage {
-    /// User and system time, in seconds.
+    /// User and system processor time, in seconds.
     pub(crate) cpu: f64,
     /// Resident memory, in bytes.
     pub(crate) resident: i64,
 }
 
-/// Reads the usage; `None` where procfs is missing or reads otherwise than expected.
+/// Reads the usage; `None` if procfs is missing or has an unexpected format.
 pub(crate) fn usage() -> Option<ProcessUsage> {
     let stat = fs::read_to_string("/proc/self/stat").ok()?;
     let status = fs::read_to_string("/proc/self/status").ok()?;
@@ -29,7 +29,8 @@
 }
 
 fn cpu_seconds(stat: &str) -> Option<f64> {
-    // The command's name may hold blanks and parentheses: fields are counted behind the last one.
+    // The command name may contain spaces and parentheses, so fields are counted after the last
+    // closing parenthesis.
     let (_, fields) = stat.rsplit_once(')')?;
     let mut fields = fields.split_ascii_whitespace().skip(UTIME_FIELD);
     let user: u64 = fields.next()?.parse().ok()?;
--- a/crates/metrics/src/record.rs
+++ b/crates/metrics/src/record.rs
@@ -1,4 +1,4 @@
-//! What the request path reports about a finished request.
+//! The measurements of finished requests.
 
 use crocushold_base::Millis;
 
@@ -7,11 +7,11 @@
 pub enum RequestEnd {
     /// The caller received the whole answer.
     Completed,
-    /// The answer broke off after part of it was relayed.
+    /// The answer was cut off after a part of it was relayed.
     Cut,
-    /// The request was refused and not run.
+    /// The request was refused and didn't run.
     Refused(RefusalReason),
-    /// The caller went away before the answer was whole.
+    /// The caller disconnected before the answer was complete.
     Cancelled,
     /// The request may have run, but its answer was lost.
     Unknown,
@@ -39,22 +39,22 @@
     QueueFull,
     /// The queue is so long that the latency target can't be met.
     Deadline,
-    /// The account is over its own rate or concurrency limit.
+    /// The client account exceeds its rate or concurrency limit.
     AccountLimit,
     /// No backend server of the service is usable.
     NoServer,
-    /// Backend servers ended under requests that ask the same.
+    /// Backend servers crashed while processing requests with the same content.
     Quarantined,
     /// The instance is shutting down.
     Draining,
     /// Another request with the same idempotency key is running or has run.
     Duplicate,
-    /// The request itself is at fault: malformed, too large, not authorised, unknown model.
+    /// The request is malformed, too large or not authorised, or names an unknown model.
     Invalid,
 }
 
 impl RefusalReason {
-    /// All reasons, in the order of their slots.
+    /// All reasons, in the order of their discriminants.
     pub const ALL: [RefusalReason; 9] = [
         RefusalReason::Overload,
         RefusalReason::QueueFull,
@@ -84,8 +84,8 @@
 
     /// Whether the refusal spends the error budget of the class.
     ///
-    /// A refusal that the caller brought about (its own limit, its own duplicate, a malformed
-    /// request) says nothing about the service level.
+    /// A refusal caused by the caller (its limit, its duplicate, a malformed request) doesn't count
+    /// for the service level.
     pub const fn spends_budget(self) -> bool {
         match self {
             RefusalReason::Overload
@@ -104,20 +104,20 @@
 /// Why compute was wasted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WasteCause {
-    /// The caller hung up.
+    /// The caller disconnected.
     CallerGone,
-    /// The backend server broke off mid-answer.
+    /// The backend server cut its answer off.
     Cut,
-    /// The request was run again elsewhere.
+    /// The request was retried on another backend server.
     Retried,
-    /// A whole answer arrived that nobody waited for any more.
+    /// A whole answer arrived, but the caller no longer waited for it.
     Discarded,
-    /// The slower copy of a hedged request.
+    /// The slower attempt of a hedged request.
     Hedge,
 }
 
 impl WasteCause {
-    /// All causes, in the order of their slots.
+    /// All causes, in the order of their discriminants.
     pub const ALL: [WasteCause; 5] = [
         WasteCause::CallerGone,
         WasteCause::Cut,
@@ -138,16 +138,17 @@
     }
 }
 
-/// The measurements of one finished request.
+/// The measurements of a finished request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestRecord {
     /// How the request ended.
     pub end: RequestEnd,
-    /// From the arrival of the head to the first token relayed; `None` when none was.
+    /// The time from the arrival of the head to the first relayed token; `None` if no token was
+    /// relayed.
     pub first_token: Option<Millis>,
-    /// Mean time per output token after the first; `None` for fewer than two tokens.
+    /// The mean time per output token after the first; `None` for fewer than two tokens.
     pub token_gap: Option<Millis>,
-    /// From the arrival of the head to the end.
+    /// The time from the arrival of the head to the end of the request.
     pub whole: Millis,
     /// Tokens relayed to the caller.
     pub tokens: u64,
@@ -165,13 +166,13 @@
     }
 }
 
-/// What a finished request means for its class's service level.
+/// How a finished request counts for the service level of its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Answered whole and within every target.
+    /// Answered completely and within every target.
     Attained,
-    /// Late, cut, lost, or refused for want of capacity.
+    /// Late, cut off, lost, or refused for lack of capacity.
     Missed,
-    /// Outside the service level: the caller's own doing.
+    /// Not counted, because the caller caused the outcome.
     Excluded,
 }
--- a/crates/metrics/src/status.rs
+++ b/crates/metrics/src/status.rs
@@ -1,8 +1,8 @@
 //! The document behind `GET /status`.
 //!
-//! Times are milliseconds; names are those of the configuration and the platform. A reader of another
-//! version ignores fields that it doesn't know and takes defaults for those that are missing, so that
-//! `crocushold status` works through an upgrade.
+//! Durations are in milliseconds. Names are those of the configuration and the platform. Unknown
+//! fields are ignored and missing ones get their defaults, so that `crocushold status` can read
+//! instances of other versions during an upgrade.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,7 +12,7 @@
 
 mod table;
 
-/// One instance's view of itself and of the fleet.
+/// The state of an instance, and its view of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct Status {
@@ -22,9 +22,9 @@
     pub zone: String,
     /// Version of the program.
     pub version: String,
-    /// Stage of the instance's life.
+    /// The lifecycle state of the instance.
     pub state: InstanceState,
-    /// Time since the process started.
+    /// The time since the process started.
     pub uptime_ms: u64,
     /// The configuration in force.
     pub config: ConfigStatus,
@@ -38,16 +38,16 @@
     pub limits: Vec<LimitStatus>,
 }
 
-/// Stage of an instance's life.
+/// The lifecycle state of an instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum InstanceState {
-    /// Has no configuration yet.
+    /// The instance has no configuration yet.
     #[default]
     Starting,
-    /// Takes requests.
+    /// The instance accepts requests.
     Serving,
-    /// Finishes its requests and takes no new ones.
+    /// The instance finishes its requests and accepts no new ones.
     Draining,
 }
 
@@ -55,33 +55,33 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct ConfigStatus {
-    /// Revision in force; 0 before the first.
+    /// The revision in force; 0 before the first.
     pub revision: u64,
-    /// Highest revision that the platform or a peer told of.
+    /// The highest revision that the platform or a peer has announced.
     pub newest_revision: u64,
-    /// Since the platform last answered with a revision that isn't older than the one in force;
-    /// missing when it never did.
+    /// The time since the platform last answered with a revision that isn't older than the one in
+    /// force; missing if it never did.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub confirmed_ms: Option<u64>,
-    /// The teams' parts.
+    /// The parts of the teams.
     pub parts: Vec<PartStatus>,
 }
 
-/// One team's part.
+/// The configuration part of a team.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct PartStatus {
-    /// The team.
+    /// The name of the team.
     pub team: String,
-    /// Revision of the part in force; 0 when none of its texts was accepted.
+    /// The revision of the part in force; 0 if no revision of it was accepted.
     pub revision: u64,
-    /// Revision of the part as published; greater than `revision` when that text was rejected.
+    /// The revision of the published part; greater than `revision` if that text was rejected.
     pub published: u64,
-    /// Findings on the published text.
+    /// The number of findings in the published text.
     pub findings: u64,
 }
 
-/// Another instance, as seen from this one.
+/// A peer, as seen by this instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct PeerStatus {
@@ -89,44 +89,45 @@
     pub instance: String,
     /// Its availability zone.
     pub zone: String,
-    /// Its standing, such as `live`, `suspect` or `leaving`.
+    /// Its membership state, such as `live`, `suspect` or `leaving`.
     pub standing: String,
-    /// The configuration revision that it stated last.
+    /// The configuration revision that it last announced.
     pub revision: u64,
-    /// Since this instance itself last heard it; missing when it never did, or gets no answer.
+    /// The time since this instance last heard from the peer directly; missing if it never did, or
+    /// if the peer doesn't answer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub heard_ms: Option<u64>,
 }
 
-/// One class.
+/// The state of a class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct ClassStatus {
     /// Name of the class.
     pub class: String,
-    /// Priority; lower is sooner.
+    /// The priority; lower values are served first.
     pub priority: u32,
-    /// Requests queued.
+    /// The number of queued requests.
     pub queued: u64,
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub running: u64,
-    /// Share of requests that should attain their targets.
+    /// The share of requests that should attain their targets.
     pub objective: f64,
-    /// Requests by verdict, one entry a window.
+    /// The requests by verdict, with one entry per window.
     pub windows: Vec<WindowStatus>,
 }
 
-/// Requests of a class over one window.
+/// The requests of a class over a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct WindowStatus {
     /// The window.
     pub window: Window,
-    /// Requests over it.
+    /// The requests in the window.
     pub counts: Counts,
 }
 
-/// One backend server, as seen from this instance.
+/// A backend server, as seen by this instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct ServerStatus {
@@ -136,24 +137,24 @@
     pub service: String,
     /// Its availability zone.
     pub zone: String,
-    /// Whether it gets new requests.
+    /// Whether new requests are sent to it.
     pub usable: bool,
-    /// Its standing, such as `in`, `ejected`, `leaving` or `recovering`.
+    /// Its routing state, such as `in`, `ejected`, `leaving` or `recovering`.
     pub standing: String,
-    /// Why it stands so.
+    /// The reason for its state.
     pub reason: String,
-    /// Requests that this instance has in flight there.
+    /// The number of requests that this instance has in flight on it.
     pub running: u64,
 }
 
-/// One limit.
+/// The use of a limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct LimitStatus {
-    /// What is limited, such as `connections` or `account/portal/rate`.
+    /// The name of the limit, such as `connections` or `account/portal/rate`.
     pub limit: String,
-    /// How much is in use.
+    /// The amount in use.
     pub used: u64,
-    /// The bound, as this instance applies it.
+    /// The bound that this instance applies.
     pub bound: u64,
 }
--- a/crates/metrics/src/status/table.rs
+++ b/crates/metrics/src/status/table.rs
@@ -1,4 +1,4 @@
-//! A status as aligned tables.
+//! The status document as aligned tables.
 
 use std::fmt;
 
@@ -9,12 +9,12 @@
 use crate::status::Status;
 use crate::table::Column;
 use crate::table::Table;
-use crate::table::plain;
+use crate::table::replace_control_characters;
 use crate::window::Counts;
 use crate::window::Window;
 
 impl InstanceState {
-    /// The word that the table shows.
+    /// The word shown in the table.
     pub const fn label(self) -> &'static str {
         match self {
             InstanceState::Starting => "starting",
@@ -26,7 +26,7 @@
 
 impl fmt::Display for Status {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.write_head(f)?;
+        self.write_header(f)?;
         let tables = [
             self.parts_table(),
             self.peers_table(),
@@ -42,19 +42,19 @@
 }
 
 impl Status {
-    fn write_head(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn write_header(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let config = &self.config;
         writeln!(
             f,
             "instance {} zone {} version {} {} up {}",
-            plain(&self.instance),
-            plain(&self.zone),
-            plain(&self.version),
+            replace_control_characters(&self.instance),
+            replace_control_characters(&self.zone),
+            replace_control_characters(&self.version),
             self.state.label(),
-            seconds(self.uptime_ms)
+            format_seconds(self.uptime_ms)
         )?;
         let confirmed = match config.confirmed_ms {
-            Some(age) => format!("last confirmed {} ago", seconds(age)),
+            Some(age) => format!("last confirmed {} ago", format_seconds(age)),
             None => "never confirmed".to_owned(),
         };
         writeln!(
@@ -66,10 +66,10 @@
 
     fn parts_table(&self) -> Table {
         let mut table = Table::new(vec![
-            Column::words("TEAM"),
-            Column::numbers("IN FORCE"),
-            Column::numbers("PUBLISHED"),
-            Column::numbers("FINDINGS"),
+            Column::text("TEAM"),
+            Column::number("IN FORCE"),
+            Column::number("PUBLISHED"),
+            Column::number("FINDINGS"),
         ]);
         for part in &self.config.parts {
             table.row([
@@ -84,11 +84,11 @@
 
     fn peers_table(&self) -> Table {
         let mut table = Table::new(vec![
-            Column::words("PEER"),
-            Column::words("ZONE"),
-            Column::words("STANDING"),
-            Column::numbers("REVISION"),
-            Column::numbers("HEARD"),
+            Column::text("PEER"),
+            Column::text("ZONE"),
+            Column::text("STANDING"),
+            Column::number("REVISION"),
+            Column::number("HEARD"),
         ]);
         for peer in &self.peers {
             table.row([
@@ -96,7 +96,7 @@
                 peer.zone.clone(),
                 peer.standing.clone(),
                 peer.revision.to_string(),
-                peer.heard_ms.map_or("never".to_owned(), seconds),
+                peer.heard_ms.map_or("never".to_owned(), format_seconds),
             ]);
         }
         table
@@ -104,13 +104,13 @@
 
     fn classes_table(&self) -> Table {
         let mut table = Table::new(vec![
-            Column::words("CLASS"),
-            Column::numbers("PRIORITY"),
-            Column::numbers("QUEUED"),
-            Column::numbers("RUNNING"),
-            Column::numbers("OBJECTIVE"),
-            Column::numbers("ATTAINED 5m"),
-            Column::numbers("ATTAINED 1h"),
+            Column::text("CLASS"),
+            Column::number("PRIORITY"),
+            Column::number("QUEUED"),
+            Column::number("RUNNING"),
+            Column::number("OBJECTIVE"),
+            Column::number("ATTAINED 5m"),
+            Column::number("ATTAINED 1h"),
         ]);
         for class in &self.classes {
             table.row([
@@ -118,9 +118,9 @@
                 class.priority.to_string(),
                 class.queued.to_string(),
                 class.running.to_string(),
-                share(class.objective),
-                attained(class, Window::FiveMinutes),
-                attained(class, Window::Hour),
+                format_share(class.objective),
+                format_attained(class, Window::FiveMinutes),
+                format_attained(class, Window::Hour),
             ]);
         }
         table
@@ -128,13 +128,13 @@
 
     fn servers_table(&self) -> Table {
         let mut table = Table::new(vec![
-            Column::words("SERVER"),
-            Column::words("SERVICE"),
-            Column::words("ZONE"),
-            Column::words("USE"),
-            Column::words("STANDING"),
-            Column::numbers("RUNNING"),
-            Column::words("REASON"),
+            Column::text("SERVER"),
+            Column::text("SERVICE"),
+            Column::text("ZONE"),
+            Column::text("USE"),
+            Column::text("STANDING"),
+            Column::number("RUNNING"),
+            Column::text("REASON"),
         ]);
         for server in &self.servers {
             let usable = if server.usable { "in" } else { "out" };
@@ -153,9 +153,9 @@
 
     fn limits_table(&self) -> Table {
         let mut table = Table::new(vec![
-            Column::words("LIMIT"),
-            Column::numbers("USED"),
-            Column::numbers("BOUND"),
+            Column::text("LIMIT"),
+            Column::number("USED"),
+            Column::number("BOUND"),
         ]);
         for limit in &self.limits {
             table.row([
@@ -168,17 +168,17 @@
     }
 }
 
-fn attained(class: &ClassStatus, window: Window) -> String {
+fn format_attained(class: &ClassStatus, window: Window) -> String {
     let mut windows = class.windows.iter();
     let found = windows.find(|w| w.window == window);
     let attainment = found.and_then(|w| Counts::attainment(w.counts));
-    attainment.map_or("-".to_owned(), share)
+    attainment.map_or("-".to_owned(), format_share)
 }
 
-fn share(share: f64) -> String {
+fn format_share(share: f64) -> String {
     format!("{:.2}%", share * 100.0)
 }
 
-fn seconds(ms: u64) -> String {
+fn format_seconds(ms: u64) -> String {
     format!("{:.1}s", Millis(ms).as_secs_f64())
 }
--- a/crates/metrics/src/table.rs
+++ b/crates/metrics/src/table.rs
@@ -1,20 +1,20 @@
-//! Aligned tables for a terminal.
+//! Tables with aligned columns for a terminal.
 
 use std::fmt;
 
-/// Space between two columns.
-const GAP: &str = "  ";
+/// The separator of columns.
+const COLUMN_SEPARATOR: &str = "  ";
 
-/// How a column is aligned.
+/// The alignment of a column.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Align {
-    /// Words.
+    /// For text.
     Left,
-    /// Numbers.
+    /// For numbers.
     Right,
 }
 
-/// One column's head.
+/// The title and alignment of a column.
 #[derive(Clone, Debug)]
 pub(crate) struct Column {
     title: String,
@@ -22,16 +22,16 @@
 }
 
 impl Column {
-    /// A column of words.
-    pub(crate) fn words(title: impl Into<String>) -> Column {
+    /// Creates a left-aligned column for text.
+    pub(crate) fn text(title: impl Into<String>) -> Column {
         Column {
             title: title.into(),
             align: Align::Left,
         }
     }
 
-    /// A column of numbers.
-    pub(crate) fn numbers(title: impl Into<String>) -> Column {
+    /// Creates a right-aligned column for numbers.
+    pub(crate) fn number(title: impl Into<String>) -> Column {
         Column {
             title: title.into(),
             align: Align::Right,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Rows of cells under a head.
+/// A table with column titles.
 #[derive(Clone, Debug)]
 pub(crate) struct Table {
     columns: Vec<Column>,
@@ -55,18 +55,22 @@
     }
 
     pub(crate) fn row(&mut self, cells: impl IntoIterator<Item = String>) {
-        self.rows
-            .push(cells.into_iter().map(|c| plain(&c)).collect());
+        self.rows.push(
+            cells
+                .into_iter()
+                .map(|c| replace_control_characters(&c))
+                .collect(),
+        );
     }
 
     pub(crate) fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    fn width(&self, place: usize) -> usize {
-        let cells = self.rows.iter().filter_map(|row| row.get(place));
+    fn width(&self, index: usize) -> usize {
+        let cells = self.rows.iter().filter_map(|row| row.get(index));
         let widths = cells.map(|c| c.chars().count());
-        let title = self.columns[place].title.chars().count();
+        let title = self.columns[index].title.chars().count();
         widths.max().unwrap_or(0).max(title)
     }
 
@@ -76,14 +80,14 @@
         cells: impl Iterator<Item = &'a str>,
     ) -> fmt::Result {
         let mut line = String::new();
-        for (place, cell) in cells.enumerate().take(self.columns.len()) {
-            let width = self.width(place);
-            let padded = match self.columns[place].align {
+        for (index, cell) in cells.enumerate().take(self.columns.len()) {
+            let width = self.width(index);
+            let padded = match self.columns[index].align {
                 Align::Left => format!("{cell:<width$}"),
                 Align::Right => format!("{cell:>width$}"),
             };
-            if place > 0 {
-                line.push_str(GAP);
+            if index > 0 {
+                line.push_str(COLUMN_SEPARATOR);
             }
             line.push_str(&padded);
         }
@@ -101,11 +105,11 @@
     }
 }
 
-/// The text without control characters.
+/// Replaces control characters.
 ///
-/// Names come from teams' texts and from other processes; one with an escape sequence would rewrite
-/// the operator's terminal.
-pub(crate) fn plain(text: &str) -> String {
+/// Names come from the texts of teams and from other processes. Escape sequences in them could
+/// overwrite the contents of the operator's terminal.
+pub(crate) fn replace_control_characters(text: &str) -> String {
     let replace = |c: char| if c.is_control() { '\u{fffd}' } else { c };
     text.chars().map(replace).collect()
 }
--- a/crates/metrics/src/window.rs
+++ b/crates/metrics/src/window.rs
@@ -1,4 +1,4 @@
-//! Attained and missed counts over sliding windows, in bounded memory.
+//! Counts of attained and missed requests over sliding windows, in bounded memory.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,29 +8,29 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Width of a slot of the fine ring.
-const FINE_WIDTH: Millis = Millis::from_secs(10);
-/// The fine ring reaches one hour back.
+/// The duration of a slot of the fine ring.
+const FINE_SLOT_DURATION: Millis = Millis::from_secs(10);
+/// The number of slots of the fine ring, which covers one hour.
 const FINE_SLOTS: usize = 360;
-/// Width of a slot of the coarse ring.
-const COARSE_WIDTH: Millis = Millis::from_secs(300);
-/// The coarse ring reaches six hours back.
+/// The duration of a slot of the coarse ring.
+const COARSE_SLOT_DURATION: Millis = Millis::from_secs(300);
+/// The number of slots of the coarse ring, which covers six hours.
 const COARSE_SLOTS: usize = 72;
 
 quick_error! {
-    /// The text names no window that instances expose.
+    /// Why a text couldn't be parsed as a window.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum WindowError {
-        /// Not one of the exposed windows.
+        /// The text names none of the exposed windows.
         Unknown(text: String) {
             display("no window `{text}`: instances expose 5m, 30m, 1h and 6h")
         }
     }
 }
 
-/// A window that every instance exposes.
+/// A sliding window that every instance exposes.
 ///
-/// The set is fixed, because a reader of several instances can only add up what all of them expose.
+/// The set is fixed, because only windows that all instances expose can be summed over instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Window {
     /// Five minutes.
@@ -48,7 +48,7 @@
 }
 
 impl Window {
-    /// All windows, shortest first.
+    /// All windows, from the shortest to the longest.
     pub const ALL: [Window; 4] = [
         Window::FiveMinutes,
         Window::HalfHour,
@@ -94,12 +94,12 @@
     }
 }
 
-/// Requests that attained and missed their targets.
+/// The numbers of requests that attained and missed their targets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Answered whole and within every target.
+    /// Requests answered completely and within every target.
     pub attained: u64,
-    /// Late, cut, lost, or refused for want of capacity.
+    /// Requests that were late, cut off, lost, or refused for lack of capacity.
     pub missed: u64,
 }
 
@@ -122,18 +122,19 @@
         self.missed = self.missed.saturating_add(other.missed);
     }
 
-    /// All requests that count for the service level.
+    /// The number of requests that count for the service level.
     pub const fn total(self) -> u64 {
         self.attained.saturating_add(self.missed)
     }
 
-    /// The share that attained; `None` without requests.
+    /// The share of attained requests; `None` without requests.
     pub fn attainment(self) -> Option<f64> {
         (self.total() > 0).then(|| self.attained as f64 / self.total() as f64)
     }
 }
 
-/// The counts of one class over every [`Window`], about 7 KB however many requests come.
+/// The counts of a class over every [`Window`]. They take about 7 KB, whatever the number of
+/// requests.
 #[derive(Clone, Debug)]
 pub struct Windows {
     fine: Ring,
@@ -141,11 +142,11 @@
 }
 
 impl Windows {
-    /// Empty rings.
+    /// Creates empty windows.
     pub fn new() -> Windows {
         Windows {
-            fine: Ring::new(FINE_WIDTH, FINE_SLOTS),
-            coarse: Ring::new(COARSE_WIDTH, COARSE_SLOTS),
+            fine: Ring::new(FINE_SLOT_DURATION, FINE_SLOTS),
+            coarse: Ring::new(COARSE_SLOT_DURATION, COARSE_SLOTS),
         }
     }
 
@@ -155,7 +156,8 @@
         self.coarse.add(now, counts);
     }
 
-    /// The sum over the window that ends at `now`, exact to one slot: 10 s, or 5 min for six hours.
+    /// The sum over the window that ends at `now`, with a resolution of one slot: 10 s, or 5 min
+    /// for the window of six hours.
     pub fn sum(&self, now: Millis, window: Window) -> Counts {
         match window {
             Window::SixHours => self.coarse.sum(now, window.span()),
@@ -170,19 +172,19 @@
     }
 }
 
-/// Slots of equal width; the newest holds the present.
+/// A ring of slots of equal duration; the newest slot covers the current time.
 #[derive(Clone, Debug)]
 struct Ring {
-    width: Millis,
+    slot_duration: Millis,
     slots: Box<[Counts]>,
-    /// Number of the newest slot since the start of the clock.
+    /// The number of the newest slot, counted from the start of the clock.
     newest: u64,
 }
 
 impl Ring {
-    fn new(width: Millis, len: usize) -> Ring {
+    fn new(slot_duration: Millis, len: usize) -> Ring {
         Ring {
-            width,
+            slot_duration,
             slots: vec![Counts::default(); len].into_boxed_slice(),
             newest: 0,
         }
@@ -194,24 +196,25 @@
         self.slots[index].add(counts);
     }
 
-    /// Clears the slots between the newest and that of `now`.
+    /// Moves the newest slot to that of `now` and clears the slots in between.
     ///
-    /// A process that slept longer than the ring reaches would otherwise show counts of hours ago
-    /// as recent: every slot that the clock passed is cleared, at most the whole ring.
+    /// Every slot that the clock has passed is cleared, at most the whole ring. Otherwise a process
+    /// that was suspended for longer than the ring covers would report counts from hours ago as
+    /// recent.
     fn advance(&mut self, now: Millis) {
-        let target = now.0 / self.width.0;
-        let passed = target.saturating_sub(self.newest);
+        let current = now.0 / self.slot_duration.0;
+        let passed = current.saturating_sub(self.newest);
         let cleared = passed.min(self.slots.len() as u64);
         for step in 0..cleared {
-            let index = self.index(target - step);
+            let index = self.index(current - step);
             self.slots[index] = Counts::default();
         }
-        self.newest = self.newest.max(target);
+        self.newest = self.newest.max(current);
     }
 
     fn sum(&self, now: Millis, span: Millis) -> Counts {
-        let target = (now.0 / self.width.0).max(self.newest);
-        let first = (target + 1).saturating_sub(span.0 / self.width.0);
+        let current = (now.0 / self.slot_duration.0).max(self.newest);
+        let first = (current + 1).saturating_sub(span.0 / self.slot_duration.0);
         let oldest = (self.newest + 1).saturating_sub(self.slots.len() as u64);
         let mut sum = Counts::default();
         for slot in first.max(oldest)..=self.newest {
