--- a/crates/metrics/tests/accounts.rs
+++ b/crates/metrics/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! The sketch against exact sums.
+//! The sketch of the heaviest accounts, compared with exact sums.
 
 use std::collections::BTreeMap;
 
@@ -9,8 +9,8 @@
 const LIMIT: usize = 8;
 
 proptest! {
-    /// The operator reads the heaviest accounts off the sketch: none that holds more than its share
-    /// of the counters may be missing, and no figure may be off by more than the stated error.
+    /// No account with more than the total divided by the number of counters may be missing, and no
+    /// estimate may be off by more than its stated error.
     #[test]
     fn estimates_hold_their_bounds(adds in collection::vec((0u8..40, 1u64..1000), 1..400)) {
         let mut sketch = AccountSketch::new(LIMIT);
--- a/crates/metrics/tests/burn.rs
+++ b/crates/metrics/tests/burn.rs
@@ -16,7 +16,7 @@
 
 const DAY: Millis = Millis::from_secs(24 * 3600);
 
-/// An instance with the class `chat` at an objective of 99%.
+/// An instance with the class `chat`, by default with an objective of 99%.
 struct Instance {
     metrics: Metrics,
     chat: ClassMetrics,
@@ -42,7 +42,7 @@
         Instance { metrics, chat }
     }
 
-    /// Records requests that ended this long before [`DAY`].
+    /// Records requests that ended `ago` before [`DAY`].
     fn record(&self, ago: Millis, attained: u64, missed: u64) {
         let at = Millis(DAY.0 - ago.0);
         for _ in 0..attained {
@@ -73,13 +73,13 @@
     BurnReport::from_scrapes(&BurnRules::default(), scrapes)
 }
 
-/// A burst of misses an hour ago is over (the short window is clean); a blip now doesn't matter yet
-/// (the long window is). Only misses in both may page.
-#[test_case(Millis::from_secs(1800), Millis::from_secs(1800), Severity::Fine; "over already")]
-#[test_case(Millis::from_secs(5 * 3600), Millis::from_secs(5 * 3600), Severity::Fine; "long over")]
-#[test_case(Millis::from_secs(60), Millis::from_secs(1800), Severity::Page; "went on and goes on")]
+/// Misses that have stopped leave the short window clean, and a brief spike leaves the burn rate of
+/// the long window low. A rule may fire only if both of its windows reach its burn rate.
+#[test_case(Millis::from_secs(1800), Millis::from_secs(1800), Severity::Fine; "recovered")]
+#[test_case(Millis::from_secs(5 * 3600), Millis::from_secs(5 * 3600), Severity::Fine; "recovered hours ago")]
+#[test_case(Millis::from_secs(60), Millis::from_secs(1800), Severity::Page; "sustained")]
 #[test_case(Millis::from_secs(1200), Millis::from_secs(5 * 3600), Severity::Ticket; "slow burn")]
-fn both_windows_must_burn(recent: Millis, earlier: Millis, severity: Severity) {
+fn both_windows_must_reach_the_burn_rate(recent: Millis, earlier: Millis, severity: Severity) {
     let instance = Instance::new("entry-1");
     instance.record(recent, 80, 20);
     instance.record(earlier, 80, 20);
@@ -87,14 +87,14 @@
 }
 
 #[test]
-fn a_blip_in_a_clean_hour_does_not_page() {
+fn a_brief_spike_in_a_clean_hour_does_not_page() {
     let instance = Instance::new("entry-1");
     instance.record(Millis::from_secs(1800), 10_000, 0);
     instance.record(Millis::from_secs(60), 80, 20);
     assert_eq!(report(&[instance.scrape("a")]).severity(), Severity::Fine);
 }
 
-/// Each instance alone sees too little; the fleet's budget is spent over all of them.
+/// The error budget is that of the fleet, so the counts of all instances must be summed.
 #[test]
 fn instances_are_summed() {
     let clean = Instance::new("entry-1");
@@ -109,21 +109,21 @@
     assert_eq!(report.severity(), Severity::Page);
 }
 
-/// One of three instances is frozen and doesn't answer. Its requests are missing from the figures,
-/// so the report must name it and must not pass as complete.
+/// An instance can't be scraped, or its metrics are truncated or missing. Its requests are missing
+/// from the figures, so the report must name it and must not be complete.
 #[test_case(Err("timed out".into()) ; "no answer")]
-#[test_case(Ok("crocushold_uptime_seconds 12".into()) ; "text cut short")]
-#[test_case(Ok("crocushold_window_requests{class=\"chat\n".into()) ; "line cut short")]
+#[test_case(Ok("crocushold_uptime_seconds 12".into()) ; "truncated text")]
+#[test_case(Ok("crocushold_window_requests{class=\"chat\n".into()) ; "truncated line")]
 #[test_case(Ok("up 1\n".into()) ; "another program")]
 #[test_case(Ok(String::new()) ; "empty answer")]
-fn an_unread_instance_is_named(text: Result<String, String>) {
+fn an_unreadable_instance_is_reported(text: Result<String, String>) {
     let instance = Instance::new("entry-1");
     instance.record(Millis::from_secs(60), 100, 0);
-    let unread = Scrape {
+    let unreadable = Scrape {
         address: "10.0.0.9:7201".into(),
         text,
     };
-    let report = report(&[instance.scrape("a"), unread]);
+    let report = report(&[instance.scrape("a"), unreadable]);
     assert!(!report.is_complete());
     assert_eq!(report.instances, ["entry-1"]);
     assert!(
@@ -134,24 +134,24 @@
     );
 }
 
-/// The connection breaks inside the last line of an answer: 100 requests must not be read as 10.
+/// The connection is lost in the middle of a line. 100 requests must not be read as 10.
 #[test]
-fn a_number_cut_short_is_not_counted() {
+fn a_truncated_number_is_not_counted() {
     let instance = Instance::new("entry-1");
     instance.record(Millis::from_secs(60), 100, 0);
-    let whole = instance.metrics.render(DAY);
-    let end = whole.find("\ncrocushold_window_requests").expect("exposed");
-    let line = whole[end..].find(" 100\n").expect("attained") + end;
-    let cut = Scrape {
+    let text = instance.metrics.render(DAY);
+    let end = text.find("\ncrocushold_window_requests").expect("exposed");
+    let line = text[end..].find(" 100\n").expect("attained") + end;
+    let truncated = Scrape {
         address: "a".into(),
-        text: Ok(whole[..line + " 10".len()].to_owned()),
+        text: Ok(text[..line + " 10".len()].to_owned()),
     };
-    let report = report(&[cut]);
+    let report = report(&[truncated]);
     assert!(!report.is_complete());
     assert!(report.classes.is_empty(), "{report}");
 }
 
-/// An address is given twice, or an instance listens on two: its requests must count once.
+/// An instance is scraped under two addresses. Its requests must be counted once.
 #[test]
 fn an_instance_is_counted_once() {
     let instance = Instance::new("entry-1");
@@ -165,10 +165,11 @@
     assert!(report.is_complete());
 }
 
-/// An instance is replaced under its old name: its counters start from zero. No rate may go
-/// negative or wrap, the young windows are said to be partial, and the others' figures stand.
+/// An instance is replaced under the same name, so its counters restart from zero. No rate may
+/// become negative or wrap around, the report must say that the windows of the new instance are
+/// partial, and the figures of the other instances must stay.
 #[test]
-fn a_replaced_instance_starts_anew() {
+fn a_replaced_instance_restarts_from_zero() {
     let old = Instance::new("entry-1");
     old.record(Millis::from_secs(60), 80, 20);
     let replaced = Instance::new("entry-1");
@@ -181,8 +182,8 @@
     assert!(report.is_complete());
 }
 
-/// Two instances run different revisions, with different objectives: a report by the laxer one could
-/// call a burning class fine.
+/// Two instances run different revisions with different objectives. With the laxer objective the
+/// report could miss that the error budget is being exhausted.
 #[test]
 fn the_stricter_objective_is_used() {
     let lax = Instance::with_objective("entry-1", 0.9);
@@ -197,7 +198,7 @@
 }
 
 #[test]
-fn an_objective_without_budget_stays_finite() {
+fn an_objective_without_error_budget_has_a_finite_burn_rate() {
     let instance = Instance::with_objective("entry-1", 1.0);
     instance.record(Millis::from_secs(60), 99, 1);
     let report = report(&[instance.scrape("a")]);
@@ -210,15 +211,15 @@
     );
 }
 
-/// Every request of a class misses. At an objective of 90% that burns ten times, and no more is
-/// possible: a rule of 14.4 times would stay silent through a total failure.
+/// With an objective of 90% the burn rate is at most 10, even if every request misses. A rule with
+/// a fixed factor of 14.4 wouldn't fire in a total failure.
 #[test_case(0.99, 0, Severity::Page; "strict, all missed")]
 #[test_case(0.90, 0, Severity::Page; "lax, all missed")]
 #[test_case(0.90, 49, Severity::Page; "lax, half missed")]
 #[test_case(0.90, 70, Severity::Ticket; "lax, a third missed")]
 #[test_case(0.90, 89, Severity::Fine; "lax, slightly over budget")]
 #[test_case(0.50, 60, Severity::Fine; "half may miss")]
-fn a_lax_objective_can_fire(objective: f64, attained: u64, severity: Severity) {
+fn rules_can_fire_for_a_lax_objective(objective: f64, attained: u64, severity: Severity) {
     let instance = Instance::with_objective("entry-1", objective);
     instance.record(Millis::from_secs(60), attained, 100 - attained);
     let report = report(&[instance.scrape("a")]);
@@ -246,7 +247,7 @@
     assert_eq!(end(header, "MISSED  "), end(row, " 20  "), "{text}");
 }
 
-/// A class's name holds an escape sequence that would rewrite the operator's terminal.
+/// The name of a class contains an escape sequence that could overwrite the operator's terminal.
 #[test]
 fn names_are_shown_without_control_characters() {
     let metrics = Metrics::default();
--- a/crates/metrics/tests/metrics.rs
+++ b/crates/metrics/tests/metrics.rs
@@ -50,11 +50,11 @@
 #[test_case(RequestEnd::Completed, 400, 81, Verdict::Missed; "tokens too far apart")]
 #[test_case(RequestEnd::Cut, 1, 1, Verdict::Missed; "cut")]
 #[test_case(RequestEnd::Unknown, 1, 1, Verdict::Missed; "answer lost")]
-#[test_case(RequestEnd::Cancelled, 1, 1, Verdict::Excluded; "caller left in time")]
-#[test_case(RequestEnd::Cancelled, 900, 1, Verdict::Missed; "caller gave up waiting")]
+#[test_case(RequestEnd::Cancelled, 1, 1, Verdict::Excluded; "caller cancelled in time")]
+#[test_case(RequestEnd::Cancelled, 900, 1, Verdict::Missed; "caller cancelled late")]
 #[test_case(RequestEnd::Refused(RefusalReason::Overload), 1, 1, Verdict::Missed; "shed")]
 #[test_case(RequestEnd::Refused(RefusalReason::AccountLimit), 1, 1, Verdict::Excluded; "own limit")]
-fn a_request_is_judged(end: RequestEnd, first: u64, gap: u64, verdict: Verdict) {
+fn a_request_is_evaluated(end: RequestEnd, first: u64, gap: u64, verdict: Verdict) {
     let record = RequestRecord {
         end,
         ..answer(first, gap)
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_caller_who_gave_up_before_any_token_counts_as_missed() {
+fn a_late_cancellation_before_any_token_counts_as_missed() {
     let record = RequestRecord {
         end: RequestEnd::Cancelled,
         whole: Millis(401),
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_bucket_stands_at_the_target() {
+fn a_bucket_bound_equals_the_target() {
     let metrics = Metrics::default();
     let class = metrics.class(&chat());
     class.observe_first_token(Millis(400));
@@ -113,10 +113,10 @@
     );
 }
 
-/// A request's task is dropped while it waits (its caller hung up): the queue's gauge must fall
-/// again, or the queue would look longer and longer.
+/// The task of a request is dropped while it waits because its caller disconnected. The gauges must
+/// be decremented; otherwise the queue would appear to grow forever.
 #[test]
-fn a_dropped_request_leaves_the_gauges() {
+fn a_dropped_request_decrements_the_gauges() {
     let metrics = Metrics::default();
     let class = metrics.class(&chat());
     let queued = class.queued();
@@ -127,10 +127,11 @@
     assert_eq!((class.queue_length(), class.running_count()), (0, 0));
 }
 
-/// A team removes a class while a request of it is still running. The request's handle must go on
-/// working, and the class's series must be gone: classes that come and go would fill the scrape.
+/// A team removes a class while a request of it is running. The handle of the request must stay
+/// usable, and the series of the class must be removed; otherwise the scrape would grow with every
+/// removed class.
 #[test]
-fn a_removed_class_takes_its_series_along() {
+fn a_removed_class_loses_its_series() {
     let metrics = Metrics::default();
     let kept = ClassSettings {
         name: "sheets".into(),
@@ -152,8 +153,8 @@
     );
 }
 
-/// A team tightens a target. Counters and windows must go on (a reset would hide the burn that the
-/// team reacts to), while the buckets move to the new target.
+/// A team tightens a target. Counters and windows must be kept, because a reset would hide the burn
+/// rate that the team reacts to. The buckets must move to the new target.
 #[test]
 fn a_changed_target_keeps_counts_and_moves_buckets() {
     let metrics = Metrics::default();
@@ -191,12 +192,12 @@
     let family = "crocushold_top_account_tokens";
     assert_eq!(text.family(family).count(), TOP_ACCOUNTS);
     let portal = sum(&text, family, |s| s.label("account") == "portal");
-    // The sketch estimates from above, by at most the hundredth part of all 3,022,200 tokens.
+    // The sketch overestimates by at most one hundredth of all 3,022,200 tokens.
     assert!((3_000_000.0..=3_030_222.0).contains(&portal), "{portal}");
 }
 
 #[test]
-fn names_with_quotes_survive_the_text_format() {
+fn escaped_names_are_parsed_back() {
     let info = InstanceInfo {
         instance: "a\"b\\c\nd,e}".into(),
         ..InstanceInfo::default()
@@ -208,7 +209,7 @@
 }
 
 #[test]
-fn the_process_is_measured() {
+fn process_usage_is_exposed() {
     let text = Metrics::default().render(NOW);
     assert!(text.contains("\nprocess_cpu_seconds_total "));
     let resident = text
--- a/crates/metrics/tests/status.rs
+++ b/crates/metrics/tests/status.rs
@@ -1,13 +1,14 @@
-//! The status document across versions of the program.
+//! The status document and its tables.
 
 use crocushold_metrics::status::InstanceState;
 use crocushold_metrics::status::PeerStatus;
 use crocushold_metrics::status::ServerStatus;
 use crocushold_metrics::status::Status;
 
-/// During an upgrade `crocushold status` reads instances that are older and newer than itself.
+/// During an upgrade `crocushold status` reads instances of older and newer versions, whose
+/// documents lack fields or have unknown ones.
 #[test]
-fn other_versions_are_readable() {
+fn documents_of_other_versions_are_readable() {
     let text = r#"{"instance": "entry-1", "state": "draining", "moon-phase": "full"}"#;
     let status: Status = serde_json::from_str(text).expect("unknown and missing fields are fine");
     assert_eq!(status.instance, "entry-1");
@@ -15,10 +16,10 @@
     assert!(status.servers.is_empty());
 }
 
-/// An operator must tell "confirmed just now" from "never", in the table and in JSON; a peer that was
-/// never heard must not look as if it had just been.
+/// The table and the JSON document must distinguish a configuration that was confirmed just now
+/// from one that never was, and a peer that was heard just now from one that never was.
 #[test]
-fn what_never_happened_is_not_shown_as_just_now() {
+fn never_is_distinguished_from_just_now() {
     let mut status = Status::default();
     status.peers.push(PeerStatus::default());
     let text = status.to_string();
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn a_document_survives_the_wire() {
+fn a_document_is_unchanged_by_serialization() {
     let status = Status {
         instance: "entry-1".into(),
         state: InstanceState::Serving,
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn a_table_says_why_a_server_is_out() {
+fn the_table_shows_why_a_server_is_out() {
     let server = ServerStatus {
         server: "runner-3".into(),
         standing: "ejected".into(),
