--- a/crates/http/src/server/serve.rs
+++ b/crates/http/src/server/serve.rs
@@ -62,7 +62,7 @@
             source(cause)
         }
         /// The caller closed the connection before the answer was written completely.
-        HungUp {
+        Disconnected {
             display("the caller closed the connection")
         }
         /// The caller read nothing within the write timeout.
@@ -196,7 +196,7 @@
     let closed = PollOnWake::new(connection.closed());
     match select(transmit, closed).await {
         Either::Left((result, _)) => Ok(result?),
-        Either::Right(_) => Err(ServerError::HungUp),
+        Either::Right(_) => Err(ServerError::Disconnected),
     }
 }
 
