--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -23,7 +23,7 @@
 use crocushold_http::SendLimits;
 use crocushold_http::relay_headers;
 use crocushold_metrics::ClassMetrics;
-use crocushold_metrics::Occupancy;
+use crocushold_metrics::GaugeGuard;
 use crocushold_metrics::RequestEnd;
 use crocushold_metrics::RequestRecord;
 use crocushold_metrics::WasteCause;
@@ -92,7 +92,7 @@
 struct HeldResources {
     ticket: Ticket<Sent>,
     permit: Permit,
-    running: Occupancy,
+    running: GaugeGuard,
 }
 
 /// The attempts so far.
@@ -253,7 +253,7 @@
                     (Stage::Answered, outcome_of_status(answer.status), false)
                 }
                 AttemptResult::Failed(error) => {
-                    if error.is_break() {
+                    if error.is_disconnect() {
                         sent.on_cut();
                     }
                     let timed_out = matches!(error.kind, SendErrorKind::HeadTimeout);
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -81,7 +81,7 @@
 async fn metrics(shared: &Shared) -> Response {
     // Without a reply, the metric keeps its last value.
     if let Some(standing) = standing(shared).await {
-        shared.metrics.set_confirmed(standing.confirmed_age);
+        shared.metrics.set_confirmed_age(standing.confirmed_age);
     }
     text(StatusCode::Ok, shared.metrics.render(shared.clock.now()))
 }
--- a/crates/entry/src/response_observer.rs
+++ b/crates/entry/src/response_observer.rs
@@ -7,11 +7,11 @@
 use crocushold_admission::Ticket;
 use crocushold_base::Clock;
 use crocushold_base::Millis;
-use crocushold_http::End;
+use crocushold_http::AnswerEnd;
 use crocushold_http::EventCounter;
 use crocushold_http::Observer;
 use crocushold_metrics::ClassMetrics;
-use crocushold_metrics::Occupancy;
+use crocushold_metrics::GaugeGuard;
 use crocushold_metrics::RequestEnd;
 use crocushold_metrics::RequestRecord;
 use crocushold_metrics::WasteCause;
@@ -97,7 +97,7 @@
     /// The attempt, whose end is reported to the suspects.
     pub(crate) sent: SentAttempt,
     /// Counts the request as in flight until it is dropped.
-    pub(crate) _running: Occupancy,
+    pub(crate) _running: GaugeGuard,
 }
 
 /// Settles a request exactly once, when its response ends for whatever reason.
@@ -158,25 +158,27 @@
         usage_in(last).unwrap_or(self.counter.events())
     }
 
-    fn settle(&mut self, end: End) {
+    fn settle(&mut self, end: AnswerEnd) {
         let Some(context) = self.context.take() else {
             return;
         };
         let tokens = self.tokens(context.stream);
         let truncated = context.stream && !context.failed && !self.counter.is_done();
         let cut = match end {
-            End::Cut { cause, .. } => Some(cause),
-            End::Complete { .. } | End::Dropped { .. } => None,
+            AnswerEnd::Cut { cause, .. } => Some(cause),
+            AnswerEnd::Complete { .. } | AnswerEnd::Dropped { .. } => None,
         };
         let (outcome, end) = match end {
-            End::Complete { .. } if context.failed => (Outcome::Failed, RequestEnd::Completed),
-            End::Complete { .. } if truncated => (Outcome::Cut, RequestEnd::Cut),
-            End::Complete { .. } => (Outcome::Complete, RequestEnd::Completed),
-            End::Cut { .. } => (Outcome::Cut, RequestEnd::Cut),
-            End::Dropped { .. } => (Outcome::Cancelled, RequestEnd::Cancelled),
+            AnswerEnd::Complete { .. } if context.failed => {
+                (Outcome::Failed, RequestEnd::Completed)
+            }
+            AnswerEnd::Complete { .. } if truncated => (Outcome::Cut, RequestEnd::Cut),
+            AnswerEnd::Complete { .. } => (Outcome::Complete, RequestEnd::Completed),
+            AnswerEnd::Cut { .. } => (Outcome::Cut, RequestEnd::Cut),
+            AnswerEnd::Dropped { .. } => (Outcome::Cancelled, RequestEnd::Cancelled),
         };
         match cut {
-            Some(cause) if cause.is_break() => context.sent.on_cut(),
+            Some(cause) if cause.is_disconnect() => context.sent.on_cut(),
             None if end == RequestEnd::Completed && !context.failed => context.sent.on_served(),
             _ => {}
         }
@@ -235,7 +237,7 @@
         }
     }
 
-    fn end(&mut self, end: End) {
+    fn end(&mut self, end: AnswerEnd) {
         pass(Point::Read);
         self.settle(end);
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,33 +1,33 @@
 //! Bounded HTTP/1.1 exchanges over async-h1.
 //!
-//! async-h1 parses and writes the messages; this crate bounds them in size and time, and closes the
-//! gaps through which an answer could look whole without being so. The two sides share one socket
-//! wrapper, which reads a head on its own before async-h1 sees it and hands out no byte beyond the
-//! message at hand.
+//! async-h1 parses and writes the messages. This crate limits their size and duration, and detects
+//! truncated answers that async-h1 would deliver as complete. Client and server share a socket
+//! wrapper that reads a whole head before async-h1 parses it and never gives async-h1 bytes beyond
+//! the current message.
 //!
 //! * [`serve_connection`] answers the requests of one caller's connection; [`Listener`] accepts a
-//!   bounded number of such connections and stops gracefully.
+//!   bounded number of such connections and shuts down gracefully.
 //! * [`Client`] sends a request to a backend server. A [`SendError`] carries the [`Stage`] that was
-//!   reached, which tells whether the request can have run.
-//! * [`RelayBody`] passes an answer's body on as it arrives and fails where the body ends short. An
-//!   [`Observer`] sees each chunk and exactly one end.
+//!   reached, which says whether the server may have run the request.
+//! * [`RelayBody`] relays an answer's body as it arrives and fails if the body is truncated. An
+//!   [`Observer`] receives each chunk and exactly one end.
 //! * [`EventCounter`] counts server-sent events without parsing them.
 
 mod client;
+mod connection;
 mod framing;
 mod headers;
+mod poll_on_wake;
 mod server;
 mod sse;
 mod stall;
 mod transmit;
-mod watch;
-mod wire;
 
 pub use client::Answer;
+pub use client::AnswerEnd;
 pub use client::Cancel;
 pub use client::Client;
 pub use client::CutCause;
-pub use client::End;
 pub use client::Observer;
 pub use client::PoolLimits;
 pub use client::RelayBody;
@@ -39,15 +39,15 @@
 pub use client::refuses_connections;
 pub use headers::relay_headers;
 pub use server::BodyError;
+pub use server::ConnectionSummary;
 pub use server::Hangup;
 pub use server::Listener;
 pub use server::ListenerHandle;
 pub use server::ListenerLimits;
-pub use server::Refuse;
-pub use server::Served;
+pub use server::RefusalFn;
 pub use server::ServerError;
 pub use server::ServerLimits;
-pub use server::Stop;
+pub use server::StopSignal;
 pub use server::read_body;
 pub use server::serve_connection;
 pub use server::serve_until;
