--- a/crates/peers/src/runtime/calls.rs
+++ b/crates/peers/src/shell/calls.rs
@@ -15,7 +15,7 @@
 use crate::coordination::wire::Claim;
 use crate::coordination::wire::ResultCode;
 use crate::message::Message;
-use crate::runtime::clients::PeerSession;
+use crate::shell::clients::PeerSession;
 use crate::wire;
 
 /// Sends a message and returns the answer.
--- a/crates/peers/src/runtime/circuit.rs
+++ b/crates/peers/src/shell/circuit.rs
@@ -2,7 +2,7 @@
 
 use crocushold_base::Millis;
 
-use crate::runtime::settings::Limits;
+use crate::shell::settings::Limits;
 
 /// A circuit breaker. Each call to an unresponsive peer would wait for its deadline; after several
 /// consecutive failures, calls fail at once, and an occasional trial call checks whether the peer
--- a/crates/peers/src/runtime/clients.rs
+++ b/crates/peers/src/shell/clients.rs
@@ -15,11 +15,11 @@
 use crate::identity::Instance;
 use crate::identity::InstanceId;
 use crate::peer_capnp::session;
-use crate::runtime::circuit::CircuitBreaker;
-use crate::runtime::connect::Connection;
-use crate::runtime::connect::connect;
-use crate::runtime::error::CallError;
-use crate::runtime::settings::Settings;
+use crate::shell::circuit::CircuitBreaker;
+use crate::shell::connect::Connection;
+use crate::shell::connect::connect;
+use crate::shell::error::CallError;
+use crate::shell::settings::Settings;
 
 /// A session with a peer and its negotiated protocol version.
 pub(crate) struct PeerSession {
--- a/crates/peers/src/runtime/connect.rs
+++ b/crates/peers/src/shell/connect.rs
@@ -26,9 +26,9 @@
 use crate::identity::Instance;
 use crate::peer_capnp::gate;
 use crate::peer_capnp::session;
-use crate::runtime::error::CallError;
-use crate::runtime::settings::Limits;
-use crate::runtime::settings::Settings;
+use crate::shell::error::CallError;
+use crate::shell::settings::Limits;
+use crate::shell::settings::Settings;
 use crate::wire;
 
 /// Returns the limits on messages read from a connection.
--- a/crates/peers/src/runtime/core.rs
+++ b/crates/peers/src/shell/core.rs
@@ -25,14 +25,14 @@
 use crate::node::Event;
 use crate::node::Finding;
 use crate::node::Node;
-use crate::runtime::calls;
-use crate::runtime::clients::Clients;
-use crate::runtime::error::CallError;
-use crate::runtime::handle::Notice;
-use crate::runtime::handle::PlatformRequest;
-use crate::runtime::handle::Shared;
-use crate::runtime::server::IncomingCounts;
-use crate::runtime::settings::Settings;
+use crate::shell::calls;
+use crate::shell::clients::Clients;
+use crate::shell::error::CallError;
+use crate::shell::handle::Notice;
+use crate::shell::handle::PlatformRequest;
+use crate::shell::handle::Shared;
+use crate::shell::server::IncomingCounts;
+use crate::shell::settings::Settings;
 use crate::sync_status::SyncStatus;
 
 /// The node with its connections and channels, on one thread.
--- a/crates/peers/src/runtime/handle.rs
+++ b/crates/peers/src/shell/handle.rs
@@ -19,7 +19,7 @@
 use crate::member::View;
 use crate::node::Event;
 use crate::node::Finding;
-use crate::runtime::error::CallError;
+use crate::shell::error::CallError;
 use crate::spread::PlatformRead;
 use crate::spread::Snapshot;
 use crate::sync_status::SyncStatus;
--- a/crates/peers/src/runtime/mod.rs
+++ b/crates/peers/src/shell/mod.rs
@@ -34,9 +34,9 @@
 use crate::identity::Incarnation;
 use crate::node::Event;
 use crate::node::Node;
-use crate::runtime::core::Core;
-use crate::runtime::handle::Command;
-use crate::runtime::handle::Shared;
+use crate::shell::core::Core;
+use crate::shell::handle::Command;
+use crate::shell::handle::Shared;
 
 pub use error::CallError;
 pub use error::StartError;
--- a/crates/peers/src/runtime/server.rs
+++ b/crates/peers/src/shell/server.rs
@@ -34,10 +34,10 @@
 use crate::node::Event;
 use crate::peer_capnp::gate;
 use crate::peer_capnp::session;
-use crate::runtime::connect::network;
-use crate::runtime::connect::read_challenge;
-use crate::runtime::core::Core;
-use crate::runtime::settings::Versions;
+use crate::shell::connect::network;
+use crate::shell::connect::read_challenge;
+use crate::shell::core::Core;
+use crate::shell::settings::Versions;
 use crate::wire;
 
 /// Counts of the incoming connections.
