--- a/crates/gateway/src/fleet/announcements.rs
+++ b/crates/gateway/src/fleet/announcements.rs
@@ -4,8 +4,8 @@
 
 use crocushold_base::Millis;
 
-use crate::gossip::CachedPrefix;
-use crate::gossip::MAX_CACHED_PREFIXES;
+use crate::sharing::CachedPrefix;
+use crate::sharing::MAX_CACHED_PREFIXES;
 
 /// Minimum interval between announcements of the same cached prefix. It bounds the traffic: each
 /// prefix in use is announced once per interval for each engine that holds it, independent of the
--- a/crates/gateway/src/fleet/choose.rs
+++ b/crates/gateway/src/fleet/choose.rs
@@ -17,8 +17,8 @@
 use super::Server;
 use super::service::ModelLanes;
 use super::service::Service;
-use crate::gossip::CachedPrefix;
-use crate::placement::Placement;
+use crate::placing::Placement;
+use crate::sharing::CachedPrefix;
 
 /// `Retry-After` while the service is unknown.
 const UNKNOWN_RETRY: Millis = Millis::from_secs(1);
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -37,17 +37,17 @@
 pub use self::need::Need;
 use self::service::ModelLanes;
 use self::service::Service;
-use crate::gossip::CachedPrefix;
-use crate::gossip::EngineQueue;
-use crate::gossip::Load;
-use crate::gossip::LoadSum;
-use crate::gossip::ServiceWork;
-use crate::placement::PlacementId;
+use crate::placing::PlacementId;
 use crate::routes::EngineSpec;
 use crate::routes::Heartbeat;
 use crate::routes::Presence;
 use crate::routes::ServerRecord;
 use crate::routes::SlowStart;
+use crate::sharing::CachedPrefix;
+use crate::sharing::EngineQueue;
+use crate::sharing::Load;
+use crate::sharing::LoadSum;
+use crate::sharing::ServiceWork;
 
 /// Maximum number of requests that one instance has at a server, as a multiple of the server's
 /// slots.
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -28,12 +28,12 @@
 use crate::callers;
 use crate::fleet::LaneAllocation;
 use crate::follow;
-use crate::gossip::start_gossip;
 use crate::protocol::Protocol;
 use crate::quarantine;
 use crate::routes::CallerLimits;
 use crate::shared::Shared;
 use crate::shared::Stage;
+use crate::sharing::start_gossip;
 use crate::source::Source;
 
 /// Maximum number of connections of load balancers, metrics scrapers and operators.
@@ -84,7 +84,7 @@
     pub capacity: u16,
     /// Memory of the machine, in bytes.
     pub memory: u64,
-    /// Time within which an instance must be in touch again after a failure of its connections.
+    /// How long an instance counts as out of touch after a failure of its connections.
     pub stable_window: Millis,
     /// Maximum time until a configuration change is in force.
     pub apply_bound: Millis,
--- a/crates/gateway/src/placement/message.rs
+++ b/crates/gateway/src/placing/message.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use crate::fleet::Need;
-use crate::gossip::Message;
+use crate::sharing::Message;
 
 /// Any message between instances. Each is sent as one datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/gateway/src/placement/mod.rs
+++ b/crates/gateway/src/placing/mod.rs
@@ -8,8 +8,8 @@
 //!
 //! Only the placement request and its reply are sent, in two datagrams; a caller's request never
 //! passes through another instance. There is no dedicated placer: it is the collector that the
-//! others agree on, see [`crate::gossip`]. Nothing depends on it either. An instance that gets no
-//! reply within [`ASK_TIMEOUT`](runtime::ASK_TIMEOUT), or that knows no placer, chooses by itself.
+//! others agree on, see [`crate::sharing`]. Nothing depends on it either. An instance that gets no
+//! reply within [`ASK_TIMEOUT`](shell::ASK_TIMEOUT), or that knows no placer, chooses by itself.
 //! Two placers that don't know of each other make worse choices, but not wrong ones. The instance
 //! that sends a request checks the choice against its own knowledge: a server that it knows to be
 //! draining, ejected or of another service gets nothing.
@@ -17,7 +17,7 @@
 mod client;
 mod message;
 mod placer;
-mod runtime;
+mod shell;
 
 pub use client::PlacementClient;
 pub use client::PlacementId;
@@ -30,6 +30,6 @@
 pub use message::RequestUpdate;
 pub use message::UpdateKind;
 pub use placer::Placer;
-pub(crate) use runtime::PlacementError;
-pub(crate) use runtime::PlacementQuery;
-pub(crate) use runtime::PlacementService;
+pub(crate) use shell::PlacementError;
+pub(crate) use shell::PlacementQuery;
+pub(crate) use shell::PlacementService;
--- a/crates/gateway/src/gossip/mod.rs
+++ b/crates/gateway/src/sharing/mod.rs
@@ -20,7 +20,7 @@
 mod members;
 mod message;
 mod prefix_relay;
-mod runtime;
+mod shell;
 mod state;
 mod suspicions;
 
@@ -35,7 +35,7 @@
 pub use message::Message;
 pub use message::Part;
 pub use message::ServiceWork;
-pub(crate) use runtime::start_gossip;
+pub(crate) use shell::start_gossip;
 pub use state::Gossip;
 pub use state::LoadSum;
 pub use suspicions::suspicion_packets;
--- a/crates/gateway/src/gossip/runtime.rs
+++ b/crates/gateway/src/sharing/shell.rs
@@ -20,7 +20,7 @@
 use super::state::Gossip;
 use super::state::LoadSum;
 use super::suspicions::suspicion_packets;
-use crate::placement::Packet;
+use crate::placing::Packet;
 use crate::quarantine;
 use crate::shared::Shared;
 
--- a/crates/gateway/src/gossip/suspicions.rs
+++ b/crates/gateway/src/sharing/suspicions.rs
@@ -8,7 +8,7 @@
 use super::message::Content;
 use super::message::Message;
 use super::state::Gossip;
-use crate::placement::Packet;
+use crate::placing::Packet;
 
 /// Returns the suspicions to send beside the `messages` of a round: new ones to some of the
 /// instances, and all known ones to the instances that asked for members.
