--- a/crates/measure/examples/config_cost.rs
+++ b/crates/measure/examples/config_cost.rs
@@ -17,7 +17,7 @@
 use crocushold_config::Catalog;
 use crocushold_config::ConfigText;
 use crocushold_config::Credential;
-use crocushold_measure::Outcome;
+use crocushold_measure::MeasureResult;
 
 /// Teams, accounts, servers.
 const SIZES: [(usize, usize, usize); 8] = [
@@ -33,7 +33,7 @@
 
 const ROUNDS: usize = 15;
 
-fn main() -> Outcome<()> {
+fn main() -> MeasureResult<()> {
     let args: Vec<usize> = std::env::args()
         .filter_map(|arg| arg.parse().ok())
         .collect();
--- a/crates/measure/examples/fleet_cost/main.rs
+++ b/crates/measure/examples/fleet_cost/main.rs
@@ -27,7 +27,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crocushold_measure::Outcome;
+use crocushold_measure::MeasureResult;
 use crocushold_measure::process;
 
 use site::Calls;
@@ -44,7 +44,7 @@
 /// Between two changes of the configuration.
 const CHANGE_GAP: Duration = Duration::from_secs(1);
 
-fn main() -> Outcome<()> {
+fn main() -> MeasureResult<()> {
     let (options, counts) = Options::read(std::env::args().skip(1))?;
     println!("{options:?}, load average {:.1}", process::load_average());
     println!(
@@ -57,13 +57,13 @@
     Ok(())
 }
 
-fn measure(count: usize, options: &Options) -> Outcome<()> {
+fn measure(count: usize, options: &Options) -> MeasureResult<()> {
     let began = Instant::now();
     let site = Site::start(count, options)?;
     thread::sleep(SETTLE);
     let mut last = Reading::take(&site)?;
     last.print("start, whole", &Reading::default(), began.elapsed());
-    let mut phase = |name: &str, run: &dyn Fn() -> Outcome<()>| -> Outcome<()> {
+    let mut phase = |name: &str, run: &dyn Fn() -> MeasureResult<()>| -> MeasureResult<()> {
         let began = Instant::now();
         run()?;
         let reading = Reading::take(&site)?;
@@ -118,7 +118,7 @@
 }
 
 impl Reading {
-    fn take(site: &Site) -> Outcome<Reading> {
+    fn take(site: &Site) -> MeasureResult<Reading> {
         let ids = site.ids();
         Ok(Reading {
             count: ids.len(),
--- a/crates/measure/examples/fleet_cost/site.rs
+++ b/crates/measure/examples/fleet_cost/site.rs
@@ -16,7 +16,7 @@
 use crocushold_http::PoolLimits;
 use crocushold_http::Reuse;
 use crocushold_http::SendLimits;
-use crocushold_measure::Outcome;
+use crocushold_measure::MeasureResult;
 use crocushold_measure::process::Process;
 use crocushold_platform::HttpFetch;
 use crocushold_platform::fetch;
@@ -61,7 +61,9 @@
 
 impl Options {
     /// Reads the command line: options, and the numbers of instances.
-    pub(crate) fn read(mut args: impl Iterator<Item = String>) -> Outcome<(Options, Vec<usize>)> {
+    pub(crate) fn read(
+        mut args: impl Iterator<Item = String>,
+    ) -> MeasureResult<(Options, Vec<usize>)> {
         let mut options = Options {
             servers: 0,
             listed: 0,
@@ -123,7 +125,7 @@
 
 impl Site {
     /// Starts all and waits until each instance is ready.
-    pub(crate) fn start(count: usize, options: &Options) -> Outcome<Site> {
+    pub(crate) fn start(count: usize, options: &Options) -> MeasureResult<Site> {
         let name = format!("crocushold-fleet-cost-{}", std::process::id());
         let folder = std::env::temp_dir().join(name);
         fs::create_dir_all(&folder)?;
@@ -132,7 +134,7 @@
         let mut others: Vec<Process> = engine.into_iter().collect();
         if options.claims + options.loans > 0 {
             let mut service = Process::start("crocushold-standin", &["service".to_owned()])?;
-            text += &plain_text(service.address("listening")?);
+            text += &plain_text(service.read_address("listening")?);
             others.push(service);
         }
         let peers = free_addresses(count)?;
@@ -153,8 +155,8 @@
             operators: Vec::new(),
             peers,
             engines,
-            platform: platform.address("listening")?,
-            control: platform.address("control")?,
+            platform: platform.read_address("listening")?,
+            control: platform.read_address("control")?,
             text,
             folder,
             _others: others,
@@ -164,14 +166,14 @@
         Ok(site)
     }
 
-    fn start_instances(&mut self) -> Outcome<()> {
+    fn start_instances(&mut self) -> MeasureResult<()> {
         for (number, peer) in self.peers.iter().enumerate() {
             let text = settings(number, *peer, self.platform);
             let file = write(&self.folder, &format!("entry-{number}.ini"), &text)?;
             let args = ["serve", "--log", "error", &file].map(str::to_owned);
             let mut instance = Process::start("crocushold", &args)?;
-            self.listens.push(instance.address("listening")?);
-            self.operators.push(instance.address("operator")?);
+            self.listens.push(instance.read_address("listening")?);
+            self.operators.push(instance.read_address("operator")?);
             self.instances.push(instance);
         }
         let via = HttpFetch::default();
@@ -182,7 +184,7 @@
     }
 
     /// Prints the size of the documents that an operator reads of the first instance.
-    pub(crate) fn print_documents(&self) -> Outcome<()> {
+    pub(crate) fn print_documents(&self) -> MeasureResult<()> {
         let via = HttpFetch::default();
         let operator = self.operators[0].to_string();
         for path in ["/status", "/metrics"] {
@@ -193,7 +195,7 @@
     }
 
     /// Publishes the text with one line that differs from the last.
-    pub(crate) fn publish(&self, change: usize) -> Outcome<()> {
+    pub(crate) fn publish(&self, change: usize) -> MeasureResult<()> {
         let command = PlatformCommand::Part {
             team: TEAM.to_owned(),
             text: format!("{}# change {change}\n", self.text),
@@ -212,7 +214,7 @@
     }
 
     /// Sends calls that may run once, and prints how many were answered with success.
-    pub(crate) fn call(&self, calls: &Calls) -> Outcome<()> {
+    pub(crate) fn call(&self, calls: &Calls) -> MeasureResult<()> {
         let client = Client::new(PoolLimits::default());
         let gap = Duration::from_secs(1) / calls.rate as u32;
         let began = Instant::now();
@@ -235,7 +237,7 @@
 
     /// The instances' process numbers.
     pub(crate) fn ids(&self) -> Vec<u32> {
-        self.instances.iter().map(Process::id).collect()
+        self.instances.iter().map(Process::pid).collect()
     }
 
     /// Where everything listens.
@@ -255,7 +257,7 @@
     }
 }
 
-fn confirmation(to: SocketAddr, number: usize, calls: &Calls) -> Outcome<Request> {
+fn confirmation(to: SocketAddr, number: usize, calls: &Calls) -> MeasureResult<Request> {
     let url = Url::parse(&format!("http://{to}/booking/confirmations"))?;
     let mut request = Request::new(Method::Post, url);
     let account = number % calls.accounts;
@@ -277,7 +279,7 @@
     )
 }
 
-fn start_engines(count: usize) -> Outcome<(Option<Process>, Vec<SocketAddr>)> {
+fn start_engines(count: usize) -> MeasureResult<(Option<Process>, Vec<SocketAddr>)> {
     if count == 0 {
         return Ok((None, Vec::new()));
     }
@@ -285,13 +287,13 @@
     let mut engine = Process::start("crocushold-standin", &args)?;
     let mut engines = Vec::new();
     for _ in 0..count {
-        engines.push(engine.address("listening")?);
-        engine.address("control")?;
+        engines.push(engine.read_address("listening")?);
+        engine.read_address("control")?;
     }
     Ok((Some(engine), engines))
 }
 
-async fn ready(via: &HttpFetch, operator: SocketAddr) -> Outcome<()> {
+async fn ready(via: &HttpFetch, operator: SocketAddr) -> MeasureResult<()> {
     for _ in 0..READY_TRIES {
         if fetch(via, &operator.to_string(), "/ready").await.is_ok() {
             return Ok(());
@@ -372,7 +374,7 @@
     peers.chain(engines).chain(more).collect()
 }
 
-fn write(folder: &Path, name: &str, text: &str) -> Outcome<String> {
+fn write(folder: &Path, name: &str, text: &str) -> MeasureResult<String> {
     let file = folder.join(name);
     fs::write(&file, text)?;
     Ok(file.display().to_string())
@@ -382,7 +384,7 @@
 ///
 /// They lie below the range that the kernel gives to connections: with many instances the first
 /// ones' connections took the ports of those that hadn't started yet.
-fn free_addresses(count: usize) -> Outcome<Vec<SocketAddr>> {
+fn free_addresses(count: usize) -> MeasureResult<Vec<SocketAddr>> {
     let first = FIRST_PORT + (std::process::id() % PORT_STEPS) as u16 * PORT_STEP;
     let addresses = (first..LAST_PORT).map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
     let free = addresses.filter(|&address| TcpListener::bind(address).is_ok());
--- a/crates/measure/examples/fleet_cost/sockets.rs
+++ b/crates/measure/examples/fleet_cost/sockets.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::process::Command;
 
-use crocushold_measure::Outcome;
+use crocushold_measure::MeasureResult;
 
 /// Bytes of a packet besides its payload: Ethernet with check sequence 18, IPv4 20, TCP with time
 /// stamps 32. Preamble and gap between frames (20) aren't counted.
@@ -67,7 +67,7 @@
 impl Flows {
     /// Reads the counters of all sockets that belong to the instances: both ends between peers, and
     /// the near end towards platform and servers.
-    pub(crate) fn read(ports: &Ports) -> Outcome<Flows> {
+    pub(crate) fn read(ports: &Ports) -> MeasureResult<Flows> {
         let output = Command::new("ss").arg("-HtniO").output()?;
         let text = String::from_utf8_lossy(&output.stdout);
         let sockets = text.lines().filter_map(|line| socket(line, ports));
--- a/crates/measure/examples/fleet_cost/usage.rs
+++ b/crates/measure/examples/fleet_cost/usage.rs
@@ -1,7 +1,7 @@
 //! What the processes of a site use.
 
-use crocushold_measure::process::resident;
-use crocushold_measure::process::running_time;
+use crocushold_measure::process::cpu_seconds;
+use crocushold_measure::process::resident_mib;
 
 /// What several processes used.
 #[derive(Clone, Copy, Debug, Default)]
@@ -17,9 +17,9 @@
 impl Usage {
     /// What these processes used so far.
     pub(crate) fn of(ids: &[u32]) -> Usage {
-        let resident: Vec<f64> = ids.iter().map(|&id| resident(id)).collect();
+        let resident: Vec<f64> = ids.iter().map(|&id| resident_mib(id)).collect();
         Usage {
-            cpu: ids.iter().map(|&id| running_time(id)).sum(),
+            cpu: ids.iter().map(|&id| cpu_seconds(id)).sum(),
             resident: resident.iter().sum::<f64>() / ids.len().max(1) as f64,
             resident_most: resident.iter().copied().fold(0.0, f64::max),
         }
--- a/crates/measure/examples/read_cost.rs
+++ b/crates/measure/examples/read_cost.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crocushold_measure::Outcome;
+use crocushold_measure::MeasureResult;
 use crocushold_platform::wire::CacheEvents;
 use crocushold_platform::wire::ConfigIndex;
 use crocushold_platform::wire::InstanceList;
@@ -33,7 +33,7 @@
 
 const ROUNDS: usize = 15;
 
-fn main() -> Outcome<()> {
+fn main() -> MeasureResult<()> {
     println!("| read | size | body, bytes | median time |");
     println!("|---|---|---|---|");
     for (entries, servers) in LISTS {
--- a/crates/measure/src/arrivals/tests.rs
+++ b/crates/measure/src/arrivals/tests.rs
@@ -2,16 +2,16 @@
 
 use super::Burst;
 use super::Demand;
-use super::plan;
-use crate::shape;
+use super::poisson_arrivals;
+use crate::scenario;
 
 const CAPACITY: f64 = 8_000.0;
 const SECONDS: f64 = 400.0;
 
 fn tokens(demand: &Demand, from: f64, until: f64) -> f64 {
-    let shape = shape::evening();
-    let plan = plan(&shape, demand, CAPACITY, SECONDS, 3);
-    let inside = plan.iter().filter(|a| from <= a.at && a.at < until);
+    let scenario = scenario::evening_rush();
+    let arrivals = poisson_arrivals(&scenario, demand, CAPACITY, SECONDS, 3);
+    let inside = arrivals.iter().filter(|a| from <= a.due && a.due < until);
     inside.map(|a| f64::from(a.tokens)).sum::<f64>() / (until - from)
 }
 
@@ -25,10 +25,13 @@
 
 #[test]
 fn the_same_seed_gives_the_same_plan() {
-    let shape = shape::subsidy();
-    let plans = [(); 2].map(|()| plan(&shape, &scaled(1.5), CAPACITY, 20.0, 9));
-    assert_eq!(plans[0], plans[1]);
-    assert_ne!(plans[0], plan(&shape, &scaled(1.5), CAPACITY, 20.0, 10));
+    let scenario = scenario::subsidy_deadline();
+    let schedules = [(); 2].map(|()| poisson_arrivals(&scenario, &scaled(1.5), CAPACITY, 20.0, 9));
+    assert_eq!(schedules[0], schedules[1]);
+    assert_ne!(
+        schedules[0],
+        poisson_arrivals(&scenario, &scaled(1.5), CAPACITY, 20.0, 10)
+    );
 }
 
 #[test]
@@ -46,9 +49,9 @@
 #[test]
 fn a_burst_adds_its_part_while_it_lasts() {
     let burst = Burst {
-        from: 100.0,
-        until: 300.0,
-        part: 0.4,
+        start: 100.0,
+        end: 300.0,
+        token_share: 0.4,
     };
     let demand = Demand {
         burst: Some(burst),
--- a/crates/measure/src/control.rs
+++ b/crates/measure/src/control.rs
@@ -19,7 +19,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::Outcome;
+use crate::MeasureResult;
 
 /// How long an instance may take until it serves.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
@@ -33,16 +33,16 @@
     method: Method,
     path: &str,
     body: Vec<u8>,
-) -> Outcome<String> {
-    future::timeout(CALL_TIMEOUT, exchange(address, method, path, body)).await?
+) -> MeasureResult<String> {
+    future::timeout(CALL_TIMEOUT, send_request(address, method, path, body)).await?
 }
 
-async fn exchange(
+async fn send_request(
     address: SocketAddr,
     method: Method,
     path: &str,
     body: Vec<u8>,
-) -> Outcome<String> {
+) -> MeasureResult<String> {
     let url = Url::parse(&format!("http://{address}{path}"))?;
     let mut request = Request::new(method, url);
     request.set_body(body);
@@ -59,23 +59,26 @@
 }
 
 /// Gives a stand-in a command.
-pub(crate) async fn command(control: SocketAddr, command: &impl Serialize) -> Outcome<()> {
+pub(crate) async fn send_command(
+    control: SocketAddr,
+    command: &impl Serialize,
+) -> MeasureResult<()> {
     let body = serde_json::to_vec(command)?;
     call(control, Method::Post, "/control", body).await?;
     Ok(())
 }
 
-async fn get<T: DeserializeOwned>(control: SocketAddr, path: &str) -> Outcome<T> {
+async fn get_json<T: DeserializeOwned>(control: SocketAddr, path: &str) -> MeasureResult<T> {
     let text = call(control, Method::Get, path, Vec::new()).await?;
     Ok(serde_json::from_str(&text)?)
 }
 
 /// The counters of several engines, summed. Only the tokens and requests are.
-pub(crate) async fn engine_totals(controls: &[SocketAddr]) -> Outcome<EngineStats> {
+pub(crate) async fn engine_totals(controls: &[SocketAddr]) -> MeasureResult<EngineStats> {
     let mut total = EngineStats::default();
     let reads = controls
         .iter()
-        .map(|&control| get(control, "/control/stats"));
+        .map(|&control| get_json(control, "/control/stats"));
     let all: Vec<EngineStats> = try_join_all(reads).await?;
     for stats in all {
         total.started += stats.started;
@@ -94,10 +97,10 @@
 }
 
 /// How often each marked request ran, over several stand-ins.
-pub(crate) async fn runs(controls: &[SocketAddr]) -> Outcome<HashMap<String, u64>> {
+pub(crate) async fn run_counts(controls: &[SocketAddr]) -> MeasureResult<HashMap<String, u64>> {
     let mut all = HashMap::new();
     for &control in controls {
-        let runs: HashMap<String, u64> = get(control, "/control/runs").await?;
+        let runs: HashMap<String, u64> = get_json(control, "/control/runs").await?;
         for (marker, count) in runs {
             *all.entry(marker).or_insert(0) += count;
         }
@@ -106,7 +109,7 @@
 }
 
 /// Waits until an instance says that it serves.
-pub(crate) async fn wait_ready(operator: SocketAddr) -> Outcome<()> {
+pub(crate) async fn wait_ready(operator: SocketAddr) -> MeasureResult<()> {
     let ready = async {
         while call(operator, Method::Get, "/ready", Vec::new())
             .await
--- a/crates/measure/src/drive.rs
+++ b/crates/measure/src/drive.rs
@@ -15,16 +15,16 @@
 use crocushold_standins::load::LoadClass;
 
 use crate::arrivals::Arrival;
-use crate::shape::MODEL;
-use crate::shape::Shape;
-use crate::shape::Work;
+use crate::scenario::MODEL;
+use crate::scenario::RequestKind;
+use crate::scenario::Scenario;
 
 /// Text in a refusal that states that the request wasn't run.
-const NOT_RUN: &str = "\"ran\":\"no\"";
+const NOT_RUN_FIELD: &str = "\"ran\":\"no\"";
 
 /// Where requests go.
 #[derive(Clone, Debug)]
-pub(crate) struct Entries {
+pub(crate) struct Endpoints {
     /// For models, in turn.
     pub(crate) model: Vec<SocketAddr>,
     /// For plain calls, in turn.
@@ -33,7 +33,7 @@
 
 /// What became of one request.
 #[derive(Clone, Debug)]
-pub(crate) struct Sent {
+pub(crate) struct RequestRecord {
     /// Its class, as an index.
     pub(crate) class: usize,
     /// Its marker.
@@ -41,44 +41,44 @@
     /// When it was due, in seconds.
     pub(crate) due: f64,
     /// How much later it was sent, in seconds: the generator's own delay.
-    pub(crate) late: f64,
+    pub(crate) send_delay: f64,
     /// How it ended; [`Ending::GaveUp`] when the run ended first.
     pub(crate) ending: Ending,
     /// Whether a refusal says when to come back.
-    pub(crate) hinted: bool,
+    pub(crate) has_retry_after: bool,
     /// Whether a refusal states that the request wasn't run.
-    pub(crate) unrun: bool,
+    pub(crate) reported_not_run: bool,
     /// Seconds from due until the first token, or the head of an answer that isn't streamed.
-    pub(crate) first: Option<f64>,
+    pub(crate) first_token: Option<f64>,
     /// Gaps between tokens in microseconds.
     pub(crate) gaps: Vec<u32>,
     /// Seconds from due until the end.
-    pub(crate) whole: f64,
+    pub(crate) duration: f64,
     /// Tokens that came.
     pub(crate) tokens: u64,
 }
 
 /// Sends all, and cuts off what is open at `end` seconds.
-pub(crate) async fn drive(
-    shape: &Arc<Shape>,
-    plan: &[Arrival],
-    entries: &Entries,
+pub(crate) async fn send_all(
+    scenario: &Arc<Scenario>,
+    arrivals: &[Arrival],
+    endpoints: &Endpoints,
     start: Instant,
     end: f64,
-) -> Vec<Sent> {
+) -> Vec<RequestRecord> {
     let mut tasks = Vec::new();
-    for (number, &arrival) in plan.iter().enumerate() {
-        let due = start + Duration::from_secs_f64(arrival.at);
+    for (number, &arrival) in arrivals.iter().enumerate() {
+        let due = start + Duration::from_secs_f64(arrival.due);
         task::sleep(due.saturating_duration_since(Instant::now())).await;
-        let class = &shape.classes[arrival.class];
-        let targets = match class.work {
-            Work::Model { .. } => &entries.model,
-            Work::Plain { .. } => &entries.plain,
+        let class = &scenario.classes[arrival.class];
+        let targets = match class.request_kind {
+            RequestKind::Model { .. } => &endpoints.model,
+            RequestKind::Plain { .. } => &endpoints.plain,
         };
         let entry = targets[number % targets.len()];
-        let shape = Arc::clone(shape);
+        let scenario = Arc::clone(scenario);
         tasks.push(task::spawn(async move {
-            send(&shape, number, arrival, entry, start, end).await
+            send(&scenario, number, arrival, entry, start, end).await
         }));
     }
     let mut all = Vec::new();
@@ -89,44 +89,48 @@
 }
 
 async fn send(
-    shape: &Shape,
+    scenario: &Scenario,
     number: usize,
     arrival: Arrival,
     entry: SocketAddr,
     start: Instant,
     end: f64,
-) -> Sent {
-    let marker = format!("{}.{number}", shape.classes[arrival.class].name);
-    let late = start.elapsed().as_secs_f64() - arrival.at;
+) -> RequestRecord {
+    let marker = format!("{}.{number}", scenario.classes[arrival.class].name);
+    let send_delay = start.elapsed().as_secs_f64() - arrival.due;
     let left = (end - start.elapsed().as_secs_f64()).max(0.0);
-    let class = load_class(shape, arrival, left);
+    let class = load_class(scenario, arrival, left);
     let exchange = load::send_one(entry, &class, &marker).await;
-    sent(arrival, marker, late, exchange)
+    record(arrival, marker, send_delay, exchange)
 }
 
-fn sent(arrival: Arrival, marker: String, late: f64, exchange: Exchange) -> Sent {
+fn record(arrival: Arrival, marker: String, send_delay: f64, exchange: Exchange) -> RequestRecord {
     let refused = exchange.ending == Ending::Refused;
     let body = String::from_utf8_lossy(exchange.response.body());
-    Sent {
+    RequestRecord {
         class: arrival.class,
         marker,
-        due: arrival.at,
-        late,
+        due: arrival.due,
+        send_delay,
         ending: exchange.ending,
-        hinted: refused && exchange.response.header("retry-after").is_some(),
-        unrun: refused && body.contains(NOT_RUN),
-        first: exchange.first.map(|first| first.as_secs_f64() + late),
+        has_retry_after: refused && exchange.response.header("retry-after").is_some(),
+        reported_not_run: refused && body.contains(NOT_RUN_FIELD),
+        first_token: exchange.first.map(|first| first.as_secs_f64() + send_delay),
         gaps: exchange.gaps,
-        whole: exchange.whole.as_secs_f64() + late,
+        duration: exchange.whole.as_secs_f64() + send_delay,
         tokens: exchange.response.tokens(),
     }
 }
 
-fn load_class(shape: &Shape, arrival: Arrival, left: f64) -> LoadClass {
-    let class = &shape.classes[arrival.class];
-    let (prompt, stream, path) = match class.work {
-        Work::Model { prompt, stream, .. } => (prompt, stream, "/"),
-        Work::Plain { path, .. } => (40, false, path),
+fn load_class(scenario: &Scenario, arrival: Arrival, left: f64) -> LoadClass {
+    let class = &scenario.classes[arrival.class];
+    let (prompt_bytes, stream, path) = match class.request_kind {
+        RequestKind::Model {
+            prompt_bytes,
+            stream,
+            ..
+        } => (prompt_bytes, stream, "/"),
+        RequestKind::Plain { path, .. } => (40, false, path),
     };
     let header = Header {
         name: "x-class".to_owned(),
@@ -135,7 +139,7 @@
     LoadClass {
         // The prompt's prefix is made from this name.
         name: format!("{}-{}", class.name, arrival.prefix),
-        key: class.key(shape.team),
+        key: class.api_key(scenario.team),
         headers: if path == "/" {
             vec![header]
         } else {
@@ -144,7 +148,7 @@
         form: class.form(),
         path: path.to_owned(),
         model: MODEL.to_owned(),
-        prompt: Lengths::fixed(prompt),
+        prompt: Lengths::fixed(prompt_bytes),
         prefixes: 1,
         output: Lengths::fixed(arrival.tokens.max(1)),
         stream,
--- a/crates/measure/src/fleet.rs
+++ b/crates/measure/src/fleet.rs
@@ -14,17 +14,17 @@
 use crocushold_standins::Role;
 use rand::RngExt;
 
-use crate::Outcome;
+use crate::MeasureResult;
 use crate::control;
-use crate::drive::Entries;
+use crate::drive::Endpoints;
 use crate::process::Process;
-use crate::shape::CONCURRENCY;
-use crate::shape::Shape;
+use crate::scenario::ENGINE_CONCURRENCY;
+use crate::scenario::Scenario;
 
 /// Ports that instances' peers listen on.
-const PORTS: Range<u16> = 12_000..30_000;
+const PEER_PORTS: Range<u16> = 12_000..30_000;
 
-const PORT_TRIES: usize = 100;
+const PORT_ATTEMPTS: usize = 100;
 
 const PEER_KEY: &str = "0123456789abcdef0123456789abcdef";
 
@@ -61,7 +61,7 @@
     /// Operator addresses of the entry instances.
     pub(crate) operators: Vec<SocketAddr>,
     /// Where callers send.
-    pub(crate) entries: Entries,
+    pub(crate) endpoints: Endpoints,
     _platform: Option<Process>,
 }
 
@@ -69,7 +69,7 @@
 pub(crate) fn engine_settings() -> EngineSettings {
     EngineSettings {
         batch: BatchSettings {
-            batch_limit: CONCURRENCY,
+            batch_limit: ENGINE_CONCURRENCY,
             base_ms: 15.0,
             sequence_ms: 0.5,
             ..BatchSettings::default()
@@ -80,7 +80,7 @@
 
 impl Backends {
     /// Starts engines and a plain service.
-    pub(crate) fn start(count: usize, settings: &EngineSettings) -> Outcome<Backends> {
+    pub(crate) fn start(count: usize, settings: &EngineSettings) -> MeasureResult<Backends> {
         let args = [
             "engine".to_owned(),
             "--count".to_owned(),
@@ -92,15 +92,15 @@
         let mut engines = Vec::new();
         let mut controls = Vec::new();
         for _ in 0..count {
-            engines.push(engine.address("listening")?);
-            controls.push(engine.address("control")?);
+            engines.push(engine.read_address("listening")?);
+            controls.push(engine.read_address("control")?);
         }
         let mut service = Process::start("crocushold-standin", &["service".to_owned()])?;
         Ok(Backends {
             engines,
             controls,
-            service: service.address("listening")?,
-            service_control: service.address("control")?,
+            service: service.read_address("listening")?,
+            service_control: service.read_address("control")?,
             _processes: vec![engine, service],
         })
     }
@@ -110,15 +110,15 @@
     /// Starts a system with its own engines, and waits until it serves.
     pub(crate) async fn start(
         system: System,
-        shape: &Shape,
+        scenario: &Scenario,
         settings: &EngineSettings,
         folder: &Path,
-    ) -> Outcome<Fleet> {
-        let backends = Backends::start(shape.engines, settings)?;
+    ) -> MeasureResult<Fleet> {
+        let backends = Backends::start(scenario.engines, settings)?;
         let mut fleet = Fleet {
             instances: Vec::new(),
             operators: Vec::new(),
-            entries: Entries {
+            endpoints: Endpoints {
                 model: backends.engines.clone(),
                 plain: vec![backends.service],
             },
@@ -127,49 +127,49 @@
         };
         match system {
             System::Direct => {}
-            System::Baseline => fleet.start_proxy(shape)?,
-            System::Crocushold => fleet.start_instances(shape, folder).await?,
+            System::Baseline => fleet.start_proxy(scenario)?,
+            System::Crocushold => fleet.start_instances(scenario, folder).await?,
         }
         Ok(fleet)
     }
 
-    fn start_proxy(&mut self, shape: &Shape) -> Outcome<()> {
+    fn start_proxy(&mut self, scenario: &Scenario) -> MeasureResult<()> {
         let mut args = vec![
             "proxy".to_owned(),
             "--concurrency".to_owned(),
-            shape.concurrency.to_string(),
+            scenario.concurrency.to_string(),
         ];
         for engine in &self.backends.engines {
             args.push("--server".to_owned());
             args.push(engine.to_string());
         }
         let mut proxy = Process::start("crocushold-measure", &args)?;
-        self.entries.model = vec![proxy.address("listening")?];
+        self.endpoints.model = vec![proxy.read_address("listening")?];
         self.instances.push(proxy);
         Ok(())
     }
 
-    async fn start_instances(&mut self, shape: &Shape, folder: &Path) -> Outcome<()> {
-        let text = shape.text(&self.backends.engines, self.backends.service);
-        let part = write(folder, "part.ini", &text)?;
-        let peers: Vec<SocketAddr> = (0..shape.instances)
+    async fn start_instances(&mut self, scenario: &Scenario, folder: &Path) -> MeasureResult<()> {
+        let text = scenario.config_text(&self.backends.engines, self.backends.service);
+        let part = write_file(folder, "part.ini", &text)?;
+        let peers: Vec<SocketAddr> = (0..scenario.instances)
             .map(|_| free_address())
-            .collect::<Outcome<_>>()?;
-        let list = serde_json::to_string(&instance_list(shape, &peers))?;
-        let list = write(folder, "instances.json", &list)?;
+            .collect::<MeasureResult<_>>()?;
+        let list = serde_json::to_string(&instance_list(scenario, &peers))?;
+        let list = write_file(folder, "instances.json", &list)?;
         let args = [
             "platform".to_owned(),
             "--part".to_owned(),
-            format!("{}={}", shape.team, part.display()),
+            format!("{}={}", scenario.team, part.display()),
             "--instances".to_owned(),
             list.display().to_string(),
         ];
         let mut platform = Process::start("crocushold-standin", &args)?;
-        let address = platform.address("listening")?;
+        let address = platform.read_address("listening")?;
         self._platform = Some(platform);
         let mut listens = Vec::new();
         for (number, &peer) in peers.iter().enumerate() {
-            let zone = shape.zones[number % shape.zones.len()];
+            let zone = scenario.zones[number % scenario.zones.len()];
             let file = write_settings(folder, number, zone, peer, address)?;
             let args = [
                 "serve".to_owned(),
@@ -178,11 +178,11 @@
                 file,
             ];
             let mut instance = Process::start("crocushold", &args)?;
-            listens.push(instance.address("listening")?);
-            self.operators.push(instance.address("operator")?);
+            listens.push(instance.read_address("listening")?);
+            self.operators.push(instance.read_address("operator")?);
             self.instances.push(instance);
         }
-        self.entries = Entries {
+        self.endpoints = Endpoints {
             model: listens.clone(),
             plain: listens,
         };
@@ -199,7 +199,7 @@
     zone: &str,
     peer: SocketAddr,
     platform: SocketAddr,
-) -> Outcome<String> {
+) -> MeasureResult<String> {
     let text = format!(
         "[instance]\nid = entry-{number}\nzone = {zone}\nlisten = 127.0.0.1:0\n\
          operator = 127.0.0.1:0\nnotice = 300 ms\ndrain = 5 s\n\n\
@@ -207,16 +207,16 @@
          [limits]\nconnections = 20000\nconnections-per-account = 20000\n\
          queued-per-account = 20000\n"
     );
-    let file = write(folder, &format!("entry-{number}.ini"), &text)?;
+    let file = write_file(folder, &format!("entry-{number}.ini"), &text)?;
     Ok(file.display().to_string())
 }
 
-fn instance_list(shape: &Shape, peers: &[SocketAddr]) -> Vec<Instance> {
+fn instance_list(scenario: &Scenario, peers: &[SocketAddr]) -> Vec<Instance> {
     let entry = |(number, peer): (usize, &SocketAddr)| Instance {
         id: format!("entry-{number}"),
         role: Role::Entry,
         service: String::new(),
-        zone: shape.zones[number % shape.zones.len()].to_owned(),
+        zone: scenario.zones[number % scenario.zones.len()].to_owned(),
         address: peer.to_string(),
         peer_address: peer.to_string(),
         state: InstanceState::Live,
@@ -224,7 +224,7 @@
     peers.iter().enumerate().map(entry).collect()
 }
 
-fn write(folder: &Path, name: &str, text: &str) -> Outcome<PathBuf> {
+fn write_file(folder: &Path, name: &str, text: &str) -> MeasureResult<PathBuf> {
     let file = folder.join(name);
     fs::write(&file, text)?;
     Ok(file)
@@ -234,10 +234,10 @@
 ///
 /// The port is below those that the system gives to outgoing connections: one of these may be taken
 /// by another process before the instance listens on it, and then the whole measurement ends.
-fn free_address() -> Outcome<SocketAddr> {
+fn free_address() -> MeasureResult<SocketAddr> {
     let mut rng = rand::rng();
-    for _ in 0..PORT_TRIES {
-        let port = rng.random_range(PORTS);
+    for _ in 0..PORT_ATTEMPTS {
+        let port = rng.random_range(PEER_PORTS);
         let address = SocketAddr::from(([127, 0, 0, 1], port));
         if TcpListener::bind(address).is_ok() {
             return Ok(address);
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -16,8 +16,8 @@
 pub mod process;
 pub mod proxy;
 pub mod relay;
-mod shape;
+mod scenario;
 mod summary;
 
 /// The outcome of a measurement.
-pub type Outcome<T> = Result<T, Box<dyn std::error::Error + Send + Sync>>;
+pub type MeasureResult<T> = Result<T, Box<dyn std::error::Error + Send + Sync>>;
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -9,20 +9,20 @@
 use bpaf::Parser;
 use bpaf::construct;
 use bpaf::long;
-use crocushold_measure::Outcome;
+use crocushold_measure::MeasureResult;
 use crocushold_measure::policy;
-use crocushold_measure::policy::Select;
+use crocushold_measure::policy::Selection;
 use crocushold_measure::proxy;
 use crocushold_measure::relay;
 
 #[derive(Clone, Debug)]
 enum Command {
     Policy {
-        select: Select,
-        out: PathBuf,
+        selection: Selection,
+        out_dir: PathBuf,
     },
     Relay {
-        out: PathBuf,
+        out_dir: PathBuf,
     },
     Proxy {
         concurrency: u32,
@@ -31,7 +31,7 @@
 }
 
 fn main() -> ExitCode {
-    let command = command().run();
+    let command = parser().run();
     match task::block_on(run(command)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -41,10 +41,10 @@
     }
 }
 
-async fn run(command: Command) -> Outcome<()> {
+async fn run(command: Command) -> MeasureResult<()> {
     match command {
-        Command::Policy { select, out } => policy::run(&select, &out).await,
-        Command::Relay { out } => relay::run(&out).await,
+        Command::Policy { selection, out_dir } => policy::run(&selection, &out_dir).await,
+        Command::Relay { out_dir } => relay::run(&out_dir).await,
         Command::Proxy {
             concurrency,
             server,
@@ -52,7 +52,7 @@
     }
 }
 
-fn command() -> OptionParser<Command> {
+fn parser() -> OptionParser<Command> {
     let policy = policy_command();
     let relay = relay_command();
     let proxy = proxy_command();
@@ -65,39 +65,39 @@
     let quick = long("quick")
         .help("Only the first shape, 0.7 and 2.5 times capacity, without faults")
         .switch();
-    let shape = long("shape")
+    let scenarios = long("shape")
         .help("Only this shape")
         .argument::<String>("NAME")
         .many();
-    let level = long("level")
+    let levels = long("level")
         .help("Only this multiple of the capacity")
         .argument::<f64>("LEVEL")
         .many();
-    let fault = long("fault")
+    let faults = long("fault")
         .help("Only this fault: none, flood, straggler, crash or burst")
         .argument::<String>("FAULT")
         .many();
-    let repeat = long("repeat")
+    let repetitions = long("repeat")
         .help("How often each point is run, each time with another seed")
         .argument::<u64>("N")
         .fallback(1);
-    let select = construct!(Select {
+    let selection = construct!(Selection {
         quick,
-        shape,
-        level,
-        fault,
-        repeat,
+        scenarios,
+        levels,
+        faults,
+        repetitions,
     });
-    let out = out();
-    construct!(Command::Policy { select, out })
+    let out_dir = out_dir();
+    construct!(Command::Policy { selection, out_dir })
         .to_options()
         .descr("Attainment, goodput and wasted work by class, under load and faults")
         .command("policy")
 }
 
 fn relay_command() -> impl Parser<Command> {
-    let out = out();
-    construct!(Command::Relay { out })
+    let out_dir = out_dir();
+    construct!(Command::Relay { out_dir })
         .to_options()
         .descr("What an entry instance adds to a request")
         .command("relay")
@@ -120,7 +120,7 @@
     .command("proxy")
 }
 
-fn out() -> impl Parser<PathBuf> {
+fn out_dir() -> impl Parser<PathBuf> {
     long("out")
         .help("Folder that the page and the plot are written to")
         .argument::<PathBuf>("DIR")
--- a/crates/measure/src/page.rs
+++ b/crates/measure/src/page.rs
@@ -5,10 +5,10 @@
 
 use crate::point::Fault;
 use crate::point::STRAGGLER_FACTOR;
-use crate::policy::Results;
-use crate::policy::Row;
+use crate::policy::PointResult;
+use crate::policy::ScenarioResults;
 use crate::process;
-use crate::shape::Shape;
+use crate::scenario::Scenario;
 use crate::summary::ClassSummary;
 use crate::summary::Summary;
 
@@ -33,38 +33,38 @@
 ";
 
 /// The whole page.
-pub(crate) fn render(all: &[Results], flags: &str) -> String {
+pub(crate) fn render(all: &[ScenarioResults], flags: &str) -> String {
     let mut out = String::new();
     write_page(&mut out, all, flags).expect("writing to a string never fails");
     out
 }
 
 /// One point as a line for the terminal.
-pub(crate) fn line(shape: &Shape, capacity: f64, row: &Row) -> String {
-    row_line(shape, capacity, row)
+pub(crate) fn terminal_row(scenario: &Scenario, capacity: f64, row: &PointResult) -> String {
+    row_line(scenario, capacity, row)
 }
 
-fn write_page(out: &mut String, all: &[Results], flags: &str) -> std::fmt::Result {
+fn write_page(out: &mut String, all: &[ScenarioResults], flags: &str) -> std::fmt::Result {
     writeln!(out, "# Policy under load and faults\n")?;
     writeln!(out, "```text\ncargo build --release --bins --workspace")?;
     writeln!(
         out,
         "cargo run --release -p crocushold-measure -- policy{flags}\n```\n"
     )?;
-    writeln!(out, "{}\n", machine())?;
+    writeln!(out, "{}\n", environment())?;
     debug_assert!(
         (STRAGGLER_FACTOR - 4.0).abs() < f64::EPSILON,
         "the text says four"
     );
     writeln!(out, "{INTRODUCTION}")?;
     for results in all {
-        write_shape(out, results)?;
+        write_scenario(out, results)?;
     }
     Ok(())
 }
 
 /// When and on what the measurement ran.
-pub(crate) fn machine() -> String {
+pub(crate) fn environment() -> String {
     let cores = std::thread::available_parallelism().map_or(0, |n| n.get());
     let load = process::load_average();
     let today = today();
@@ -82,41 +82,44 @@
     text.unwrap_or_else(|_| "an unknown date".to_owned())
 }
 
-fn write_shape(out: &mut String, results: &Results) -> std::fmt::Result {
-    let Results {
-        shape,
+fn write_scenario(out: &mut String, results: &ScenarioResults) -> std::fmt::Result {
+    let ScenarioResults {
+        scenario,
         capacity,
         rows,
     } = results;
-    writeln!(out, "## {}\n", shape.name)?;
+    writeln!(out, "## {}\n", scenario.name)?;
     writeln!(
         out,
         "{} engines, {} entry instances; the engines do {capacity:.0} tokens a second.\n",
-        shape.engines, shape.instances
+        scenario.engines, scenario.instances
     )?;
-    writeln!(out, "![attainment and goodput]({}.svg)\n", shape.name)?;
-    writeln!(out, "{}", header(shape))?;
+    writeln!(out, "![attainment and goodput]({}.svg)\n", scenario.name)?;
+    writeln!(out, "{}", table_header(scenario))?;
     for row in rows {
-        writeln!(out, "{}", row_line(shape, *capacity, row))?;
+        writeln!(out, "{}", row_line(scenario, *capacity, row))?;
     }
     writeln!(out)?;
-    write_promises(out, results)?;
+    write_guarantees(out, results)?;
     write_classes(out, results)?;
     write_causes(out, results)
 }
 
-fn header(shape: &Shape) -> String {
+fn table_header(scenario: &Scenario) -> String {
     let mut head = "| demand | fault |".to_owned();
     let mut rule = "| --- | --- |".to_owned();
-    let lowest = shape.lowest();
+    let lowest_model_class = scenario.lowest_model_class();
     let mut column = |text: &str| {
         head.push_str(&format!(" {text} |"));
         rule.push_str(" ---: |");
     };
-    for class in &shape.classes[..lowest] {
+    for class in &scenario.classes[..lowest_model_class] {
         column(&format!("{} attained %", class.name));
     }
-    column(&format!("{} share of tokens %", shape.classes[lowest].name));
+    column(&format!(
+        "{} share of tokens %",
+        scenario.classes[lowest_model_class].name
+    ));
     column("goodput tokens/s");
     column("goodput % of capacity");
     column("wasted %");
@@ -124,24 +127,28 @@
     format!("{head}\n{rule}")
 }
 
-fn row_line(shape: &Shape, capacity: f64, row: &Row) -> String {
-    let lowest = shape.lowest();
+fn row_line(scenario: &Scenario, capacity: f64, row: &PointResult) -> String {
+    let lowest_model_class = scenario.lowest_model_class();
     let mut cells = vec![demand_text(row), fault_text(row.fault).to_owned()];
-    for index in 0..lowest {
+    for index in 0..lowest_model_class {
         let share = |summary: &Summary| percent(summary.classes[index].attainment());
-        cells.push(both(row, share));
+        cells.push(cell_pair(row, share));
     }
-    cells.push(both(row, |summary| format!("{:.1}", summary.share(lowest))));
-    cells.push(both(row, |summary| format!("{:.0}", summary.goodput)));
-    cells.push(both(row, |summary| {
+    cells.push(cell_pair(row, |summary| {
+        format!("{:.1}", summary.token_share(lowest_model_class))
+    }));
+    cells.push(cell_pair(row, |summary| format!("{:.0}", summary.goodput)));
+    cells.push(cell_pair(row, |summary| {
         format!("{:.1}", 100.0 * summary.goodput / capacity)
     }));
-    cells.push(both(row, |summary| format!("{:.2}", summary.wasted())));
-    cells.push(format!("{:.0}", row.load));
+    cells.push(cell_pair(row, |summary| {
+        format!("{:.2}", summary.wasted_percent())
+    }));
+    cells.push(format!("{:.0}", row.load_average));
     format!("| {} |", cells.join(" | "))
 }
 
-fn demand_text(row: &Row) -> String {
+fn demand_text(row: &PointResult) -> String {
     let kind = if row.demand.flood { "flood" } else { "scaled" };
     format!("{:.1} {kind}", row.demand.level)
 }
@@ -155,8 +162,8 @@
     }
 }
 
-fn both(row: &Row, cell: impl Fn(&Summary) -> String) -> String {
-    format!("{} / {}", cell(&row.ours), cell(&row.baseline))
+fn cell_pair(row: &PointResult, cell: impl Fn(&Summary) -> String) -> String {
+    format!("{} / {}", cell(&row.crocushold), cell(&row.baseline))
 }
 
 fn percent(share: Option<f64>) -> String {
@@ -166,28 +173,34 @@
 /// A counter of a class.
 type Count = fn(&ClassSummary) -> u64;
 
-fn write_promises(out: &mut String, results: &Results) -> std::fmt::Result {
-    let total = |side: fn(&Row) -> &Summary, count: Count| -> u64 {
+fn write_guarantees(out: &mut String, results: &ScenarioResults) -> std::fmt::Result {
+    let total = |side: fn(&PointResult) -> &Summary, count: Count| -> u64 {
         let classes = results.rows.iter().flat_map(|row| &side(row).classes);
         classes.map(count).sum()
     };
     let counts: [(&str, Count); 7] = [
         ("misdelivered or disordered", |class| class.misdelivered),
-        ("non-idempotent, run more than once", |class| class.doubled),
-        ("idempotent, run more than once", |class| class.repeated),
-        ("told not run, but run", |class| class.falsely_unrun),
+        ("non-idempotent, run more than once", |class| {
+            class.repeated_non_idempotent
+        }),
+        ("idempotent, run more than once", |class| {
+            class.repeated_idempotent
+        }),
+        ("told not run, but run", |class| {
+            class.falsely_reported_not_run
+        }),
         ("refused as not run, without Retry-After", |class| {
-            class.unhinted
+            class.refused_without_retry_after
         }),
         ("error that leaves open whether it ran", |class| {
             class.unknown
         }),
-        ("refused a connection", |class| class.unconnected),
+        ("refused a connection", |class| class.connections_refused),
     ];
     writeln!(out, "| over all points, requests | crocushold | baseline |")?;
     writeln!(out, "| --- | ---: | ---: |")?;
     for (name, count) in counts {
-        let ours = total(|row| &row.ours, count);
+        let ours = total(|row| &row.crocushold, count);
         let theirs = total(|row| &row.baseline, count);
         writeln!(out, "| {name} | {ours} | {theirs} |")?;
     }
@@ -195,14 +208,14 @@
 }
 
 /// Judged requests that were completed too late, by the target that they missed.
-fn late(class: &ClassSummary) -> String {
+fn late_counts(class: &ClassSummary) -> String {
     format!(
         "{} / {} / {}",
-        class.late_first, class.late_gaps, class.late_whole
+        class.late_first_token, class.late_token_gaps, class.late_whole_answer
     )
 }
 
-fn write_classes(out: &mut String, results: &Results) -> std::fmt::Result {
+fn write_classes(out: &mut String, results: &ScenarioResults) -> std::fmt::Result {
     writeln!(
         out,
         "### By class\n\nLate: judged requests through crocushold that were completed, but too late \
@@ -218,19 +231,20 @@
         "| --- | --- | --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |"
     )?;
     for row in &results.rows {
-        for (index, class) in results.shape.classes.iter().enumerate() {
-            let of = |cell: fn(&ClassSummary) -> String| both(row, |s| cell(&s.classes[index]));
+        for (index, class) in results.scenario.classes.iter().enumerate() {
+            let of =
+                |cell: fn(&ClassSummary) -> String| cell_pair(row, |s| cell(&s.classes[index]));
             let cells = [
                 demand_text(row),
                 fault_text(row.fault).to_owned(),
                 class.name.to_owned(),
                 of(|class| class.judged.to_string()),
                 of(|class| percent(class.attainment())),
-                of(|class| format!("{:.0}", class.first_p99)),
+                of(|class| format!("{:.0}", class.first_token_p99_ms)),
                 of(|class| format!("{:.0}", class.goodput)),
                 of(|class| class.completed.to_string()),
-                late(&row.ours.classes[index]),
-                of(|class| (class.refused + class.unhinted).to_string()),
+                late_counts(&row.crocushold.classes[index]),
+                of(|class| (class.refused + class.refused_without_retry_after).to_string()),
                 of(|class| class.unknown.to_string()),
                 of(|class| class.cut.to_string()),
                 of(|class| class.timed_out.to_string()),
@@ -241,7 +255,7 @@
     writeln!(out)
 }
 
-fn write_causes(out: &mut String, results: &Results) -> std::fmt::Result {
+fn write_causes(out: &mut String, results: &ScenarioResults) -> std::fmt::Result {
     writeln!(out, "### Wasted work by cause\n")?;
     writeln!(
         out,
@@ -257,18 +271,18 @@
     writeln!(out, "| --- | --- | ---: | ---: | --- | ---: |")?;
     for row in &results.rows {
         let causes: Vec<String> = row
-            .ours
-            .causes
+            .crocushold
+            .wasted_by_cause
             .iter()
             .map(|(name, tokens)| format!("{name} {tokens:.0}"))
             .collect();
         let cells = [
             demand_text(row),
             fault_text(row.fault).to_owned(),
-            both(row, |summary| format!("{:.1}", summary.cancelled)),
-            both(row, |summary| format!("{:.1}", summary.failed)),
+            cell_pair(row, |summary| format!("{:.1}", summary.cancelled)),
+            cell_pair(row, |summary| format!("{:.1}", summary.failed)),
             causes.join(", "),
-            both(row, |summary| format!("{:.0}", summary.late)),
+            cell_pair(row, |summary| format!("{:.0}", summary.send_delay_p99_ms)),
         ];
         writeln!(out, "| {} |", cells.join(" | "))?;
     }
--- a/crates/measure/src/plot.rs
+++ b/crates/measure/src/plot.rs
@@ -13,10 +13,10 @@
 use plotters::series::DashedLineSeries;
 use plotters::style::Color;
 
-use crate::Outcome;
+use crate::MeasureResult;
 use crate::point::Fault;
-use crate::policy::Results;
-use crate::policy::Row;
+use crate::policy::PointResult;
+use crate::policy::ScenarioResults;
 use crate::summary::Summary;
 
 const SIZE: (u32, u32) = (900, 420);
@@ -34,15 +34,15 @@
 }
 
 /// Writes attainment and goodput over demand, without faults; the baseline is dashed.
-pub(crate) fn write(results: &Results, out: &Path) -> Outcome<()> {
-    let file = out.join(format!("{}.svg", results.shape.name));
+pub(crate) fn write(results: &ScenarioResults, out: &Path) -> MeasureResult<()> {
+    let file = out.join(format!("{}.svg", results.scenario.name));
     let root = SVGBackend::new(&file, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
         .caption(
             format!(
                 "{}: scaled demand, no fault (baseline dashed)",
-                results.shape.name
+                results.scenario.name
             ),
             ("sans-serif", 18),
         )
@@ -55,14 +55,14 @@
         .x_desc("demand, times capacity")
         .y_desc("percent")
         .draw()?;
-    let rows: Vec<&Row> = results
+    let rows: Vec<&PointResult> = results
         .rows
         .iter()
         .filter(|row| row.fault == Fault::None && !row.demand.flood)
         .collect();
     for (curve, colour) in curves(results).into_iter().zip(COLOURS) {
-        let at = |row: &Row, summary: &Summary| (row.demand.level, (curve.value)(summary));
-        let ours: Vec<_> = rows.iter().map(|row| at(row, &row.ours)).collect();
+        let at = |row: &PointResult, summary: &Summary| (row.demand.level, (curve.value)(summary));
+        let ours: Vec<_> = rows.iter().map(|row| at(row, &row.crocushold)).collect();
         let theirs: Vec<_> = rows.iter().map(|row| at(row, &row.baseline)).collect();
         let line = colour.stroke_width(2);
         chart.draw_series(ours.iter().map(|&at| Circle::new(at, 3, colour.filled())))?;
@@ -81,11 +81,11 @@
     Ok(())
 }
 
-fn curves(results: &Results) -> Vec<Curve> {
-    let shape = &results.shape;
-    let lowest = shape.lowest();
+fn curves(results: &ScenarioResults) -> Vec<Curve> {
+    let scenario = &results.scenario;
+    let lowest_model_class = scenario.lowest_model_class();
     let mut curves = Vec::new();
-    for (index, class) in shape.classes[..lowest].iter().enumerate() {
+    for (index, class) in scenario.classes[..lowest_model_class].iter().enumerate() {
         curves.push(Curve {
             name: format!("{} attained", class.name),
             value: Box::new(move |s| s.classes[index].attainment().unwrap_or(0.0)),
@@ -93,8 +93,11 @@
     }
     let capacity = results.capacity;
     curves.push(Curve {
-        name: format!("{} share of tokens", shape.classes[lowest].name),
-        value: Box::new(move |s| s.share(lowest)),
+        name: format!(
+            "{} share of tokens",
+            scenario.classes[lowest_model_class].name
+        ),
+        value: Box::new(move |s| s.token_share(lowest_model_class)),
     });
     curves.push(Curve {
         name: "goodput, of capacity".to_owned(),
--- a/crates/measure/src/point.rs
+++ b/crates/measure/src/point.rs
@@ -10,15 +10,15 @@
 use crocushold_standins::EngineCommand;
 use crocushold_standins::EngineStats;
 
-use crate::Outcome;
+use crate::MeasureResult;
 use crate::arrivals::Arrival;
 use crate::control;
 use crate::drive;
 use crate::fleet;
 use crate::fleet::Fleet;
 use crate::fleet::System;
-use crate::shape::Shape;
-use crate::summary::Observed;
+use crate::scenario::Scenario;
+use crate::summary::Observations;
 
 /// What goes wrong during a point.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,13 +37,13 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Timing {
     /// From here on is measured.
-    pub(crate) warm: f64,
+    pub(crate) window_start: f64,
     /// Start of a fault.
-    pub(crate) fault: f64,
+    pub(crate) fault_start: f64,
     /// End of a crash or a burst.
-    pub(crate) mended: f64,
+    pub(crate) fault_end: f64,
     /// The least time before the end that a request must be due to be judged: what a stream takes.
-    pub(crate) tail: f64,
+    pub(crate) judging_margin: f64,
     /// The end.
     pub(crate) end: f64,
 }
@@ -51,10 +51,10 @@
 impl Default for Timing {
     fn default() -> Timing {
         Timing {
-            warm: 4.0,
-            fault: 6.0,
-            mended: 9.0,
-            tail: 2.5,
+            window_start: 4.0,
+            fault_start: 6.0,
+            fault_end: 9.0,
+            judging_margin: 2.5,
             end: 15.0,
         }
     }
@@ -62,7 +62,7 @@
 
 /// How long after the end callers leave, so that the counters are read before that shows in them,
 /// also on a busy machine.
-const LEAVE_AFTER: f64 = 0.8;
+const CLIENT_CLOSE_DELAY: f64 = 0.8;
 
 /// How many times slower a straggler is.
 pub(crate) const STRAGGLER_FACTOR: f64 = 4.0;
@@ -70,31 +70,38 @@
 /// Runs one point.
 pub(crate) async fn run(
     system: System,
-    shape: &Arc<Shape>,
-    plan: &[Arrival],
+    scenario: &Arc<Scenario>,
+    arrivals: &[Arrival],
     fault: Fault,
     timing: Timing,
     folder: &Path,
-) -> Outcome<Observed> {
+) -> MeasureResult<Observations> {
     std::fs::create_dir_all(folder)?;
-    let fleet = Fleet::start(system, shape, &fleet::engine_settings(), folder).await?;
+    let fleet = Fleet::start(system, scenario, &fleet::engine_settings(), folder).await?;
     let start = Instant::now();
-    let victim = fleet.backends.controls[shape.engines / 2];
-    let faulty = task::spawn(inflict(fault, victim, start, timing));
+    let faulty_engine = fleet.backends.controls[scenario.engines / 2];
+    let injection = task::spawn(inject_fault(fault, faulty_engine, start, timing));
     let controls = fleet.backends.controls.clone();
-    let before = task::spawn(counters_at(controls.clone(), start, timing.warm));
+    let before = task::spawn(counters_at(controls.clone(), start, timing.window_start));
     let after = task::spawn(counters_at(controls.clone(), start, timing.end));
     let operators = fleet.operators.clone();
     let metrics = task::spawn(scrape(operators, start, timing.end));
-    let sent = drive::drive(shape, plan, &fleet.entries, start, timing.end + LEAVE_AFTER).await;
-    faulty.await?;
+    let requests = drive::send_all(
+        scenario,
+        arrivals,
+        &fleet.endpoints,
+        start,
+        timing.end + CLIENT_CLOSE_DELAY,
+    )
+    .await;
+    injection.await?;
     let mut controls = controls;
     controls.push(fleet.backends.service_control);
-    Ok(Observed {
-        sent,
+    Ok(Observations {
+        requests,
         before: before.await?,
         after: after.await?,
-        runs: control::runs(&controls).await?,
+        run_counts: control::run_counts(&controls).await?,
         metrics: metrics.await,
     })
 }
@@ -118,12 +125,17 @@
     controls: Vec<SocketAddr>,
     start: Instant,
     seconds: f64,
-) -> Outcome<EngineStats> {
+) -> MeasureResult<EngineStats> {
     sleep_until(start, seconds).await;
     control::engine_totals(&controls).await
 }
 
-async fn inflict(fault: Fault, victim: SocketAddr, start: Instant, timing: Timing) -> Outcome<()> {
+async fn inject_fault(
+    fault: Fault,
+    faulty_engine: SocketAddr,
+    start: Instant,
+    timing: Timing,
+) -> MeasureResult<()> {
     let (begin, end) = match fault {
         Fault::None | Fault::Burst => return Ok(()),
         Fault::Straggler => {
@@ -132,11 +144,11 @@
         }
         Fault::Crash => (EngineCommand::Crash, Some(EngineCommand::Restart)),
     };
-    sleep_until(start, timing.fault).await;
-    control::command(victim, &begin).await?;
+    sleep_until(start, timing.fault_start).await;
+    control::send_command(faulty_engine, &begin).await?;
     if let Some(end) = end {
-        sleep_until(start, timing.mended).await;
-        control::command(victim, &end).await?;
+        sleep_until(start, timing.fault_end).await;
+        control::send_command(faulty_engine, &end).await?;
     }
     Ok(())
 }
--- a/crates/measure/src/process.rs
+++ b/crates/measure/src/process.rs
@@ -11,16 +11,16 @@
 use std::process::Command;
 use std::process::Stdio;
 
-use crate::Outcome;
+use crate::MeasureResult;
 
 /// Processor time in `/proc/PID/stat` is counted in hundredths of a second.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 /// Fields of `/proc/PID/stat` between the program's name and the time in user mode.
-const FIELDS_BEFORE_TIME: usize = 11;
+const FIELDS_BEFORE_UTIME: usize = 11;
 
 /// Nanoseconds in a second.
-const NANOS: f64 = 1e9;
+const NANOS_PER_SECOND: f64 = 1e9;
 
 /// A running process; ended when dropped.
 pub struct Process {
@@ -35,8 +35,8 @@
     /// # Errors
     ///
     /// When the program isn't there or doesn't start.
-    pub fn start(program: &str, args: &[String]) -> Outcome<Process> {
-        let mut child = Command::new(beside(program)?)
+    pub fn start(program: &str, args: &[String]) -> MeasureResult<Process> {
+        let mut child = Command::new(program_path(program)?)
             .args(args)
             .stdout(Stdio::piped())
             .stderr(Stdio::inherit())
@@ -54,7 +54,7 @@
     /// # Errors
     ///
     /// When the process ended, or printed another line.
-    pub fn address(&mut self, name: &str) -> Outcome<SocketAddr> {
+    pub fn read_address(&mut self, name: &str) -> MeasureResult<SocketAddr> {
         let line = self.lines.next().ok_or("the process ended early")??;
         let value = line
             .strip_prefix(name)
@@ -64,7 +64,7 @@
     }
 
     /// The process's number.
-    pub fn id(&self) -> u32 {
+    pub fn pid(&self) -> u32 {
         self.child.id()
     }
 }
@@ -79,17 +79,17 @@
 
 /// Processor seconds that a process has used.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Cpu {
+pub(crate) struct CpuTime {
     /// In its own code.
     pub(crate) user: f64,
     /// In the kernel.
     pub(crate) system: f64,
 }
 
-impl Cpu {
+impl CpuTime {
     /// What was used since an earlier reading.
-    pub(crate) fn since(self, earlier: Cpu) -> Cpu {
-        Cpu {
+    pub(crate) fn since(self, earlier: CpuTime) -> CpuTime {
+        CpuTime {
             user: self.user - earlier.user,
             system: self.system - earlier.system,
         }
@@ -102,12 +102,12 @@
 }
 
 /// Processor seconds that a process has used so far.
-pub(crate) fn cpu(id: u32) -> Cpu {
-    let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
+pub(crate) fn cpu_time(pid: u32) -> CpuTime {
+    let stat = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let after = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
-    let fields = after.split_whitespace().skip(FIELDS_BEFORE_TIME);
+    let fields = after.split_whitespace().skip(FIELDS_BEFORE_UTIME);
     let mut seconds = fields.map(|field| field.parse::<f64>().unwrap_or(0.0) / TICKS_PER_SECOND);
-    Cpu {
+    CpuTime {
         user: seconds.next().unwrap_or(0.0),
         system: seconds.next().unwrap_or(0.0),
     }
@@ -115,8 +115,8 @@
 
 /// Processor seconds of all threads of a process, from `schedstat`: it counts nanoseconds where `stat`
 /// has hundredths of a second, and doesn't tell code from kernel.
-pub fn running_time(id: u32) -> f64 {
-    let Ok(tasks) = fs::read_dir(format!("/proc/{id}/task")) else {
+pub fn cpu_seconds(pid: u32) -> f64 {
+    let Ok(tasks) = fs::read_dir(format!("/proc/{pid}/task")) else {
         return 0.0;
     };
     let ran = tasks.flatten().map(|task| {
@@ -124,18 +124,18 @@
         let first = text.split(' ').next();
         first.and_then(|nanos| nanos.parse().ok()).unwrap_or(0.0)
     });
-    ran.sum::<f64>() / NANOS
+    ran.sum::<f64>() / NANOS_PER_SECOND
 }
 
 /// Resident memory of a process in MiB.
-pub fn resident(id: u32) -> f64 {
-    let status = fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
+pub fn resident_mib(pid: u32) -> f64 {
+    let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = line.and_then(|rest| rest.split_whitespace().next()?.parse::<f64>().ok());
     kib.unwrap_or(0.0) / 1024.0
 }
 
-fn beside(program: &str) -> Outcome<PathBuf> {
+fn program_path(program: &str) -> MeasureResult<PathBuf> {
     let own = std::env::current_exe()?;
     let folder = own.parent().ok_or("no folder of programs")?;
     let is_example = folder.ends_with("examples");
--- a/crates/measure/src/proxy.rs
+++ b/crates/measure/src/proxy.rs
@@ -30,10 +30,10 @@
 use http_types::StatusCode;
 use http_types::Url;
 
-use crate::Outcome;
+use crate::MeasureResult;
 
 /// The status of an answer that nobody reads: the caller closed the connection.
-const CALLER_GONE: StatusCode = StatusCode::RequestTimeout;
+const CLIENT_CLOSED: StatusCode = StatusCode::RequestTimeout;
 
 /// The longest wait for the head of an answer, which for whole answers comes with their end.
 const HEAD_TIMEOUT: Millis = Millis::from_secs(600);
@@ -41,8 +41,8 @@
 /// The servers' free slots and who waits for one.
 struct Slots {
     free: Vec<u32>,
-    turn: usize,
-    waiting: VecDeque<oneshot::Sender<Slot>>,
+    next_server: usize,
+    waiters: VecDeque<oneshot::Sender<Slot>>,
 }
 
 struct Proxy {
@@ -62,7 +62,7 @@
 /// # Errors
 ///
 /// Fails when no port can be had.
-pub async fn run(servers: &[SocketAddr], concurrency: u32) -> Outcome<()> {
+pub async fn run(servers: &[SocketAddr], concurrency: u32) -> MeasureResult<()> {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = Listener::bind(any, ListenerLimits::default()).await?;
     let mut out = std::io::stdout();
@@ -72,31 +72,31 @@
         servers: servers.to_vec(),
         slots: Mutex::new(Slots {
             free: vec![concurrency; servers.len()],
-            turn: 0,
-            waiting: VecDeque::new(),
+            next_server: 0,
+            waiters: VecDeque::new(),
         }),
         client: Client::new(PoolLimits::default()),
     });
-    let handler = move |request, hangup| answer(proxy.clone(), request, hangup);
+    let handler = move |request, hangup| handle(proxy.clone(), request, hangup);
     listener.run(handler).await;
     Ok(())
 }
 
-async fn answer(proxy: Arc<Proxy>, mut request: Request, hangup: Hangup) -> Response {
+async fn handle(proxy: Arc<Proxy>, mut request: Request, hangup: Hangup) -> Response {
     let body = match read_body(&mut request, &ServerLimits::default()).await {
         Ok(body) => body,
         Err(error) => return Response::new(error.status()),
     };
-    let work = std::pin::pin!(serve(proxy, &request, body));
-    let gone = std::pin::pin!(hangup.wait());
-    match select(work, gone).await {
+    let forwarding = std::pin::pin!(forward(proxy, &request, body));
+    let disconnected = std::pin::pin!(hangup.wait());
+    match select(forwarding, disconnected).await {
         Either::Left((response, _)) => response,
-        Either::Right(_) => Response::new(CALLER_GONE),
+        Either::Right(_) => Response::new(CLIENT_CLOSED),
     }
 }
 
-async fn serve(proxy: Arc<Proxy>, request: &Request, body: Vec<u8>) -> Response {
-    let Ok(slot) = proxy.clone().slot().await else {
+async fn forward(proxy: Arc<Proxy>, request: &Request, body: Vec<u8>) -> Response {
+    let Ok(slot) = proxy.clone().acquire().await else {
         return Response::new(StatusCode::ServiceUnavailable);
     };
     let address = proxy.servers[slot.server];
@@ -134,17 +134,17 @@
     }
 
     /// Waits for a slot behind those who came earlier.
-    async fn slot(self: Arc<Proxy>) -> Result<Slot, oneshot::Canceled> {
+    async fn acquire(self: Arc<Proxy>) -> Result<Slot, oneshot::Canceled> {
         let (sender, receiver) = oneshot::channel();
-        self.lock().waiting.push_back(sender);
-        self.hand_out();
+        self.lock().waiters.push_back(sender);
+        self.dispatch();
         receiver.await
     }
 
-    fn hand_out(self: &Arc<Proxy>) {
+    fn dispatch(self: &Arc<Proxy>) {
         loop {
             let mut slots = self.lock();
-            let Some((sender, server)) = slots.next() else {
+            let Some((sender, server)) = slots.next_assignment() else {
                 return;
             };
             drop(slots);
@@ -157,16 +157,16 @@
 
 impl Slots {
     /// The first who waits, and the next server in turn with a free slot.
-    fn next(&mut self) -> Option<(oneshot::Sender<Slot>, usize)> {
-        while self.waiting.front().is_some_and(|w| w.is_canceled()) {
-            self.waiting.pop_front();
+    fn next_assignment(&mut self) -> Option<(oneshot::Sender<Slot>, usize)> {
+        while self.waiters.front().is_some_and(|w| w.is_canceled()) {
+            self.waiters.pop_front();
         }
         let count = self.free.len();
-        let mut order = (0..count).map(|step| (self.turn + step) % count);
+        let mut order = (0..count).map(|step| (self.next_server + step) % count);
         let server = order.find(|&server| self.free[server] > 0)?;
-        let sender = self.waiting.pop_front()?;
+        let sender = self.waiters.pop_front()?;
         self.free[server] -= 1;
-        self.turn = (server + 1) % count;
+        self.next_server = (server + 1) % count;
         Some((sender, server))
     }
 }
@@ -174,7 +174,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         self.proxy.lock().free[self.server] += 1;
-        self.proxy.hand_out();
+        self.proxy.dispatch();
     }
 }
 
--- a/crates/measure/src/relay.rs
+++ b/crates/measure/src/relay.rs
@@ -15,19 +15,19 @@
 use crocushold_standins::load::Ending;
 use futures::future::join;
 
-use crate::Outcome;
+use crate::MeasureResult;
 use crate::arrivals;
 use crate::drive;
-use crate::drive::Entries;
-use crate::drive::Sent;
+use crate::drive::Endpoints;
+use crate::drive::RequestRecord;
 use crate::fleet::Fleet;
 use crate::fleet::System;
 use crate::page;
 use crate::point::Timing;
 use crate::process;
-use crate::process::Cpu;
-use crate::shape;
-use crate::shape::Shape;
+use crate::process::CpuTime;
+use crate::scenario;
+use crate::scenario::Scenario;
 use crate::summary;
 
 /// Streams sent directly to the engines in a second.
@@ -50,10 +50,10 @@
 ];
 
 const TIMING: Timing = Timing {
-    warm: 3.0,
-    fault: 0.0,
-    mended: 0.0,
-    tail: 1.0,
+    window_start: 3.0,
+    fault_start: 0.0,
+    fault_end: 0.0,
+    judging_margin: 1.0,
     end: 12.0,
 };
 
@@ -72,10 +72,10 @@
 }
 
 /// What was seen at one load.
-struct Seen {
+struct LoadResult {
     load: Load,
-    relayed: Side,
-    direct: Side,
+    relayed: LatencyStats,
+    direct: LatencyStats,
     /// Requests through the instance that began inside the window, in a second.
     requests: f64,
     /// Token events through the instance in a second.
@@ -83,16 +83,16 @@
     /// Processor seconds of the instance in a second.
     cores: f64,
     /// The kernel's part of them.
-    system: f64,
+    kernel_share: f64,
     /// Resident memory of the instance at the end, in MiB.
-    resident: f64,
+    resident_mib: f64,
     /// Resident memory before the first request.
-    resident_idle: f64,
-    machine: f64,
+    idle_resident_mib: f64,
+    load_average: f64,
 }
 
 /// Times to the first token in milliseconds.
-struct Side {
+struct LatencyStats {
     count: usize,
     median: f64,
     p99: f64,
@@ -105,13 +105,13 @@
 /// # Errors
 ///
 /// Fails when a process can't be started, or the page can't be written.
-pub async fn run(out: &Path) -> Outcome<()> {
+pub async fn run(out: &Path) -> MeasureResult<()> {
     let folder = std::env::temp_dir().join(format!("crocushold-relay-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
-    let shape = Arc::new(shape::streams());
+    let scenario = Arc::new(scenario::relay_streams());
     let mut all = Vec::new();
     for load in LOADS.into_iter().cycle().take(LOADS.len() * ROUNDS) {
-        let seen = run_load(&shape, load, &folder).await?;
+        let seen = run_load(&scenario, load, &folder).await?;
         println!("{}", row(&seen));
         all.push(seen);
     }
@@ -124,10 +124,10 @@
 }
 
 /// Engines fast enough that the instance is what is measured.
-fn engine_settings(shape: &Shape) -> EngineSettings {
+fn engine_settings(scenario: &Scenario) -> EngineSettings {
     EngineSettings {
         batch: BatchSettings {
-            batch_limit: shape.concurrency,
+            batch_limit: scenario.concurrency,
             base_ms: STEP_MS,
             sequence_ms: 0.0,
             prefill_rate: 10_000_000.0,
@@ -138,64 +138,91 @@
     }
 }
 
-async fn run_load(shape: &Arc<Shape>, load: Load, folder: &Path) -> Outcome<Seen> {
-    let fleet = Fleet::start(System::Crocushold, shape, &engine_settings(shape), folder).await?;
-    let id = fleet.instances[0].id();
-    let resident_idle = process::resident(id);
-    let direct = Entries {
+async fn run_load(
+    scenario: &Arc<Scenario>,
+    load: Load,
+    folder: &Path,
+) -> MeasureResult<LoadResult> {
+    let fleet = Fleet::start(
+        System::Crocushold,
+        scenario,
+        &engine_settings(scenario),
+        folder,
+    )
+    .await?;
+    let pid = fleet.instances[0].pid();
+    let idle_resident_mib = process::resident_mib(pid);
+    let direct = Endpoints {
         model: fleet.backends.engines.clone(),
         plain: Vec::new(),
     };
     let start = Instant::now();
-    let relayed_plan = arrivals::steady(load.rate, load.tokens, TIMING.end, SEED);
-    let direct_plan = arrivals::steady(DIRECT_RATE, load.tokens, TIMING.end, SEED + 1);
-    let cpu = task::spawn(cpu_used(id, start));
+    let relayed_arrivals =
+        arrivals::constant_rate_arrivals(load.rate, load.tokens, TIMING.end, SEED);
+    let direct_arrivals =
+        arrivals::constant_rate_arrivals(DIRECT_RATE, load.tokens, TIMING.end, SEED + 1);
+    let cpu = task::spawn(cpu_used(pid, start));
     let (relayed, direct) = join(
-        drive::drive(shape, &relayed_plan, &fleet.entries, start, TIMING.end),
-        drive::drive(shape, &direct_plan, &direct, start, TIMING.end),
+        drive::send_all(
+            scenario,
+            &relayed_arrivals,
+            &fleet.endpoints,
+            start,
+            TIMING.end,
+        ),
+        drive::send_all(scenario, &direct_arrivals, &direct, start, TIMING.end),
     )
     .await;
-    let span = TIMING.end - TIMING.warm;
-    let (used, resident) = cpu.await;
-    let class = &shape.classes[0];
+    let span = TIMING.end - TIMING.window_start;
+    let (used, resident_mib) = cpu.await;
+    let class = &scenario.classes[0];
     let events: f64 = relayed
         .iter()
-        .map(|sent| summary::useful_tokens(sent, class, &TIMING))
+        .map(|request| summary::useful_tokens(request, class, &TIMING))
         .sum();
-    let begun = relayed.iter().filter(|sent| sent.due >= TIMING.warm);
-    Ok(Seen {
+    let started = relayed
+        .iter()
+        .filter(|request| request.due >= TIMING.window_start);
+    Ok(LoadResult {
         load,
-        requests: begun.count() as f64 / span,
-        relayed: side(&relayed),
-        direct: side(&direct),
+        requests: started.count() as f64 / span,
+        relayed: latency_stats(&relayed),
+        direct: latency_stats(&direct),
         events: events / span,
         cores: used.total() / span,
-        system: used.system / used.total().max(f64::MIN_POSITIVE),
-        resident,
-        resident_idle,
-        machine: process::load_average(),
+        kernel_share: used.system / used.total().max(f64::MIN_POSITIVE),
+        resident_mib,
+        idle_resident_mib,
+        load_average: process::load_average(),
     })
 }
 
 /// Processor seconds of a process in the window, and its resident memory at the end.
-async fn cpu_used(id: u32, start: Instant) -> (Cpu, f64) {
+async fn cpu_used(pid: u32, start: Instant) -> (CpuTime, f64) {
     let at = |seconds| start + Duration::from_secs_f64(seconds);
-    task::sleep(at(TIMING.warm).saturating_duration_since(Instant::now())).await;
-    let before = process::cpu(id);
+    task::sleep(at(TIMING.window_start).saturating_duration_since(Instant::now())).await;
+    let before = process::cpu_time(pid);
     task::sleep(at(TIMING.end).saturating_duration_since(Instant::now())).await;
-    let used = process::cpu(id).since(before);
-    (used, process::resident(id))
+    let used = process::cpu_time(pid).since(before);
+    (used, process::resident_mib(pid))
 }
 
-fn side(all: &[Sent]) -> Side {
-    let judged = |sent: &&Sent| sent.due >= TIMING.warm && sent.due < TIMING.end - TIMING.tail;
-    let whole = |sent: &&Sent| matches!(sent.ending, Ending::Complete | Ending::GaveUp);
-    let judged: Vec<&Sent> = all.iter().filter(judged).collect();
+fn latency_stats(all: &[RequestRecord]) -> LatencyStats {
+    let judged = |request: &&RequestRecord| {
+        request.due >= TIMING.window_start && request.due < TIMING.end - TIMING.judging_margin
+    };
+    let whole =
+        |request: &&RequestRecord| matches!(request.ending, Ending::Complete | Ending::GaveUp);
+    let judged: Vec<&RequestRecord> = all.iter().filter(judged).collect();
     let firsts: Vec<f64> = judged
         .iter()
-        .filter_map(|sent| sent.first.map(|first| (first - sent.late) * 1000.0))
+        .filter_map(|request| {
+            request
+                .first_token
+                .map(|first| (first - request.send_delay) * 1000.0)
+        })
         .collect();
-    Side {
+    LatencyStats {
         count: firsts.len(),
         median: summary::quantile(firsts.iter().copied(), 0.5),
         p99: summary::quantile(firsts.iter().copied(), 0.99),
@@ -203,20 +230,20 @@
     }
 }
 
-fn render(all: &[Seen]) -> String {
+fn render(all: &[LoadResult]) -> String {
     let mut out = String::new();
     write_page(&mut out, all).expect("writing to a string never fails");
     out
 }
 
-fn write_page(out: &mut String, all: &[Seen]) -> std::fmt::Result {
+fn write_page(out: &mut String, all: &[LoadResult]) -> std::fmt::Result {
     writeln!(out, "# What an entry instance adds to a request\n")?;
     writeln!(out, "```text\ncargo build --release --bins --workspace")?;
     writeln!(
         out,
         "cargo run --release -p crocushold-measure -- relay\n```\n"
     )?;
-    writeln!(out, "{}\n", page::machine())?;
+    writeln!(out, "{}\n", page::environment())?;
     writeln!(
         out,
         "Streams go through one instance (`crocushold serve`, one process) to four stand-in engines \
@@ -239,11 +266,11 @@
         writeln!(out, "{}", row(seen))?;
     }
     writeln!(out)?;
-    write_split(out, all)
+    write_cost_split(out, all)
 }
 
-fn row(seen: &Seen) -> String {
-    let Seen {
+fn row(seen: &LoadResult) -> String {
+    let LoadResult {
         relayed, direct, ..
     } = seen;
     format!(
@@ -261,22 +288,22 @@
         relayed.median - direct.median,
         relayed.p99 - direct.p99,
         seen.cores,
-        seen.system * 100.0,
+        seen.kernel_share * 100.0,
         seen.cores * 1e6 / seen.requests.max(1.0),
         seen.cores * 1e6 / seen.events.max(1.0),
-        seen.resident_idle,
-        seen.resident,
+        seen.idle_resident_mib,
+        seen.resident_mib,
         relayed.failed,
         direct.failed,
-        seen.machine,
+        seen.load_average,
     )
 }
 
 /// Splits the processor time between requests and token events.
-fn write_split(out: &mut String, all: &[Seen]) -> std::fmt::Result {
+fn write_cost_split(out: &mut String, all: &[LoadResult]) -> std::fmt::Result {
     let [_, long, short] = LOADS;
-    let sum = |load: Load, value: fn(&Seen) -> f64| -> f64 {
-        let same = |seen: &&Seen| seen.load == load;
+    let sum = |load: Load, value: fn(&LoadResult) -> f64| -> f64 {
+        let same = |seen: &&LoadResult| seen.load == load;
         all.iter().filter(same).map(value).sum()
     };
     let per_request = sum(short, |seen| seen.cores) / sum(short, |seen| seen.requests);
--- a/crates/measure/src/shape.rs
+++ b/crates/measure/src/scenario.rs
@@ -10,15 +10,15 @@
 
 /// What a class asks for.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Work {
+pub(crate) enum RequestKind {
     /// Answers of a model.
     Model {
         /// Part of the fleet's tokens at a demand of 1.
-        part: f64,
+        token_share: f64,
         /// Lengths of answers in tokens.
         output: Lengths,
         /// Bytes of the prompt.
-        prompt: u32,
+        prompt_bytes: u32,
         /// Whether answers are streamed.
         stream: bool,
     },
@@ -33,7 +33,7 @@
 
 /// One class of requests.
 #[derive(Clone, Debug)]
-pub(crate) struct ClassShape {
+pub(crate) struct ClassSpec {
     /// Name.
     pub(crate) name: &'static str,
     /// Account that sends it.
@@ -49,22 +49,22 @@
     /// When its caller gives up.
     pub(crate) timeout_ms: u64,
     /// What it asks for.
-    pub(crate) work: Work,
+    pub(crate) request_kind: RequestKind,
 }
 
 /// One user's fleet and traffic.
 #[derive(Clone, Debug)]
-pub(crate) struct Shape {
+pub(crate) struct Scenario {
     /// Name, as a heading and in file names.
     pub(crate) name: &'static str,
     /// Team of the configuration text.
     pub(crate) team: &'static str,
     /// Service of the engines.
-    pub(crate) fleet: &'static str,
+    pub(crate) model_service: &'static str,
     /// Plain service.
-    pub(crate) service: &'static str,
+    pub(crate) plain_service: &'static str,
     /// Prefix of the plain service.
-    pub(crate) prefix: &'static str,
+    pub(crate) plain_prefix: &'static str,
     /// Availability zones.
     pub(crate) zones: &'static [&'static str],
     /// Engines.
@@ -74,19 +74,19 @@
     /// Entry instances.
     pub(crate) instances: usize,
     /// Classes; the last of those that ask a model is the lowest.
-    pub(crate) classes: Vec<ClassShape>,
+    pub(crate) classes: Vec<ClassSpec>,
 }
 
 /// The model that all engines hold.
 pub(crate) const MODEL: &str = "clara-8b";
 
 /// Requests that an engine of a measurement of the policy runs at once.
-pub(crate) const CONCURRENCY: usize = 16;
+pub(crate) const ENGINE_CONCURRENCY: usize = 16;
 
 /// A caller that waits as long as the measurement lasts.
-const PATIENT: u64 = 600_000;
+const BACKGROUND_TIMEOUT_MS: u64 = 600_000;
 
-fn first_and_gap(first_ms: u64, between_ms: u64) -> Targets {
+fn streaming_targets(first_ms: u64, between_ms: u64) -> Targets {
     Targets {
         first_ms: Some(first_ms),
         between_ms: Some(between_ms),
@@ -94,7 +94,7 @@
     }
 }
 
-fn whole(ms: u64) -> Targets {
+fn whole_answer_target(ms: u64) -> Targets {
     Targets {
         whole_ms: Some(ms),
         ..Targets::default()
@@ -102,243 +102,248 @@
 }
 
 /// Parents' chat in the evening, with drafts and the nightly prep sheets behind it.
-pub(crate) fn evening() -> Shape {
-    Shape {
+pub(crate) fn evening_rush() -> Scenario {
+    Scenario {
         name: "evening-rush",
         team: "clara",
-        fleet: "model-fleet",
-        service: "booking-api",
-        prefix: "/booking",
+        model_service: "model-fleet",
+        plain_service: "booking-api",
+        plain_prefix: "/booking",
         zones: &["stgo-a", "stgo-b", "stgo-c", "stgo-d"],
         engines: 12,
-        concurrency: CONCURRENCY,
+        concurrency: ENGINE_CONCURRENCY,
         instances: 4,
         classes: vec![
-            ClassShape {
+            ClassSpec {
                 name: "chat",
                 account: "parents",
                 priority: 1,
                 floor: 30,
                 idempotent: true,
-                targets: first_and_gap(350, 80),
+                targets: streaming_targets(350, 80),
                 timeout_ms: 5_000,
-                work: Work::Model {
-                    part: 0.2,
+                request_kind: RequestKind::Model {
+                    token_share: 0.2,
                     output: Lengths { low: 16, high: 80 },
-                    prompt: 400,
+                    prompt_bytes: 400,
                     stream: true,
                 },
             },
-            ClassShape {
+            ClassSpec {
                 name: "drafts",
                 account: "parents",
                 priority: 3,
                 floor: 10,
                 idempotent: true,
-                targets: whole(5_000),
+                targets: whole_answer_target(5_000),
                 timeout_ms: 20_000,
-                work: Work::Model {
-                    part: 0.3,
+                request_kind: RequestKind::Model {
+                    token_share: 0.3,
                     output: Lengths { low: 30, high: 160 },
-                    prompt: 800,
+                    prompt_bytes: 800,
                     stream: false,
                 },
             },
-            ClassShape {
+            ClassSpec {
                 name: "nightly",
                 account: "sheets",
                 priority: 5,
                 floor: 5,
                 idempotent: true,
-                targets: whole(20 * 60_000),
-                timeout_ms: PATIENT,
-                work: Work::Model {
-                    part: 0.5,
+                targets: whole_answer_target(20 * 60_000),
+                timeout_ms: BACKGROUND_TIMEOUT_MS,
+                request_kind: RequestKind::Model {
+                    token_share: 0.5,
                     output: Lengths { low: 60, high: 360 },
-                    prompt: 1600,
+                    prompt_bytes: 1600,
                     stream: true,
                 },
             },
-            plain("lookup", true, 300, 20.0, "/booking/slots"),
-            plain("confirm", false, 1_000, 6.0, "/booking/confirmations"),
+            plain_class("lookup", true, 300, 20.0, "/booking/slots"),
+            plain_class("confirm", false, 1_000, 6.0, "/booking/confirmations"),
         ],
     }
 }
 
 /// The subsidy office's portal at its deadline, with receipts and accountants' batches behind it.
-pub(crate) fn subsidy() -> Shape {
-    Shape {
+pub(crate) fn subsidy_deadline() -> Scenario {
+    Scenario {
         name: "subsidy-deadline",
         team: "agrodoklad",
-        fleet: "ctecka-llm",
-        service: "doklad-api",
-        prefix: "/doklad",
+        model_service: "ctecka-llm",
+        plain_service: "doklad-api",
+        plain_prefix: "/doklad",
         zones: &["hala-lisen", "hala-slatina", "hala-komarov"],
         engines: 10,
-        concurrency: CONCURRENCY,
+        concurrency: ENGINE_CONCURRENCY,
         instances: 3,
         classes: vec![
-            ClassShape {
+            ClassSpec {
                 name: "portal",
                 account: "parents",
                 priority: 1,
                 floor: 30,
                 idempotent: true,
-                targets: whole(3_000),
+                targets: whole_answer_target(3_000),
                 timeout_ms: 8_000,
-                work: Work::Model {
-                    part: 0.2,
+                request_kind: RequestKind::Model {
+                    token_share: 0.2,
                     output: Lengths { low: 16, high: 64 },
-                    prompt: 600,
+                    prompt_bytes: 600,
                     stream: false,
                 },
             },
-            ClassShape {
+            ClassSpec {
                 name: "receipts",
                 account: "parents",
                 priority: 2,
                 floor: 10,
                 idempotent: true,
-                targets: whole(5_000),
+                targets: whole_answer_target(5_000),
                 timeout_ms: 12_000,
-                work: Work::Model {
-                    part: 0.3,
+                request_kind: RequestKind::Model {
+                    token_share: 0.3,
                     output: Lengths { low: 24, high: 120 },
-                    prompt: 1200,
+                    prompt_bytes: 1200,
                     stream: false,
                 },
             },
-            ClassShape {
+            ClassSpec {
                 name: "batches",
                 account: "sheets",
                 priority: 4,
                 floor: 10,
                 idempotent: true,
-                targets: whole(60 * 60_000),
-                timeout_ms: PATIENT,
-                work: Work::Model {
-                    part: 0.5,
+                targets: whole_answer_target(60 * 60_000),
+                timeout_ms: BACKGROUND_TIMEOUT_MS,
+                request_kind: RequestKind::Model {
+                    token_share: 0.5,
                     output: Lengths { low: 60, high: 360 },
-                    prompt: 1600,
+                    prompt_bytes: 1600,
                     stream: true,
                 },
             },
-            plain("filing", false, 1_000, 10.0, "/doklad/filings"),
+            plain_class("filing", false, 1_000, 10.0, "/doklad/filings"),
         ],
     }
 }
 
 /// Streams of one live class through one instance, to measure what the instance itself costs.
-pub(crate) fn streams() -> Shape {
-    Shape {
+pub(crate) fn relay_streams() -> Scenario {
+    Scenario {
         name: "relay",
         team: "clara",
-        fleet: "model-fleet",
-        service: "booking-api",
-        prefix: "/booking",
+        model_service: "model-fleet",
+        plain_service: "booking-api",
+        plain_prefix: "/booking",
         zones: &["stgo-a"],
         engines: 4,
         concurrency: 1000,
         instances: 1,
-        classes: vec![ClassShape {
+        classes: vec![ClassSpec {
             name: "chat",
             account: "parents",
             priority: 1,
             floor: 30,
             idempotent: true,
-            targets: first_and_gap(350, 80),
-            timeout_ms: PATIENT,
-            work: Work::Model {
-                part: 1.0,
+            targets: streaming_targets(350, 80),
+            timeout_ms: BACKGROUND_TIMEOUT_MS,
+            request_kind: RequestKind::Model {
+                token_share: 1.0,
                 output: Lengths::fixed(1),
-                prompt: 400,
+                prompt_bytes: 400,
                 stream: true,
             },
         }],
     }
 }
 
-fn plain(
+fn plain_class(
     name: &'static str,
     idempotent: bool,
     target: u64,
     rate: f64,
     path: &'static str,
-) -> ClassShape {
-    ClassShape {
+) -> ClassSpec {
+    ClassSpec {
         name,
         account: "parents",
         priority: 1,
         floor: 20,
         idempotent,
-        targets: whole(target),
+        targets: whole_answer_target(target),
         timeout_ms: 5_000,
-        work: Work::Plain { rate, path },
+        request_kind: RequestKind::Plain { rate, path },
     }
 }
 
-impl ClassShape {
+impl ClassSpec {
     /// The kind of call.
     pub(crate) fn form(&self) -> Form {
-        match self.work {
-            Work::Model { .. } => Form::Chat,
-            Work::Plain { .. } => Form::Call,
+        match self.request_kind {
+            RequestKind::Model { .. } => Form::Chat,
+            RequestKind::Plain { .. } => Form::Call,
         }
     }
 
     /// The key of the class's account.
-    pub(crate) fn key(&self, team: &str) -> String {
+    pub(crate) fn api_key(&self, team: &str) -> String {
         format!("{team}.{}", self.account)
     }
 }
 
-impl Shape {
+impl Scenario {
     /// The lowest class of the engines.
-    pub(crate) fn lowest(&self) -> usize {
-        let model = |class: &ClassShape| matches!(class.work, Work::Model { .. });
+    pub(crate) fn lowest_model_class(&self) -> usize {
+        let model = |class: &ClassSpec| matches!(class.request_kind, RequestKind::Model { .. });
         self.classes.iter().rposition(model).unwrap_or(0)
     }
 
     /// The configuration text for engines and a plain service at these addresses.
-    pub(crate) fn text(&self, engines: &[SocketAddr], service: SocketAddr) -> String {
+    pub(crate) fn config_text(&self, engines: &[SocketAddr], service: SocketAddr) -> String {
         let mut out = String::new();
-        self.write_text(&mut out, engines, service)
+        self.write_config(&mut out, engines, service)
             .expect("writing to a string never fails");
         out
     }
 
-    fn write_text(
+    fn write_config(
         &self,
         out: &mut String,
         engines: &[SocketAddr],
         service: SocketAddr,
     ) -> std::fmt::Result {
-        let Shape {
-            fleet, concurrency, ..
+        let Scenario {
+            model_service,
+            concurrency,
+            ..
         } = self;
         writeln!(out, "[team {}]\nformat = 1\n", self.team)?;
         writeln!(
             out,
-            "[service {fleet}]\nkind = model\nconcurrency = {concurrency}\n"
+            "[service {model_service}]\nkind = model\nconcurrency = {concurrency}\n"
         )?;
         let count = engines.len();
         writeln!(
             out,
-            "[model {fleet}/{MODEL}]\nweights = 16 GB\nservers = {count}\n"
+            "[model {model_service}/{MODEL}]\nweights = 16 GB\nservers = {count}\n"
         )?;
         for (number, address) in engines.iter().enumerate() {
             let zone = self.zones[number % self.zones.len()];
             writeln!(
                 out,
-                "[server {fleet}/runner-{number}]\naddress = {address}\nzone = {zone}\n"
+                "[server {model_service}/runner-{number}]\naddress = {address}\nzone = {zone}\n"
             )?;
         }
-        let Shape {
-            service: name,
-            prefix,
+        let Scenario {
+            plain_service: name,
+            plain_prefix,
             ..
         } = self;
-        writeln!(out, "[service {name}]\nkind = plain\nprefix = {prefix}\n")?;
+        writeln!(
+            out,
+            "[service {name}]\nkind = plain\nprefix = {plain_prefix}\n"
+        )?;
         let zone = self.zones[0];
         writeln!(
             out,
@@ -355,16 +360,16 @@
         Ok(())
     }
 
-    fn write_class(&self, out: &mut String, class: &ClassShape) -> std::fmt::Result {
-        let ClassShape {
+    fn write_class(&self, out: &mut String, class: &ClassSpec) -> std::fmt::Result {
+        let ClassSpec {
             name,
             priority,
             floor,
             ..
         } = class;
-        let service = match class.work {
-            Work::Model { .. } => self.fleet,
-            Work::Plain { .. } => self.service,
+        let service = match class.request_kind {
+            RequestKind::Model { .. } => self.model_service,
+            RequestKind::Plain { .. } => self.plain_service,
         };
         writeln!(
             out,
@@ -380,7 +385,7 @@
                 writeln!(out, "{key} = {ms} ms")?;
             }
         }
-        if let Work::Plain { path, .. } = class.work {
+        if let RequestKind::Plain { path, .. } = class.request_kind {
             writeln!(out, "calls = POST {path}")?;
         }
         let idempotent = if class.idempotent { "yes" } else { "no" };
--- a/crates/measure/src/summary/tests.rs
+++ b/crates/measure/src/summary/tests.rs
@@ -3,25 +3,25 @@
 use crocushold_standins::load::Ending;
 use test_case::test_case;
 
+use super::targets_met;
 use super::useful_tokens;
-use super::verdict;
-use crate::drive::Sent;
+use crate::drive::RequestRecord;
 use crate::point::Timing;
-use crate::shape;
+use crate::scenario;
 
 /// A stream of chat that was due at 10 s and has four tokens.
-fn stream(first: f64, gap: u32, ending: Ending) -> Sent {
-    Sent {
+fn stream(first: f64, gap: u32, ending: Ending) -> RequestRecord {
+    RequestRecord {
         class: 0,
         marker: "chat.1".to_owned(),
         due: 10.0,
-        late: 0.0,
+        send_delay: 0.0,
         ending,
-        hinted: false,
-        unrun: false,
-        first: Some(first),
+        has_retry_after: false,
+        reported_not_run: false,
+        first_token: Some(first),
         gaps: vec![gap; 3],
-        whole: 5.0,
+        duration: 5.0,
         tokens: 4,
     }
 }
@@ -32,20 +32,20 @@
 #[test_case(&stream(0.3, 20_000, Ending::Cut), Some(false); "cut")]
 #[test_case(&stream(0.3, 20_000, Ending::GaveUp), None; "open at the end, so far in time")]
 #[test_case(&stream(0.4, 20_000, Ending::GaveUp), Some(false); "open at the end, missed already")]
-fn verdicts(sent: &Sent, expected: Option<bool>) {
-    let class = &shape::evening().classes[0];
-    assert_eq!(verdict(sent, class), expected);
+fn verdicts(request: &RequestRecord, expected: Option<bool>) {
+    let class = &scenario::evening_rush().classes[0];
+    assert_eq!(targets_met(request, class), expected);
 }
 
 #[test_case(&stream(4.99, 20_000, Ending::Complete), 1.0; "only tokens inside the window")]
 #[test_case(&stream(0.3, 20_000, Ending::GaveUp), 4.0; "an answer that still runs")]
 #[test_case(&stream(0.3, 20_000, Ending::Cut), 0.0; "a cut answer is of no use")]
-fn usefulness(sent: &Sent, expected: f64) {
-    let class = &shape::evening().classes[0];
+fn usefulness(request: &RequestRecord, expected: f64) {
+    let class = &scenario::evening_rush().classes[0];
     let timing = Timing {
-        warm: 4.0,
+        window_start: 4.0,
         end: 15.0,
         ..Timing::default()
     };
-    assert_eq!(useful_tokens(sent, class, &timing), expected);
+    assert_eq!(useful_tokens(request, class, &timing), expected);
 }
