--- a/crates/measure/src/arrivals.rs
+++ b/crates/measure/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! Which requests come when: one seeded plan that every system under test gets.
+//! Open-loop arrivals: seeded Poisson processes, the same for every system under test.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -11,48 +11,49 @@
 #[cfg(test)]
 mod tests;
 
-/// Different prompt prefixes of a class.
+/// Number of distinct prompt prefixes in a class.
 const PREFIXES_PER_CLASS: u32 = 24;
 
-/// How much is asked of the fleet.
+/// Offered load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Demand {
-    /// Tokens asked for, as a multiple of what the engines can do.
+    /// Requested tokens as a multiple of the engines' capacity.
     pub(crate) level: f64,
-    /// Whether all that exceeds the base level is of the lowest class.
+    /// Whether only the lowest class exceeds [`FLOOD_BASE_LEVEL`].
     pub(crate) flood: bool,
-    /// A burst of the live class.
+    /// A burst of the first class.
     pub(crate) burst: Option<Burst>,
 }
 
-/// A time in which more of the live class is asked for.
+/// A period of additional load of the first class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Burst {
     /// Start in seconds.
     pub(crate) start: f64,
     /// End in seconds.
     pub(crate) end: f64,
-    /// The part of the fleet's tokens that is asked for in addition.
+    /// Additional load as a share of the engines' capacity.
     pub(crate) token_share: f64,
 }
 
-/// The level from which a flood starts.
+/// Level of all but the lowest class during a flood.
 pub(crate) const FLOOD_BASE_LEVEL: f64 = 0.7;
 
-/// One request to come.
+/// A scheduled request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Arrival {
-    /// When it is due, in seconds.
+    /// Due time in seconds from the start.
     pub(crate) due: f64,
-    /// Its class, as an index.
+    /// Index of its class.
     pub(crate) class: usize,
-    /// Tokens of its answer.
+    /// Length of its response in tokens.
     pub(crate) tokens: u32,
-    /// Its prompt's prefix.
+    /// Number of its prompt prefix.
     pub(crate) prefix: u32,
 }
 
-/// The requests of `seconds` seconds against engines that do `capacity` tokens a second.
+/// Arrivals of all classes over `seconds`, for engines with a capacity of `capacity` tokens per
+/// second.
 pub(crate) fn poisson_arrivals(
     scenario: &Scenario,
     demand: &Demand,
@@ -72,12 +73,13 @@
         let mut due = 0.0;
         loop {
             due += -(1.0 - rng.random::<f64>()).ln() / peak;
-            // With a rate of zero the first arrival is infinitely late.
+            // With a rate of zero the first arrival time is infinite.
             if due >= seconds {
                 break;
             }
             let active = burst.is_some_and(|b| b.start <= due && due < b.end);
-            // A Poisson process whose rate changes is one at the highest rate, thinned.
+            // Thinning: a Poisson process with a varying rate is one at the peak rate from which
+            // arrivals are dropped at random.
             let current_rate = if active { peak } else { steady_rate };
             let arrival = arrival(class, index, due, &mut rng);
             if rng.random::<f64>() * peak < current_rate {
@@ -89,7 +91,8 @@
     all
 }
 
-/// Requests of the first class at a steady rate, with answers of the same length.
+/// Poisson arrivals of the first class at a constant rate per second, with responses of equal
+/// length.
 pub(crate) fn constant_rate_arrivals(
     rate: f64,
     tokens: u32,
@@ -126,7 +129,7 @@
     }
 }
 
-/// Requests of a class in a second.
+/// Requests per second of a class, without a burst.
 fn arrival_rate(scenario: &Scenario, index: usize, demand: &Demand, capacity: f64) -> f64 {
     let lowest_model_class = scenario.lowest_model_class();
     let level = if demand.flood {
--- a/crates/measure/src/arrivals/tests.rs
+++ b/crates/measure/src/arrivals/tests.rs
@@ -1,4 +1,4 @@
-//! Plans are the same for every system, and ask for what the demand says.
+//! Arrivals depend on the seed alone, and their load matches the demand.
 
 use super::Burst;
 use super::Demand;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_burst_adds_its_part_while_it_lasts() {
+fn a_burst_adds_its_token_share_while_it_lasts() {
     let burst = Burst {
         start: 100.0,
         end: 300.0,
--- a/crates/measure/src/control.rs
+++ b/crates/measure/src/control.rs
@@ -1,4 +1,4 @@
-//! Commands to the stand-ins, and their counters.
+//! Client for the control endpoints of the stand-ins and the operator endpoints of instances.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,13 +21,14 @@
 
 use crate::MeasureResult;
 
-/// How long an instance may take until it serves.
+/// Longest wait for an instance to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The longest wait for one call.
+/// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The body of an answer with status 200 or 204.
+/// Sends a request on a new connection and returns the response body; any status that isn't a
+/// success is an error.
 pub(crate) async fn call(
     address: SocketAddr,
     method: Method,
@@ -58,7 +59,7 @@
     Ok(text)
 }
 
-/// Gives a stand-in a command.
+/// Sends a command to a stand-in's control endpoint.
 pub(crate) async fn send_command(
     control: SocketAddr,
     command: &impl Serialize,
@@ -73,7 +74,8 @@
     Ok(serde_json::from_str(&text)?)
 }
 
-/// The counters of several engines, summed. Only the tokens and requests are.
+/// Sums the token, request and prefix cache counters of several engines; other fields keep their
+/// defaults.
 pub(crate) async fn engine_totals(controls: &[SocketAddr]) -> MeasureResult<EngineStats> {
     let mut total = EngineStats::default();
     let reads = controls
@@ -96,7 +98,7 @@
     Ok(total)
 }
 
-/// How often each marked request ran, over several stand-ins.
+/// Number of executions per request marker, summed over several stand-ins.
 pub(crate) async fn run_counts(controls: &[SocketAddr]) -> MeasureResult<HashMap<String, u64>> {
     let mut all = HashMap::new();
     for &control in controls {
@@ -108,7 +110,7 @@
     Ok(all)
 }
 
-/// Waits until an instance says that it serves.
+/// Polls `/ready` until an instance is ready.
 pub(crate) async fn wait_ready(operator: SocketAddr) -> MeasureResult<()> {
     let ready = async {
         while call(operator, Method::Get, "/ready", Vec::new())
--- a/crates/measure/src/drive.rs
+++ b/crates/measure/src/drive.rs
@@ -1,4 +1,4 @@
-//! Sending a plan's requests when they are due, whatever became of the earlier ones.
+//! Open-loop load generator: sends each request when it is due, independent of earlier ones.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,46 +19,46 @@
 use crate::scenario::RequestKind;
 use crate::scenario::Scenario;
 
-/// Text in a refusal that states that the request wasn't run.
+/// Field in the body of a refusal which states that the request wasn't run.
 const NOT_RUN_FIELD: &str = "\"ran\":\"no\"";
 
-/// Where requests go.
+/// Addresses that requests are sent to, round robin.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoints {
-    /// For models, in turn.
+    /// Targets of model requests.
     pub(crate) model: Vec<SocketAddr>,
-    /// For plain calls, in turn.
+    /// Targets of calls to the plain service.
     pub(crate) plain: Vec<SocketAddr>,
 }
 
-/// What became of one request.
+/// Result of one request.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestRecord {
-    /// Its class, as an index.
+    /// Index of its class.
     pub(crate) class: usize,
-    /// Its marker.
+    /// Unique marker, by which the stand-ins count executions.
     pub(crate) marker: String,
-    /// When it was due, in seconds.
+    /// Due time in seconds from the start.
     pub(crate) due: f64,
-    /// How much later it was sent, in seconds: the generator's own delay.
+    /// Seconds between the due time and sending: the load generator's own delay.
     pub(crate) send_delay: f64,
     /// How it ended; [`Ending::GaveUp`] when the run ended first.
     pub(crate) ending: Ending,
-    /// Whether a refusal says when to come back.
+    /// Whether it was refused with a `Retry-After` header.
     pub(crate) has_retry_after: bool,
-    /// Whether a refusal states that the request wasn't run.
+    /// Whether the refusal states that the request wasn't run.
     pub(crate) reported_not_run: bool,
-    /// Seconds from due until the first token, or the head of an answer that isn't streamed.
+    /// Seconds from the due time to the first token, or to the response head without streaming.
     pub(crate) first_token: Option<f64>,
     /// Gaps between tokens in microseconds.
     pub(crate) gaps: Vec<u32>,
-    /// Seconds from due until the end.
+    /// Seconds from the due time to the end.
     pub(crate) duration: f64,
-    /// Tokens that came.
+    /// Number of tokens received.
     pub(crate) tokens: u64,
 }
 
-/// Sends all, and cuts off what is open at `end` seconds.
+/// Sends all requests, and cancels those still open `end` seconds after `start`.
 pub(crate) async fn send_all(
     scenario: &Arc<Scenario>,
     arrivals: &[Arrival],
@@ -75,10 +75,10 @@
             RequestKind::Model { .. } => &endpoints.model,
             RequestKind::Plain { .. } => &endpoints.plain,
         };
-        let entry = targets[number % targets.len()];
+        let endpoint = targets[number % targets.len()];
         let scenario = Arc::clone(scenario);
         tasks.push(task::spawn(async move {
-            send(&scenario, number, arrival, entry, start, end).await
+            send(&scenario, number, arrival, endpoint, start, end).await
         }));
     }
     let mut all = Vec::new();
@@ -92,7 +92,7 @@
     scenario: &Scenario,
     number: usize,
     arrival: Arrival,
-    entry: SocketAddr,
+    endpoint: SocketAddr,
     start: Instant,
     end: f64,
 ) -> RequestRecord {
@@ -100,7 +100,7 @@
     let send_delay = start.elapsed().as_secs_f64() - arrival.due;
     let left = (end - start.elapsed().as_secs_f64()).max(0.0);
     let class = load_class(scenario, arrival, left);
-    let exchange = load::send_one(entry, &class, &marker).await;
+    let exchange = load::send_one(endpoint, &class, &marker).await;
     record(arrival, marker, send_delay, exchange)
 }
 
@@ -137,7 +137,7 @@
         value: class.name.to_owned(),
     };
     LoadClass {
-        // The prompt's prefix is made from this name.
+        // The prompt prefix is derived from this name.
         name: format!("{}-{}", class.name, arrival.prefix),
         key: class.api_key(scenario.team),
         headers: if path == "/" {
--- a/crates/measure/src/fleet.rs
+++ b/crates/measure/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of one system under test.
+//! Starts and configures the processes of one system under test.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -21,34 +21,34 @@
 use crate::scenario::ENGINE_CONCURRENCY;
 use crate::scenario::Scenario;
 
-/// Ports that instances' peers listen on.
+/// Range of the peer ports of instances; see [`free_address`].
 const PEER_PORTS: Range<u16> = 12_000..30_000;
 
 const PORT_ATTEMPTS: usize = 100;
 
 const PEER_KEY: &str = "0123456789abcdef0123456789abcdef";
 
-/// What stands between callers and engines.
+/// The system under test between clients and engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum System {
     /// Entry instances.
     Crocushold,
-    /// The proxy without classes.
+    /// The [proxy](crate::proxy) without request classes.
     Baseline,
-    /// Nothing: callers go to the engines in turn.
+    /// None: clients send to the engines round robin.
     Direct,
 }
 
-/// Engines and a plain service.
+/// Stand-in engines and a plain service.
 pub(crate) struct Backends {
     _processes: Vec<Process>,
     /// Addresses of the engines.
     pub(crate) engines: Vec<SocketAddr>,
-    /// Addresses that the engines take commands on.
+    /// Control addresses of the engines.
     pub(crate) controls: Vec<SocketAddr>,
     /// Address of the plain service.
     pub(crate) service: SocketAddr,
-    /// Address that the plain service takes commands on.
+    /// Control address of the plain service.
     pub(crate) service_control: SocketAddr,
 }
 
@@ -56,16 +56,16 @@
 pub(crate) struct Fleet {
     /// Engines and the plain service.
     pub(crate) backends: Backends,
-    /// The processes between callers and servers.
+    /// The entry instances, or the proxy.
     pub(crate) instances: Vec<Process>,
     /// Operator addresses of the entry instances.
     pub(crate) operators: Vec<SocketAddr>,
-    /// Where callers send.
+    /// Addresses that clients send to.
     pub(crate) endpoints: Endpoints,
     _platform: Option<Process>,
 }
 
-/// The speed of the engines.
+/// Settings of the engines in the policy measurement.
 pub(crate) fn engine_settings() -> EngineSettings {
     EngineSettings {
         batch: BatchSettings {
@@ -107,7 +107,7 @@
 }
 
 impl Fleet {
-    /// Starts a system with its own engines, and waits until it serves.
+    /// Starts a system with its own engines, and waits until its instances are ready.
     pub(crate) async fn start(
         system: System,
         scenario: &Scenario,
@@ -230,10 +230,10 @@
     Ok(file)
 }
 
-/// A loopback address whose port was free a moment ago.
+/// Returns a loopback address whose port is free at the time of the call.
 ///
-/// The port is below those that the system gives to outgoing connections: one of these may be taken
-/// by another process before the instance listens on it, and then the whole measurement ends.
+/// The port lies below the ephemeral range: an outgoing connection of another process could take an
+/// ephemeral port before the instance listens on it, which would abort the measurement.
 fn free_address() -> MeasureResult<SocketAddr> {
     let mut rng = rand::rng();
     for _ in 0..PORT_ATTEMPTS {
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -1,9 +1,10 @@
-//! Measurements of crocushold as real processes against baselines in the same run; never shipped.
+//! Benchmarks of crocushold, run as real processes next to a baseline in the same run; not part of
+//! a release.
 //!
-//! * [`policy`] runs both users' traffic below, at and above capacity, with faults, once through
-//!   entry instances and at the same time through the [`proxy`] that knows no classes.
-//! * [`relay`] measures what an entry instance adds to a request.
-//! * [`process`] starts processes and reads what they use.
+//! * [`policy`] runs two traffic scenarios below, at and above capacity, with and without faults,
+//!   through entry instances and at the same time through a [`proxy`] without request classes.
+//! * [`relay`] measures the latency and processor time that an entry instance adds to a request.
+//! * [`process`] starts processes and reads their processor time and memory.
 
 mod arrivals;
 mod control;
@@ -19,5 +20,5 @@
 mod scenario;
 mod summary;
 
-/// The outcome of a measurement.
+/// The result of a fallible step of a measurement.
 pub type MeasureResult<T> = Result<T, Box<dyn std::error::Error + Send + Sync>>;
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -1,4 +1,4 @@
-//! `crocushold-measure policy|relay`: runs a measurement and writes its page.
+//! `crocushold-measure policy|relay`: runs a measurement and writes its report.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/measure/src/page.rs
+++ b/crates/measure/src/page.rs
@@ -1,4 +1,4 @@
-//! The page of the policy measurement, in Markdown.
+//! Markdown report of the policy measurement.
 
 use std::fmt::Write;
 use std::process::Command;
@@ -32,14 +32,14 @@
 what it ran; a burst of the live class asks for 40 % of the capacity more from 6 s to 9 s.
 ";
 
-/// The whole page.
+/// Renders the report.
 pub(crate) fn render(all: &[ScenarioResults], flags: &str) -> String {
     let mut out = String::new();
     write_page(&mut out, all, flags).expect("writing to a string never fails");
     out
 }
 
-/// One point as a line for the terminal.
+/// Renders one point as a table row for the terminal.
 pub(crate) fn terminal_row(scenario: &Scenario, capacity: f64, row: &PointResult) -> String {
     row_line(scenario, capacity, row)
 }
@@ -63,7 +63,7 @@
     Ok(())
 }
 
-/// When and on what the measurement ran.
+/// Describes when and on what machine the measurement ran.
 pub(crate) fn environment() -> String {
     let cores = std::thread::available_parallelism().map_or(0, |n| n.get());
     let load = process::load_average();
@@ -207,7 +207,7 @@
     writeln!(out)
 }
 
-/// Judged requests that were completed too late, by the target that they missed.
+/// Judged requests that completed too late, by the target that they missed.
 fn late_counts(class: &ClassSummary) -> String {
     format!(
         "{} / {} / {}",
--- a/crates/measure/src/plot.rs
+++ b/crates/measure/src/plot.rs
@@ -1,4 +1,4 @@
-//! The plot of the policy measurement, as SVG.
+//! SVG plot of the policy measurement.
 
 use std::path::Path;
 
@@ -27,13 +27,13 @@
     RGBColor(90, 90, 90),
 ];
 
-/// A line of the plot: its name, and its value for a point.
+/// A curve of the plot: its label, and its value at a point.
 struct Curve {
     name: String,
     value: Box<dyn Fn(&Summary) -> f64>,
 }
 
-/// Writes attainment and goodput over demand, without faults; the baseline is dashed.
+/// Plots attainment and goodput over scaled demand without faults; the baseline is dashed.
 pub(crate) fn write(results: &ScenarioResults, out: &Path) -> MeasureResult<()> {
     let file = out.join(format!("{}.svg", results.scenario.name));
     let root = SVGBackend::new(&file, SIZE).into_drawing_area();
--- a/crates/measure/src/point.rs
+++ b/crates/measure/src/point.rs
@@ -1,4 +1,4 @@
-//! One point of a measurement: a system under one demand with one fault.
+//! One point of the policy measurement: a system under test at one demand with one fault.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -20,31 +20,31 @@
 use crate::scenario::Scenario;
 use crate::summary::Observations;
 
-/// What goes wrong during a point.
+/// Fault injected during a point.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// One engine becomes slow and stays so.
+    /// One engine is slow from the start of the fault to the end of the point.
     Straggler,
-    /// One engine crashes and comes back.
+    /// One engine crashes and restarts.
     Crash,
-    /// The live class bursts; the plan holds the burst.
+    /// A burst of the first class, which the arrivals contain.
     Burst,
 }
 
-/// When things happen in a point, in seconds from its start.
+/// Phases of a point, in seconds from its start.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Timing {
-    /// From here on is measured.
+    /// Start of the measured window, after warm-up.
     pub(crate) window_start: f64,
     /// Start of a fault.
     pub(crate) fault_start: f64,
     /// End of a crash or a burst.
     pub(crate) fault_end: f64,
-    /// The least time before the end that a request must be due to be judged: what a stream takes.
+    /// Least time between a judged request's due time and the end: the duration of a stream.
     pub(crate) judging_margin: f64,
-    /// The end.
+    /// End of the arrivals and of the measured window.
     pub(crate) end: f64,
 }
 
@@ -60,14 +60,14 @@
     }
 }
 
-/// How long after the end callers leave, so that the counters are read before that shows in them,
-/// also on a busy machine.
+/// Seconds after the end of the window at which clients disconnect. The delay lets the counters be
+/// read before the disconnects count as cancelled work, also on a busy machine.
 const CLIENT_CLOSE_DELAY: f64 = 0.8;
 
-/// How many times slower a straggler is.
+/// Slowdown factor of a straggler.
 pub(crate) const STRAGGLER_FACTOR: f64 = 4.0;
 
-/// Runs one point.
+/// Starts a system, sends the arrivals to it, injects the fault, and collects the data.
 pub(crate) async fn run(
     system: System,
     scenario: &Arc<Scenario>,
--- a/crates/measure/src/policy.rs
+++ b/crates/measure/src/policy.rs
@@ -1,4 +1,5 @@
-//! Policy under load: both users' traffic through entry instances and through the baseline.
+//! Policy measurement: two traffic scenarios through entry instances and through the baseline,
+//! under load and faults.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -24,30 +25,30 @@
 use crate::summary;
 use crate::summary::Summary;
 
-/// Demands as multiples of what the engines can do.
+/// Demand levels as multiples of the engines' capacity.
 const LEVELS: [f64; 4] = [0.7, 1.0, 1.5, 2.5];
 
-/// Demand while the engines' own capacity is measured.
+/// Demand level at which the capacity of the engines is measured.
 const SATURATION_LEVEL: f64 = 1.6;
 
-/// What a burst asks for in addition, as a part of what the engines can do.
+/// Additional load of a burst as a share of the engines' capacity.
 const BURST_TOKEN_SHARE: f64 = 0.4;
 
-/// Seed of the first point; each further one has the next.
+/// Seed of the first point; each further point uses the next number.
 const FIRST_SEED: u64 = 20;
 
-/// Which points are run.
+/// Selection of the points to run.
 #[derive(Clone, Debug, Default)]
 pub struct Selection {
-    /// Only the first shape, the lowest and the highest demand, without faults.
+    /// Only the first scenario at the lowest and highest demand, without faults.
     pub quick: bool,
-    /// Shapes by name; all when empty.
+    /// Scenarios by name; all when empty.
     pub scenarios: Vec<String>,
-    /// Multiples of the capacity; all when empty.
+    /// Demand levels; all when empty.
     pub levels: Vec<f64>,
     /// Faults by name, and `flood`; all when empty.
     pub faults: Vec<String>,
-    /// How often each point is run.
+    /// Number of runs of each point, each with another seed.
     pub repetitions: u64,
 }
 
@@ -60,11 +61,11 @@
     seed: u64,
 }
 
-/// One point, through both systems at the same time.
+/// Results of one point, run through both systems at the same time.
 pub(crate) struct PointResult {
-    /// What was asked for.
+    /// Offered load.
     pub(crate) demand: Demand,
-    /// What went wrong.
+    /// Injected fault.
     pub(crate) fault: Fault,
     /// Through entry instances.
     pub(crate) crocushold: Summary,
@@ -74,17 +75,17 @@
     pub(crate) load_average: f64,
 }
 
-/// All points of one shape.
+/// Results of all points of one scenario.
 pub(crate) struct ScenarioResults {
-    /// The shape.
+    /// The scenario.
     pub(crate) scenario: Arc<Scenario>,
-    /// Tokens that the engines do in a second, asked directly.
+    /// Tokens per second that the engines produce when requests are sent to them directly.
     pub(crate) capacity: f64,
-    /// The points.
+    /// Results in the order of the points.
     pub(crate) rows: Vec<PointResult>,
 }
 
-/// Runs all points and writes page and plots.
+/// Runs the selected points, and writes the report and the plots to `out`.
 ///
 /// # Errors
 ///
@@ -126,7 +127,7 @@
         ];
         for (name, flood, fault) in kinds {
             for level in LEVELS {
-                // A flood of nothing is the scaled demand.
+                // At or below the base level a flood equals the scaled demand.
                 let same = flood && level <= FLOOD_BASE_LEVEL;
                 if !same && self.wants(name, level) {
                     all.push((level, flood, fault));
@@ -156,7 +157,7 @@
         named && (self.levels.is_empty() || self.levels.contains(&level))
     }
 
-    /// The options as they stand on the command line.
+    /// The selection as command-line flags, for the command in the report.
     fn flags(&self) -> String {
         let mut flags = String::new();
         if self.quick {
@@ -255,7 +256,8 @@
     })
 }
 
-/// Tokens that the engines do in a second of this traffic, with requests sent to them in turn.
+/// Measures the capacity of the engines for this traffic mix in tokens per second, with requests
+/// sent to them directly, round robin, at [`SATURATION_LEVEL`].
 async fn capacity(scenario: &Arc<Scenario>, folder: &Path) -> MeasureResult<f64> {
     let batch = fleet::engine_settings().batch;
     let step = batch.base_ms + batch.sequence_ms * ENGINE_CONCURRENCY as f64;
@@ -269,7 +271,7 @@
     let arrivals =
         arrivals::poisson_arrivals(scenario, &demand, nominal, timing.end, FIRST_SEED - 1);
     let folder = folder.join("direct");
-    let seen = point::run(
+    let observed = point::run(
         System::Direct,
         scenario,
         &arrivals,
@@ -278,5 +280,5 @@
         &folder,
     )
     .await?;
-    Ok(summary::summarize(scenario, &seen, &timing).goodput)
+    Ok(summary::summarize(scenario, &observed, &timing).goodput)
 }
--- a/crates/measure/src/process.rs
+++ b/crates/measure/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes that a measurement starts.
+//! Child processes of a measurement, and resource use of processes as `/proc` reports it.
 
 use std::fs;
 use std::io::BufRead;
@@ -13,28 +13,27 @@
 
 use crate::MeasureResult;
 
-/// Processor time in `/proc/PID/stat` is counted in hundredths of a second.
+/// Clock ticks per second of the processor times in `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Fields of `/proc/PID/stat` between the program's name and the time in user mode.
+/// Number of fields of `/proc/PID/stat` between the program name and `utime`.
 const FIELDS_BEFORE_UTIME: usize = 11;
 
-/// Nanoseconds in a second.
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// A running process; ended when dropped.
+/// A child process, killed when dropped.
 pub struct Process {
     child: Child,
     lines: Lines<BufReader<ChildStdout>>,
 }
 
 impl Process {
-    /// Starts a program of the workspace, which stands beside the own one, or a folder above where the
-    /// own one is an example.
+    /// Starts a binary of the workspace from the folder of the running executable, or from its
+    /// parent folder when the executable is an example.
     ///
     /// # Errors
     ///
-    /// When the program isn't there or doesn't start.
+    /// Fails when the binary is missing or doesn't start.
     pub fn start(program: &str, args: &[String]) -> MeasureResult<Process> {
         let mut child = Command::new(program_path(program)?)
             .args(args)
@@ -49,11 +48,11 @@
         Ok(Process { child, lines })
     }
 
-    /// The address in the next line `NAME=ADDRESS` that the process prints.
+    /// Reads the next line of the process's output, `NAME=ADDRESS`, and returns the address.
     ///
     /// # Errors
     ///
-    /// When the process ended, or printed another line.
+    /// Fails when the process has ended, or the line has another form.
     pub fn read_address(&mut self, name: &str) -> MeasureResult<SocketAddr> {
         let line = self.lines.next().ok_or("the process ended early")??;
         let value = line
@@ -63,7 +62,7 @@
         Ok(value.parse()?)
     }
 
-    /// The process's number.
+    /// The process ID.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
@@ -71,23 +70,23 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Processor seconds that a process has used.
+/// Processor time of a process in seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CpuTime {
-    /// In its own code.
+    /// Time in user mode.
     pub(crate) user: f64,
-    /// In the kernel.
+    /// Time in the kernel.
     pub(crate) system: f64,
 }
 
 impl CpuTime {
-    /// What was used since an earlier reading.
+    /// The time used since an earlier reading.
     pub(crate) fn since(self, earlier: CpuTime) -> CpuTime {
         CpuTime {
             user: self.user - earlier.user,
@@ -95,13 +94,13 @@
         }
     }
 
-    /// In code and kernel.
+    /// User and kernel time together.
     pub(crate) fn total(self) -> f64 {
         self.user + self.system
     }
 }
 
-/// Processor seconds that a process has used so far.
+/// Reads a process's processor time from `/proc/PID/stat`; zero when it can't be read.
 pub(crate) fn cpu_time(pid: u32) -> CpuTime {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let after = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
@@ -113,8 +112,9 @@
     }
 }
 
-/// Processor seconds of all threads of a process, from `schedstat`: it counts nanoseconds where `stat`
-/// has hundredths of a second, and doesn't tell code from kernel.
+/// Processor time in seconds of all live threads of a process, from `schedstat`: it counts
+/// nanoseconds, where `stat` counts hundredths of a second, but doesn't separate user from kernel
+/// time.
 pub fn cpu_seconds(pid: u32) -> f64 {
     let Ok(tasks) = fs::read_dir(format!("/proc/{pid}/task")) else {
         return 0.0;
@@ -127,7 +127,7 @@
     ran.sum::<f64>() / NANOS_PER_SECOND
 }
 
-/// Resident memory of a process in MiB.
+/// Resident memory of a process in MiB; zero when it can't be read.
 pub fn resident_mib(pid: u32) -> f64 {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -143,7 +143,7 @@
     Ok(folder.join(program))
 }
 
-/// The machine's load average over one minute.
+/// The machine's one-minute load average; zero when it can't be read.
 pub fn load_average() -> f64 {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     let first = text.split_whitespace().next();
--- a/crates/measure/src/proxy.rs
+++ b/crates/measure/src/proxy.rs
@@ -1,5 +1,5 @@
-//! The baseline: a proxy that sends requests to servers in turn, first come first served, within
-//! the servers' concurrency, and knows neither classes nor latency targets.
+//! The baseline: a round-robin proxy with a FIFO queue and a concurrency limit per server, without
+//! request classes or latency targets.
 
 use std::collections::VecDeque;
 use std::io::Write;
@@ -32,13 +32,14 @@
 
 use crate::MeasureResult;
 
-/// The status of an answer that nobody reads: the caller closed the connection.
+/// Status of the response after the client closed the connection; it reaches nobody.
 const CLIENT_CLOSED: StatusCode = StatusCode::RequestTimeout;
 
-/// The longest wait for the head of an answer, which for whole answers comes with their end.
+/// Timeout for the response head, long because a response that isn't streamed sends its head only
+/// at the end.
 const HEAD_TIMEOUT: Millis = Millis::from_secs(600);
 
-/// The servers' free slots and who waits for one.
+/// Free slots of the servers, and the queue of requests that wait for one.
 struct Slots {
     free: Vec<u32>,
     next_server: usize,
@@ -51,17 +52,17 @@
     client: Client,
 }
 
-/// A slot of one server, given back when dropped.
+/// A concurrency slot of one server, released on drop.
 struct Slot {
     proxy: Arc<Proxy>,
     server: usize,
 }
 
-/// Runs the proxy until the process is ended.
+/// Runs the proxy until the process ends. Prints its address as `listening=ADDRESS`.
 ///
 /// # Errors
 ///
-/// Fails when no port can be had.
+/// Fails when the listener can't be bound, or the address can't be printed.
 pub async fn run(servers: &[SocketAddr], concurrency: u32) -> MeasureResult<()> {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = Listener::bind(any, ListenerLimits::default()).await?;
@@ -121,7 +122,7 @@
     relay_headers(&answer.headers, response.as_mut());
     let content_type = response.content_type();
     response.set_body(answer.body.into_body(slot));
-    // Setting a body sets its own type.
+    // `set_body` overwrites the content type.
     if let Some(content_type) = content_type {
         response.set_content_type(content_type);
     }
@@ -133,7 +134,7 @@
         self.slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for a slot behind those who came earlier.
+    /// Waits for a slot in FIFO order.
     async fn acquire(self: Arc<Proxy>) -> Result<Slot, oneshot::Canceled> {
         let (sender, receiver) = oneshot::channel();
         self.lock().waiters.push_back(sender);
@@ -149,14 +150,15 @@
             };
             drop(slots);
             let proxy = self.clone();
-            // The slot of a caller who left comes back by its drop.
+            // When the receiver is gone, dropping the slot releases it.
             let _ = sender.send(Slot { proxy, server });
         }
     }
 }
 
 impl Slots {
-    /// The first who waits, and the next server in turn with a free slot.
+    /// Removes the first live waiter from the queue, and takes a slot of the next server in
+    /// round-robin order that has a free one.
     fn next_assignment(&mut self) -> Option<(oneshot::Sender<Slot>, usize)> {
         while self.waiters.front().is_some_and(|w| w.is_canceled()) {
             self.waiters.pop_front();
--- a/crates/measure/src/relay.rs
+++ b/crates/measure/src/relay.rs
@@ -1,7 +1,7 @@
-//! What an entry instance adds to a request.
+//! Measures the latency and processor time that an entry instance adds to a request.
 //!
-//! Streams go through one instance at a given rate while others go directly to the same engines,
-//! so that both see the same engines and the same machine at the same time.
+//! Streams go through one instance at a given rate while others go directly to the same engines, so
+//! that both run against the same engines on the same machine at the same time.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -30,10 +30,11 @@
 use crate::scenario::Scenario;
 use crate::summary;
 
-/// Streams sent directly to the engines in a second.
+/// Streams per second sent directly to the engines.
 const DIRECT_RATE: f64 = 37.0;
 
-/// Rates through the instance, and lengths of the answers. The last one stands for requests alone.
+/// Loads through the instance. The last has one token per response, so it shows the cost per
+/// request without further token events.
 const LOADS: [Load; 3] = [
     Load {
         rate: 37.0,
@@ -59,10 +60,11 @@
 
 const SEED: u64 = 7;
 
-/// How often the loads are run, since the machine is shared.
+/// Number of runs of each load; repeated because the machine is shared.
 const ROUNDS: usize = 2;
 
-/// Time of an engine's step, and so between two tokens of a stream, in milliseconds.
+/// Duration of an engine's batch step in milliseconds, and so the gap between two tokens of a
+/// stream.
 const STEP_MS: f64 = 4.0;
 
 #[derive(Clone, Copy, PartialEq)]
@@ -71,49 +73,49 @@
     tokens: u32,
 }
 
-/// What was seen at one load.
+/// Results of one load.
 struct LoadResult {
     load: Load,
     relayed: LatencyStats,
     direct: LatencyStats,
-    /// Requests through the instance that began inside the window, in a second.
+    /// Requests per second through the instance that were due inside the window.
     requests: f64,
-    /// Token events through the instance in a second.
+    /// Token events per second through the instance.
     events: f64,
-    /// Processor seconds of the instance in a second.
+    /// Processor seconds per second of the instance.
     cores: f64,
-    /// The kernel's part of them.
+    /// The share of the processor time spent in the kernel.
     kernel_share: f64,
     /// Resident memory of the instance at the end, in MiB.
     resident_mib: f64,
-    /// Resident memory before the first request.
+    /// Resident memory of the instance before the first request, in MiB.
     idle_resident_mib: f64,
     load_average: f64,
 }
 
-/// Times to the first token in milliseconds.
+/// Statistics of the time to the first token, in milliseconds.
 struct LatencyStats {
     count: usize,
     median: f64,
     p99: f64,
-    /// Requests that ended otherwise than whole.
+    /// Requests that neither completed nor still ran at the end.
     failed: usize,
 }
 
-/// Runs the measurement and writes its page.
+/// Runs the measurement and writes its report to `out`.
 ///
 /// # Errors
 ///
-/// Fails when a process can't be started, or the page can't be written.
+/// Fails when a process can't be started, or the report can't be written.
 pub async fn run(out: &Path) -> MeasureResult<()> {
     let folder = std::env::temp_dir().join(format!("crocushold-relay-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     let scenario = Arc::new(scenario::relay_streams());
     let mut all = Vec::new();
     for load in LOADS.into_iter().cycle().take(LOADS.len() * ROUNDS) {
-        let seen = run_load(&scenario, load, &folder).await?;
-        println!("{}", row(&seen));
-        all.push(seen);
+        let result = run_load(&scenario, load, &folder).await?;
+        println!("{}", row(&result));
+        all.push(result);
     }
     std::fs::remove_dir_all(&folder)?;
     let page = render(&all);
@@ -123,7 +125,7 @@
     Ok(())
 }
 
-/// Engines fast enough that the instance is what is measured.
+/// Settings of engines fast enough that the instance is the bottleneck.
 fn engine_settings(scenario: &Scenario) -> EngineSettings {
     EngineSettings {
         batch: BatchSettings {
@@ -197,7 +199,7 @@
     })
 }
 
-/// Processor seconds of a process in the window, and its resident memory at the end.
+/// Processor time of a process in the window, and its resident memory in MiB at the end.
 async fn cpu_used(pid: u32, start: Instant) -> (CpuTime, f64) {
     let at = |seconds| start + Duration::from_secs_f64(seconds);
     task::sleep(at(TIMING.window_start).saturating_duration_since(Instant::now())).await;
@@ -262,23 +264,23 @@
         out,
         "| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |"
     )?;
-    for seen in all {
-        writeln!(out, "{}", row(seen))?;
+    for result in all {
+        writeln!(out, "{}", row(result))?;
     }
     writeln!(out)?;
     write_cost_split(out, all)
 }
 
-fn row(seen: &LoadResult) -> String {
+fn row(result: &LoadResult) -> String {
     let LoadResult {
         relayed, direct, ..
-    } = seen;
+    } = result;
     format!(
         "| {:.0} | {} | {:.0} | {:.2} / {:.2} (n={}) | {:.2} / {:.2} (n={}) | {:.2} / {:.2} | {:.2} ({:.0} %) \
          | {:.0} | {:.1} | {:.0} / {:.0} | {} / {} | {:.0} |",
-        seen.requests,
-        seen.load.tokens,
-        seen.events,
+        result.requests,
+        result.load.tokens,
+        result.events,
         relayed.median,
         relayed.p99,
         relayed.count,
@@ -287,29 +289,30 @@
         direct.count,
         relayed.median - direct.median,
         relayed.p99 - direct.p99,
-        seen.cores,
-        seen.kernel_share * 100.0,
-        seen.cores * 1e6 / seen.requests.max(1.0),
-        seen.cores * 1e6 / seen.events.max(1.0),
-        seen.idle_resident_mib,
-        seen.resident_mib,
+        result.cores,
+        result.kernel_share * 100.0,
+        result.cores * 1e6 / result.requests.max(1.0),
+        result.cores * 1e6 / result.events.max(1.0),
+        result.idle_resident_mib,
+        result.resident_mib,
         relayed.failed,
         direct.failed,
-        seen.load_average,
+        result.load_average,
     )
 }
 
-/// Splits the processor time between requests and token events.
+/// Writes the processor time per request and per token event, separated by comparing the two loads
+/// that differ in response length alone.
 fn write_cost_split(out: &mut String, all: &[LoadResult]) -> std::fmt::Result {
     let [_, long, short] = LOADS;
     let sum = |load: Load, value: fn(&LoadResult) -> f64| -> f64 {
-        let same = |seen: &&LoadResult| seen.load == load;
+        let same = |result: &&LoadResult| result.load == load;
         all.iter().filter(same).map(value).sum()
     };
-    let per_request = sum(short, |seen| seen.cores) / sum(short, |seen| seen.requests);
-    let requests = sum(long, |seen| seen.requests);
-    let further = sum(long, |seen| seen.events) - requests;
-    let per_event = (sum(long, |seen| seen.cores) - per_request * requests) / further;
+    let per_request = sum(short, |result| result.cores) / sum(short, |result| result.requests);
+    let requests = sum(long, |result| result.requests);
+    let further = sum(long, |result| result.events) - requests;
+    let per_event = (sum(long, |result| result.cores) - per_request * requests) / further;
     writeln!(
         out,
         "From the loads with 1 and with {} tokens: {:.0} µs of processor time for each request with \
--- a/crates/measure/src/scenario.rs
+++ b/crates/measure/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The two users' traffic: classes, their part of the demand, and the configuration text.
+//! Traffic scenarios: request classes, their share of the load, and the configuration text.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -8,82 +8,82 @@
 use crocushold_standins::load::Form;
 use crocushold_standins::load::Targets;
 
-/// What a class asks for.
+/// Requests of a class.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum RequestKind {
-    /// Answers of a model.
+    /// Completions of a model.
     Model {
-        /// Part of the fleet's tokens at a demand of 1.
+        /// Share of the engines' capacity that the class requests at a demand level of 1.
         token_share: f64,
-        /// Lengths of answers in tokens.
+        /// Range of response lengths in tokens.
         output: Lengths,
-        /// Bytes of the prompt.
+        /// Length of the prompt in bytes.
         prompt_bytes: u32,
-        /// Whether answers are streamed.
+        /// Whether responses are streamed.
         stream: bool,
     },
-    /// Calls of a plain service.
+    /// Calls to the plain service.
     Plain {
-        /// Calls in a second at a demand of 1.
+        /// Calls per second at a demand level of 1.
         rate: f64,
         /// Path of the call.
         path: &'static str,
     },
 }
 
-/// One class of requests.
+/// A request class.
 #[derive(Clone, Debug)]
 pub(crate) struct ClassSpec {
     /// Name.
     pub(crate) name: &'static str,
-    /// Account that sends it.
+    /// Client account that sends the requests.
     pub(crate) account: &'static str,
-    /// Priority; 1 is the live class.
+    /// Priority; 1 is the highest, for interactive traffic.
     pub(crate) priority: u8,
     /// Guaranteed share in percent.
     pub(crate) floor: u32,
-    /// Whether it may run twice.
+    /// Whether a request may run more than once.
     pub(crate) idempotent: bool,
     /// Latency targets.
     pub(crate) targets: Targets,
-    /// When its caller gives up.
+    /// Client timeout in milliseconds.
     pub(crate) timeout_ms: u64,
-    /// What it asks for.
+    /// Kind and volume of its requests.
     pub(crate) request_kind: RequestKind,
 }
 
-/// One user's fleet and traffic.
+/// A fleet and its traffic.
 #[derive(Clone, Debug)]
 pub(crate) struct Scenario {
-    /// Name, as a heading and in file names.
+    /// Name, used as a heading and in file names.
     pub(crate) name: &'static str,
-    /// Team of the configuration text.
+    /// Team that owns the configuration text.
     pub(crate) team: &'static str,
-    /// Service of the engines.
+    /// Name of the service that the engines belong to.
     pub(crate) model_service: &'static str,
-    /// Plain service.
+    /// Name of the plain service.
     pub(crate) plain_service: &'static str,
-    /// Prefix of the plain service.
+    /// Path prefix of the plain service.
     pub(crate) plain_prefix: &'static str,
     /// Availability zones.
     pub(crate) zones: &'static [&'static str],
-    /// Engines.
+    /// Number of engines.
     pub(crate) engines: usize,
-    /// Requests that an engine runs at once: the limit of its batch.
+    /// Concurrent requests per engine: its batch limit.
     pub(crate) concurrency: usize,
-    /// Entry instances.
+    /// Number of entry instances.
     pub(crate) instances: usize,
-    /// Classes; the last of those that ask a model is the lowest.
+    /// Classes; the last one with model requests has the lowest priority among those.
     pub(crate) classes: Vec<ClassSpec>,
 }
 
-/// The model that all engines hold.
+/// The model that all engines serve.
 pub(crate) const MODEL: &str = "clara-8b";
 
-/// Requests that an engine of a measurement of the policy runs at once.
+/// Concurrent requests per engine in the policy measurement.
 pub(crate) const ENGINE_CONCURRENCY: usize = 16;
 
-/// A caller that waits as long as the measurement lasts.
+/// Timeout of clients that wait until the measurement ends, in milliseconds.
 const BACKGROUND_TIMEOUT_MS: u64 = 600_000;
 
 fn streaming_targets(first_ms: u64, between_ms: u64) -> Targets {
@@ -101,7 +101,7 @@
     }
 }
 
-/// Parents' chat in the evening, with drafts and the nightly prep sheets behind it.
+/// Evening peak of an interactive chat, with drafts and a nightly batch at lower priority.
 pub(crate) fn evening_rush() -> Scenario {
     Scenario {
         name: "evening-rush",
@@ -165,7 +165,8 @@
     }
 }
 
-/// The subsidy office's portal at its deadline, with receipts and accountants' batches behind it.
+/// A portal shortly before a filing deadline, with receipt processing and batch jobs at lower
+/// priority.
 pub(crate) fn subsidy_deadline() -> Scenario {
     Scenario {
         name: "subsidy-deadline",
@@ -228,7 +229,7 @@
     }
 }
 
-/// Streams of one live class through one instance, to measure what the instance itself costs.
+/// Streams of one class through one instance, to measure the instance's own overhead.
 pub(crate) fn relay_streams() -> Scenario {
     Scenario {
         name: "relay",
@@ -278,7 +279,7 @@
 }
 
 impl ClassSpec {
-    /// The kind of call.
+    /// Form of the requests that the load generator sends.
     pub(crate) fn form(&self) -> Form {
         match self.request_kind {
             RequestKind::Model { .. } => Form::Chat,
@@ -286,20 +287,20 @@
         }
     }
 
-    /// The key of the class's account.
+    /// API key of the class's account.
     pub(crate) fn api_key(&self, team: &str) -> String {
         format!("{team}.{}", self.account)
     }
 }
 
 impl Scenario {
-    /// The lowest class of the engines.
+    /// Index of the model class with the lowest priority.
     pub(crate) fn lowest_model_class(&self) -> usize {
         let model = |class: &ClassSpec| matches!(class.request_kind, RequestKind::Model { .. });
         self.classes.iter().rposition(model).unwrap_or(0)
     }
 
-    /// The configuration text for engines and a plain service at these addresses.
+    /// Configuration text for engines and a plain service at the given addresses.
     pub(crate) fn config_text(&self, engines: &[SocketAddr], service: SocketAddr) -> String {
         let mut out = String::new();
         self.write_config(&mut out, engines, service)
--- a/crates/measure/src/summary.rs
+++ b/crates/measure/src/summary.rs
@@ -1,4 +1,5 @@
-//! What a point's requests and counters amount to.
+//! Summary statistics of a point: attainment, goodput, wasted work and violated guarantees by
+//! class.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -16,102 +17,102 @@
 #[cfg(test)]
 mod tests;
 
-/// Share of a request's gaps that may be longer than its target.
+/// Share of a request's token gaps that may exceed the target between tokens.
 const MAX_LATE_GAP_SHARE: f64 = 0.05;
 
-/// What was seen of a point.
+/// Raw data recorded during a point.
 pub(crate) struct Observations {
-    /// The requests.
+    /// Every request that was sent.
     pub(crate) requests: Vec<RequestRecord>,
-    /// The engines' counters at the start of the window.
+    /// Engine counters, summed, at the start of the measured window.
     pub(crate) before: EngineStats,
-    /// The engines' counters at its end.
+    /// Engine counters, summed, at the end of the window.
     pub(crate) after: EngineStats,
-    /// How often each marked request ran.
+    /// Number of executions by request marker.
     pub(crate) run_counts: HashMap<String, u64>,
-    /// The instances' metrics at the end of the window.
+    /// Text of `/metrics` of each instance at the end of the window.
     pub(crate) metrics: Vec<String>,
 }
 
-/// One class in a point.
+/// Statistics of one class in a point.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassSummary {
-    /// Requests whose verdict is known.
+    /// Requests for which it is known whether they met their targets.
     pub(crate) judged: u64,
-    /// Of these, completed within their targets.
+    /// Judged requests that completed within their targets.
     pub(crate) attained: u64,
-    /// Useful tokens in a second.
+    /// Useful tokens per second.
     pub(crate) goodput: f64,
-    /// Requests in the window that were completed.
+    /// Requests due in the window that completed.
     pub(crate) completed: u64,
-    /// Refused with `Retry-After`.
+    /// Refused, with `Retry-After`.
     pub(crate) refused: u64,
-    /// Refused as not run, but without it.
+    /// Refused as not run, without `Retry-After`.
     pub(crate) refused_without_retry_after: u64,
-    /// Answered with an error that leaves open whether the request ran.
+    /// Failed with a response that doesn't state whether the request ran.
     pub(crate) unknown: u64,
-    /// Judged, completed, and too late for the first token.
+    /// Judged and completed, but missed the target for the first token.
     pub(crate) late_first_token: u64,
-    /// Judged, completed with the first token in time, and too slow between tokens.
+    /// Judged and completed with the first token in time, but missed the target between tokens.
     pub(crate) late_token_gaps: u64,
-    /// Judged, completed, and too late for the whole answer.
+    /// Judged and completed, but missed the target for the whole answer.
     pub(crate) late_whole_answer: u64,
-    /// Ended early.
+    /// Responses that ended before they were complete.
     pub(crate) cut: u64,
-    /// Given up by the caller after its own timeout.
+    /// Abandoned by the client after its own timeout.
     pub(crate) timed_out: u64,
-    /// Refused a connection.
+    /// Requests whose connection was refused.
     pub(crate) connections_refused: u64,
     /// Non-idempotent requests that ran more than once.
     pub(crate) repeated_non_idempotent: u64,
     /// Idempotent requests that ran more than once.
     pub(crate) repeated_idempotent: u64,
-    /// Answered with another request's tokens, or with tokens missing or out of order.
+    /// Responses with another request's tokens, or with tokens missing or out of order.
     pub(crate) misdelivered: u64,
-    /// Said not to have been run, and were.
+    /// Requests reported as not run that did run.
     pub(crate) falsely_reported_not_run: u64,
-    /// Time to the first token of the slowest hundredth, in milliseconds.
+    /// 99th percentile of the time to the first token, in milliseconds.
     pub(crate) first_token_p99_ms: f64,
 }
 
-/// A point.
+/// Statistics of a point.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Summary {
-    /// The classes in the shape's order.
+    /// Classes in the scenario's order.
     pub(crate) classes: Vec<ClassSummary>,
-    /// Useful tokens in a second, over all classes.
+    /// Useful tokens per second over all classes.
     pub(crate) goodput: f64,
-    /// Tokens of requests whose caller or router left, in a second.
+    /// Tokens per second generated for requests that the client or router cancelled.
     pub(crate) cancelled: f64,
-    /// Tokens lost by a fault of an engine, in a second.
+    /// Tokens per second lost by engine faults.
     pub(crate) failed: f64,
-    /// Tokens wasted as the instances count them, by class and cause.
+    /// Wasted tokens as the instances count them, by class and cause.
     pub(crate) wasted_by_cause: BTreeMap<String, f64>,
-    /// The generator's own delay, the 99th percentile, in milliseconds.
+    /// 99th percentile of the load generator's own send delay, in milliseconds.
     pub(crate) send_delay_p99_ms: f64,
 }
 
 impl ClassSummary {
-    /// Share of the judged requests that met their targets, in percent.
+    /// Percentage of the judged requests that met their targets; `None` when none was judged.
     pub(crate) fn attainment(&self) -> Option<f64> {
         (self.judged > 0).then(|| 100.0 * self.attained as f64 / self.judged as f64)
     }
 }
 
 impl Summary {
-    /// Wasted work as a share of all work, in percent.
+    /// Wasted tokens as a percentage of all tokens.
     pub(crate) fn wasted_percent(&self) -> f64 {
         let wasted = self.cancelled + self.failed;
         100.0 * wasted / (wasted + self.goodput).max(1.0)
     }
 
-    /// A class's share of all useful tokens, in percent.
+    /// A class's percentage of all useful tokens.
     pub(crate) fn token_share(&self, class: usize) -> f64 {
         100.0 * self.classes[class].goodput / self.goodput.max(1.0)
     }
 }
 
-/// Sums a point up.
+/// Computes the statistics of a point.
 pub(crate) fn summarize(scenario: &Scenario, observed: &Observations, timing: &Timing) -> Summary {
     let span = timing.end - timing.window_start;
     let classes: Vec<ClassSummary> = (0..scenario.classes.len())
@@ -214,25 +215,26 @@
             Ending::Cut => self.cut += 1,
             Ending::TimedOut => self.timed_out += 1,
             Ending::Unconnected => self.connections_refused += 1,
-            // Counted with the runs, or cut off by the end of the measurement.
+            // The first two are counted in `count_runs`; the last was cut off by the end of the
+            // measurement.
             Ending::Misdelivered | Ending::Disordered | Ending::GaveUp => {}
         }
     }
 }
 
-/// Whether a time is within a target, if there is one.
+/// Whether a time is within a target; always true without a target.
 fn within_limit(seconds: f64, limit: Option<u64>) -> bool {
     limit.is_none_or(|ms| seconds * 1000.0 <= ms as f64)
 }
 
-/// The last moment whose requests are judged: their targets must fall inside the measurement, since
-/// leaving out those that are still open would count the fast ones alone.
+/// Latest due time, in seconds, of a judged request. Its targets must fall inside the measurement:
+/// judging later requests without those that are still open would count only the fast ones.
 fn judging_deadline(class: &ClassSpec, timing: &Timing) -> f64 {
     let whole = class.targets.whole_ms.unwrap_or(0) as f64 / 1000.0;
     timing.end - timing.judging_margin.max(whole)
 }
 
-/// Whether the request met its targets; none when the measurement ended before that was known.
+/// Whether the request met its targets; `None` when the measurement ended before that was known.
 fn targets_met(request: &RequestRecord, class: &ClassSpec) -> Option<bool> {
     let targets = class.targets;
     if request.ending == Ending::GaveUp {
@@ -257,9 +259,9 @@
     longer as f64 <= gaps.len() as f64 * MAX_LATE_GAP_SHARE
 }
 
-/// Tokens that came inside the window, of a request that was completed or still ran at the end.
+/// Tokens received inside the window, of a request that completed or still ran at the end.
 ///
-/// A streamed answer counts token by token; another one with its end.
+/// A streamed response counts token by token; any other counts as a whole when it ends.
 pub(crate) fn useful_tokens(request: &RequestRecord, class: &ClassSpec, timing: &Timing) -> f64 {
     let RequestKind::Model { stream, .. } = class.request_kind else {
         return 0.0;
@@ -300,7 +302,7 @@
     causes
 }
 
-/// The value below which the share `part` of the values lies; zero of none.
+/// The `q` quantile of the values, without interpolation; zero when there are none.
 pub(crate) fn quantile(values: impl Iterator<Item = f64>, q: f64) -> f64 {
     let mut all: Vec<f64> = values.collect();
     all.sort_by(f64::total_cmp);
--- a/crates/measure/src/summary/tests.rs
+++ b/crates/measure/src/summary/tests.rs
@@ -1,4 +1,4 @@
-//! What counts as attained, and as useful.
+//! Tests of which requests meet their targets and which tokens count as useful.
 
 use crocushold_standins::load::Ending;
 use test_case::test_case;
@@ -9,7 +9,7 @@
 use crate::point::Timing;
 use crate::scenario;
 
-/// A stream of chat that was due at 10 s and has four tokens.
+/// A streamed chat request that was due at 10 s and received four tokens.
 fn stream(first: f64, gap: u32, ending: Ending) -> RequestRecord {
     RequestRecord {
         class: 0,
