--- a/crates/measure/examples/config_cost.rs
+++ b/crates/measure/examples/config_cost.rs
@@ -1,10 +1,10 @@
-//! What a change of the configuration costs an instance, and what the text takes in memory, with
-//! accounts and servers varied apart.
+//! Measures what a configuration change costs an instance, and the memory that the configuration
+//! takes, with the numbers of accounts and servers varied independently.
 //!
 //! `cargo run --release -p crocushold-measure --example config_cost`
 //!
-//! Each size runs in a process of its own, so that its memory is told from the last one's. The daemon
-//! clones the catalog before it applies a change, which is counted, and configures routers and
+//! Each size runs in its own process, so that memory of an earlier size doesn't count. The daemon
+//! clones the catalog before it applies a change, which is measured, and configures routers and
 //! schedulers afterwards, which isn't.
 
 use std::fmt::Write;
@@ -19,7 +19,7 @@
 use crocushold_config::Credential;
 use crocushold_measure::MeasureResult;
 
-/// Teams, accounts, servers.
+/// Numbers of teams, accounts and servers.
 const SIZES: [(usize, usize, usize); 8] = [
     (23, 3_700, 5_900),
     (23, 1_850, 5_900),
@@ -31,6 +31,7 @@
     (230, 3_700, 5_900),
 ];
 
+/// Number of changes that are timed at each size.
 const ROUNDS: usize = 15;
 
 fn main() -> MeasureResult<()> {
@@ -55,33 +56,37 @@
 fn measure(teams: usize, accounts: usize, servers: usize) {
     let parts: Vec<String> = (0..teams)
         .map(|team| {
-            part(
+            part_text(
                 team,
-                share(accounts, teams, team),
-                share(servers, teams, team),
+                share_of_team(accounts, teams, team),
+                share_of_team(servers, teams, team),
             )
         })
         .collect();
     let bytes: usize = parts.iter().map(String::len).sum();
-    let before = resident();
+    let before = resident_mib();
     let mut text = ConfigText::default();
-    for (team, part) in parts.iter().enumerate() {
-        text.set_part(&name(team), part);
+    for (team, part_text) in parts.iter().enumerate() {
+        text.set_part(&team_name(team), part_text);
     }
     let catalog = Catalog::new(&text);
-    let memory = resident() - before;
-    let other = parts[0].replacen("priority = 1", "priority = 2", 1);
+    let memory = resident_mib() - before;
+    let changed_part = parts[0].replacen("priority = 1", "priority = 2", 1);
     let mut parse = Vec::new();
     let mut apply = Vec::new();
     for round in 0..ROUNDS {
-        let next = if round % 2 == 0 { &other } else { &parts[0] };
+        let next = if round % 2 == 0 {
+            &changed_part
+        } else {
+            &parts[0]
+        };
         let start = Instant::now();
-        text.set_part(&name(0), next);
+        text.set_part(&team_name(0), next);
         parse.push(start.elapsed());
         let start = Instant::now();
-        let mut changed = catalog.clone();
-        changed.apply(&text);
-        black_box(&changed);
+        let mut changed_catalog = catalog.clone();
+        changed_catalog.apply(&text);
+        black_box(&changed_catalog);
         apply.push(start.elapsed());
     }
     println!(
@@ -97,15 +102,15 @@
     times[times.len() / 2]
 }
 
-fn share(all: usize, teams: usize, team: usize) -> usize {
+fn share_of_team(all: usize, teams: usize, team: usize) -> usize {
     all / teams + usize::from(team < all % teams)
 }
 
-fn name(team: usize) -> String {
+fn team_name(team: usize) -> String {
     format!("team-{team}")
 }
 
-fn part(team: usize, accounts: usize, servers: usize) -> String {
+fn part_text(team: usize, accounts: usize, servers: usize) -> String {
     let mut text = format!(
         "[team team-{team}]\nformat = 1\n[service fleet]\nkind = model\nconcurrency = 16\n\
          [model fleet/model-{team}]\nweights = 16 GB\nservers = 12\n"
@@ -139,7 +144,7 @@
 }
 
 /// Resident memory of this process in MiB.
-fn resident() -> f64 {
+fn resident_mib() -> f64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = line.and_then(|rest| rest.split_whitespace().next()?.parse::<f64>().ok());
--- a/crates/measure/examples/fleet_cost/site.rs
+++ b/crates/measure/examples/fleet_cost/cluster.rs
@@ -1,4 +1,4 @@
-//! The processes of one measurement: platform, engines, entry instances.
+//! Starts and drives the processes of one measurement: platform, engines and entry instances.
 
 use std::fmt::Write;
 use std::fs;
@@ -34,20 +34,21 @@
 
 const TEAM: &str = "clara";
 
-/// Zones that the instances are spread over.
+/// Number of availability zones of the instances.
 const ZONES: usize = 23;
 
-/// Ports of peers; several measurements at once begin at different ones.
-const FIRST_PORT: u16 = 20_000;
-const LAST_PORT: u16 = 32_000;
-const PORT_STEP: u16 = 100;
-const PORT_STEPS: u32 = 100;
+/// Range of the peer ports. The first one depends on the process ID, so that measurements that run
+/// at the same time start at different blocks of ports.
+const FIRST_PEER_PORT: u16 = 20_000;
+const LAST_PEER_PORT: u16 = 32_000;
+const PORT_BLOCK: u16 = 100;
+const PORT_BLOCKS: u32 = 100;
 
-/// Tries until an instance must be ready, a pause apart.
-const READY_TRIES: usize = 300;
-const READY_PAUSE: Duration = Duration::from_millis(100);
+/// Attempts of the readiness check of an instance, and the time between them.
+const READY_ATTEMPTS: usize = 300;
+const READY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What is measured.
+/// Command-line options; see the table of the main module.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
     pub(crate) servers: usize,
@@ -60,7 +61,7 @@
 }
 
 impl Options {
-    /// Reads the command line: options, and the numbers of instances.
+    /// Parses the command line into options and the cluster sizes to measure.
     pub(crate) fn read(
         mut args: impl Iterator<Item = String>,
     ) -> MeasureResult<(Options, Vec<usize>)> {
@@ -95,52 +96,52 @@
     }
 }
 
-/// Calls of a plain service that may run once.
-pub(crate) struct Calls {
-    /// Calls a second.
+/// Load of non-idempotent calls to the plain service.
+pub(crate) struct CallLoad {
+    /// Calls per second.
     pub(crate) rate: usize,
-    /// How long.
-    pub(crate) span: Duration,
-    /// Whether each carries an idempotency key of its own.
+    /// Duration of the load.
+    pub(crate) duration: Duration,
+    /// Whether each call carries a unique idempotency key.
     pub(crate) keyed: bool,
-    /// Accounts that send them, in turn.
+    /// Number of accounts that send the calls, round robin.
     pub(crate) accounts: usize,
-    /// Instances that they go to, in turn.
-    pub(crate) to: usize,
+    /// Number of instances that receive the calls, round robin.
+    pub(crate) target_instances: usize,
 }
 
-/// A platform, engines and instances that have joined.
-pub(crate) struct Site {
+/// A running platform, engines and entry instances.
+pub(crate) struct Cluster {
     instances: Vec<Process>,
     listens: Vec<SocketAddr>,
     operators: Vec<SocketAddr>,
     peers: Vec<SocketAddr>,
     engines: Vec<SocketAddr>,
     platform: SocketAddr,
-    control: SocketAddr,
-    text: String,
+    platform_control: SocketAddr,
+    config_text: String,
     folder: PathBuf,
-    _others: Vec<Process>,
+    _other_processes: Vec<Process>,
 }
 
-impl Site {
-    /// Starts all and waits until each instance is ready.
-    pub(crate) fn start(count: usize, options: &Options) -> MeasureResult<Site> {
+impl Cluster {
+    /// Starts all processes, and waits until each instance is ready.
+    pub(crate) fn start(count: usize, options: &Options) -> MeasureResult<Cluster> {
         let name = format!("crocushold-fleet-cost-{}", std::process::id());
         let folder = std::env::temp_dir().join(name);
         fs::create_dir_all(&folder)?;
         let (engine, engines) = start_engines(options.servers)?;
-        let mut text = text(&engines, options);
-        let mut others: Vec<Process> = engine.into_iter().collect();
+        let mut config_text = config_text(&engines, options);
+        let mut other_processes: Vec<Process> = engine.into_iter().collect();
         if options.claims + options.loans > 0 {
             let mut service = Process::start("crocushold-standin", &["service".to_owned()])?;
-            text += &plain_text(service.read_address("listening")?);
-            others.push(service);
+            config_text += &plain_service_text(service.read_address("listening")?);
+            other_processes.push(service);
         }
         let peers = free_addresses(count)?;
         let list = instance_list(&peers, &engines, options.listed);
-        let list = write(&folder, "instances.json", &serde_json::to_string(&list)?)?;
-        let part = write(&folder, "part.ini", &text)?;
+        let list = write_file(&folder, "instances.json", &serde_json::to_string(&list)?)?;
+        let part = write_file(&folder, "part.ini", &config_text)?;
         let args = [
             "platform".to_owned(),
             "--part".to_owned(),
@@ -149,27 +150,27 @@
             list,
         ];
         let mut platform = Process::start("crocushold-standin", &args)?;
-        let mut site = Site {
+        let mut cluster = Cluster {
             instances: Vec::new(),
             listens: Vec::new(),
             operators: Vec::new(),
             peers,
             engines,
             platform: platform.read_address("listening")?,
-            control: platform.read_address("control")?,
-            text,
+            platform_control: platform.read_address("control")?,
+            config_text,
             folder,
-            _others: others,
+            _other_processes: other_processes,
         };
-        site._others.push(platform);
-        site.start_instances()?;
-        Ok(site)
+        cluster._other_processes.push(platform);
+        cluster.start_instances()?;
+        Ok(cluster)
     }
 
     fn start_instances(&mut self) -> MeasureResult<()> {
         for (number, peer) in self.peers.iter().enumerate() {
-            let text = settings(number, *peer, self.platform);
-            let file = write(&self.folder, &format!("entry-{number}.ini"), &text)?;
+            let settings_text = settings(number, *peer, self.platform);
+            let file = write_file(&self.folder, &format!("entry-{number}.ini"), &settings_text)?;
             let args = ["serve", "--log", "error", &file].map(str::to_owned);
             let mut instance = Process::start("crocushold", &args)?;
             self.listens.push(instance.read_address("listening")?);
@@ -178,34 +179,34 @@
         }
         let via = HttpFetch::default();
         for &operator in &self.operators {
-            task::block_on(ready(&via, operator))?;
+            task::block_on(wait_ready(&via, operator))?;
         }
         Ok(())
     }
 
-    /// Prints the size of the documents that an operator reads of the first instance.
+    /// Prints the sizes of the first instance's operator documents.
     pub(crate) fn print_documents(&self) -> MeasureResult<()> {
         let via = HttpFetch::default();
         let operator = self.operators[0].to_string();
         for path in ["/status", "/metrics"] {
-            let text = task::block_on(fetch(&via, &operator, path))?;
-            println!("{path}: {} bytes", text.len());
+            let document = task::block_on(fetch(&via, &operator, path))?;
+            println!("{path}: {} bytes", document.len());
         }
         Ok(())
     }
 
-    /// Publishes the text with one line that differs from the last.
+    /// Publishes the configuration text with one line that differs from the previous version.
     pub(crate) fn publish(&self, change: usize) -> MeasureResult<()> {
         let command = PlatformCommand::Part {
             team: TEAM.to_owned(),
-            text: format!("{}# change {change}\n", self.text),
+            text: format!("{}# change {change}\n", self.config_text),
         };
-        let url = Url::parse(&format!("http://{}/control", self.control))?;
+        let url = Url::parse(&format!("http://{}/control", self.platform_control))?;
         let mut request = Request::new(Method::Post, url);
         request.set_body(serde_json::to_vec(&command)?);
         let client = Client::new(PoolLimits::default());
         let limits = SendLimits::default();
-        let sent = client.send(self.control, request, &limits, Reuse::Fresh);
+        let sent = client.send(self.platform_control, request, &limits, Reuse::Fresh);
         let answer = task::block_on(sent).map_err(|error| error.to_string())?;
         if !answer.status.is_success() {
             return Err(format!("publishing: {}", answer.status).into());
@@ -213,34 +214,34 @@
         Ok(())
     }
 
-    /// Sends calls that may run once, and prints how many were answered with success.
-    pub(crate) fn call(&self, calls: &Calls) -> MeasureResult<()> {
+    /// Sends non-idempotent calls one after another, and prints how many succeeded.
+    pub(crate) fn send_calls(&self, calls: &CallLoad) -> MeasureResult<()> {
         let client = Client::new(PoolLimits::default());
-        let gap = Duration::from_secs(1) / calls.rate as u32;
-        let began = Instant::now();
+        let interval = Duration::from_secs(1) / calls.rate as u32;
+        let start_time = Instant::now();
         let mut number = 0;
         let mut served = 0;
-        while began.elapsed() < calls.span {
-            let to = self.listens[number % calls.to];
-            let request = confirmation(to, number, calls)?;
+        while start_time.elapsed() < calls.duration {
+            let to = self.listens[number % calls.target_instances];
+            let request = confirmation_request(to, number, calls)?;
             let limits = SendLimits::default();
             let sent = client.send(to, request, &limits, Reuse::Fresh);
             let answer = task::block_on(sent).map_err(|error| error.to_string())?;
             served += usize::from(answer.status.is_success());
             number += 1;
-            let due = gap * number as u32;
-            thread::sleep(due.saturating_sub(began.elapsed()));
+            let due = interval * number as u32;
+            thread::sleep(due.saturating_sub(start_time.elapsed()));
         }
         println!("calls: {number}, served: {served}");
         Ok(())
     }
 
-    /// The instances' process numbers.
+    /// Process IDs of the instances.
     pub(crate) fn ids(&self) -> Vec<u32> {
         self.instances.iter().map(Process::pid).collect()
     }
 
-    /// Where everything listens.
+    /// Ports that the cluster's processes listen on.
     pub(crate) fn ports(&self) -> Ports {
         Ports {
             peers: self.peers.iter().map(SocketAddr::port).collect(),
@@ -250,14 +251,14 @@
     }
 }
 
-impl Drop for Site {
+impl Drop for Cluster {
     fn drop(&mut self) {
-        // Only settings stand there.
+        // The folder holds only generated settings, so an error here is harmless.
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
 
-fn confirmation(to: SocketAddr, number: usize, calls: &Calls) -> MeasureResult<Request> {
+fn confirmation_request(to: SocketAddr, number: usize, calls: &CallLoad) -> MeasureResult<Request> {
     let url = Url::parse(&format!("http://{to}/booking/confirmations"))?;
     let mut request = Request::new(Method::Post, url);
     let account = number % calls.accounts;
@@ -269,8 +270,8 @@
     Ok(request)
 }
 
-/// A plain service with one call that may run once.
-fn plain_text(service: SocketAddr) -> String {
+/// Configuration text of a plain service with one non-idempotent call.
+fn plain_service_text(service: SocketAddr) -> String {
     format!(
         "[service booking]\nkind = plain\nprefix = /booking\n\n\
          [server booking/one]\naddress = {service}\nzone = zone-0\n\n\
@@ -293,23 +294,23 @@
     Ok((Some(engine), engines))
 }
 
-async fn ready(via: &HttpFetch, operator: SocketAddr) -> MeasureResult<()> {
-    for _ in 0..READY_TRIES {
+async fn wait_ready(via: &HttpFetch, operator: SocketAddr) -> MeasureResult<()> {
+    for _ in 0..READY_ATTEMPTS {
         if fetch(via, &operator.to_string(), "/ready").await.is_ok() {
             return Ok(());
         }
-        task::sleep(READY_PAUSE).await;
+        task::sleep(READY_INTERVAL).await;
     }
     Err("an instance did not become ready".into())
 }
 
-fn text(engines: &[SocketAddr], options: &Options) -> String {
+fn config_text(engines: &[SocketAddr], options: &Options) -> String {
     let classes = if options.claims + options.loans > 0 {
         "chat, confirm"
     } else {
         "chat"
     };
-    let mut text = format!(
+    let mut config_text = format!(
         "[team {TEAM}]\nformat = 1\n\n[service fleet]\nkind = model\nconcurrency = 16\n\n\
          [model fleet/clara-8b]\nweights = 16 GB\nservers = {}\n\n\
          [class chat]\nservice = fleet\npriority = 1\nfirst-token = 350 ms\n\
@@ -317,7 +318,8 @@
         engines.len().max(1)
     );
     let mut line = |args: std::fmt::Arguments<'_>| {
-        text.write_fmt(args)
+        config_text
+            .write_fmt(args)
             .expect("writing to a String can't fail");
     };
     for (number, engine) in engines.iter().enumerate() {
@@ -333,7 +335,7 @@
              requests = 50/s\ntokens = 20000/s\nconcurrency = 64\n\n"
         ));
     }
-    text
+    config_text
 }
 
 fn settings(number: usize, peer: SocketAddr, platform: SocketAddr) -> String {
@@ -345,7 +347,11 @@
     )
 }
 
-fn instance_list(peers: &[SocketAddr], engines: &[SocketAddr], more: usize) -> Vec<Instance> {
+fn instance_list(
+    peers: &[SocketAddr],
+    engines: &[SocketAddr],
+    extra_servers: usize,
+) -> Vec<Instance> {
     let entry = |(number, peer): (usize, &SocketAddr)| Instance {
         id: format!("entry-{number}"),
         role: Role::Entry,
@@ -366,27 +372,27 @@
     };
     let engines = engines.iter().enumerate();
     let engines = engines.map(|(number, address)| server(number, address.to_string()));
-    let more = (0..more).map(|number| {
+    let extra_servers = (0..extra_servers).map(|number| {
         let address = format!("10.0.{}.{}:8000", number / 250, number % 250 + 1);
         server(100_000 + number, address)
     });
     let peers = peers.iter().enumerate().map(entry);
-    peers.chain(engines).chain(more).collect()
+    peers.chain(engines).chain(extra_servers).collect()
 }
 
-fn write(folder: &Path, name: &str, text: &str) -> MeasureResult<String> {
+fn write_file(folder: &Path, name: &str, text: &str) -> MeasureResult<String> {
     let file = folder.join(name);
     fs::write(&file, text)?;
     Ok(file.display().to_string())
 }
 
-/// Addresses whose ports were free a moment ago.
+/// Returns loopback addresses whose ports are free at the time of the call.
 ///
-/// They lie below the range that the kernel gives to connections: with many instances the first
-/// ones' connections took the ports of those that hadn't started yet.
+/// The ports lie below the kernel's ephemeral range. With many instances, outgoing connections of
+/// those already running took ephemeral ports that were meant for instances not yet started.
 fn free_addresses(count: usize) -> MeasureResult<Vec<SocketAddr>> {
-    let first = FIRST_PORT + (std::process::id() % PORT_STEPS) as u16 * PORT_STEP;
-    let addresses = (first..LAST_PORT).map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
+    let first = FIRST_PEER_PORT + (std::process::id() % PORT_BLOCKS) as u16 * PORT_BLOCK;
+    let addresses = (first..LAST_PEER_PORT).map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
     let free = addresses.filter(|&address| TcpListener::bind(address).is_ok());
     let free: Vec<SocketAddr> = free.take(count).collect();
     if free.len() < count {
--- a/crates/measure/examples/fleet_cost/main.rs
+++ b/crates/measure/examples/fleet_cost/main.rs
@@ -1,7 +1,8 @@
-//! What an idle entry instance costs as a real process, at several sizes of the fleet: processor
-//! time, resident memory, and bytes on the wire with headers, apart for peers, platform and servers.
+//! Measures what an idle entry instance costs as a real process at several cluster sizes: processor
+//! time, resident memory, and bytes on the wire with headers, separately for peers, platform and
+//! servers.
 //!
-//! Needs `ss` (iproute2) and the release binaries beside it:
+//! Needs `ss` (iproute2) and the release binaries of the workspace:
 //!
 //! `cargo build --release --workspace --bins`
 //! `cargo run --release -p crocushold-measure --example fleet_cost -- 2 4 8 16 32`
@@ -9,17 +10,17 @@
 //! | option | meaning |
 //! |---|---|
 //! | `--servers K` | engines that the instances poll, in one stand-in process |
-//! | `--listed L` | further backend servers on the instance list that no text names |
+//! | `--listed L` | further backend servers on the instance list that the configuration text doesn't contain |
 //! | `--accounts A` | client accounts of the configuration text |
-//! | `--changes C` | afterwards publish this many changes, one a second |
-//! | `--claims R` | afterwards send this many calls a second that may run once, first without keys |
-//! | `--loans R` | afterwards send this many calls a second to one instance, over all its accounts |
-//! | `--seconds S` | time that is measured, 30 |
+//! | `--changes C` | afterwards publish this many configuration changes, one per second |
+//! | `--claims R` | afterwards send this many non-idempotent calls per second, first without idempotency keys, then with |
+//! | `--loans R` | afterwards send this many non-idempotent calls per second to one instance, from all accounts in turn |
+//! | `--seconds S` | duration of the idle phase and of each load, 30 by default |
 //!
-//! Below the row of an idle fleet stand the sizes of what an operator reads of one instance. Each size
-//! starts its own processes and ends them.
+//! The sizes of one instance's operator documents follow the row of the idle phase. Each cluster
+//! size starts and stops its own processes.
 
-mod site;
+mod cluster;
 mod sockets;
 mod usage;
 
@@ -30,19 +31,20 @@
 use crocushold_measure::MeasureResult;
 use crocushold_measure::process;
 
-use site::Calls;
-use site::Options;
-use site::Site;
+use cluster::CallLoad;
+use cluster::Cluster;
+use cluster::Options;
 use sockets::Flow;
 use sockets::Flows;
 use usage::Usage;
 
-/// Between readiness and the measurement, so that what belongs to the start has ended: news of a
-/// start travels with every message for 15 s, and views are compared every 5 s until they agree.
-const SETTLE: Duration = Duration::from_secs(40);
+/// Wait between readiness and the measurement, so that traffic caused by the start has ended:
+/// updates about a started instance are gossiped with every message for 15 s, and membership views
+/// are compared every 5 s until they agree.
+const SETTLE_TIME: Duration = Duration::from_secs(40);
 
-/// Between two changes of the configuration.
-const CHANGE_GAP: Duration = Duration::from_secs(1);
+/// Interval between two configuration changes.
+const CHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
 fn main() -> MeasureResult<()> {
     let (options, counts) = Options::read(std::env::args().skip(1))?;
@@ -58,90 +60,90 @@
 }
 
 fn measure(count: usize, options: &Options) -> MeasureResult<()> {
-    let began = Instant::now();
-    let site = Site::start(count, options)?;
-    thread::sleep(SETTLE);
-    let mut last = Reading::take(&site)?;
-    last.print("start, whole", &Reading::default(), began.elapsed());
+    let phase_start = Instant::now();
+    let cluster = Cluster::start(count, options)?;
+    thread::sleep(SETTLE_TIME);
+    let mut previous = Sample::take(&cluster)?;
+    previous.print("start, whole", &Sample::default(), phase_start.elapsed());
     let mut phase = |name: &str, run: &dyn Fn() -> MeasureResult<()>| -> MeasureResult<()> {
-        let began = Instant::now();
+        let phase_start = Instant::now();
         run()?;
-        let reading = Reading::take(&site)?;
-        reading.print(name, &last, began.elapsed());
-        last = reading;
+        let sample = Sample::take(&cluster)?;
+        sample.print(name, &previous, phase_start.elapsed());
+        previous = sample;
         Ok(())
     };
     phase("idle", &|| {
         thread::sleep(options.span);
         Ok(())
     })?;
-    site.print_documents()?;
+    cluster.print_documents()?;
     if options.changes > 0 {
         phase("changes", &|| {
             for change in 0..options.changes {
-                site.publish(change)?;
-                thread::sleep(CHANGE_GAP);
+                cluster.publish(change)?;
+                thread::sleep(CHANGE_INTERVAL);
             }
             Ok(())
         })?;
     }
-    let steady = |keyed| Calls {
+    let even_load = |keyed| CallLoad {
         rate: options.claims,
-        span: options.span,
+        duration: options.span,
         keyed,
         accounts: 1,
-        to: count,
+        target_instances: count,
     };
     if options.claims > 0 {
-        phase("calls", &|| site.call(&steady(false)))?;
-        phase("calls with keys", &|| site.call(&steady(true)))?;
+        phase("calls", &|| cluster.send_calls(&even_load(false)))?;
+        phase("calls with keys", &|| cluster.send_calls(&even_load(true)))?;
     }
     if options.loans > 0 {
-        let skewed = Calls {
+        let skewed_load = CallLoad {
             rate: options.loans,
-            span: options.span,
+            duration: options.span,
             keyed: false,
             accounts: options.accounts,
-            to: 1,
+            target_instances: 1,
         };
-        phase("calls at one", &|| site.call(&skewed))?;
+        phase("calls at one", &|| cluster.send_calls(&skewed_load))?;
     }
     Ok(())
 }
 
-/// What all instances of a site used up to a moment.
+/// Cumulative resource use of all instances of a cluster.
 #[derive(Default)]
-struct Reading {
+struct Sample {
     count: usize,
     usage: Usage,
     flows: Flows,
 }
 
-impl Reading {
-    fn take(site: &Site) -> MeasureResult<Reading> {
-        let ids = site.ids();
-        Ok(Reading {
+impl Sample {
+    fn take(cluster: &Cluster) -> MeasureResult<Sample> {
+        let ids = cluster.ids();
+        Ok(Sample {
             count: ids.len(),
             usage: Usage::of(&ids),
-            flows: Flows::read(&site.ports())?,
+            flows: Flows::read(&cluster.ports())?,
         })
     }
 
-    /// Prints the use of one instance, on the mean, since `before`.
-    fn print(&self, phase: &str, before: &Reading, span: Duration) {
-        let each = span.as_secs_f64() * self.count as f64;
-        let cpu = (self.usage.cpu - before.usage.cpu) / each;
+    /// Prints a row with the mean use per instance since `before`.
+    fn print(&self, phase: &str, before: &Sample, span: Duration) {
+        let instance_seconds = span.as_secs_f64() * self.count as f64;
+        let cpu = (self.usage.cpu_seconds - before.usage.cpu_seconds) / instance_seconds;
         let flows = self.flows.since(&before.flows);
-        let rate = |flow: Flow| flow.wire() / each;
+        let rate = |flow: Flow| flow.wire_bytes() / instance_seconds;
         println!(
             "| {} | {phase} | {:.1} | {:.3}% | {:.1}, {:.1} MiB | {:.0} | {:.2} | {:.0} | {:.0} |",
             self.count,
             span.as_secs_f64(),
             cpu * 100.0,
             self.usage.resident,
-            self.usage.resident_most,
+            self.usage.resident_max,
             rate(flows.peers),
-            flows.peers.packets / each,
+            flows.peers.packets / instance_seconds,
             rate(flows.platform),
             rate(flows.servers),
         );
--- a/crates/measure/examples/fleet_cost/sockets.rs
+++ b/crates/measure/examples/fleet_cost/sockets.rs
@@ -1,4 +1,4 @@
-//! Bytes and packets of the sockets between a site's processes, as the kernel counts them.
+//! Bytes and packets on the sockets between a cluster's processes, from the kernel's counters.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -6,14 +6,14 @@
 
 use crocushold_measure::MeasureResult;
 
-/// Bytes of a packet besides its payload: Ethernet with check sequence 18, IPv4 20, TCP with time
-/// stamps 32. Preamble and gap between frames (20) aren't counted.
-const HEADERS: f64 = 70.0;
+/// Header bytes per packet: 18 for Ethernet with its frame check sequence, 20 for IPv4, 32 for TCP
+/// with timestamps. The 20 bytes of preamble and interframe gap aren't counted.
+const PACKET_HEADERS: f64 = 70.0;
 
-/// Payload of a full packet on Ethernet. Loopback carries up to 64 KiB in one.
-const SEGMENT: f64 = 1448.0;
+/// TCP payload in bytes of a full Ethernet packet. On loopback a packet carries up to 64 KiB.
+const SEGMENT_PAYLOAD: f64 = 1448.0;
 
-/// Ports of a site by what listens there.
+/// Ports of a cluster by the kind of the listening process.
 #[derive(Default)]
 pub(crate) struct Ports {
     pub(crate) peers: BTreeSet<u16>,
@@ -21,12 +21,12 @@
     pub(crate) servers: BTreeSet<u16>,
 }
 
-/// What went through sockets, both directions.
+/// Traffic of sockets in both directions.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Flow {
-    /// Payload.
+    /// Payload bytes.
     pub(crate) bytes: f64,
-    /// Packets, acknowledgements among them.
+    /// Packets, including acknowledgements.
     pub(crate) packets: f64,
 }
 
@@ -36,100 +36,104 @@
         self.packets += other.packets;
     }
 
-    /// Bytes on Ethernet.
-    pub(crate) fn wire(self) -> f64 {
-        self.bytes + self.packets * HEADERS
+    /// Bytes on Ethernet, with headers.
+    pub(crate) fn wire_bytes(self) -> f64 {
+        self.bytes + self.packets * PACKET_HEADERS
     }
 }
 
-/// Sockets by their two addresses: counters of one that closed are lost, so that each reading keeps
-/// what is open.
+/// Counters of the open sockets by their local and remote addresses. The kernel drops the counters
+/// of closed sockets, so each reading holds only those that are open.
 #[derive(Default)]
 pub(crate) struct Flows {
-    open: BTreeMap<String, (Kind, Flow)>,
+    open: BTreeMap<String, (RemoteKind, Flow)>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum RemoteKind {
     Peers,
     Platform,
     Servers,
 }
 
-/// Flows of all instances, by the other end.
+/// Total traffic of all instances by the kind of the remote process.
 #[derive(Default)]
-pub(crate) struct Sums {
+pub(crate) struct FlowTotals {
     pub(crate) peers: Flow,
     pub(crate) platform: Flow,
     pub(crate) servers: Flow,
 }
 
 impl Flows {
-    /// Reads the counters of all sockets that belong to the instances: both ends between peers, and
-    /// the near end towards platform and servers.
+    /// Reads the counters of all sockets that belong to the instances: both ends of connections
+    /// between peers, and the local end of connections to the platform and servers.
+    ///
+    /// # Errors
+    ///
+    /// Fails when `ss` can't be run.
     pub(crate) fn read(ports: &Ports) -> MeasureResult<Flows> {
         let output = Command::new("ss").arg("-HtniO").output()?;
         let text = String::from_utf8_lossy(&output.stdout);
-        let sockets = text.lines().filter_map(|line| socket(line, ports));
+        let sockets = text.lines().filter_map(|line| parse_socket(line, ports));
         Ok(Flows {
             open: sockets.collect(),
         })
     }
 
-    /// What went through since an earlier reading.
-    pub(crate) fn since(&self, before: &Flows) -> Sums {
-        let mut sums = Sums::default();
+    /// The traffic since an earlier reading.
+    pub(crate) fn since(&self, before: &Flows) -> FlowTotals {
+        let mut totals = FlowTotals::default();
         for (key, (kind, flow)) in &self.open {
-            let past = before.open.get(key).map_or(Flow::default(), |(_, f)| *f);
-            let sum = match kind {
-                Kind::Peers => &mut sums.peers,
-                Kind::Platform => &mut sums.platform,
-                Kind::Servers => &mut sums.servers,
+            let earlier = before.open.get(key).map_or(Flow::default(), |(_, f)| *f);
+            let total = match kind {
+                RemoteKind::Peers => &mut totals.peers,
+                RemoteKind::Platform => &mut totals.platform,
+                RemoteKind::Servers => &mut totals.servers,
             };
-            sum.add(Flow {
-                bytes: flow.bytes - past.bytes,
-                packets: flow.packets - past.packets,
+            total.add(Flow {
+                bytes: flow.bytes - earlier.bytes,
+                packets: flow.packets - earlier.packets,
             });
         }
-        sums
+        totals
     }
 }
 
-fn socket(line: &str, ports: &Ports) -> Option<(String, (Kind, Flow))> {
+fn parse_socket(line: &str, ports: &Ports) -> Option<(String, (RemoteKind, Flow))> {
     let mut fields = line.split_whitespace().skip(3);
     let local = fields.next()?;
     let remote = fields.next()?;
-    let kind = kind(port(local)?, port(remote)?, ports)?;
-    let sent = field(line, "bytes_sent:");
-    let received = field(line, "bytes_received:");
-    let segments = field(line, "segs_out:") + field(line, "segs_in:");
-    // What loopback carried in one large packet is several on Ethernet.
-    let data = field(line, "data_segs_out:") + field(line, "data_segs_in:");
-    let split = ((sent + received) / SEGMENT - data).max(0.0);
+    let kind = classify(parse_port(local)?, parse_port(remote)?, ports)?;
+    let sent = counter(line, "bytes_sent:");
+    let received = counter(line, "bytes_received:");
+    let segments = counter(line, "segs_out:") + counter(line, "segs_in:");
+    // A large loopback packet would be split into several on Ethernet.
+    let data_packets = counter(line, "data_segs_out:") + counter(line, "data_segs_in:");
+    let extra_packets = ((sent + received) / SEGMENT_PAYLOAD - data_packets).max(0.0);
     let flow = Flow {
         bytes: sent + received,
-        packets: segments + split,
+        packets: segments + extra_packets,
     };
     Some((format!("{local} {remote}"), (kind, flow)))
 }
 
-fn kind(local: u16, remote: u16, ports: &Ports) -> Option<Kind> {
+fn classify(local: u16, remote: u16, ports: &Ports) -> Option<RemoteKind> {
     if ports.peers.contains(&local) || ports.peers.contains(&remote) {
-        Some(Kind::Peers)
+        Some(RemoteKind::Peers)
     } else if remote == ports.platform {
-        Some(Kind::Platform)
+        Some(RemoteKind::Platform)
     } else if ports.servers.contains(&remote) {
-        Some(Kind::Servers)
+        Some(RemoteKind::Servers)
     } else {
         None
     }
 }
 
-fn port(address: &str) -> Option<u16> {
+fn parse_port(address: &str) -> Option<u16> {
     address.rsplit_once(':')?.1.parse().ok()
 }
 
-fn field(line: &str, name: &str) -> f64 {
+fn counter(line: &str, name: &str) -> f64 {
     let mut words = line.split_whitespace();
     let value = words.find_map(|word| word.strip_prefix(name));
     value.and_then(|value| value.parse().ok()).unwrap_or(0.0)
--- a/crates/measure/examples/read_cost.rs
+++ b/crates/measure/examples/read_cost.rs
@@ -1,9 +1,9 @@
-//! What each read of the platform and of backend servers weighs, and how long reading it takes, at
-//! several sizes.
+//! Measures the body size and the parsing time of each document that instances read from the
+//! platform and from backend servers, at several sizes.
 //!
 //! `cargo run --release -p crocushold-measure --example read_cost`
 //!
-//! Names and addresses have a usual length; bytes are those of the body alone.
+//! Names and addresses have a typical length; sizes are those of the body without headers.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -15,8 +15,8 @@
 use crocushold_platform::wire::InstanceList;
 use crocushold_platform::wire::LoadReport;
 
-/// Entry instances on the list, with and without backend servers.
-const LISTS: [(usize, usize); 6] = [
+/// Entry instances and backend servers on the instance list.
+const LIST_SIZES: [(usize, usize); 6] = [
     (8, 0),
     (100, 0),
     (400, 0),
@@ -25,52 +25,53 @@
     (400, 5900),
 ];
 
-/// Parts of the index.
-const PARTS: [usize; 3] = [23, 50, 500];
+/// Number of parts in the configuration index.
+const PART_COUNTS: [usize; 3] = [23, 50, 500];
 
-/// Events in an answer of a server.
-const EVENTS: [usize; 3] = [1, 64, 1024];
+/// Number of cache events in a server's response.
+const EVENT_COUNTS: [usize; 3] = [1, 64, 1024];
 
+/// Number of times that each document is parsed.
 const ROUNDS: usize = 15;
 
 fn main() -> MeasureResult<()> {
     println!("| read | size | body, bytes | median time |");
     println!("|---|---|---|---|");
-    for (entries, servers) in LISTS {
-        let text = instance_list(entries, servers);
+    for (entries, servers) in LIST_SIZES {
+        let text = instance_list_json(entries, servers);
         InstanceList::parse(&text)?;
-        let took = median(|| drop(black_box(InstanceList::parse(black_box(&text)))));
-        print(
+        let median = median_time(|| drop(black_box(InstanceList::parse(black_box(&text)))));
+        print_row(
             "instance list",
             &format!("{entries} + {servers}"),
             &text,
-            took,
+            median,
         );
     }
-    for parts in PARTS {
-        let text = index(parts);
+    for parts in PART_COUNTS {
+        let text = index_json(parts);
         ConfigIndex::parse(&text)?;
-        let took = median(|| drop(black_box(ConfigIndex::parse(black_box(&text)))));
-        print("index", &parts.to_string(), &text, took);
+        let median = median_time(|| drop(black_box(ConfigIndex::parse(black_box(&text)))));
+        print_row("index", &parts.to_string(), &text, median);
     }
     let text = r#"{"at-ms":1764697200123,"running":13,"waiting":2,"batch-limit":16,"tokens-per-second":812.5,"kv-free":0.41,"models":["clara-8b","clara-70b"],"role":"both","fence":22012}"#;
     LoadReport::parse(text)?;
-    let took = median(|| drop(black_box(LoadReport::parse(black_box(text)))));
-    print("load report", "1", text, took);
-    for events in EVENTS {
-        let text = cache_events(events);
+    let median = median_time(|| drop(black_box(LoadReport::parse(black_box(text)))));
+    print_row("load report", "1", text, median);
+    for events in EVENT_COUNTS {
+        let text = cache_events_json(events);
         CacheEvents::parse(&text)?;
-        let took = median(|| drop(black_box(CacheEvents::parse(black_box(&text)))));
-        print("cache events", &events.to_string(), &text, took);
+        let median = median_time(|| drop(black_box(CacheEvents::parse(black_box(&text)))));
+        print_row("cache events", &events.to_string(), &text, median);
     }
     Ok(())
 }
 
-fn print(read: &str, size: &str, text: &str, took: Duration) {
-    println!("| {read} | {size} | {} | {took:.1?} |", text.len());
+fn print_row(read: &str, size: &str, text: &str, median: Duration) {
+    println!("| {read} | {size} | {} | {median:.1?} |", text.len());
 }
 
-fn median(run: impl Fn()) -> Duration {
+fn median_time(run: impl Fn()) -> Duration {
     let mut times: Vec<Duration> = (0..ROUNDS)
         .map(|_| {
             let start = Instant::now();
@@ -82,7 +83,7 @@
     times[ROUNDS / 2]
 }
 
-fn instance_list(entries: usize, servers: usize) -> String {
+fn instance_list_json(entries: usize, servers: usize) -> String {
     let entry = |n: usize| {
         let (zone, high, low) = (n % 23, n / 250, n % 250 + 1);
         format!(
@@ -100,7 +101,7 @@
     format!(r#"{{"revision":22012,"instances":[{}]}}"#, all.join(","))
 }
 
-fn index(parts: usize) -> String {
+fn index_json(parts: usize) -> String {
     let part = |n: usize| {
         format!(
             r#"{{"team":"team-{n}","revision":{},"bytes":46545}}"#,
@@ -111,7 +112,7 @@
     format!(r#"{{"revision":22512,"parts":[{}]}}"#, all.join(","))
 }
 
-fn cache_events(count: usize) -> String {
+fn cache_events_json(count: usize) -> String {
     let event = |n: usize| {
         let prefix = (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         format!(
