--- a/crates/measure/src/process.rs
+++ b/crates/measure/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes that a measurement starts.
+//! Child processes of a measurement, and resource use of processes as `/proc` reports it.
 
 use std::fs;
 use std::io::BufRead;
@@ -11,32 +11,31 @@
 use std::process::Command;
 use std::process::Stdio;
 
-use crate::Outcome;
+use crate::MeasureResult;
 
-/// Processor time in `/proc/PID/stat` is counted in hundredths of a second.
+/// Clock ticks per second of the processor times in `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Fields of `/proc/PID/stat` between the program's name and the time in user mode.
-const FIELDS_BEFORE_TIME: usize = 11;
+/// Number of fields of `/proc/PID/stat` between the program name and `utime`.
+const FIELDS_BEFORE_UTIME: usize = 11;
 
-/// Nanoseconds in a second.
-const NANOS: f64 = 1e9;
+const NANOS_PER_SECOND: f64 = 1e9;
 
-/// A running process; ended when dropped.
+/// A child process, killed when dropped.
 pub struct Process {
     child: Child,
     lines: Lines<BufReader<ChildStdout>>,
 }
 
 impl Process {
-    /// Starts a program of the workspace, which stands beside the own one, or a folder above where the
-    /// own one is an example.
+    /// Starts a binary of the workspace from the folder of the running executable, or from its
+    /// parent folder when the executable is an example.
     ///
     /// # Errors
     ///
-    /// When the program isn't there or doesn't start.
-    pub fn start(program: &str, args: &[String]) -> Outcome<Process> {
-        let mut child = Command::new(beside(program)?)
+    /// Fails when the binary is missing or doesn't start.
+    pub fn start(program: &str, args: &[String]) -> MeasureResult<Process> {
+        let mut child = Command::new(program_path(program)?)
             .args(args)
             .stdout(Stdio::piped())
             .stderr(Stdio::inherit())
@@ -49,12 +48,12 @@
         Ok(Process { child, lines })
     }
 
-    /// The address in the next line `NAME=ADDRESS` that the process prints.
+    /// Reads the next line of the process's output, `NAME=ADDRESS`, and returns the address.
     ///
     /// # Errors
     ///
-    /// When the process ended, or printed another line.
-    pub fn address(&mut self, name: &str) -> Outcome<SocketAddr> {
+    /// Fails when the process has ended, or the line has another form.
+    pub fn read_address(&mut self, name: &str) -> MeasureResult<SocketAddr> {
         let line = self.lines.next().ok_or("the process ended early")??;
         let value = line
             .strip_prefix(name)
@@ -63,60 +62,61 @@
         Ok(value.parse()?)
     }
 
-    /// The process's number.
-    pub fn id(&self) -> u32 {
+    /// The process ID.
+    pub fn pid(&self) -> u32 {
         self.child.id()
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Processor seconds that a process has used.
+/// Processor time of a process in seconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Cpu {
-    /// In its own code.
+pub(crate) struct CpuTime {
+    /// Time in user mode.
     pub(crate) user: f64,
-    /// In the kernel.
+    /// Time in the kernel.
     pub(crate) system: f64,
 }
 
-impl Cpu {
-    /// What was used since an earlier reading.
-    pub(crate) fn since(self, earlier: Cpu) -> Cpu {
-        Cpu {
+impl CpuTime {
+    /// The time used since an earlier reading.
+    pub(crate) fn since(self, earlier: CpuTime) -> CpuTime {
+        CpuTime {
             user: self.user - earlier.user,
             system: self.system - earlier.system,
         }
     }
 
-    /// In code and kernel.
+    /// User and kernel time together.
     pub(crate) fn total(self) -> f64 {
         self.user + self.system
     }
 }
 
-/// Processor seconds that a process has used so far.
-pub(crate) fn cpu(id: u32) -> Cpu {
-    let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
+/// Reads a process's processor time from `/proc/PID/stat`; zero when it can't be read.
+pub(crate) fn cpu_time(pid: u32) -> CpuTime {
+    let stat = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let after = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
-    let fields = after.split_whitespace().skip(FIELDS_BEFORE_TIME);
+    let fields = after.split_whitespace().skip(FIELDS_BEFORE_UTIME);
     let mut seconds = fields.map(|field| field.parse::<f64>().unwrap_or(0.0) / TICKS_PER_SECOND);
-    Cpu {
+    CpuTime {
         user: seconds.next().unwrap_or(0.0),
         system: seconds.next().unwrap_or(0.0),
     }
 }
 
-/// Processor seconds of all threads of a process, from `schedstat`: it counts nanoseconds where `stat`
-/// has hundredths of a second, and doesn't tell code from kernel.
-pub fn running_time(id: u32) -> f64 {
-    let Ok(tasks) = fs::read_dir(format!("/proc/{id}/task")) else {
+/// Processor time in seconds of all live threads of a process, from `schedstat`: it counts
+/// nanoseconds, where `stat` counts hundredths of a second, but doesn't separate user from kernel
+/// time.
+pub fn cpu_seconds(pid: u32) -> f64 {
+    let Ok(tasks) = fs::read_dir(format!("/proc/{pid}/task")) else {
         return 0.0;
     };
     let ran = tasks.flatten().map(|task| {
@@ -124,18 +124,18 @@
         let first = text.split(' ').next();
         first.and_then(|nanos| nanos.parse().ok()).unwrap_or(0.0)
     });
-    ran.sum::<f64>() / NANOS
+    ran.sum::<f64>() / NANOS_PER_SECOND
 }
 
-/// Resident memory of a process in MiB.
-pub fn resident(id: u32) -> f64 {
-    let status = fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
+/// Resident memory of a process in MiB; zero when it can't be read.
+pub fn resident_mib(pid: u32) -> f64 {
+    let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = line.and_then(|rest| rest.split_whitespace().next()?.parse::<f64>().ok());
     kib.unwrap_or(0.0) / 1024.0
 }
 
-fn beside(program: &str) -> Outcome<PathBuf> {
+fn program_path(program: &str) -> MeasureResult<PathBuf> {
     let own = std::env::current_exe()?;
     let folder = own.parent().ok_or("no folder of programs")?;
     let is_example = folder.ends_with("examples");
@@ -143,7 +143,7 @@
     Ok(folder.join(program))
 }
 
-/// The machine's load average over one minute.
+/// The machine's one-minute load average; zero when it can't be read.
 pub fn load_average() -> f64 {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     let first = text.split_whitespace().next();
--- a/crates/measure/src/proxy.rs
+++ b/crates/measure/src/proxy.rs
@@ -1,5 +1,5 @@
-//! The baseline: a proxy that sends requests to servers in turn, first come first served, within
-//! the servers' concurrency, and knows neither classes nor latency targets.
+//! The baseline: a round-robin proxy with a FIFO queue and a concurrency limit per server, without
+//! request classes or latency targets.
 
 use std::collections::VecDeque;
 use std::io::Write;
@@ -30,19 +30,20 @@
 use http_types::StatusCode;
 use http_types::Url;
 
-use crate::Outcome;
+use crate::MeasureResult;
 
-/// The status of an answer that nobody reads: the caller closed the connection.
-const CALLER_GONE: StatusCode = StatusCode::RequestTimeout;
+/// Status of the response after the client closed the connection; it reaches nobody.
+const CLIENT_CLOSED: StatusCode = StatusCode::RequestTimeout;
 
-/// The longest wait for the head of an answer, which for whole answers comes with their end.
+/// Timeout for the response head, long because a response that isn't streamed sends its head only
+/// at the end.
 const HEAD_TIMEOUT: Millis = Millis::from_secs(600);
 
-/// The servers' free slots and who waits for one.
+/// Free slots of the servers, and the queue of requests that wait for one.
 struct Slots {
     free: Vec<u32>,
-    turn: usize,
-    waiting: VecDeque<oneshot::Sender<Slot>>,
+    next_server: usize,
+    waiters: VecDeque<oneshot::Sender<Slot>>,
 }
 
 struct Proxy {
@@ -51,18 +52,18 @@
     client: Client,
 }
 
-/// A slot of one server, given back when dropped.
+/// A concurrency slot of one server, released on drop.
 struct Slot {
     proxy: Arc<Proxy>,
     server: usize,
 }
 
-/// Runs the proxy until the process is ended.
+/// Runs the proxy until the process ends. Prints its address as `listening=ADDRESS`.
 ///
 /// # Errors
 ///
-/// Fails when no port can be had.
-pub async fn run(servers: &[SocketAddr], concurrency: u32) -> Outcome<()> {
+/// Fails when the listener can't be bound, or the address can't be printed.
+pub async fn run(servers: &[SocketAddr], concurrency: u32) -> MeasureResult<()> {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = Listener::bind(any, ListenerLimits::default()).await?;
     let mut out = std::io::stdout();
@@ -72,31 +73,31 @@
         servers: servers.to_vec(),
         slots: Mutex::new(Slots {
             free: vec![concurrency; servers.len()],
-            turn: 0,
-            waiting: VecDeque::new(),
+            next_server: 0,
+            waiters: VecDeque::new(),
         }),
         client: Client::new(PoolLimits::default()),
     });
-    let handler = move |request, hangup| answer(proxy.clone(), request, hangup);
+    let handler = move |request, hangup| handle(proxy.clone(), request, hangup);
     listener.run(handler).await;
     Ok(())
 }
 
-async fn answer(proxy: Arc<Proxy>, mut request: Request, hangup: Hangup) -> Response {
+async fn handle(proxy: Arc<Proxy>, mut request: Request, hangup: Hangup) -> Response {
     let body = match read_body(&mut request, &ServerLimits::default()).await {
         Ok(body) => body,
         Err(error) => return Response::new(error.status()),
     };
-    let work = std::pin::pin!(serve(proxy, &request, body));
-    let gone = std::pin::pin!(hangup.wait());
-    match select(work, gone).await {
+    let forwarding = std::pin::pin!(forward(proxy, &request, body));
+    let disconnected = std::pin::pin!(hangup.wait());
+    match select(forwarding, disconnected).await {
         Either::Left((response, _)) => response,
-        Either::Right(_) => Response::new(CALLER_GONE),
+        Either::Right(_) => Response::new(CLIENT_CLOSED),
     }
 }
 
-async fn serve(proxy: Arc<Proxy>, request: &Request, body: Vec<u8>) -> Response {
-    let Ok(slot) = proxy.clone().slot().await else {
+async fn forward(proxy: Arc<Proxy>, request: &Request, body: Vec<u8>) -> Response {
+    let Ok(slot) = proxy.clone().acquire().await else {
         return Response::new(StatusCode::ServiceUnavailable);
     };
     let address = proxy.servers[slot.server];
@@ -121,7 +122,7 @@
     relay_headers(&answer.headers, response.as_mut());
     let content_type = response.content_type();
     response.set_body(answer.body.into_body(slot));
-    // Setting a body sets its own type.
+    // `set_body` overwrites the content type.
     if let Some(content_type) = content_type {
         response.set_content_type(content_type);
     }
@@ -133,40 +134,41 @@
         self.slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for a slot behind those who came earlier.
-    async fn slot(self: Arc<Proxy>) -> Result<Slot, oneshot::Canceled> {
+    /// Waits for a slot in FIFO order.
+    async fn acquire(self: Arc<Proxy>) -> Result<Slot, oneshot::Canceled> {
         let (sender, receiver) = oneshot::channel();
-        self.lock().waiting.push_back(sender);
-        self.hand_out();
+        self.lock().waiters.push_back(sender);
+        self.dispatch();
         receiver.await
     }
 
-    fn hand_out(self: &Arc<Proxy>) {
+    fn dispatch(self: &Arc<Proxy>) {
         loop {
             let mut slots = self.lock();
-            let Some((sender, server)) = slots.next() else {
+            let Some((sender, server)) = slots.next_assignment() else {
                 return;
             };
             drop(slots);
             let proxy = self.clone();
-            // The slot of a caller who left comes back by its drop.
+            // When the receiver is gone, dropping the slot releases it.
             let _ = sender.send(Slot { proxy, server });
         }
     }
 }
 
 impl Slots {
-    /// The first who waits, and the next server in turn with a free slot.
-    fn next(&mut self) -> Option<(oneshot::Sender<Slot>, usize)> {
-        while self.waiting.front().is_some_and(|w| w.is_canceled()) {
-            self.waiting.pop_front();
+    /// Removes the first live waiter from the queue, and takes a slot of the next server in
+    /// round-robin order that has a free one.
+    fn next_assignment(&mut self) -> Option<(oneshot::Sender<Slot>, usize)> {
+        while self.waiters.front().is_some_and(|w| w.is_canceled()) {
+            self.waiters.pop_front();
         }
         let count = self.free.len();
-        let mut order = (0..count).map(|step| (self.turn + step) % count);
+        let mut order = (0..count).map(|step| (self.next_server + step) % count);
         let server = order.find(|&server| self.free[server] > 0)?;
-        let sender = self.waiting.pop_front()?;
+        let sender = self.waiters.pop_front()?;
         self.free[server] -= 1;
-        self.turn = (server + 1) % count;
+        self.next_server = (server + 1) % count;
         Some((sender, server))
     }
 }
@@ -174,7 +176,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         self.proxy.lock().free[self.server] += 1;
-        self.proxy.hand_out();
+        self.proxy.dispatch();
     }
 }
 
--- a/crates/measure/src/relay.rs
+++ b/crates/measure/src/relay.rs
@@ -1,7 +1,7 @@
-//! What an entry instance adds to a request.
+//! Measures the latency and processor time that an entry instance adds to a request.
 //!
-//! Streams go through one instance at a given rate while others go directly to the same engines,
-//! so that both see the same engines and the same machine at the same time.
+//! Streams go through one instance at a given rate while others go directly to the same engines, so
+//! that both run against the same engines on the same machine at the same time.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -15,25 +15,26 @@
 use crocushold_standins::load::Ending;
 use futures::future::join;
 
-use crate::Outcome;
+use crate::MeasureResult;
 use crate::arrivals;
 use crate::drive;
-use crate::drive::Entries;
-use crate::drive::Sent;
+use crate::drive::Endpoints;
+use crate::drive::RequestRecord;
 use crate::fleet::Fleet;
 use crate::fleet::System;
 use crate::page;
 use crate::point::Timing;
 use crate::process;
-use crate::process::Cpu;
-use crate::shape;
-use crate::shape::Shape;
+use crate::process::CpuTime;
+use crate::scenario;
+use crate::scenario::Scenario;
 use crate::summary;
 
-/// Streams sent directly to the engines in a second.
+/// Streams per second sent directly to the engines.
 const DIRECT_RATE: f64 = 37.0;
 
-/// Rates through the instance, and lengths of the answers. The last one stands for requests alone.
+/// Loads through the instance. The last has one token per response, so it shows the cost per
+/// request without further token events.
 const LOADS: [Load; 3] = [
     Load {
         rate: 37.0,
@@ -50,19 +51,20 @@
 ];
 
 const TIMING: Timing = Timing {
-    warm: 3.0,
-    fault: 0.0,
-    mended: 0.0,
-    tail: 1.0,
+    window_start: 3.0,
+    fault_start: 0.0,
+    fault_end: 0.0,
+    judging_margin: 1.0,
     end: 12.0,
 };
 
 const SEED: u64 = 7;
 
-/// How often the loads are run, since the machine is shared.
+/// Number of runs of each load; repeated because the machine is shared.
 const ROUNDS: usize = 2;
 
-/// Time of an engine's step, and so between two tokens of a stream, in milliseconds.
+/// Duration of an engine's batch step in milliseconds, and so the gap between two tokens of a
+/// stream.
 const STEP_MS: f64 = 4.0;
 
 #[derive(Clone, Copy, PartialEq)]
@@ -71,49 +73,49 @@
     tokens: u32,
 }
 
-/// What was seen at one load.
-struct Seen {
+/// Results of one load.
+struct LoadResult {
     load: Load,
-    relayed: Side,
-    direct: Side,
-    /// Requests through the instance that began inside the window, in a second.
+    relayed: LatencyStats,
+    direct: LatencyStats,
+    /// Requests per second through the instance that were due inside the window.
     requests: f64,
-    /// Token events through the instance in a second.
+    /// Token events per second through the instance.
     events: f64,
-    /// Processor seconds of the instance in a second.
+    /// Processor seconds per second of the instance.
     cores: f64,
-    /// The kernel's part of them.
-    system: f64,
+    /// The share of the processor time spent in the kernel.
+    kernel_share: f64,
     /// Resident memory of the instance at the end, in MiB.
-    resident: f64,
-    /// Resident memory before the first request.
-    resident_idle: f64,
-    machine: f64,
+    resident_mib: f64,
+    /// Resident memory of the instance before the first request, in MiB.
+    idle_resident_mib: f64,
+    load_average: f64,
 }
 
-/// Times to the first token in milliseconds.
-struct Side {
+/// Statistics of the time to the first token, in milliseconds.
+struct LatencyStats {
     count: usize,
     median: f64,
     p99: f64,
-    /// Requests that ended otherwise than whole.
+    /// Requests that neither completed nor still ran at the end.
     failed: usize,
 }
 
-/// Runs the measurement and writes its page.
+/// Runs the measurement and writes its report to `out`.
 ///
 /// # Errors
 ///
-/// Fails when a process can't be started, or the page can't be written.
-pub async fn run(out: &Path) -> Outcome<()> {
+/// Fails when a process can't be started, or the report can't be written.
+pub async fn run(out: &Path) -> MeasureResult<()> {
     let folder = std::env::temp_dir().join(format!("crocushold-relay-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
-    let shape = Arc::new(shape::streams());
+    let scenario = Arc::new(scenario::relay_streams());
     let mut all = Vec::new();
     for load in LOADS.into_iter().cycle().take(LOADS.len() * ROUNDS) {
-        let seen = run_load(&shape, load, &folder).await?;
-        println!("{}", row(&seen));
-        all.push(seen);
+        let result = run_load(&scenario, load, &folder).await?;
+        println!("{}", row(&result));
+        all.push(result);
     }
     std::fs::remove_dir_all(&folder)?;
     let page = render(&all);
@@ -123,11 +125,11 @@
     Ok(())
 }
 
-/// Engines fast enough that the instance is what is measured.
-fn engine_settings(shape: &Shape) -> EngineSettings {
+/// Settings of engines fast enough that the instance is the bottleneck.
+fn engine_settings(scenario: &Scenario) -> EngineSettings {
     EngineSettings {
         batch: BatchSettings {
-            batch_limit: shape.concurrency,
+            batch_limit: scenario.concurrency,
             base_ms: STEP_MS,
             sequence_ms: 0.0,
             prefill_rate: 10_000_000.0,
@@ -138,64 +140,91 @@
     }
 }
 
-async fn run_load(shape: &Arc<Shape>, load: Load, folder: &Path) -> Outcome<Seen> {
-    let fleet = Fleet::start(System::Crocushold, shape, &engine_settings(shape), folder).await?;
-    let id = fleet.instances[0].id();
-    let resident_idle = process::resident(id);
-    let direct = Entries {
+async fn run_load(
+    scenario: &Arc<Scenario>,
+    load: Load,
+    folder: &Path,
+) -> MeasureResult<LoadResult> {
+    let fleet = Fleet::start(
+        System::Crocushold,
+        scenario,
+        &engine_settings(scenario),
+        folder,
+    )
+    .await?;
+    let pid = fleet.instances[0].pid();
+    let idle_resident_mib = process::resident_mib(pid);
+    let direct = Endpoints {
         model: fleet.backends.engines.clone(),
         plain: Vec::new(),
     };
     let start = Instant::now();
-    let relayed_plan = arrivals::steady(load.rate, load.tokens, TIMING.end, SEED);
-    let direct_plan = arrivals::steady(DIRECT_RATE, load.tokens, TIMING.end, SEED + 1);
-    let cpu = task::spawn(cpu_used(id, start));
+    let relayed_arrivals =
+        arrivals::constant_rate_arrivals(load.rate, load.tokens, TIMING.end, SEED);
+    let direct_arrivals =
+        arrivals::constant_rate_arrivals(DIRECT_RATE, load.tokens, TIMING.end, SEED + 1);
+    let cpu = task::spawn(cpu_used(pid, start));
     let (relayed, direct) = join(
-        drive::drive(shape, &relayed_plan, &fleet.entries, start, TIMING.end),
-        drive::drive(shape, &direct_plan, &direct, start, TIMING.end),
+        drive::send_all(
+            scenario,
+            &relayed_arrivals,
+            &fleet.endpoints,
+            start,
+            TIMING.end,
+        ),
+        drive::send_all(scenario, &direct_arrivals, &direct, start, TIMING.end),
     )
     .await;
-    let span = TIMING.end - TIMING.warm;
-    let (used, resident) = cpu.await;
-    let class = &shape.classes[0];
+    let span = TIMING.end - TIMING.window_start;
+    let (used, resident_mib) = cpu.await;
+    let class = &scenario.classes[0];
     let events: f64 = relayed
         .iter()
-        .map(|sent| summary::useful_tokens(sent, class, &TIMING))
+        .map(|request| summary::useful_tokens(request, class, &TIMING))
         .sum();
-    let begun = relayed.iter().filter(|sent| sent.due >= TIMING.warm);
-    Ok(Seen {
+    let started = relayed
+        .iter()
+        .filter(|request| request.due >= TIMING.window_start);
+    Ok(LoadResult {
         load,
-        requests: begun.count() as f64 / span,
-        relayed: side(&relayed),
-        direct: side(&direct),
+        requests: started.count() as f64 / span,
+        relayed: latency_stats(&relayed),
+        direct: latency_stats(&direct),
         events: events / span,
         cores: used.total() / span,
-        system: used.system / used.total().max(f64::MIN_POSITIVE),
-        resident,
-        resident_idle,
-        machine: process::load_average(),
+        kernel_share: used.system / used.total().max(f64::MIN_POSITIVE),
+        resident_mib,
+        idle_resident_mib,
+        load_average: process::load_average(),
     })
 }
 
-/// Processor seconds of a process in the window, and its resident memory at the end.
-async fn cpu_used(id: u32, start: Instant) -> (Cpu, f64) {
+/// Processor time of a process in the window, and its resident memory in MiB at the end.
+async fn cpu_used(pid: u32, start: Instant) -> (CpuTime, f64) {
     let at = |seconds| start + Duration::from_secs_f64(seconds);
-    task::sleep(at(TIMING.warm).saturating_duration_since(Instant::now())).await;
-    let before = process::cpu(id);
+    task::sleep(at(TIMING.window_start).saturating_duration_since(Instant::now())).await;
+    let before = process::cpu_time(pid);
     task::sleep(at(TIMING.end).saturating_duration_since(Instant::now())).await;
-    let used = process::cpu(id).since(before);
-    (used, process::resident(id))
+    let used = process::cpu_time(pid).since(before);
+    (used, process::resident_mib(pid))
 }
 
-fn side(all: &[Sent]) -> Side {
-    let judged = |sent: &&Sent| sent.due >= TIMING.warm && sent.due < TIMING.end - TIMING.tail;
-    let whole = |sent: &&Sent| matches!(sent.ending, Ending::Complete | Ending::GaveUp);
-    let judged: Vec<&Sent> = all.iter().filter(judged).collect();
+fn latency_stats(all: &[RequestRecord]) -> LatencyStats {
+    let judged = |request: &&RequestRecord| {
+        request.due >= TIMING.window_start && request.due < TIMING.end - TIMING.judging_margin
+    };
+    let whole =
+        |request: &&RequestRecord| matches!(request.ending, Ending::Complete | Ending::GaveUp);
+    let judged: Vec<&RequestRecord> = all.iter().filter(judged).collect();
     let firsts: Vec<f64> = judged
         .iter()
-        .filter_map(|sent| sent.first.map(|first| (first - sent.late) * 1000.0))
+        .filter_map(|request| {
+            request
+                .first_token
+                .map(|first| (first - request.send_delay) * 1000.0)
+        })
         .collect();
-    Side {
+    LatencyStats {
         count: firsts.len(),
         median: summary::quantile(firsts.iter().copied(), 0.5),
         p99: summary::quantile(firsts.iter().copied(), 0.99),
@@ -203,20 +232,20 @@
     }
 }
 
-fn render(all: &[Seen]) -> String {
+fn render(all: &[LoadResult]) -> String {
     let mut out = String::new();
     write_page(&mut out, all).expect("writing to a string never fails");
     out
 }
 
-fn write_page(out: &mut String, all: &[Seen]) -> std::fmt::Result {
+fn write_page(out: &mut String, all: &[LoadResult]) -> std::fmt::Result {
     writeln!(out, "# What an entry instance adds to a request\n")?;
     writeln!(out, "```text\ncargo build --release --bins --workspace")?;
     writeln!(
         out,
         "cargo run --release -p crocushold-measure -- relay\n```\n"
     )?;
-    writeln!(out, "{}\n", page::machine())?;
+    writeln!(out, "{}\n", page::environment())?;
     writeln!(
         out,
         "Streams go through one instance (`crocushold serve`, one process) to four stand-in engines \
@@ -235,23 +264,23 @@
         out,
         "| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |"
     )?;
-    for seen in all {
-        writeln!(out, "{}", row(seen))?;
+    for result in all {
+        writeln!(out, "{}", row(result))?;
     }
     writeln!(out)?;
-    write_split(out, all)
+    write_cost_split(out, all)
 }
 
-fn row(seen: &Seen) -> String {
-    let Seen {
+fn row(result: &LoadResult) -> String {
+    let LoadResult {
         relayed, direct, ..
-    } = seen;
+    } = result;
     format!(
         "| {:.0} | {} | {:.0} | {:.2} / {:.2} (n={}) | {:.2} / {:.2} (n={}) | {:.2} / {:.2} | {:.2} ({:.0} %) \
          | {:.0} | {:.1} | {:.0} / {:.0} | {} / {} | {:.0} |",
-        seen.requests,
-        seen.load.tokens,
-        seen.events,
+        result.requests,
+        result.load.tokens,
+        result.events,
         relayed.median,
         relayed.p99,
         relayed.count,
@@ -260,29 +289,30 @@
         direct.count,
         relayed.median - direct.median,
         relayed.p99 - direct.p99,
-        seen.cores,
-        seen.system * 100.0,
-        seen.cores * 1e6 / seen.requests.max(1.0),
-        seen.cores * 1e6 / seen.events.max(1.0),
-        seen.resident_idle,
-        seen.resident,
+        result.cores,
+        result.kernel_share * 100.0,
+        result.cores * 1e6 / result.requests.max(1.0),
+        result.cores * 1e6 / result.events.max(1.0),
+        result.idle_resident_mib,
+        result.resident_mib,
         relayed.failed,
         direct.failed,
-        seen.machine,
+        result.load_average,
     )
 }
 
-/// Splits the processor time between requests and token events.
-fn write_split(out: &mut String, all: &[Seen]) -> std::fmt::Result {
+/// Writes the processor time per request and per token event, separated by comparing the two loads
+/// that differ in response length alone.
+fn write_cost_split(out: &mut String, all: &[LoadResult]) -> std::fmt::Result {
     let [_, long, short] = LOADS;
-    let sum = |load: Load, value: fn(&Seen) -> f64| -> f64 {
-        let same = |seen: &&Seen| seen.load == load;
+    let sum = |load: Load, value: fn(&LoadResult) -> f64| -> f64 {
+        let same = |result: &&LoadResult| result.load == load;
         all.iter().filter(same).map(value).sum()
     };
-    let per_request = sum(short, |seen| seen.cores) / sum(short, |seen| seen.requests);
-    let requests = sum(long, |seen| seen.requests);
-    let further = sum(long, |seen| seen.events) - requests;
-    let per_event = (sum(long, |seen| seen.cores) - per_request * requests) / further;
+    let per_request = sum(short, |result| result.cores) / sum(short, |result| result.requests);
+    let requests = sum(long, |result| result.requests);
+    let further = sum(long, |result| result.events) - requests;
+    let per_event = (sum(long, |result| result.cores) - per_request * requests) / further;
     writeln!(
         out,
         "From the loads with 1 and with {} tokens: {:.0} µs of processor time for each request with \
