--- a/crates/gateway/src/fleet/service.rs
+++ b/crates/gateway/src/fleet/service.rs
@@ -34,7 +34,7 @@
 
 /// Failures after which a server is ejected. An idle server is probed again soon, so a false
 /// ejection costs little.
-const STRIKES: u32 = 2;
+const MAX_FAILURES: u32 = 2;
 
 /// Duration of the first ejection: about the time a server takes to restart.
 const EJECT_BASE: Millis = Millis(1000);
@@ -102,7 +102,7 @@
         self.router
             .set_transfer_rate(spec.and_then(|spec| spec.transfer_rate));
         self.router
-            .set_engine_capacity(spec.and_then(|spec| spec.room));
+            .set_engine_capacity(spec.and_then(|spec| spec.capacity));
     }
 
     /// Sets how its servers start.
@@ -203,7 +203,7 @@
     routing::Settings {
         cache_hints: MAX_PREFIXES,
         health: HealthSettings {
-            max_failures: STRIKES,
+            max_failures: MAX_FAILURES,
             eject_base: EJECT_BASE,
             eject_max: EJECT_MAX,
             refused_max: EJECT_MAX,
--- a/crates/gateway/src/routes.rs
+++ b/crates/gateway/src/routes.rs
@@ -149,7 +149,7 @@
     /// millisecond; `None` if it can't.
     pub transfer_rate: Option<f64>,
     /// Capacity of an engine; `None` if it isn't published.
-    pub room: Option<EngineCapacity>,
+    pub capacity: Option<EngineCapacity>,
 }
 
 /// A service whose servers start slowly.
--- a/crates/gateway/tests/placing.rs
+++ b/crates/gateway/tests/placing.rs
@@ -111,7 +111,7 @@
     let spec = EngineSpec {
         service: "svc".to_owned(),
         transfer_rate: Some(TRANSFER as f64),
-        room: None,
+        capacity: None,
     };
     for fleet in &mut simulation.fleets {
         fleet.set_engines(std::slice::from_ref(&spec));
