--- a/crates/entry/src/coordination/members.rs
+++ b/crates/entry/src/coordination/members.rs
@@ -8,11 +8,11 @@
 use crocushold_ownership::View;
 use crocushold_peers::Status;
 
-/// All members that are not known to have terminated.
+/// All members that are not known to have ended.
 ///
 /// An instance that merely can't be reached remains a member: if both sides of a partition removed
 /// the other, each would form its own groups and grant the same key. An instance is known to have
-/// terminated if it left gracefully, if a later incarnation of it was seen, or if it seems dead
+/// ended if it left gracefully, if a later incarnation of it was seen, or if it seems dead
 /// *and* the platform's list no longer contains it.
 #[derive(Debug)]
 pub(crate) struct Members {
@@ -38,13 +38,13 @@
 
     /// Updates the members from the peer node's view.
     pub(crate) fn on_view(&mut self, view: &crocushold_peers::View) -> View {
-        for incarnation in view.members.iter() {
+        for state in view.members.iter() {
             let known = KnownMember {
-                start: incarnation.start,
-                status: incarnation.status,
+                start: state.start,
+                status: state.status,
             };
             self.known
-                .insert(InstanceId::from_name(incarnation.id.as_str()), known);
+                .insert(InstanceId::from_name(state.id.as_str()), known);
         }
         self.reference()
     }
--- a/crates/entry/src/coordination/mod.rs
+++ b/crates/entry/src/coordination/mod.rs
@@ -1,5 +1,5 @@
 //! Coordination with the peers: votes on idempotency keys and own claims, account limits, orders to
-//! engines, and requests under which servers terminate.
+//! engines, and requests under which servers end.
 //!
 //! `crocushold-ownership` makes the decisions. This module keeps their state behind a lock, sends
 //! and receives their messages, and passes in the membership.
@@ -133,7 +133,7 @@
         &self.orders
     }
 
-    /// The requests under which servers terminated.
+    /// The requests under which servers ended.
     pub(crate) fn suspects(&self) -> &Arc<Suspects> {
         &self.suspects
     }
--- a/crates/entry/src/coordination/orders/planner.rs
+++ b/crates/entry/src/coordination/orders/planner.rs
@@ -64,7 +64,7 @@
     desired: Vec<DesiredModel>,
     names: BTreeMap<ModelId, String>,
     /// Engines that were reported to have a newer revision than this instance, with their fencing
-    /// numbers.
+    /// tokens.
     engines_ahead: BTreeMap<EngineId, u64>,
 }
 
@@ -142,7 +142,7 @@
     }
 
     /// Updates the live view, confirmed as of now, and the members that are not known to have
-    /// terminated.
+    /// ended.
     pub(super) fn on_view(&mut self, live: &View, reference: &View, now: Millis) {
         self.loads.on_view(live, reference, now);
         let Some(owner) = live.owner(self.service_hash) else {
@@ -371,8 +371,8 @@
     ///
     /// The targets that [`Orders::may_send`] knows follow a new configuration only at the next
     /// tick. Within that second an order of the replaced configuration could be sent, and an engine
-    /// that ignores fencing numbers would load or unload a model that is no longer wanted there.
-    /// The fencing number of an order is the revision of its configuration.
+    /// that ignores fencing tokens would load or unload a model that is no longer wanted there. The
+    /// fencing token of an order is the revision of its configuration.
     pub(super) fn may_send(&mut self, order: &Order, now: Millis) -> bool {
         order.fence == self.revision && self.orders.may_send(order, now)
     }
--- a/crates/entry/src/coordination/orders/shell.rs
+++ b/crates/entry/src/coordination/orders/shell.rs
@@ -121,7 +121,7 @@
     }
 
     /// Updates the members that are certainly live, confirmed as of now, and those not known to
-    /// have terminated.
+    /// have ended.
     pub(crate) fn on_view(&self, live: &View, reference: &View) {
         let now = self.clock.now();
         for planner in self.planners().values_mut() {
@@ -164,8 +164,7 @@
     async fn deliver(&self, service: ServiceKey, outbound: &OutboundOrder) {
         reach(Point::Ordering).await;
         // The process may have been suspended after the order was decided, long enough for another
-        // instance to become the owner. An engine that ignores fencing numbers would obey the
-        // order.
+        // instance to become the owner. An engine that ignores fencing tokens would obey the order.
         if !self.may_send(service, outbound) {
             self.record_answer(service, outbound, OrderAnswer::Failed);
             info!("{}", event("order-dropped", outbound));
--- a/crates/entry/src/coordination/orders/tests.rs
+++ b/crates/entry/src/coordination/orders/tests.rs
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Restarts with engines that check fencing numbers or ignore them.
+    /// Restarts with engines that check fencing tokens or ignore them.
     fn checks(&mut self, checks: bool) {
         let catalog = catalog(1, self.keys.len(), checks);
         let service = &catalog.services[catalog.service("team/fleet").unwrap()];
@@ -368,7 +368,7 @@
 
 /// A load is decided, and before it is sent a configuration without its model becomes active. The
 /// targets follow the configuration at the next tick; until then an engine that ignores fencing
-/// numbers would load a model that nobody uses.
+/// tokens would load a model that nobody uses.
 #[test]
 fn an_order_of_a_replaced_configuration_may_not_be_sent() {
     let mut fixture = Fixture::new(2, vec![report(&[], 0); 2]);
--- a/crates/entry/src/coordination/suspects.rs
+++ b/crates/entry/src/coordination/suspects.rs
@@ -1,5 +1,4 @@
-//! Requests under which backend servers terminated: the evidence, and its exchange between
-//! instances.
+//! Requests under which backend servers ended: the evidence, and its exchange between instances.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -42,7 +41,7 @@
 /// Timeout of a message. Its contents are also sent by other instances.
 const GOSSIP_TIMEOUT: Millis = Millis(500);
 
-/// What this instance knows of requests under which servers terminated.
+/// What this instance knows of requests under which servers ended.
 #[derive(Debug)]
 pub(crate) struct Suspects {
     clock: Clock,
@@ -54,9 +53,9 @@
 #[derive(Debug, Default)]
 struct State {
     quarantine: Quarantine,
-    /// How often the process at an address was found to have terminated. Servers are identified by
+    /// How often the process at an address was found to have ended. Servers are identified by
     /// address alone here.
-    terminations: HashMap<SocketAddr, u64>,
+    ends: HashMap<SocketAddr, u64>,
 }
 
 impl Suspects {
@@ -77,8 +76,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a refusal if servers terminated under it: each attempt would terminate another one,
-    /// with all requests that run there.
+    /// Returns a refusal if servers ended under it: each attempt would end another one, with all
+    /// requests that run there.
     pub(crate) fn admit(&self, content: Fingerprint) -> Result<(), Refusal> {
         let admitted = self.state().quarantine.admit(content, self.clock.now());
         admitted.map_err(|held| {
@@ -88,7 +87,7 @@
     }
 
     /// Handles a run, sent to the server at `address` at the time `sent`, whose connection the
-    /// server broke. A connection reset looks the same as a terminated process, so the server is
+    /// server broke. A connection reset looks the same as a process that ended, so the server is
     /// checked.
     pub(crate) fn on_cut(
         self: &Arc<Self>,
@@ -137,7 +136,7 @@
         }
         let now = self.clock.now();
         let mut state = self.state();
-        *state.terminations.entry(address).or_default() += 1;
+        *state.ends.entry(address).or_default() += 1;
         let suspects = state.quarantine.server_ended(server, now);
         let event = Event::new("server-ended")
             .with("server", address)
@@ -147,15 +146,11 @@
     }
 
     /// The incarnation of the process at an address, as counted by this instance. Other instances
-    /// count differently; the runs that they saw broken by the same termination overlap with these,
-    /// and count once.
+    /// count differently; the runs that they saw broken by the same end of a process overlap with
+    /// these, and count once.
     fn incarnation(&self, state: &State, address: SocketAddr) -> Incarnation {
-        let terminations = state
-            .terminations
-            .get(&address)
-            .copied()
-            .unwrap_or_default();
-        let text = format!("{address} {terminations} {}", self.me.incarnation);
+        let ends = state.ends.get(&address).copied().unwrap_or_default();
+        let text = format!("{address} {ends} {}", self.me.incarnation);
         Incarnation(XxHash3_64::oneshot_with_seed(self.me.id.0, text.as_bytes()))
     }
 
@@ -185,8 +180,8 @@
 }
 
 impl Coordinator {
-    /// Sends suspicions about requests under which servers terminated to other instances, as long
-    /// as the process runs.
+    /// Sends suspicions about requests under which servers ended to other instances, as long as the
+    /// process runs.
     pub(crate) async fn run_suspects(self: Arc<Self>) {
         for round in 0usize.. {
             task::sleep(GOSSIP_PERIOD.into()).await;
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -365,8 +365,8 @@
             guard.pick = None;
             return AttemptResult::DeadlinePassed;
         }
-        // While the request was queued, servers may have terminated under other requests with the
-        // same content.
+        // While the request was queued, servers may have ended under other requests with the same
+        // content.
         if let Err(refusal) = self.coordinator.suspects().admit(self.job.content) {
             return AttemptResult::Quarantined(refusal);
         }
@@ -482,7 +482,7 @@
     CallerGone,
     /// The caller's deadline passed before a connection was opened.
     DeadlinePassed,
-    /// Not sent, because servers terminated under requests with the same content.
+    /// Not sent, because servers ended under requests with the same content.
     Quarantined(Refusal),
 }
 
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -27,8 +27,8 @@
 use crate::active_config::ActiveConfig;
 use crate::shared::Shared;
 
-/// Timeout for the state of the peer node. Without it, the page is still useful.
-const STANDING_TIMEOUT: Millis = Millis::from_secs(1);
+/// Timeout for the sync status of the peer node. Without it, the page is still useful.
+const SYNC_STATUS_TIMEOUT: Millis = Millis::from_secs(1);
 
 /// Handles a request on the operator's address.
 pub(crate) async fn handle(shared: &Arc<Shared>, request: &Request) -> Response {
@@ -80,22 +80,22 @@
 
 async fn metrics(shared: &Shared) -> Response {
     // Without a reply, the metric keeps its last value.
-    if let Some(standing) = standing(shared).await {
-        shared.metrics.set_confirmed_age(standing.confirmed_age);
+    if let Some(sync_status) = sync_status(shared).await {
+        shared.metrics.set_confirmed_age(sync_status.confirmed_age);
     }
     text(StatusCode::Ok, shared.metrics.render(shared.clock.now()))
 }
 
-/// State of the peer node; `None` if it doesn't reply in time.
-async fn standing(shared: &Shared) -> Option<SyncStatus> {
+/// Sync status of the peer node; `None` if it doesn't reply in time.
+async fn sync_status(shared: &Shared) -> Option<SyncStatus> {
     let peers = shared.peers()?;
-    let reply = timeout(STANDING_TIMEOUT.into(), peers.sync_status()).await;
+    let reply = timeout(SYNC_STATUS_TIMEOUT.into(), peers.sync_status()).await;
     reply.ok().flatten()
 }
 
 async fn status_json(shared: &Shared) -> Response {
-    let standing = standing(shared).await.unwrap_or_default();
-    let status = status(shared, standing);
+    let sync_status = sync_status(shared).await.unwrap_or_default();
+    let status = status(shared, sync_status);
     match serde_json::to_string_pretty(&status) {
         Ok(body) => {
             let mut response = text(StatusCode::Ok, body);
@@ -106,7 +106,7 @@
     }
 }
 
-fn status(shared: &Shared, standing: SyncStatus) -> Status {
+fn status(shared: &Shared, sync_status: SyncStatus) -> Status {
     let config = shared.config();
     Status {
         instance: shared.settings.id.clone(),
@@ -114,15 +114,15 @@
         version: env!("CARGO_PKG_VERSION").to_owned(),
         state: shared.state(),
         uptime_ms: shared.clock.now().0,
-        config: config_status(shared, &config, &standing),
-        peers: standing.peers.into_iter().map(peer_status).collect(),
+        config: config_status(shared, &config, &sync_status),
+        peers: sync_status.peers.into_iter().map(peer_status).collect(),
         classes: class_statuses(shared, &config),
         servers: server_statuses(&config),
         limits: limit_statuses(shared),
     }
 }
 
-fn config_status(shared: &Shared, config: &ActiveConfig, standing: &SyncStatus) -> ConfigStatus {
+fn config_status(shared: &Shared, config: &ActiveConfig, sync_status: &SyncStatus) -> ConfigStatus {
     let parts = shared.parts().into_iter().map(|part| PartStatus {
         team: part.team,
         revision: part.active,
@@ -131,8 +131,8 @@
     });
     ConfigStatus {
         revision: config.revision,
-        newest_revision: standing.newest_revision.max(config.revision),
-        confirmed_ms: standing.confirmed_age.map(|age| age.0),
+        newest_revision: sync_status.newest_revision.max(config.revision),
+        confirmed_ms: sync_status.confirmed_age.map(|age| age.0),
         parts: parts.collect(),
     }
 }
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -43,7 +43,7 @@
     NoServer,
     /// The backend server failed before it responded.
     ServerFailed,
-    /// Servers terminated while they ran requests with this content.
+    /// Servers ended while they ran requests with this content.
     Quarantined,
     /// The idempotency key is in use by another request, or the outcome of its request is unknown.
     KeyConflict,
