--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -78,8 +78,8 @@
     expected_wait: Millis,
     /// Engine from which the server chosen last was to fetch the shared prefix.
     source: Option<SocketAddr>,
-    /// Number of prompt tokens that the server chosen last was expected to read.
-    expected_read: u32,
+    /// Number of prompt tokens that the server chosen last was expected to prefill.
+    expected_prefill: u32,
     /// The other instance that made the last choice, if any.
     placer: Option<SocketAddr>,
     tried: Vec<ServerKey>,
@@ -138,7 +138,7 @@
             sent: 0,
             expected_wait: Millis::ZERO,
             source: None,
-            expected_read: 0,
+            expected_prefill: 0,
             placer: None,
             tried: Vec::new(),
         }
@@ -191,7 +191,7 @@
         let choice = picked.map_err(|none| Failure::Refused(self.no_server(&none)))?;
         self.expected_wait = choice.wait;
         self.source = choice.source;
-        self.expected_read = choice.read;
+        self.expected_prefill = choice.read;
         self.placer = choice.placement_id.map(|placement_id| placement_id.placer);
         Ok(choice)
     }
@@ -517,7 +517,7 @@
             source: self.source,
             expected_wait: self.expected_wait,
             wait_limit: self.job.need.wait_limit,
-            expected_read: self.expected_read,
+            expected_prefill: self.expected_prefill,
             placer: self.placer,
         }
     }
--- a/crates/gateway/src/fleet/announcements.rs
+++ b/crates/gateway/src/fleet/announcements.rs
@@ -12,8 +12,8 @@
 /// number of requests and instances.
 const REANNOUNCE_INTERVAL: Millis = Millis::from_secs(5);
 
-/// Shortest prefix to announce, in tokens. Reading 1,000 tokens takes 20 ms, which is less than a
-/// wrong placement costs.
+/// Shortest prefix to announce, in tokens. Prefilling 1,000 tokens takes 20 ms, which is less than
+/// a wrong placement costs.
 const MIN_SHARED_TOKENS: u32 = 1000;
 
 /// Maximum number of cached prefixes whose last announcement is remembered.
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -107,7 +107,7 @@
     pub wait: Millis,
     /// Identifies the placement at the placer if that chose the server, for later updates.
     pub placement_id: Option<PlacementId>,
-    /// Number of prompt tokens that the server is expected to read; zero if unknown.
+    /// Number of prompt tokens that the server is expected to prefill; zero if unknown.
     pub read: u32,
     /// Hashes by which other instances identify the server and the source.
     hash: u32,
@@ -124,7 +124,7 @@
     pub service: Arc<str>,
     /// Number of engines by lane.
     pub engines: [usize; LANES],
-    /// Tokens that an engine reads per millisecond.
+    /// Prefill rate of an engine, in tokens per millisecond.
     pub speed: f64,
     /// Recent statistics of the fleet.
     pub stats: LaneStats,
@@ -389,11 +389,11 @@
     pub fn local_load(&mut self, now: Millis) -> Load {
         let mut load = Load::default();
         for service in self.services.values_mut() {
-            for (key, read_ms) in service.router.pending_prefill() {
+            for (key, prefill_ms) in service.router.pending_prefill() {
                 if let Some(server) = self.servers.get(key) {
                     load.queues.push(EngineQueue {
                         engine: server.hash,
-                        read_ms: read_ms as u32,
+                        read_ms: prefill_ms as u32,
                     });
                 }
             }
@@ -413,8 +413,8 @@
                 continue;
             }
             if let Some(service) = self.services.get_mut(&server.record.service) {
-                let read_ms = others.queue_at(server.hash);
-                service.router.set_remote_pending(key, read_ms);
+                let prefill_ms = others.queue_at(server.hash);
+                service.router.set_remote_pending(key, prefill_ms);
             }
         }
         for service in self.services.values_mut() {
--- a/crates/gateway/src/fleet/need.rs
+++ b/crates/gateway/src/fleet/need.rs
@@ -6,15 +6,15 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Minimum prompt length of a heavy request, in tokens. Reading such a prompt takes most of the
-/// pause that a live stream tolerates.
+/// Minimum prompt length of a heavy request, in tokens. The prefill of such a prompt takes most of
+/// the pause that a live stream tolerates.
 const HEAVY_PROMPT_TOKENS: u32 = 4096;
 
 /// Duration of a decoding step, in which each running request generates a token, in milliseconds.
 const STEP_MS: f64 = 8.0;
 
-/// Part of the shared tokens that is read again because cached prefixes were evicted.
-const REREAD_RATIO: f64 = 0.2;
+/// Part of the shared tokens that is prefilled again because cached prefixes were evicted.
+const REPEATED_PREFILL_RATIO: f64 = 0.2;
 
 /// The requirements of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -62,12 +62,13 @@
         }
     }
 
-    /// Engine time that the request takes, in milliseconds, if the engine reads `speed` tokens per
-    /// millisecond and decodes `slots` requests in a step.
+    /// Engine time that the request takes, in milliseconds, if the engine prefills `speed` tokens
+    /// per millisecond and decodes `slots` requests in a step.
     pub(super) fn work_ms(&self, speed: f64, slots: u32) -> f64 {
         let shared_tokens = f64::from(self.shared_tokens());
-        let read = f64::from(self.unique_tokens) + shared_tokens * REREAD_RATIO;
+        let prefill_tokens = f64::from(self.unique_tokens) + shared_tokens * REPEATED_PREFILL_RATIO;
         let expected_output_tokens = self.expected_output_tokens.min(self.max_output_tokens);
-        read / speed + f64::from(expected_output_tokens) * STEP_MS / f64::from(slots.max(1))
+        prefill_tokens / speed
+            + f64::from(expected_output_tokens) * STEP_MS / f64::from(slots.max(1))
     }
 }
--- a/crates/gateway/src/fleet/service.rs
+++ b/crates/gateway/src/fleet/service.rs
@@ -50,11 +50,11 @@
 /// Maximum number of shared prompts whose engine is remembered. Some hundred are in use at a time.
 const MAX_PREFIXES: usize = 4096;
 
-/// How much earlier a live request must be able to start on an engine that reads long prompts, in
-/// milliseconds. Each chunk of a prompt that is read beside it delays its own tokens.
+/// How much earlier a live request must be able to start on an engine that prefills long prompts,
+/// in milliseconds. Each chunk of a prompt that is prefilled beside it delays its own tokens.
 const LIGHT_SPILL_COST_MS: f64 = 150.0;
 
-/// How much earlier a long prompt must be read if it goes to an engine with live requests, in
+/// How much earlier a long prompt must be prefilled if it goes to an engine with live requests, in
 /// milliseconds. There it delays all of them.
 const HEAVY_SPILL_COST_MS: f64 = 2000.0;
 
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -48,7 +48,7 @@
 /// Bytes to reserve for a chunked body until its length is known: the size of a long prompt.
 const UNKNOWN_LENGTH_RESERVATION: u64 = 64 * 1024;
 
-/// Maximum wait at a server in percent of the route's target. The rest is for reading the prompt.
+/// Maximum wait at a server in percent of the route's target. The rest is for the prefill.
 const WAIT_LIMIT_PERCENT: u64 = 80;
 
 /// Maximum wait at a server of a retried request, in percent of its remaining time.
@@ -275,8 +275,8 @@
 
 /// Hash of the prompt parts that other requests may share, which are all but the last.
 ///
-/// Servers cache the prompts they have read. Requests with the same prefix go to the same server as
-/// far as its load allows, so that the prefix is read once.
+/// Servers cache the prompts they have prefilled. Requests with the same prefix go to the same
+/// server as far as its load allows, so that the prefix is prefilled once.
 fn shared_prefix(prompt: &[PromptPart]) -> Option<u32> {
     let (_, common) = prompt.split_last()?;
     if common.is_empty() {
--- a/crates/gateway/src/latencies.rs
+++ b/crates/gateway/src/latencies.rs
@@ -1,8 +1,8 @@
 //! Latencies of request classes over time, computed from the logs of instances.
 //!
 //! The table shows which class was late, in which interval, and why: long queues delay the first
-//! byte, prompts read beside a stream cause long pauses, and wrong predictions show in the expected
-//! wait.
+//! byte, the prefill of prompts beside a stream causes long pauses, and wrong predictions show in
+//! the expected wait.
 
 use std::collections::BTreeMap;
 
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -33,8 +33,8 @@
     pub(crate) expected_wait: Millis,
     /// Maximum wait with which the request is sent.
     pub(crate) wait_limit: Option<Millis>,
-    /// Number of prompt tokens that the server was expected to read.
-    pub(crate) expected_read: u32,
+    /// Number of prompt tokens that the server was expected to prefill.
+    pub(crate) expected_prefill: u32,
     /// The other instance that chose the server, if any.
     pub(crate) placer: Option<SocketAddr>,
 }
@@ -55,7 +55,7 @@
             .with("attempts", self.attempts)
             .with("placer", placer.as_deref().unwrap_or("none"))
             .with("expected-wait", self.expected_wait)
-            .with("expected-read", self.expected_read)
+            .with("expected-read", self.expected_prefill)
             .with("wait-limit", limit.as_deref().unwrap_or("none"))
             .with("outcome", outcome)
             .with("total", shared.clock.now().since(self.arrived))
--- a/crates/gateway/src/routes.rs
+++ b/crates/gateway/src/routes.rs
@@ -322,7 +322,7 @@
 
     /// Whether the route's streams need by far the shortest pauses.
     ///
-    /// Engines read prompts between the tokens of running streams, which causes pauses that most
+    /// Engines prefill prompts between the tokens of running streams, which causes pauses that most
     /// streams tolerate. Streams that don't are worth dedicated engines.
     pub fn is_live(&self, route: &Route) -> bool {
         let [min_gap, max_gap] = self.gap_range;
--- a/crates/gateway/tests/model/mod.rs
+++ b/crates/gateway/tests/model/mod.rs
@@ -1,6 +1,6 @@
-//! A simulation of instances and engines. Engines read one prompt after the other, the most urgent
-//! first, and cache what they have read. The instances choose engines by themselves, or ask the
-//! first instance.
+//! A simulation of instances and engines. Engines prefill one prompt after the other, the most
+//! urgent first, and cache what they have prefilled. The instances choose engines by themselves, or
+//! ask the first instance.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -27,13 +27,13 @@
 /// Default numbers of instances and engines.
 const INSTANCES: usize = 4;
 const ENGINES: usize = 12;
-/// Tokens that an engine reads per millisecond.
+/// Prefill rate of an engine, in tokens per millisecond.
 pub(crate) const SPEED: u64 = 50;
 /// Prompt tokens that an engine fetches from another one per millisecond.
 pub(crate) const TRANSFER: u64 = 210;
-/// Interval of events of a stream beside prompts that are being read, in milliseconds: an event
-/// holds four tokens, and a chunk of a prompt is read between two tokens.
-const EVENT_GAP_WHILE_READING: u64 = 132;
+/// Interval of events of a stream beside prompts that are being prefilled, in milliseconds: an
+/// event holds four tokens, and a chunk of a prompt is prefilled between two tokens.
+const EVENT_GAP_DURING_PREFILL: u64 = 132;
 
 /// A class of requests.
 #[derive(Clone, Copy)]
@@ -87,7 +87,7 @@
     pub(crate) asked: u64,
     pub(crate) on_time: u64,
     pub(crate) refused: u64,
-    pub(crate) reread: u64,
+    pub(crate) repeated_prefills: u64,
     /// The longest time to the first byte, in milliseconds.
     pub(crate) longest_first_byte: u64,
 }
@@ -113,8 +113,8 @@
 struct Engine {
     /// By rank, then by arrival.
     queue: BTreeMap<(u8, u64), Job>,
-    /// The job whose prompt is being read, with the time at which that ends.
-    reading: Option<(u64, Job)>,
+    /// The job whose prompt is being prefilled, with the time at which that ends.
+    prefill: Option<(u64, Job)>,
     kept: HashSet<u32>,
     answers: Vec<Answer>,
 }
@@ -137,7 +137,7 @@
     pub(crate) gossip: bool,
     /// Whether engines fetch prompts from each other.
     pub(crate) transfers: bool,
-    /// Whether prompts that wait behind the one being read extend the pauses of streams.
+    /// Whether prompts that wait behind the one being prefilled extend the pauses of streams.
     pub(crate) queue_pauses: bool,
     /// The placer of the first instance, if the others ask it.
     placer: Option<Placer>,
@@ -244,7 +244,7 @@
             HashSet::new()
         };
         for engine in self.engines.values_mut() {
-            if let Some((_, job)) = engine.reading.take_if(|(ends, _)| *ends <= now) {
+            if let Some((_, job)) = engine.prefill.take_if(|(ends, _)| *ends <= now) {
                 let load = &loads[job.class];
                 self.fleets[job.instance].first_byte(&job.choice, Millis(now));
                 if let Some(placer) = &mut self.placer {
@@ -261,7 +261,7 @@
                     job,
                 });
             }
-            if engine.reading.is_none()
+            if engine.prefill.is_none()
                 && let Some((_, job)) = engine.queue.pop_first()
             {
                 let load = &loads[job.class];
@@ -269,7 +269,7 @@
                 let given = source.is_some_and(|from| available.contains(&(from, job.prompt)));
                 let kept = !engine.kept.insert(job.prompt);
                 let first = self.seen.insert(job.prompt);
-                self.stats[job.class].reread += u64::from(!kept && !given && !first);
+                self.stats[job.class].repeated_prefills += u64::from(!kept && !given && !first);
                 let shared = match (kept, given) {
                     (true, _) => 0,
                     (false, true) => u64::from(load.shared) / TRANSFER,
@@ -282,13 +282,13 @@
                     .sum();
                 for answer in &mut engine.answers {
                     let pause = if self.queue_pauses {
-                        (span + behind).min(EVENT_GAP_WHILE_READING)
+                        (span + behind).min(EVENT_GAP_DURING_PREFILL)
                     } else {
                         span
                     };
                     answer.longest = answer.longest.max(pause);
                 }
-                engine.reading = Some((now + span, job));
+                engine.prefill = Some((now + span, job));
             }
             for answer in engine.answers.extract_if(.., |answer| answer.ends <= now) {
                 let job = answer.job;
--- a/crates/gateway/tests/placer.rs
+++ b/crates/gateway/tests/placer.rs
@@ -94,7 +94,7 @@
     RequestUpdate { number, kind }
 }
 
-/// Queues reported for all engines, in milliseconds of reading.
+/// Queues reported for all engines, in milliseconds of prefill.
 fn queued_ms(fleet: &mut Fleet, now: Millis) -> u32 {
     let load = fleet.local_load(now);
     load.queues.iter().map(|entry| entry.read_ms).sum()
--- a/crates/gateway/tests/placing.rs
+++ b/crates/gateway/tests/placing.rs
@@ -1,5 +1,5 @@
 //! Simulations of the choice of engines under the loads for which it was designed, with several
-//! instances and engines that read one prompt after the other.
+//! instances and engines that prefill one prompt after the other.
 
 mod model;
 
@@ -23,8 +23,8 @@
 }
 
 /// A burst of long prompts takes most of the engines' time. A live stream stalls while a prompt is
-/// read beside it, although other engines have capacity for either. Live streams must meet their
-/// target by being kept on separate engines.
+/// prefilled beside it, although other engines have capacity for either. Live streams must meet
+/// their target by being kept on separate engines.
 #[test]
 fn live_requests_avoid_engines_with_long_prompts() {
     let rush = Load { rate: 130, ..BATCH };
@@ -33,18 +33,21 @@
     assert!(stats[1].percent(stats[1].on_time) >= 90, "{stats:?}");
 }
 
-/// A prefix of 6,300 tokens must be read once, at the engine to which all instances send it, as far
-/// as the engine's queue permits.
+/// A prefix of 6,300 tokens must be prefilled once, at the engine to which all instances send it,
+/// as far as the engine's queue permits.
 #[test]
-fn a_shared_prompt_is_read_once() {
+fn a_shared_prompt_is_prefilled_once() {
     let stats = play([LIVE, BATCH], 30);
-    assert!(stats[1].percent(stats[1].reread) <= 10, "{stats:?}");
+    assert!(
+        stats[1].percent(stats[1].repeated_prefills) <= 10,
+        "{stats:?}"
+    );
 }
 
-/// For half a minute, twice as many long prompts arrive as the engines can read. Without a limit on
-/// the wait the queue grows and nothing meets its target any more. With the limit the engines do as
-/// much work, and most of it must meet the target. The live class must meet its target throughout
-/// and never be refused.
+/// For half a minute, twice as many long prompts arrive as the engines can prefill. Without a limit
+/// on the wait the queue grows and nothing meets its target any more. With the limit the engines do
+/// as much work, and most of it must meet the target. The live class must meet its target
+/// throughout and never be refused.
 #[test]
 fn accepted_requests_meet_their_target_under_overload() {
     let flood = Load { rate: 240, ..BATCH };
@@ -64,19 +67,25 @@
     );
 }
 
-/// During a burst of more long prompts than the engines can read, each instance sees a quarter of
-/// them. An instance that only knows its own part misjudges the queues and sends prompts away from
-/// the engines that cache their prefixes, where they are read again. With gossip prompts stay
-/// there, and the engine time saved lets more requests meet their target. With a central placer one
-/// request in 33 more meets it than with independent instances.
+/// During a burst of more long prompts than the engines can prefill, each instance sees a quarter
+/// of them. An instance that only knows its own part misjudges the queues and sends prompts away
+/// from the engines that cache their prefixes, where they are prefilled again. With gossip prompts
+/// stay there, and the engine time saved lets more requests meet their target. With a central
+/// placer one request in 33 more meets it than with independent instances.
 #[test]
-fn gossip_reduces_repeated_reading() {
+fn gossip_reduces_repeated_prefill() {
     let rush = Load { rate: 200, ..BATCH };
     let alone = play([LIVE, rush], 30);
     let sharing = play_in(Simulation::new(true), [LIVE, rush], 30);
     let (before, after) = (alone[1], sharing[1]);
-    assert!(after.reread <= before.reread, "{before:?} {after:?}");
-    assert!(after.reread * 400 <= after.asked, "{before:?} {after:?}");
+    assert!(
+        after.repeated_prefills <= before.repeated_prefills,
+        "{before:?} {after:?}"
+    );
+    assert!(
+        after.repeated_prefills * 400 <= after.asked,
+        "{before:?} {after:?}"
+    );
     assert!(
         after.on_time * 100 >= before.on_time * 102,
         "{before:?} {after:?}"
@@ -95,17 +104,17 @@
 }
 
 /// A burst of prompts that share a dozen long prefixes overloads the engines that cache them. On
-/// another engine a prefix is read again, which takes all of the engine's time for 126 ms. Fetching
-/// it from the engine that caches it takes a quarter of that. Prefixes must hardly be read again, a
-/// third fewer requests be refused, and one in twenty more meet its target.
+/// another engine a prefix is prefilled again, which takes all of the engine's time for 126 ms.
+/// Fetching it from the engine that caches it takes a quarter of that. Prefixes must hardly be
+/// prefilled again, a third fewer requests be refused, and one in twenty more meet its target.
 #[test]
-fn prefixes_are_fetched_instead_of_read_again_in_a_burst() {
+fn prefixes_are_fetched_instead_of_prefilled_again_in_a_burst() {
     let rush = Load {
         rate: 170,
         prompts: 12,
         ..BATCH
     };
-    let reading = play_in(Simulation::new(true), [LIVE, rush], 30);
+    let without_transfers = play_in(Simulation::new(true), [LIVE, rush], 30);
     let mut simulation = Simulation::new(true);
     simulation.transfers = true;
     let spec = EngineSpec {
@@ -117,8 +126,11 @@
         fleet.set_engines(std::slice::from_ref(&spec));
     }
     let transfers = play_in(simulation, [LIVE, rush], 30);
-    let (before, after) = (reading[1], transfers[1]);
-    assert!(after.reread * 4 <= before.reread, "{before:?} {after:?}");
+    let (before, after) = (without_transfers[1], transfers[1]);
+    assert!(
+        after.repeated_prefills * 4 <= before.repeated_prefills,
+        "{before:?} {after:?}"
+    );
     assert!(
         after.on_time * 100 >= before.on_time * 105,
         "{before:?} {after:?}"
@@ -129,8 +141,8 @@
     );
 }
 
-/// During a burst of long prompts most engines read all the time, and a stream beside them gets an
-/// event every 132 ms. Chats tolerate pauses of 120 ms, so those on shared engines miss their
+/// During a burst of long prompts most engines prefill all the time, and a stream beside them gets
+/// an event every 132 ms. Chats tolerate pauses of 120 ms, so those on shared engines miss their
 /// target although their first token came at once. On separate engines they must meet it, at little
 /// cost for the long prompts.
 #[test]
@@ -165,9 +177,9 @@
     );
 }
 
-/// More long prompts arrive than the engines can read, and one in ten is four times as long as the
-/// others. Requests must be refused by their wait, not by their length: the longest are served at
-/// least half as often as the others, and hardly any shared prompt is never served.
+/// More long prompts arrive than the engines can prefill, and one in ten is four times as long as
+/// the others. Requests must be refused by their wait, not by their length: the longest are served
+/// at least half as often as the others, and hardly any shared prompt is never served.
 #[test]
 fn overload_starves_neither_the_longest_nor_any_prompt() {
     let usual = Load { rate: 200, ..BATCH };
--- a/crates/gateway/tests/sharing.rs
+++ b/crates/gateway/tests/sharing.rs
@@ -377,8 +377,8 @@
 }
 
 /// An instance sends a prompt to an engine. All others must learn within three steps that the
-/// engine caches it, or they would have it read again elsewhere. The announcement must be passed on
-/// once, not in every round.
+/// engine caches it, or they would have it prefilled again elsewhere. The announcement must be
+/// passed on once, not in every round.
 #[test]
 fn cached_prefixes_are_announced_to_all_once() {
     let mut network = Network::new(80);
