--- a/crates/measure/src/arrivals.rs
+++ b/crates/measure/src/arrivals.rs
@@ -108,7 +108,7 @@
 
 fn arrival(class: &ClassShape, index: usize, at: f64, rng: &mut StdRng) -> Arrival {
     let tokens = match class.work {
-        Work::Model { output, .. } => output.draw(rng),
+        Work::Model { output, .. } => output.sample(rng),
         Work::Plain { .. } => 0,
     };
     Arrival {
--- a/crates/measure/src/drive.rs
+++ b/crates/measure/src/drive.rs
@@ -6,13 +6,13 @@
 use std::time::Instant;
 
 use async_std::task;
-use crocushold_standins::Lengths;
+use crocushold_standins::LengthDistribution;
 use crocushold_standins::load;
-use crocushold_standins::load::Ending;
 use crocushold_standins::load::Exchange;
 use crocushold_standins::load::GiveUp;
 use crocushold_standins::load::Header;
 use crocushold_standins::load::LoadClass;
+use crocushold_standins::load::RequestOutcome;
 
 use crate::arrivals::Arrival;
 use crate::shape::MODEL;
@@ -42,8 +42,8 @@
     pub(crate) due: f64,
     /// How much later it was sent, in seconds: the generator's own delay.
     pub(crate) late: f64,
-    /// How it ended; [`Ending::GaveUp`] when the run ended first.
-    pub(crate) ending: Ending,
+    /// How it ended; [`RequestOutcome::GaveUp`] when the run ended first.
+    pub(crate) ending: RequestOutcome,
     /// Whether a refusal says when to come back.
     pub(crate) hinted: bool,
     /// Whether a refusal states that the request wasn't run.
@@ -105,19 +105,19 @@
 }
 
 fn sent(arrival: Arrival, marker: String, late: f64, exchange: Exchange) -> Sent {
-    let refused = exchange.ending == Ending::Refused;
+    let refused = exchange.outcome == RequestOutcome::Refused;
     let body = String::from_utf8_lossy(exchange.response.body());
     Sent {
         class: arrival.class,
         marker,
         due: arrival.at,
         late,
-        ending: exchange.ending,
+        ending: exchange.outcome,
         hinted: refused && exchange.response.header("retry-after").is_some(),
         unrun: refused && body.contains(NOT_RUN),
-        first: exchange.first.map(|first| first.as_secs_f64() + late),
-        gaps: exchange.gaps,
-        whole: exchange.whole.as_secs_f64() + late,
+        first: exchange.first_token.map(|first| first.as_secs_f64() + late),
+        gaps: exchange.token_gaps,
+        whole: exchange.duration.as_secs_f64() + late,
         tokens: exchange.response.tokens(),
     }
 }
@@ -141,12 +141,12 @@
         } else {
             Vec::new()
         },
-        form: class.form(),
+        kind: class.form(),
         path: path.to_owned(),
         model: MODEL.to_owned(),
-        prompt: Lengths::fixed(prompt),
+        prompt: LengthDistribution::fixed(prompt),
         prefixes: 1,
-        output: Lengths::fixed(arrival.tokens.max(1)),
+        output: LengthDistribution::fixed(arrival.tokens.max(1)),
         stream,
         targets: class.targets,
         timeout_ms: class.timeout_ms,
--- a/crates/measure/src/relay.rs
+++ b/crates/measure/src/relay.rs
@@ -12,7 +12,7 @@
 use async_std::task;
 use crocushold_standins::BatchSettings;
 use crocushold_standins::EngineSettings;
-use crocushold_standins::load::Ending;
+use crocushold_standins::load::RequestOutcome;
 use futures::future::join;
 
 use crate::Outcome;
@@ -189,7 +189,12 @@
 
 fn side(all: &[Sent]) -> Side {
     let judged = |sent: &&Sent| sent.due >= TIMING.warm && sent.due < TIMING.end - TIMING.tail;
-    let whole = |sent: &&Sent| matches!(sent.ending, Ending::Complete | Ending::GaveUp);
+    let whole = |sent: &&Sent| {
+        matches!(
+            sent.ending,
+            RequestOutcome::Complete | RequestOutcome::GaveUp
+        )
+    };
     let judged: Vec<&Sent> = all.iter().filter(judged).collect();
     let firsts: Vec<f64> = judged
         .iter()
--- a/crates/measure/src/shape.rs
+++ b/crates/measure/src/shape.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use crocushold_config::KeyDigest;
-use crocushold_standins::Lengths;
-use crocushold_standins::load::Form;
+use crocushold_standins::LengthDistribution;
+use crocushold_standins::load::RequestKind;
 use crocushold_standins::load::Targets;
 
 /// What a class asks for.
@@ -16,7 +16,7 @@
         /// Part of the fleet's tokens at a demand of 1.
         part: f64,
         /// Lengths of answers in tokens.
-        output: Lengths,
+        output: LengthDistribution,
         /// Bytes of the prompt.
         prompt: u32,
         /// Whether answers are streamed.
@@ -124,7 +124,7 @@
                 timeout_ms: 5_000,
                 work: Work::Model {
                     part: 0.2,
-                    output: Lengths { low: 16, high: 80 },
+                    output: LengthDistribution { low: 16, high: 80 },
                     prompt: 400,
                     stream: true,
                 },
@@ -139,7 +139,7 @@
                 timeout_ms: 20_000,
                 work: Work::Model {
                     part: 0.3,
-                    output: Lengths { low: 30, high: 160 },
+                    output: LengthDistribution { low: 30, high: 160 },
                     prompt: 800,
                     stream: false,
                 },
@@ -154,7 +154,7 @@
                 timeout_ms: PATIENT,
                 work: Work::Model {
                     part: 0.5,
-                    output: Lengths { low: 60, high: 360 },
+                    output: LengthDistribution { low: 60, high: 360 },
                     prompt: 1600,
                     stream: true,
                 },
@@ -188,7 +188,7 @@
                 timeout_ms: 8_000,
                 work: Work::Model {
                     part: 0.2,
-                    output: Lengths { low: 16, high: 64 },
+                    output: LengthDistribution { low: 16, high: 64 },
                     prompt: 600,
                     stream: false,
                 },
@@ -203,7 +203,7 @@
                 timeout_ms: 12_000,
                 work: Work::Model {
                     part: 0.3,
-                    output: Lengths { low: 24, high: 120 },
+                    output: LengthDistribution { low: 24, high: 120 },
                     prompt: 1200,
                     stream: false,
                 },
@@ -218,7 +218,7 @@
                 timeout_ms: PATIENT,
                 work: Work::Model {
                     part: 0.5,
-                    output: Lengths { low: 60, high: 360 },
+                    output: LengthDistribution { low: 60, high: 360 },
                     prompt: 1600,
                     stream: true,
                 },
@@ -250,7 +250,7 @@
             timeout_ms: PATIENT,
             work: Work::Model {
                 part: 1.0,
-                output: Lengths::fixed(1),
+                output: LengthDistribution::fixed(1),
                 prompt: 400,
                 stream: true,
             },
@@ -279,10 +279,10 @@
 
 impl ClassShape {
     /// The kind of call.
-    pub(crate) fn form(&self) -> Form {
+    pub(crate) fn form(&self) -> RequestKind {
         match self.work {
-            Work::Model { .. } => Form::Chat,
-            Work::Plain { .. } => Form::Call,
+            Work::Model { .. } => RequestKind::Chat,
+            Work::Plain { .. } => RequestKind::Call,
         }
     }
 
--- a/crates/measure/src/summary.rs
+++ b/crates/measure/src/summary.rs
@@ -5,7 +5,7 @@
 
 use crocushold_metrics::Exposition;
 use crocushold_standins::EngineStats;
-use crocushold_standins::load::Ending;
+use crocushold_standins::load::RequestOutcome;
 
 use crate::drive::Sent;
 use crate::point::Timing;
@@ -151,7 +151,7 @@
             summary.judged += 1;
             summary.attained += u64::from(attained);
         }
-        if sent.ending == Ending::Complete {
+        if sent.ending == RequestOutcome::Complete {
             summary.count_late(sent, class);
         }
     }
@@ -169,7 +169,10 @@
             self.doubled += again;
         }
         self.falsely_unrun += u64::from(sent.unrun && runs > 0);
-        let foreign = matches!(sent.ending, Ending::Misdelivered | Ending::Disordered);
+        let foreign = matches!(
+            sent.ending,
+            RequestOutcome::Misdelivered | RequestOutcome::Disordered
+        );
         self.misdelivered += u64::from(foreign);
     }
 
@@ -188,15 +191,15 @@
 
     fn count_ending(&mut self, sent: &Sent) {
         match sent.ending {
-            Ending::Complete => self.completed += 1,
-            Ending::Refused if sent.hinted => self.refused += 1,
-            Ending::Refused if sent.unrun => self.unhinted += 1,
-            Ending::Refused => self.unknown += 1,
-            Ending::Cut => self.cut += 1,
-            Ending::TimedOut => self.timed_out += 1,
-            Ending::Unconnected => self.unconnected += 1,
+            RequestOutcome::Complete => self.completed += 1,
+            RequestOutcome::Refused if sent.hinted => self.refused += 1,
+            RequestOutcome::Refused if sent.unrun => self.unhinted += 1,
+            RequestOutcome::Refused => self.unknown += 1,
+            RequestOutcome::Cut => self.cut += 1,
+            RequestOutcome::TimedOut => self.timed_out += 1,
+            RequestOutcome::ConnectFailed => self.unconnected += 1,
             // Counted with the runs, or cut off by the end of the measurement.
-            Ending::Misdelivered | Ending::Disordered | Ending::GaveUp => {}
+            RequestOutcome::Misdelivered | RequestOutcome::Disordered | RequestOutcome::GaveUp => {}
         }
     }
 }
@@ -216,7 +219,7 @@
 /// Whether the request met its targets; none when the measurement ended before that was known.
 fn verdict(sent: &Sent, class: &ClassShape) -> Option<bool> {
     let targets = class.targets;
-    if sent.ending == Ending::GaveUp {
+    if sent.ending == RequestOutcome::GaveUp {
         let open = sent.whole;
         let first = sent.first.unwrap_or(open);
         let late = !within(first, targets.first_ms) || !within(open, targets.whole_ms);
@@ -229,7 +232,7 @@
         .first
         .is_some_and(|first| within(first, targets.first_ms));
     let whole = within(sent.whole, targets.whole_ms);
-    Some(sent.ending == Ending::Complete && first && whole && gaps)
+    Some(sent.ending == RequestOutcome::Complete && first && whole && gaps)
 }
 
 fn gaps_within(gaps: &[u32], ms: u64) -> bool {
@@ -246,12 +249,15 @@
         return 0.0;
     };
     let inside = |at: f64| timing.warm <= at && at < timing.end;
-    let useful = matches!(sent.ending, Ending::Complete | Ending::GaveUp);
+    let useful = matches!(
+        sent.ending,
+        RequestOutcome::Complete | RequestOutcome::GaveUp
+    );
     if !useful {
         return 0.0;
     }
     if !stream {
-        let complete = sent.ending == Ending::Complete && inside(sent.due + sent.whole);
+        let complete = sent.ending == RequestOutcome::Complete && inside(sent.due + sent.whole);
         return if complete { sent.tokens as f64 } else { 0.0 };
     }
     let Some(first) = sent.first else {
--- a/crates/measure/src/summary/tests.rs
+++ b/crates/measure/src/summary/tests.rs
@@ -1,6 +1,6 @@
 //! What counts as attained, and as useful.
 
-use crocushold_standins::load::Ending;
+use crocushold_standins::load::RequestOutcome;
 use test_case::test_case;
 
 use super::useful_tokens;
@@ -10,7 +10,7 @@
 use crate::shape;
 
 /// A stream of chat that was due at 10 s and has four tokens.
-fn stream(first: f64, gap: u32, ending: Ending) -> Sent {
+fn stream(first: f64, gap: u32, ending: RequestOutcome) -> Sent {
     Sent {
         class: 0,
         marker: "chat.1".to_owned(),
@@ -26,20 +26,20 @@
     }
 }
 
-#[test_case(&stream(0.3, 20_000, Ending::Complete), Some(true); "in time")]
-#[test_case(&stream(0.4, 20_000, Ending::Complete), Some(false); "a late first token")]
-#[test_case(&stream(0.3, 90_000, Ending::Complete), Some(false); "slow between tokens")]
-#[test_case(&stream(0.3, 20_000, Ending::Cut), Some(false); "cut")]
-#[test_case(&stream(0.3, 20_000, Ending::GaveUp), None; "open at the end, so far in time")]
-#[test_case(&stream(0.4, 20_000, Ending::GaveUp), Some(false); "open at the end, missed already")]
+#[test_case(&stream(0.3, 20_000, RequestOutcome::Complete), Some(true); "in time")]
+#[test_case(&stream(0.4, 20_000, RequestOutcome::Complete), Some(false); "a late first token")]
+#[test_case(&stream(0.3, 90_000, RequestOutcome::Complete), Some(false); "slow between tokens")]
+#[test_case(&stream(0.3, 20_000, RequestOutcome::Cut), Some(false); "cut")]
+#[test_case(&stream(0.3, 20_000, RequestOutcome::GaveUp), None; "open at the end, so far in time")]
+#[test_case(&stream(0.4, 20_000, RequestOutcome::GaveUp), Some(false); "open at the end, missed already")]
 fn verdicts(sent: &Sent, expected: Option<bool>) {
     let class = &shape::evening().classes[0];
     assert_eq!(verdict(sent, class), expected);
 }
 
-#[test_case(&stream(4.99, 20_000, Ending::Complete), 1.0; "only tokens inside the window")]
-#[test_case(&stream(0.3, 20_000, Ending::GaveUp), 4.0; "an answer that still runs")]
-#[test_case(&stream(0.3, 20_000, Ending::Cut), 0.0; "a cut answer is of no use")]
+#[test_case(&stream(4.99, 20_000, RequestOutcome::Complete), 1.0; "only tokens inside the window")]
+#[test_case(&stream(0.3, 20_000, RequestOutcome::GaveUp), 4.0; "an answer that still runs")]
+#[test_case(&stream(0.3, 20_000, RequestOutcome::Cut), 0.0; "a cut answer is of no use")]
 fn usefulness(sent: &Sent, expected: f64) {
     let class = &shape::evening().classes[0];
     let timing = Timing {
--- a/crates/standins/src/engine/command.rs
+++ b/crates/standins/src/engine/command.rs
@@ -5,7 +5,7 @@
 
 use super::batch::BatchSettings;
 use super::fault::Cut;
-use super::output::Lengths;
+use super::output::LengthDistribution;
 
 /// What an engine starts with.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
     /// Share of the cache events that are lost.
     pub event_gaps: f64,
     /// Lengths of answers when the request doesn't fix them; none: `max_tokens` is the length.
-    pub lengths: Option<Lengths>,
+    pub lengths: Option<LengthDistribution>,
     /// Seed of everything random.
     pub seed: u64,
 }
@@ -107,7 +107,7 @@
     /// Draws the lengths of answers; none: `max_tokens` is the length.
     Lengths {
         /// The distribution.
-        lengths: Option<Lengths>,
+        lengths: Option<LengthDistribution>,
         /// Seed of the draws.
         seed: u64,
     },
--- a/crates/standins/src/engine/core.rs
+++ b/crates/standins/src/engine/core.rs
@@ -23,7 +23,7 @@
 use super::events::EventPage;
 use super::fault::Fate;
 use super::fault::Faults;
-use super::output::Lengths;
+use super::output::LengthDistribution;
 use super::progress::Outcome;
 use super::progress::Progress;
 use super::reports::Load;
@@ -98,7 +98,7 @@
     role: String,
     fence: u64,
     checks: bool,
-    lengths: Option<Lengths>,
+    lengths: Option<LengthDistribution>,
     length_rng: StdRng,
     gap_rng: StdRng,
     token_rate: f64,
@@ -147,7 +147,7 @@
         let cached_tokens = self.use_prefix(&request.prompt, prompt_tokens, now);
         let drawn = self
             .lengths
-            .map(|lengths| lengths.draw(&mut self.length_rng));
+            .map(|lengths| lengths.sample(&mut self.length_rng));
         let length = request.length(drawn);
         let id = self.batch.submit(Job {
             priority: request.priority,
--- a/crates/standins/src/engine/fault.rs
+++ b/crates/standins/src/engine/fault.rs
@@ -6,7 +6,7 @@
 /// How a cut answer looks on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum CutForm {
+pub enum CutFraming {
     /// Chunked, without the last chunk.
     Chunked,
     /// A `Content-Length` that the body falls short of.
@@ -21,7 +21,8 @@
     /// Tokens that still go out.
     pub after: u32,
     /// How the cut looks.
-    pub form: CutForm,
+    #[serde(rename = "form")]
+    pub framing: CutFraming,
     /// How many answers are cut; none for all.
     #[serde(default)]
     pub times: Option<u32>,
--- a/crates/standins/src/engine/send.rs
+++ b/crates/standins/src/engine/send.rs
@@ -15,7 +15,7 @@
 use super::answer::Run;
 use super::answer::TokenStream;
 use super::fault::Cut;
-use super::fault::CutForm;
+use super::fault::CutFraming;
 use super::text::Texts;
 use crate::port;
 
@@ -73,10 +73,10 @@
     media: &str,
     conn: TcpStream,
 ) -> http_types::Result<Response> {
-    match cut.form {
-        CutForm::Chunked => Ok(with_body(Body::from_reader(body, None), media)),
-        CutForm::Length => Ok(with_body(Body::from_reader(body, Some(total)), media)),
-        CutForm::Close => {
+    match cut.framing {
+        CutFraming::Chunked => Ok(with_body(Body::from_reader(body, None), media)),
+        CutFraming::Length => Ok(with_body(Body::from_reader(body, Some(total)), media)),
+        CutFraming::Close => {
             let _ = send_until_close(body, media, &conn).await;
             let _ = conn.shutdown(Shutdown::Both);
             Err(port::aborted().into())
--- a/crates/standins/src/engine/tests.rs
+++ b/crates/standins/src/engine/tests.rs
@@ -9,7 +9,7 @@
 use super::cache::prefix_hash;
 use super::events::CacheChange;
 use super::events::EventLog;
-use super::output::Lengths;
+use super::output::LengthDistribution;
 use super::reports::Load;
 use super::reports::Reports;
 
@@ -84,9 +84,9 @@
 
 #[test]
 fn lengths_stay_inside_their_bounds_and_average_to_their_mean() {
-    let lengths = Lengths { low: 10, high: 400 };
+    let lengths = LengthDistribution { low: 10, high: 400 };
     let mut rng = StdRng::seed_from_u64(7);
-    let drawn: Vec<u32> = (0..20_000).map(|_| lengths.draw(&mut rng)).collect();
+    let drawn: Vec<u32> = (0..20_000).map(|_| lengths.sample(&mut rng)).collect();
     assert!(drawn.iter().all(|length| (10..=400).contains(length)));
     let mean = drawn.iter().map(|&l| f64::from(l)).sum::<f64>() / 20_000.0;
     assert!((mean / lengths.mean() - 1.0).abs() < 0.03, "mean {mean}");
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -18,15 +18,15 @@
 mod tally;
 mod tokens;
 
-pub use exchange::Ending;
 pub use exchange::Exchange;
+pub use exchange::RequestOutcome;
 pub use framing::Malformed;
 pub use plan::Burst;
-pub use plan::Form;
 pub use plan::GiveUp;
 pub use plan::Header;
 pub use plan::LoadClass;
 pub use plan::LoadPlan;
+pub use plan::RequestKind;
 pub use plan::Targets;
 pub use report::ClassReport;
 pub use report::LoadReport;
--- a/crates/standins/src/load/exchange.rs
+++ b/crates/standins/src/load/exchange.rs
@@ -17,7 +17,7 @@
 
 /// How a request ended, as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// The whole answer arrived, and it was the request's own.
     Complete,
     /// An error status came.
@@ -33,22 +33,22 @@
     /// The caller left as planned.
     GaveUp,
     /// No entry took the connection.
-    Unconnected,
+    ConnectFailed,
 }
 
 /// What was seen of one request.
 #[derive(Debug)]
 pub struct Exchange {
     /// How it ended.
-    pub ending: Ending,
+    pub outcome: RequestOutcome,
     /// The answer, as far as it came.
     pub response: Response,
     /// When the first token, or the head of an answer that isn't streamed, came; counted from the time due.
-    pub first: Option<Duration>,
+    pub first_token: Option<Duration>,
     /// The gaps between tokens, in microseconds.
-    pub gaps: Vec<u32>,
+    pub token_gaps: Vec<u32>,
     /// When it ended; counted from the time due.
-    pub whole: Duration,
+    pub duration: Duration,
 }
 
 /// When a caller stops waiting.
@@ -91,37 +91,37 @@
         last: due,
         gaps: Vec::new(),
     };
-    let talk = reading.talk(client, &outgoing.bytes);
-    let ending = match future::timeout(left, talk).await {
-        Ok(ending) => ending,
-        Err(_) if give_up.is_some_and(|after| after <= timeout) => Ending::GaveUp,
-        Err(_) => Ending::TimedOut,
+    let send_and_receive = reading.send_and_receive(client, &outgoing.bytes);
+    let outcome = match future::timeout(left, send_and_receive).await {
+        Ok(outcome) => outcome,
+        Err(_) if give_up.is_some_and(|after| after <= timeout) => RequestOutcome::GaveUp,
+        Err(_) => RequestOutcome::TimedOut,
     };
     Exchange {
-        ending,
+        outcome,
         response: reading.response,
-        first: reading.first,
-        gaps: reading.gaps,
-        whole: due.elapsed(),
+        first_token: reading.first,
+        token_gaps: reading.gaps,
+        duration: due.elapsed(),
     }
 }
 
 impl Reading {
-    async fn talk(&mut self, client: &Client, request: &[u8]) -> Ending {
+    async fn send_and_receive(&mut self, client: &Client, request: &[u8]) -> RequestOutcome {
         let Ok(mut conn) = client.connect().await else {
-            return Ending::Unconnected;
+            return RequestOutcome::ConnectFailed;
         };
         // An answer may come although the request couldn't be written to its end.
         let written = conn.stream.write_all(request).await;
         let read = self.read(&mut conn.stream).await;
         if read.is_err() || !self.response.is_whole() {
-            return self.early_end();
+            return self.classify_truncated();
         }
-        let ending = self.verdict();
+        let outcome = self.classify();
         if written.is_ok() && !closes(&self.response) {
             client.give_back(conn);
         }
-        ending
+        outcome
     }
 
     /// Reads until the answer is whole or the connection ends.
@@ -169,33 +169,33 @@
         }
     }
 
-    fn verdict(&mut self) -> Ending {
+    fn classify(&mut self) -> RequestOutcome {
         let response = &mut self.response;
         if response.status() >= 400 {
-            return Ending::Refused;
+            return RequestOutcome::Refused;
         }
         if self.tokens.is_some() && !response.is_stream() {
             response.check_whole();
         }
         if response.is_foreign() {
-            return Ending::Misdelivered;
+            return RequestOutcome::Misdelivered;
         }
         if response.is_stream() && !response.is_done() {
-            return Ending::Cut;
+            return RequestOutcome::Cut;
         }
         let complete = self.tokens.is_none_or(|tokens| tokens == response.tokens());
         if response.is_disordered() || !complete {
-            return Ending::Disordered;
+            return RequestOutcome::Disordered;
         }
-        Ending::Complete
+        RequestOutcome::Complete
     }
 
     /// The connection ended before the framing said that the answer was whole.
-    fn early_end(&self) -> Ending {
+    fn classify_truncated(&self) -> RequestOutcome {
         if self.response.is_foreign() {
-            return Ending::Misdelivered;
+            return RequestOutcome::Misdelivered;
         }
-        Ending::Cut
+        RequestOutcome::Cut
     }
 }
 
--- a/crates/standins/src/load/plan.rs
+++ b/crates/standins/src/load/plan.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::engine::Lengths;
+use crate::engine::LengthDistribution;
 
 /// A whole run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -28,7 +28,8 @@
     /// Whether the report has a line for each second.
     pub timeline: bool,
     /// Text in a refusal's head or body that says that the request wasn't run.
-    pub not_run: String,
+    #[serde(rename = "not-run")]
+    pub not_run_marker: String,
     /// Seed of arrivals, lengths and prompts.
     pub seed: u64,
     /// The classes of requests.
@@ -46,7 +47,7 @@
             max_open: 20_000,
             keep_alive: true,
             timeline: false,
-            not_run: "\"ran\":\"no\"".to_owned(),
+            not_run_marker: "\"ran\":\"no\"".to_owned(),
             seed: 1,
             classes: Vec::new(),
         }
@@ -56,7 +57,7 @@
 /// The call that a class makes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Form {
+pub enum RequestKind {
     /// `POST /v1/chat/completions`.
     #[default]
     Chat,
@@ -79,19 +80,21 @@
     /// Further headers.
     pub headers: Vec<Header>,
     /// The call.
-    pub form: Form,
+    #[serde(rename = "form")]
+    pub kind: RequestKind,
     /// Path of a call to a plain service.
     pub path: String,
     /// Model.
     pub model: String,
     /// Prompt lengths, or body lengths of plain calls, in bytes.
-    pub prompt: Lengths,
+    pub prompt: LengthDistribution,
     /// Different prompt prefixes; 0 makes every prompt unlike the others.
     pub prefixes: u32,
     /// Answer lengths in tokens. Only the engine's stand-in is told.
-    pub output: Lengths,
+    pub output: LengthDistribution,
     /// The `max_tokens` that the request states; none: not stated.
-    pub cap: Option<u32>,
+    #[serde(rename = "cap")]
+    pub max_tokens: Option<u32>,
     /// The `priority` that the request states; none: not stated.
     pub priority: Option<i64>,
     /// Whether answers are streamed.
@@ -113,13 +116,13 @@
             rate: 1.0,
             key: String::new(),
             headers: Vec::new(),
-            form: Form::Chat,
+            kind: RequestKind::Chat,
             path: "/".to_owned(),
             model: "clara-8b".to_owned(),
-            prompt: Lengths::fixed(400),
+            prompt: LengthDistribution::fixed(400),
             prefixes: 8,
-            output: Lengths::fixed(32),
-            cap: None,
+            output: LengthDistribution::fixed(32),
+            max_tokens: None,
             priority: None,
             stream: true,
             targets: Targets::default(),
@@ -185,7 +188,7 @@
 
     /// Tokens of an answer whose length was drawn, after the request's own limit.
     pub(super) fn limit(&self, drawn: u32) -> u32 {
-        drawn.min(self.cap.unwrap_or(u32::MAX))
+        drawn.min(self.max_tokens.unwrap_or(u32::MAX))
     }
 
     /// The highest rate there ever is.
--- a/crates/standins/src/load/prompt.rs
+++ b/crates/standins/src/load/prompt.rs
@@ -6,8 +6,8 @@
 use rand::rngs::StdRng;
 use serde::Serialize;
 
-use super::plan::Form;
 use super::plan::LoadClass;
+use super::plan::RequestKind;
 
 /// Bytes of a prompt that requests of the same prefix share: what an engine hashes.
 const PREFIX_BYTES: usize = 256;
@@ -42,20 +42,20 @@
     output: u32,
     rng: &mut StdRng,
 ) -> Vec<u8> {
-    let (path, body) = match class.form {
-        Form::Chat => (
+    let (path, body) = match class.kind {
+        RequestKind::Chat => (
             "/v1/chat/completions",
             completion(class, marker, output, rng),
         ),
-        Form::Text => ("/v1/completions", completion(class, marker, output, rng)),
-        Form::Call => (class.path.as_str(), call_body(class, rng)),
+        RequestKind::Text => ("/v1/completions", completion(class, marker, output, rng)),
+        RequestKind::Call => (class.path.as_str(), call_body(class, rng)),
     };
     let mut head = format!(
         "POST {path} HTTP/1.1\r\nhost: {host}\r\ncontent-type: application/json\r\n\
          content-length: {}\r\nx-marker: {marker}\r\n",
         body.len()
     );
-    if class.form == Form::Call {
+    if class.kind == RequestKind::Call {
         head.push_str(&format!("idempotency-key: {marker}\r\n"));
     }
     if !class.key.is_empty() {
@@ -76,12 +76,12 @@
         role: "user",
         content: &text,
     };
-    let chat = class.form == Form::Chat;
+    let chat = class.kind == RequestKind::Chat;
     let body = Completion {
         model: &class.model,
         messages: chat.then_some([message]),
         prompt: (!chat).then_some(text.as_str()),
-        max_tokens: class.cap,
+        max_tokens: class.max_tokens,
         priority: class.priority,
         target_tokens: output,
         stream: class.stream,
@@ -92,7 +92,7 @@
 
 /// A prefix that the class shares, then text that belongs to this request alone.
 fn prompt(class: &LoadClass, marker: &str, rng: &mut StdRng) -> String {
-    let length = class.prompt.draw(rng) as usize;
+    let length = class.prompt.sample(rng) as usize;
     let mut text = match class.prefixes {
         0 => format!("{marker} "),
         prefixes => format!("{} prefix {} ", class.name, rng.random_range(0..prefixes)),
@@ -107,7 +107,7 @@
 
 fn call_body(class: &LoadClass, rng: &mut StdRng) -> Vec<u8> {
     let mut text = "{\"note\":\"".to_owned();
-    pad(&mut text, class.prompt.draw(rng) as usize);
+    pad(&mut text, class.prompt.sample(rng) as usize);
     text.push_str("\"}");
     text.into_bytes()
 }
--- a/crates/standins/src/load/record.rs
+++ b/crates/standins/src/load/record.rs
@@ -4,8 +4,8 @@
 
 use hdrhistogram::Histogram;
 
-use super::exchange::Ending;
 use super::exchange::Exchange;
+use super::exchange::RequestOutcome;
 use super::plan::LoadClass;
 use super::plan::Targets;
 use super::report::ClassReport;
@@ -49,9 +49,9 @@
     }
 
     /// Counts a request that has ended; `second` is when it was due.
-    pub(super) fn add(&mut self, exchange: &Exchange, not_run: &str, second: usize) {
+    pub(super) fn add(&mut self, exchange: &Exchange, not_run_marker: &str, second: usize) {
         let attained = self.attained(exchange);
-        self.count_ending(exchange, not_run);
+        self.count_ending(exchange, not_run_marker);
         self.counts.sent += 1;
         self.counts.attained += u64::from(attained);
         self.counts.tokens += exchange.response.tokens();
@@ -62,7 +62,7 @@
         let line = &mut self.timeline[second];
         line.sent += 1;
         line.attained += u64::from(attained);
-        line.refused += u64::from(exchange.ending == Ending::Refused);
+        line.refused += u64::from(exchange.outcome == RequestOutcome::Refused);
     }
 
     /// The report; the timeline only when asked for.
@@ -77,41 +77,41 @@
         report
     }
 
-    fn count_ending(&mut self, exchange: &Exchange, not_run: &str) {
+    fn count_ending(&mut self, exchange: &Exchange, not_run_marker: &str) {
         let counts = &mut self.counts;
-        match exchange.ending {
-            Ending::Complete => counts.completed += 1,
-            Ending::Refused => {
+        match exchange.outcome {
+            RequestOutcome::Complete => counts.completed += 1,
+            RequestOutcome::Refused => {
                 counts.refused += 1;
                 *counts
                     .statuses
                     .entry(exchange.response.status())
                     .or_insert(0) += 1;
                 let retry_after = exchange.response.header("retry-after").is_some();
-                counts.without_hint += u64::from(!retry_after);
-                counts.said_unrun += u64::from(says_not_run(exchange, not_run));
+                counts.without_retry_after += u64::from(!retry_after);
+                counts.reported_not_run += u64::from(says_not_run(exchange, not_run_marker));
             }
-            Ending::Cut => counts.cut += 1,
-            Ending::Misdelivered => counts.misdelivered += 1,
-            Ending::Disordered => counts.disordered += 1,
-            Ending::TimedOut => counts.timed_out += 1,
-            Ending::GaveUp => counts.gave_up += 1,
-            Ending::Unconnected => counts.unconnected += 1,
+            RequestOutcome::Cut => counts.cut += 1,
+            RequestOutcome::Misdelivered => counts.misdelivered += 1,
+            RequestOutcome::Disordered => counts.disordered += 1,
+            RequestOutcome::TimedOut => counts.timed_out += 1,
+            RequestOutcome::GaveUp => counts.gave_up += 1,
+            RequestOutcome::ConnectFailed => counts.connect_failed += 1,
         }
-        if exchange.ending == Ending::Complete {
+        if exchange.outcome == RequestOutcome::Complete {
             counts.useful_tokens += exchange.response.tokens();
         }
     }
 
     fn add_times(&mut self, exchange: &Exchange) {
-        if let Some(first) = exchange.first {
+        if let Some(first) = exchange.first_token {
             self.first.saturating_record(micros(first));
         }
-        for &gap in &exchange.gaps {
+        for &gap in &exchange.token_gaps {
             self.between.saturating_record(u64::from(gap));
         }
-        if exchange.ending == Ending::Complete {
-            self.whole.saturating_record(micros(exchange.whole));
+        if exchange.outcome == RequestOutcome::Complete {
+            self.whole.saturating_record(micros(exchange.duration));
         }
     }
 
@@ -124,18 +124,20 @@
         let within = |took: Duration, limit: Option<u64>| {
             limit.is_none_or(|ms| took <= Duration::from_millis(ms))
         };
-        exchange.ending == Ending::Complete
-            && exchange.first.is_some_and(|first| within(first, first_ms))
-            && within(exchange.whole, whole_ms)
-            && between_ms.is_none_or(|ms| gaps_within(&exchange.gaps, ms))
+        exchange.outcome == RequestOutcome::Complete
+            && exchange
+                .first_token
+                .is_some_and(|first| within(first, first_ms))
+            && within(exchange.duration, whole_ms)
+            && between_ms.is_none_or(|ms| gaps_within(&exchange.token_gaps, ms))
     }
 }
 
 /// Whether a refusal states that the request wasn't run.
-pub(super) fn says_not_run(exchange: &Exchange, not_run: &str) -> bool {
+pub(super) fn says_not_run(exchange: &Exchange, not_run_marker: &str) -> bool {
     let head = exchange.response.head();
     let body = String::from_utf8_lossy(exchange.response.body());
-    !not_run.is_empty() && (head.contains(not_run) || body.contains(not_run))
+    !not_run_marker.is_empty() && (head.contains(not_run_marker) || body.contains(not_run_marker))
 }
 
 fn gaps_within(gaps: &[u32], ms: u64) -> bool {
--- a/crates/standins/src/load/report.rs
+++ b/crates/standins/src/load/report.rs
@@ -47,17 +47,22 @@
     /// Left by the caller as planned.
     pub gave_up: u64,
     /// Refused a connection by every entry.
-    pub unconnected: u64,
+    #[serde(rename = "unconnected")]
+    pub connect_failed: u64,
     /// Refusals by status.
     pub statuses: BTreeMap<u16, u64>,
     /// Refusals without `Retry-After`.
-    pub without_hint: u64,
+    #[serde(rename = "without-hint")]
+    pub without_retry_after: u64,
     /// Refusals that state that the request wasn't run.
-    pub said_unrun: u64,
+    #[serde(rename = "said-unrun")]
+    pub reported_not_run: u64,
     /// Requests that were said not to have been run, and were.
-    pub falsely_unrun: u64,
+    #[serde(rename = "falsely-unrun")]
+    pub falsely_reported_not_run: u64,
     /// Requests that ran, or had their effect, more than once.
-    pub doubled: u64,
+    #[serde(rename = "doubled")]
+    pub repeated: u64,
     /// Tokens that arrived.
     pub tokens: u64,
     /// Tokens of completed requests.
@@ -106,10 +111,12 @@
 #[serde(rename_all = "kebab-case")]
 pub struct StandinTotals {
     /// Stand-ins that gave their counters.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub reachable: u64,
     /// Stand-ins that couldn't be asked. Unless it is zero, the counts of doubled and falsely unrun
     /// requests are lower bounds.
-    pub unasked: u64,
+    #[serde(rename = "unasked")]
+    pub unreachable: u64,
     /// Requests that entered a queue.
     pub started: u64,
     /// Requests whose whole answer went out.
--- a/crates/standins/src/load/run.rs
+++ b/crates/standins/src/load/run.rs
@@ -18,8 +18,8 @@
 
 use super::client::Client;
 use super::exchange;
-use super::exchange::Ending;
 use super::exchange::Outgoing;
+use super::exchange::RequestOutcome;
 use super::plan::LoadClass;
 use super::plan::LoadPlan;
 use super::record;
@@ -172,8 +172,10 @@
     async fn finish(&self, class: usize, time: f64, marker: String, outgoing: Outgoing) {
         let exchange = exchange::exchange(&self.client, outgoing).await;
         self.open.fetch_sub(1, Ordering::Relaxed);
-        let not_run = &self.plan.not_run;
-        if exchange.ending == Ending::Refused && record::says_not_run(&exchange, not_run) {
+        let not_run_marker = &self.plan.not_run_marker;
+        if exchange.outcome == RequestOutcome::Refused
+            && record::says_not_run(&exchange, not_run_marker)
+        {
             let mut told = port::lock(&self.told);
             if told.len() < MAX_TOLD {
                 told.insert(marker);
@@ -181,7 +183,7 @@
         }
         if time >= self.plan.warmup {
             let mut record = port::lock(&self.records[class]);
-            record.add(&exchange, not_run, time as usize);
+            record.add(&exchange, not_run_marker, time as usize);
         }
     }
 
@@ -195,9 +197,9 @@
                 .runs
                 .iter()
                 .filter(|(marker, _)| marker.starts_with(&prefix));
-            class.doubled = runs.filter(|&(_, &runs)| runs > 1).count() as u64;
+            class.repeated = runs.filter(|&(_, &runs)| runs > 1).count() as u64;
             let told = told.iter().filter(|marker| marker.starts_with(&prefix));
-            class.falsely_unrun = told
+            class.falsely_reported_not_run = told
                 .filter(|marker| tally.runs.contains_key(*marker))
                 .count() as u64;
             classes.push(class);
--- a/crates/standins/src/load/single.rs
+++ b/crates/standins/src/load/single.rs
@@ -12,8 +12,8 @@
 use super::exchange::Exchange;
 use super::exchange::Outgoing;
 use super::exchange::Patience;
-use super::plan::Form;
 use super::plan::LoadClass;
+use super::plan::RequestKind;
 use super::prompt;
 use super::response::Response;
 
@@ -36,8 +36,8 @@
     rng: &mut StdRng,
     leaves: impl FnOnce(&mut StdRng) -> bool,
 ) -> Outgoing {
-    let output = class.output.draw(rng);
-    let tokens = (class.form != Form::Call).then(|| u64::from(class.limit(output)));
+    let output = class.output.sample(rng);
+    let tokens = (class.kind != RequestKind::Call).then(|| u64::from(class.limit(output)));
     let give_up = class.give_up.filter(|_| leaves(rng));
     Outgoing {
         bytes: prompt::request_bytes(class, marker, host, output, rng),
--- a/crates/standins/src/load/tally.rs
+++ b/crates/standins/src/load/tally.rs
@@ -10,9 +10,9 @@
 
 use super::client::Client;
 use super::exchange;
-use super::exchange::Ending;
 use super::exchange::Outgoing;
 use super::exchange::Patience;
+use super::exchange::RequestOutcome;
 use super::report::StandinTotals;
 use super::response::Response;
 use crate::engine::EngineStats;
@@ -34,8 +34,8 @@
         let mut tally = RunTally::default();
         for &standin in standins {
             match tally.ask(standin).await {
-                Ok(()) => tally.totals.asked += 1,
-                Err(_) => tally.totals.unasked += 1,
+                Ok(()) => tally.totals.reachable += 1,
+                Err(_) => tally.totals.unreachable += 1,
             }
         }
         tally
@@ -78,7 +78,7 @@
         },
     };
     let exchange = exchange::exchange(&client, outgoing).await;
-    if exchange.ending != Ending::Complete {
+    if exchange.outcome != RequestOutcome::Complete {
         return Err(io::Error::other(format!("{standin} gave no counters")));
     }
     Ok(serde_json::from_slice(exchange.response.body())?)
--- a/crates/standins/tests/all/engine.rs
+++ b/crates/standins/tests/all/engine.rs
@@ -2,7 +2,7 @@
 
 use crocushold_standins::BatchSettings;
 use crocushold_standins::Cut;
-use crocushold_standins::CutForm;
+use crocushold_standins::CutFraming;
 use crocushold_standins::Engine;
 use crocushold_standins::EngineCommand;
 use crocushold_standins::EngineSettings;
@@ -85,18 +85,18 @@
 
 /// The caller receives two tokens and the end of the connection; each form of the cut breaks the
 /// framing in its own way, so that a reader who trusts the wrong sign takes the answer for whole.
-#[test_case(CutForm::Chunked, true)]
-#[test_case(CutForm::Chunked, false)]
-#[test_case(CutForm::Length, true)]
-#[test_case(CutForm::Length, false)]
-#[test_case(CutForm::Close, true)]
-#[test_case(CutForm::Close, false)]
+#[test_case(CutFraming::Chunked, true)]
+#[test_case(CutFraming::Chunked, false)]
+#[test_case(CutFraming::Length, true)]
+#[test_case(CutFraming::Length, false)]
+#[test_case(CutFraming::Close, true)]
+#[test_case(CutFraming::Close, false)]
 #[async_std::test]
-async fn cut_answer_is_cut_on_the_wire(form: CutForm, stream: bool) {
+async fn cut_answer_is_cut_on_the_wire(framing: CutFraming, stream: bool) {
     let engine = engine().await;
     let cut = Some(Cut {
         after: 2,
-        form,
+        framing,
         times: Some(1),
     });
     engine.command(EngineCommand::Cut { cut }).await.unwrap();
@@ -108,13 +108,13 @@
         .head
         .lines()
         .find_map(|l| l.strip_prefix("content-length: "));
-    match form {
-        CutForm::Chunked => assert!(chunked && !reply.body.ends_with("0\r\n\r\n")),
-        CutForm::Length => {
+    match framing {
+        CutFraming::Chunked => assert!(chunked && !reply.body.ends_with("0\r\n\r\n")),
+        CutFraming::Length => {
             let announced: usize = length.unwrap().parse().unwrap();
             assert!(!chunked && announced > reply.body.len());
         }
-        CutForm::Close => assert!(!chunked && length.is_none()),
+        CutFraming::Close => assert!(!chunked && length.is_none()),
     }
     let stats = engine.stats();
     assert_eq!((stats.failed, stats.useful_tokens), (1, 0));
--- a/crates/standins/tests/all/load.rs
+++ b/crates/standins/tests/all/load.rs
@@ -6,21 +6,21 @@
 use async_std::task;
 use crocushold_standins::BatchSettings;
 use crocushold_standins::Cut;
-use crocushold_standins::CutForm;
+use crocushold_standins::CutFraming;
 use crocushold_standins::Engine;
 use crocushold_standins::EngineCommand;
 use crocushold_standins::EngineSettings;
 use crocushold_standins::Handle;
-use crocushold_standins::Lengths;
+use crocushold_standins::LengthDistribution;
 use crocushold_standins::PlainService;
 use crocushold_standins::ServiceSettings;
 use crocushold_standins::load;
-use crocushold_standins::load::Ending;
-use crocushold_standins::load::Form;
 use crocushold_standins::load::GiveUp;
 use crocushold_standins::load::LoadClass;
 use crocushold_standins::load::LoadPlan;
 use crocushold_standins::load::Malformed;
+use crocushold_standins::load::RequestKind;
+use crocushold_standins::load::RequestOutcome;
 use crocushold_standins::load::Response;
 use crocushold_standins::load::Targets;
 use test_case::test_case;
@@ -90,14 +90,14 @@
             LoadClass {
                 name: "chat".to_owned(),
                 rate: 100.0,
-                output: Lengths { low: 1, high: 20 },
+                output: LengthDistribution { low: 1, high: 20 },
                 ..class()
             },
             LoadClass {
                 name: "sheets".to_owned(),
                 rate: 50.0,
                 stream: false,
-                form: Form::Text,
+                kind: RequestKind::Text,
                 ..class()
             },
         ],
@@ -107,44 +107,47 @@
     for class in &report.classes {
         assert!(class.sent > 5, "{class:?}");
         assert_eq!(class.completed, class.sent, "{class:?}");
-        assert_eq!((class.doubled, class.falsely_unrun), (0, 0));
+        assert_eq!((class.repeated, class.falsely_reported_not_run), (0, 0));
         assert_eq!(class.first.count, class.sent);
     }
     let sent: u64 = report.classes.iter().map(|class| class.sent).sum();
     assert_eq!(report.standins.completed, sent);
-    assert_eq!((report.standins.asked, report.standins.unasked), (1, 0));
+    assert_eq!(
+        (report.standins.reachable, report.standins.unreachable),
+        (1, 0)
+    );
     let tokens: u64 = report.classes.iter().map(|class| class.useful_tokens).sum();
     assert_eq!(report.standins.useful_tokens, tokens);
 }
 
-#[test_case(CutForm::Chunked, true)]
-#[test_case(CutForm::Chunked, false)]
-#[test_case(CutForm::Length, true)]
-#[test_case(CutForm::Length, false)]
-#[test_case(CutForm::Close, true)]
-#[test_case(CutForm::Close, false)]
+#[test_case(CutFraming::Chunked, true)]
+#[test_case(CutFraming::Chunked, false)]
+#[test_case(CutFraming::Length, true)]
+#[test_case(CutFraming::Length, false)]
+#[test_case(CutFraming::Close, true)]
+#[test_case(CutFraming::Close, false)]
 #[async_std::test]
-async fn cut_answer_is_recorded_as_cut(form: CutForm, stream: bool) {
+async fn cut_answer_is_recorded_as_cut(framing: CutFraming, stream: bool) {
     let engine = engine().await;
     let cut = Some(Cut {
         after: 2,
-        form,
+        framing,
         times: None,
     });
     engine.command(EngineCommand::Cut { cut }).await.unwrap();
     let class = LoadClass { stream, ..class() };
     let exchange = load::send_one(engine.addr(), &class, "mine").await;
-    assert_eq!(exchange.ending, Ending::Cut);
+    assert_eq!(exchange.outcome, RequestOutcome::Cut);
 }
 
 /// A relay between caller and engine goes wrong although the framing of its answer is in order.
-#[test_case(&["mine 0 ", "mine 1 "], true, "", Ending::Complete; "in order")]
-#[test_case(&["mine 0 "], true, "", Ending::Disordered; "its tail is missing")]
-#[test_case(&["mine 0 ", "other 1 "], true, "", Ending::Misdelivered; "another request's token")]
-#[test_case(&["mine 0 ", "mine 1 "], false, "0\r\n\r\n", Ending::Cut; "no end of the stream")]
-#[test_case(&["mine 0 ", "mine 1 "], true, "HTTP/1.1 200 OK", Ending::Cut; "bytes after its end")]
+#[test_case(&["mine 0 ", "mine 1 "], true, "", RequestOutcome::Complete; "in order")]
+#[test_case(&["mine 0 "], true, "", RequestOutcome::Disordered; "its tail is missing")]
+#[test_case(&["mine 0 ", "other 1 "], true, "", RequestOutcome::Misdelivered; "another request's token")]
+#[test_case(&["mine 0 ", "mine 1 "], false, "0\r\n\r\n", RequestOutcome::Cut; "no end of the stream")]
+#[test_case(&["mine 0 ", "mine 1 "], true, "HTTP/1.1 200 OK", RequestOutcome::Cut; "bytes after its end")]
 #[async_std::test]
-async fn relayed_answer(tokens: &[&str], ended: bool, last: &str, ending: Ending) {
+async fn relayed_answer(tokens: &[&str], ended: bool, last: &str, outcome: RequestOutcome) {
     let answer = format!("{}{last}", chunked(tokens, ended));
     let listener = TcpListener::bind(wire::any()).await.unwrap();
     let entry = listener.local_addr().unwrap();
@@ -155,11 +158,11 @@
         conn.write_all(answer.as_bytes()).await.unwrap();
     });
     let class = LoadClass {
-        output: Lengths::fixed(2),
+        output: LengthDistribution::fixed(2),
         ..LoadClass::default()
     };
     let exchange = load::send_one(entry, &class, "mine").await;
-    assert_eq!(exchange.ending, ending);
+    assert_eq!(exchange.outcome, outcome);
 }
 
 #[async_std::test]
@@ -172,12 +175,12 @@
         .unwrap();
     let refused = load::send_one(engine.addr(), &class(), "mine").await;
     assert_eq!(
-        (refused.ending, refused.response.status()),
-        (Ending::Refused, 503)
+        (refused.outcome, refused.response.status()),
+        (RequestOutcome::Refused, 503)
     );
     engine.command(EngineCommand::Crash).await.unwrap();
     let unconnected = load::send_one(engine.addr(), &class(), "mine").await;
-    assert_eq!(unconnected.ending, Ending::Unconnected);
+    assert_eq!(unconnected.outcome, RequestOutcome::ConnectFailed);
 }
 
 #[async_std::test]
@@ -196,13 +199,13 @@
         ..class()
     };
     let left = load::send_one(engine.addr(), &leaving, "mine").await;
-    assert_eq!(left.ending, Ending::GaveUp);
+    assert_eq!(left.outcome, RequestOutcome::GaveUp);
     let waiting = LoadClass {
         timeout_ms: 20,
         ..class()
     };
     let waited = load::send_one(engine.addr(), &waiting, "mine").await;
-    assert_eq!(waited.ending, Ending::TimedOut);
+    assert_eq!(waited.outcome, RequestOutcome::TimedOut);
 }
 
 #[async_std::test]
@@ -211,7 +214,7 @@
     let service = PlainService::start(wire::any(), settings).await.unwrap();
     let class = LoadClass {
         name: "book".to_owned(),
-        form: Form::Call,
+        kind: RequestKind::Call,
         path: "/book".to_owned(),
         rate: 50.0,
         targets: Targets::default(),
@@ -229,7 +232,7 @@
     };
     let report = load::run(plan).await.unwrap();
     assert!(report.classes[0].sent > 0);
-    assert_eq!(report.classes[0].doubled, 1);
+    assert_eq!(report.classes[0].repeated, 1);
 }
 
 fn chunked(tokens: &[&str], ended: bool) -> String {
@@ -261,7 +264,7 @@
 
 fn class() -> LoadClass {
     LoadClass {
-        output: Lengths::fixed(5),
+        output: LengthDistribution::fixed(5),
         ..LoadClass::default()
     }
 }
--- a/tests/all/answer_faults.rs
+++ b/tests/all/answer_faults.rs
@@ -4,7 +4,7 @@
 use std::thread;
 
 use crocushold_standins::Cut;
-use crocushold_standins::CutForm;
+use crocushold_standins::CutFraming;
 use crocushold_standins::EngineCommand;
 use test_case::test_case;
 
@@ -43,18 +43,18 @@
 
 // An answer ends early in each of the three ways that HTTP/1.1 knows. The caller must see an error
 // or a broken connection, never a shorter answer that looks whole.
-#[test_case(CutForm::Chunked, true, 3; "chunked stream")]
-#[test_case(CutForm::Length, true, 3; "stream with a length")]
-#[test_case(CutForm::Chunked, false, 3; "chunked whole answer")]
-#[test_case(CutForm::Length, false, 3; "whole answer with a length")]
-#[test_case(CutForm::Chunked, true, 8; "stream before its last byte")]
-#[test_case(CutForm::Length, true, 8; "stream with a length before its last byte")]
-fn an_answer_that_is_cut_never_looks_whole(form: CutForm, stream: bool, after: u32) {
+#[test_case(CutFraming::Chunked, true, 3; "chunked stream")]
+#[test_case(CutFraming::Length, true, 3; "stream with a length")]
+#[test_case(CutFraming::Chunked, false, 3; "chunked whole answer")]
+#[test_case(CutFraming::Length, false, 3; "whole answer with a length")]
+#[test_case(CutFraming::Chunked, true, 8; "stream before its last byte")]
+#[test_case(CutFraming::Length, true, 8; "stream with a length before its last byte")]
+fn an_answer_that_is_cut_never_looks_whole(framing: CutFraming, stream: bool, after: u32) {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
     let cut = Some(Cut {
         after,
-        form,
+        framing,
         times: None,
     });
     site.all_engines(&EngineCommand::Cut { cut });
@@ -74,7 +74,7 @@
     let entry = site.entry("entry-1");
     let cut = Some(Cut {
         after: 3,
-        form: CutForm::Close,
+        framing: CutFraming::Close,
         times: None,
     });
     site.engine(0, EngineCommand::Cut { cut });
@@ -108,7 +108,7 @@
     let entry = site.entry("entry-1");
     let cut = Some(Cut {
         after: 5,
-        form: CutForm::Chunked,
+        framing: CutFraming::Chunked,
         times: Some(6),
     });
     site.all_engines(&EngineCommand::Cut { cut });
--- a/tests/all/fleet_replacement.rs
+++ b/tests/all/fleet_replacement.rs
@@ -131,7 +131,7 @@
     assert_eq!(totals.class("chat").refused, 0);
     assert_eq!(totals.class("batch").refused, 0);
     // While a key's holders change, its callers are told to come back.
-    assert_eq!(totals.class("confirm").without_hint, 0);
+    assert_eq!(totals.class("confirm").without_retry_after, 0);
 }
 
 /// The operator goes on with a planned replacement only when new confirmations are served through the
@@ -163,7 +163,7 @@
     totals.assert_sound();
     assert_eq!(totals.class("chat").refused, 0);
     assert_eq!(totals.class("batch").refused, 0);
-    assert_eq!(totals.class("confirm").without_hint, 0);
+    assert_eq!(totals.class("confirm").without_retry_after, 0);
 }
 
 /// While a new version is rolled out, the platform answers with an older revision, or has lost the
--- a/tests/all/support/load.rs
+++ b/tests/all/support/load.rs
@@ -8,13 +8,13 @@
 use std::thread::JoinHandle;
 
 use async_std::task;
-use crocushold_standins::Lengths;
+use crocushold_standins::LengthDistribution;
 use crocushold_standins::load;
 use crocushold_standins::load::ClassReport;
-use crocushold_standins::load::Form;
 use crocushold_standins::load::LoadClass;
 use crocushold_standins::load::LoadPlan;
 use crocushold_standins::load::LoadReport;
+use crocushold_standins::load::RequestKind;
 
 use super::site::Site;
 
@@ -84,9 +84,9 @@
             },
             LoadClass {
                 name: "confirm".to_owned(),
-                form: Form::Call,
+                kind: RequestKind::Call,
                 path: "/booking/confirmations".to_owned(),
-                prompt: Lengths::fixed(2),
+                prompt: LengthDistribution::fixed(2),
                 stream: false,
                 ..chat.clone()
             },
@@ -107,7 +107,7 @@
 
 impl Totals {
     fn add(&mut self, report: &LoadReport) {
-        self.unasked += report.standins.unasked;
+        self.unasked += report.standins.unreachable;
         if self.classes.is_empty() {
             self.classes = report.classes.clone();
             return;
@@ -138,8 +138,8 @@
             assert_eq!(class.sent, ended, "{class:?}");
             assert!(class.completed > 0, "{class:?}");
             assert_eq!(class.unsent, 0, "{class:?}");
-            assert!(class.name != "confirm" || class.doubled == 0, "{class:?}");
-            assert_eq!(class.falsely_unrun, 0, "{class:?}");
+            assert!(class.name != "confirm" || class.repeated == 0, "{class:?}");
+            assert_eq!(class.falsely_reported_not_run, 0, "{class:?}");
         }
     }
 
@@ -152,10 +152,10 @@
                 class.sent,
                 class.completed,
                 class.statuses,
-                class.without_hint,
-                class.said_unrun,
+                class.without_retry_after,
+                class.reported_not_run,
                 class.cut,
-                class.doubled,
+                class.repeated,
                 class.first.p99,
             );
         }
@@ -171,11 +171,11 @@
     sum.misdelivered += class.misdelivered;
     sum.disordered += class.disordered;
     sum.timed_out += class.timed_out;
-    sum.unconnected += class.unconnected;
-    sum.without_hint += class.without_hint;
-    sum.said_unrun += class.said_unrun;
-    sum.falsely_unrun += class.falsely_unrun;
-    sum.doubled += class.doubled;
+    sum.connect_failed += class.connect_failed;
+    sum.without_retry_after += class.without_retry_after;
+    sum.reported_not_run += class.reported_not_run;
+    sum.falsely_reported_not_run += class.falsely_reported_not_run;
+    sum.repeated += class.repeated;
     sum.first.p99 = sum.first.p99.max(class.first.p99);
     for (status, count) in &class.statuses {
         *sum.statuses.entry(*status).or_insert(0) += count;
