--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -22,7 +22,7 @@
 pub use batch::BatchSettings;
 pub use batch::Job;
 pub use batch::JobId;
-pub use batch::StepEnd;
+pub use batch::StepResult;
 pub use cache::prefix_hash;
 pub use command::EngineCommand;
 pub use command::EngineSettings;
--- a/crates/standins/src/engine/answer.rs
+++ b/crates/standins/src/engine/answer.rs
@@ -15,59 +15,63 @@
 use futures::io::AsyncBufRead;
 use futures::io::AsyncRead;
 
-use super::core::Started;
+use super::core::AdmittedRequest;
 use super::fault::Cut;
-use super::progress::Outcome;
+use super::progress::JobState;
 use super::server::Engine;
-use super::text::Texts;
+use super::text::ResponseText;
 use crate::port;
 
 /// A request in the engine. Dropped before it is settled, it counts as cancelled by its caller.
-pub(super) struct Run {
+pub(super) struct ActiveRequest {
     engine: Arc<Engine>,
-    pub(super) started: Started,
+    pub(super) admitted: AdmittedRequest,
     marker: String,
-    settled: bool,
+    recorded: bool,
 }
 
-impl Run {
-    pub(super) fn new(engine: Arc<Engine>, started: Started, marker: String) -> Run {
-        Run {
+impl ActiveRequest {
+    pub(super) fn new(
+        engine: Arc<Engine>,
+        admitted: AdmittedRequest,
+        marker: String,
+    ) -> ActiveRequest {
+        ActiveRequest {
             engine,
-            started,
+            admitted,
             marker,
-            settled: false,
+            recorded: false,
         }
     }
 
     /// The whole answer was handed over.
     pub(super) fn complete(&mut self) {
-        if !self.settled {
-            self.settled = true;
-            self.engine.settle_complete(self.started.length);
+        if !self.recorded {
+            self.recorded = true;
+            self.engine.record_complete(self.admitted.length);
         }
     }
 
     /// The answer was ended by a fault.
     pub(super) fn fail(&mut self) {
-        if !self.settled {
-            self.settled = true;
-            let tokens = self.started.progress.tokens();
-            self.engine.settle_failed(self.started.id, tokens);
+        if !self.recorded {
+            self.recorded = true;
+            let tokens = self.admitted.progress.tokens();
+            self.engine.record_failed(self.admitted.id, tokens);
         }
     }
 
     /// Waits until `tokens` tokens are there; an error when the engine crashed or the caller left.
     pub(super) async fn tokens(&self, tokens: u32, conn: TcpStream) -> io::Result<()> {
-        let mut gone = port::hang_up(conn).boxed();
+        let mut disconnected = port::client_disconnected(conn).boxed();
         poll_fn(|cx| {
-            let progress = &self.started.progress;
+            let progress = &self.admitted.progress;
             progress.register(cx.waker());
             if progress.tokens() >= tokens {
                 return Poll::Ready(Ok(()));
             }
-            if progress.outcome() == Outcome::Lost || gone.poll_unpin(cx).is_ready() {
-                return Poll::Ready(Err(port::aborted()));
+            if progress.state() == JobState::Lost || disconnected.poll_unpin(cx).is_ready() {
+                return Poll::Ready(Err(port::connection_aborted()));
             }
             Poll::Pending
         })
@@ -75,77 +79,77 @@
     }
 }
 
-impl Drop for Run {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        if self.settled {
+        if self.recorded {
             return;
         }
-        if self.started.progress.outcome() == Outcome::Lost {
+        if self.admitted.progress.state() == JobState::Lost {
             self.fail();
             return;
         }
-        let tokens = self.started.progress.tokens();
+        let tokens = self.admitted.progress.tokens();
         self.engine
-            .settle_cancelled(self.started.id, &self.marker, tokens);
+            .record_cancelled(self.admitted.id, &self.marker, tokens);
     }
 }
 
 /// A streamed answer: one read gives one token, so that one write carries one token.
 pub(super) struct TokenStream {
-    run: Run,
-    texts: Texts,
+    request: ActiveRequest,
+    text: ResponseText,
     written: u32,
     ended: bool,
     buf: Vec<u8>,
-    at: usize,
+    position: usize,
     // Behind a mutex only because a body must be `Sync`; there is one reader.
-    gone: Mutex<BoxFuture<'static, ()>>,
+    disconnected: Mutex<BoxFuture<'static, ()>>,
 }
 
 impl TokenStream {
-    pub(super) fn new(run: Run, texts: Texts, conn: TcpStream) -> TokenStream {
+    pub(super) fn new(request: ActiveRequest, text: ResponseText, conn: TcpStream) -> TokenStream {
         TokenStream {
-            run,
-            texts,
+            request,
+            text,
             written: 0,
             ended: false,
             buf: Vec::new(),
-            at: 0,
-            gone: Mutex::new(port::hang_up(conn).boxed()),
+            position: 0,
+            disconnected: Mutex::new(port::client_disconnected(conn).boxed()),
         }
     }
 
     /// Bytes that the whole stream would have.
     pub(super) fn total_len(&self) -> usize {
         let mut all = Vec::new();
-        for token in 0..self.run.started.length {
-            self.texts.push_token(token, &mut all);
+        for token in 0..self.request.admitted.length {
+            self.text.push_token_event(token, &mut all);
         }
-        self.texts.push_end(&mut all);
+        self.text.push_end_events(&mut all);
         all.len()
     }
 
     /// Puts the next event into the buffer; leaves it empty at the end of the stream.
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let fate = self.run.started.fate;
-        if fate.cut.is_some_and(|cut| self.written >= cut.after) {
-            self.run.fail();
-            return Poll::Ready(Err(port::aborted()));
+        let faults = self.request.admitted.faults;
+        if faults.cut.is_some_and(|cut| self.written >= cut.after) {
+            self.request.fail();
+            return Poll::Ready(Err(port::connection_aborted()));
         }
-        let progress = &self.run.started.progress;
+        let progress = &self.request.admitted.progress;
         progress.register(cx.waker());
-        let stalled = fate.stall.is_some_and(|after| self.written >= after);
+        let stalled = faults.stall.is_some_and(|after| self.written >= after);
         if !stalled && progress.tokens() > self.written {
-            self.texts.push_token(self.written, &mut self.buf);
+            self.text.push_token_event(self.written, &mut self.buf);
             self.written += 1;
             return Poll::Ready(Ok(()));
         }
-        if !stalled && self.written == self.run.started.length {
+        if !stalled && self.written == self.request.admitted.length {
             self.end();
             return Poll::Ready(Ok(()));
         }
-        if progress.outcome() == Outcome::Lost || self.poll_gone(cx) {
-            return Poll::Ready(Err(port::aborted()));
+        if progress.state() == JobState::Lost || self.poll_disconnected(cx) {
+            return Poll::Ready(Err(port::connection_aborted()));
         }
         Poll::Pending
     }
@@ -153,31 +157,34 @@
     fn end(&mut self) {
         if !self.ended {
             self.ended = true;
-            self.texts.push_end(&mut self.buf);
+            self.text.push_end_events(&mut self.buf);
         }
     }
 
-    fn poll_gone(&mut self, cx: &mut Context<'_>) -> bool {
-        let gone = self.gone.get_mut().unwrap_or_else(PoisonError::into_inner);
-        gone.poll_unpin(cx).is_ready()
+    fn poll_disconnected(&mut self, cx: &mut Context<'_>) -> bool {
+        let disconnected = self
+            .disconnected
+            .get_mut()
+            .unwrap_or_else(PoisonError::into_inner);
+        disconnected.poll_unpin(cx).is_ready()
     }
 }
 
 impl AsyncBufRead for TokenStream {
     fn poll_fill_buf(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
-        if this.at == this.buf.len() {
-            this.at = 0;
+        if this.position == this.buf.len() {
+            this.position = 0;
             this.buf.clear();
             futures::ready!(this.poll_next(cx))?;
         }
-        Poll::Ready(Ok(&this.buf[this.at..]))
+        Poll::Ready(Ok(&this.buf[this.position..]))
     }
 
     fn consume(mut self: Pin<&mut Self>, amount: usize) {
-        self.at += amount;
-        if self.ended && self.at == self.buf.len() {
-            self.run.complete();
+        self.position += amount;
+        if self.ended && self.position == self.buf.len() {
+            self.request.complete();
         }
     }
 }
@@ -197,21 +204,21 @@
 }
 
 /// Bytes followed by an error, which makes the server close the connection.
-pub(super) struct CutBytes {
+pub(super) struct TruncatedBody {
     bytes: Vec<u8>,
-    at: usize,
+    position: usize,
 }
 
-impl CutBytes {
+impl TruncatedBody {
     /// The part of a whole answer that goes out before the cut.
-    pub(super) fn new(texts: &Texts, cut: Cut) -> CutBytes {
-        let mut bytes = texts.whole().into_bytes();
-        bytes.truncate(texts.whole_cut(cut.after));
-        CutBytes { bytes, at: 0 }
+    pub(super) fn new(text: &ResponseText, cut: Cut) -> TruncatedBody {
+        let mut bytes = text.full_body().into_bytes();
+        bytes.truncate(text.full_body_prefix_len(cut.after));
+        TruncatedBody { bytes, position: 0 }
     }
 }
 
-impl AsyncRead for CutBytes {
+impl AsyncRead for TruncatedBody {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -225,16 +232,16 @@
     }
 }
 
-impl AsyncBufRead for CutBytes {
+impl AsyncBufRead for TruncatedBody {
     fn poll_fill_buf(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
-        if this.at == this.bytes.len() {
-            return Poll::Ready(Err(port::aborted()));
+        if this.position == this.bytes.len() {
+            return Poll::Ready(Err(port::connection_aborted()));
         }
-        Poll::Ready(Ok(&this.bytes[this.at..]))
+        Poll::Ready(Ok(&this.bytes[this.position..]))
     }
 
     fn consume(mut self: Pin<&mut Self>, amount: usize) {
-        self.at += amount;
+        self.position += amount;
     }
 }
--- a/crates/standins/src/engine/batch.rs
+++ b/crates/standins/src/engine/batch.rs
@@ -62,7 +62,7 @@
 
 /// What a step brought.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct StepEnd {
+pub struct StepResult {
     /// Jobs that got one more token, finished ones included.
     pub advanced: Vec<JobId>,
     /// Jobs that are done and have left the batch.
@@ -70,16 +70,16 @@
 }
 
 #[derive(Debug)]
-struct Running {
+struct RunningJob {
     id: JobId,
     kv_tokens: u32,
     prefill: u32,
-    left: u32,
-    decodes: bool,
+    remaining: u32,
+    decoding: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Turn {
+struct QueuePosition {
     priority: i64,
     id: JobId,
 }
@@ -89,9 +89,9 @@
 pub struct Batch {
     settings: BatchSettings,
     slow_factor: f64,
-    last: u64,
-    waiting: BTreeMap<Turn, Job>,
-    running: Vec<Running>,
+    last_id: u64,
+    waiting: BTreeMap<QueuePosition, Job>,
+    running: Vec<RunningJob>,
     kv_used: u64,
 }
 
@@ -101,7 +101,7 @@
         Batch {
             settings,
             slow_factor: 1.0,
-            last: 0,
+            last_id: 0,
             waiting: BTreeMap::new(),
             running: Vec::new(),
             kv_used: 0,
@@ -141,10 +141,10 @@
 
     /// Queues a job behind those of the same or a sooner priority.
     pub fn submit(&mut self, job: Job) -> JobId {
-        self.last += 1;
-        let id = JobId(self.last);
+        self.last_id += 1;
+        let id = JobId(self.last_id);
         let priority = job.priority;
-        self.waiting.insert(Turn { priority, id }, job);
+        self.waiting.insert(QueuePosition { priority, id }, job);
         id
     }
 
@@ -156,7 +156,7 @@
             return true;
         }
         let before = self.waiting.len();
-        self.waiting.retain(|turn, _| turn.id != id);
+        self.waiting.retain(|position, _| position.id != id);
         self.waiting.len() < before
     }
 
@@ -169,40 +169,40 @@
 
     /// Begins a step; its duration, or none when there is nothing to do.
     pub fn begin_step(&mut self) -> Option<Duration> {
-        self.take_in();
+        self.admit();
         if self.running.is_empty() {
             return None;
         }
         let prefilled = self.prefill();
-        let decoding = self.running.iter().filter(|r| r.decodes).count();
+        let decoding_jobs = self.running.iter().filter(|r| r.decoding).count();
         let settings = &self.settings;
-        let decode_ms = settings.base_ms + settings.sequence_ms * decoding as f64;
+        let decode_ms = settings.base_ms + settings.sequence_ms * decoding_jobs as f64;
         let prefill_ms = f64::from(prefilled) / settings.prefill_rate * 1000.0;
         let ms = (decode_ms + prefill_ms) * self.slow_factor;
         Some(Duration::from_secs_f64(ms.max(0.01) / 1000.0))
     }
 
     /// Ends the step that was begun last.
-    pub fn end_step(&mut self) -> StepEnd {
-        let mut end = StepEnd::default();
+    pub fn end_step(&mut self) -> StepResult {
+        let mut end = StepResult::default();
         for job in &mut self.running {
-            if !job.decodes {
+            if !job.decoding {
                 // Its prompt may have been finished in this step: it decodes in the next one.
-                job.decodes = job.prefill == 0;
+                job.decoding = job.prefill == 0;
                 continue;
             }
-            job.left -= 1;
+            job.remaining -= 1;
             end.advanced.push(job.id);
-            if job.left == 0 {
+            if job.remaining == 0 {
                 end.finished.push(job.id);
                 self.kv_used -= u64::from(job.kv_tokens);
             }
         }
-        self.running.retain(|job| job.left > 0);
+        self.running.retain(|job| job.remaining > 0);
         end
     }
 
-    fn take_in(&mut self) {
+    fn admit(&mut self) {
         while self.running.len() < self.settings.batch_limit {
             let Some(first) = self.waiting.first_entry() else {
                 return;
@@ -212,14 +212,14 @@
             if !fits && !self.running.is_empty() {
                 return;
             }
-            let (turn, job) = first.remove_entry();
+            let (position, job) = first.remove_entry();
             self.kv_used += u64::from(kv_tokens);
-            self.running.push(Running {
-                id: turn.id,
+            self.running.push(RunningJob {
+                id: position.id,
                 kv_tokens,
                 prefill: job.prefill,
-                left: job.length.max(1),
-                decodes: job.prefill == 0,
+                remaining: job.length.max(1),
+                decoding: job.prefill == 0,
             });
         }
     }
--- a/crates/standins/src/engine/cache.rs
+++ b/crates/standins/src/engine/cache.rs
@@ -17,7 +17,7 @@
 
 /// What using a prefix did to the cache.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) struct Use {
+pub(super) struct Lookup {
     /// Whether the prefix was there.
     pub(super) hit: bool,
     /// The prefix that had to go to make room.
@@ -30,7 +30,7 @@
     limit: usize,
     clock: u64,
     last_use: HashMap<String, u64>,
-    by_age: BTreeMap<u64, String>,
+    by_last_use: BTreeMap<u64, String>,
 }
 
 impl PrefixCache {
@@ -39,20 +39,20 @@
             limit: limit.max(1),
             clock: 0,
             last_use: HashMap::new(),
-            by_age: BTreeMap::new(),
+            by_last_use: BTreeMap::new(),
         }
     }
 
     /// Uses a prefix: it is the youngest afterwards.
-    pub(super) fn touch(&mut self, prefix: &str) -> Use {
+    pub(super) fn touch(&mut self, prefix: &str) -> Lookup {
         self.clock += 1;
         let before = self.last_use.insert(prefix.to_owned(), self.clock);
         if let Some(before) = before {
-            self.by_age.remove(&before);
+            self.by_last_use.remove(&before);
         }
-        self.by_age.insert(self.clock, prefix.to_owned());
+        self.by_last_use.insert(self.clock, prefix.to_owned());
         let evicted = self.evict();
-        Use {
+        Lookup {
             hit: before.is_some(),
             evicted,
         }
@@ -60,14 +60,14 @@
 
     pub(super) fn clear(&mut self) {
         self.last_use.clear();
-        self.by_age.clear();
+        self.by_last_use.clear();
     }
 
     fn evict(&mut self) -> Option<String> {
-        if self.by_age.len() <= self.limit {
+        if self.by_last_use.len() <= self.limit {
             return None;
         }
-        let (_, prefix) = self.by_age.pop_first()?;
+        let (_, prefix) = self.by_last_use.pop_first()?;
         self.last_use.remove(&prefix);
         Some(prefix)
     }
--- a/crates/standins/src/engine/core.rs
+++ b/crates/standins/src/engine/core.rs
@@ -21,19 +21,19 @@
 use super::events::CacheChange;
 use super::events::EventLog;
 use super::events::EventPage;
-use super::fault::Fate;
-use super::fault::Faults;
+use super::fault::ActiveFaults;
+use super::fault::ResponseFaults;
 use super::output::LengthDistribution;
-use super::progress::Outcome;
+use super::progress::JobState;
 use super::progress::Progress;
-use super::reports::Load;
-use super::reports::Reports;
-use super::request::Completion;
-use super::stats::Tally;
-use crate::port::Effect;
+use super::reports::LoadHistory;
+use super::reports::LoadSample;
+use super::request::CompletionRequest;
+use super::stats::Counters;
+use crate::port::PortAction;
 
 /// Weight of the newest step in the reported token rate.
-const RATE_WEIGHT: f64 = 0.1;
+const TOKEN_RATE_WEIGHT: f64 = 0.1;
 
 /// An order, as the body of `POST /orders`.
 #[derive(Clone, Debug, Deserialize)]
@@ -53,7 +53,7 @@
 
 /// The fencing number that an order is answered with.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub(super) struct Fence {
+pub(super) struct FenceReply {
     fence: u64,
 }
 
@@ -75,24 +75,24 @@
 
 /// A request that was taken into the queue.
 #[derive(Debug)]
-pub(super) struct Started {
+pub(super) struct AdmittedRequest {
     pub(super) id: JobId,
     pub(super) progress: Arc<Progress>,
     pub(super) length: u32,
     pub(super) cached_tokens: u32,
-    pub(super) fate: Fate,
+    pub(super) faults: ResponseFaults,
 }
 
 /// The state of an engine.
 #[derive(Debug)]
-pub(super) struct Core {
+pub(super) struct EngineState {
     batch: Batch,
     jobs: HashMap<JobId, Arc<Progress>>,
     cache: PrefixCache,
     cached_share: f64,
     events: EventLog,
-    reports: Reports,
-    pub(super) faults: Faults,
+    reports: LoadHistory,
+    pub(super) faults: ActiveFaults,
     models: BTreeMap<String, Millis>,
     load_time: Millis,
     role: String,
@@ -100,22 +100,22 @@
     checks: bool,
     lengths: Option<LengthDistribution>,
     length_rng: StdRng,
-    gap_rng: StdRng,
+    event_loss_rng: StdRng,
     token_rate: f64,
-    pub(super) tally: Tally,
+    pub(super) counters: Counters,
 }
 
-impl Core {
-    pub(super) fn new(settings: EngineSettings) -> Core {
+impl EngineState {
+    pub(super) fn new(settings: EngineSettings) -> EngineState {
         let ready = |model| (model, Millis::ZERO);
-        Core {
+        EngineState {
             batch: Batch::new(settings.batch),
             jobs: HashMap::new(),
             cache: PrefixCache::new(settings.cache_limit),
             cached_share: settings.cached_share,
             events: EventLog::new(Millis(settings.event_delay), settings.event_gaps),
-            reports: Reports::new(Millis(settings.report_lag)),
-            faults: Faults::default(),
+            reports: LoadHistory::new(Millis(settings.report_lag)),
+            faults: ActiveFaults::default(),
             models: settings.models.into_iter().map(ready).collect(),
             load_time: Millis(settings.load_ms),
             role: settings.role,
@@ -123,9 +123,9 @@
             checks: settings.checks,
             lengths: settings.lengths,
             length_rng: StdRng::seed_from_u64(settings.seed),
-            gap_rng: StdRng::seed_from_u64(settings.seed.wrapping_add(1)),
+            event_loss_rng: StdRng::seed_from_u64(settings.seed.wrapping_add(1)),
             token_rate: 0.0,
-            tally: Tally::default(),
+            counters: Counters::default(),
         }
     }
 
@@ -141,14 +141,14 @@
     }
 
     /// Takes a request into the queue.
-    pub(super) fn start(&mut self, request: &Completion, now: Millis) -> Started {
-        self.tally.run(&request.marker);
+    pub(super) fn admit(&mut self, request: &CompletionRequest, now: Millis) -> AdmittedRequest {
+        self.counters.record_run(&request.marker);
         let prompt_tokens = request.prompt_tokens();
-        let cached_tokens = self.use_prefix(&request.prompt, prompt_tokens, now);
-        let drawn = self
+        let cached_tokens = self.lookup_prefix(&request.prompt, prompt_tokens, now);
+        let sampled = self
             .lengths
             .map(|lengths| lengths.sample(&mut self.length_rng));
-        let length = request.length(drawn);
+        let length = request.output_tokens(sampled);
         let id = self.batch.submit(Job {
             priority: request.priority,
             prefill: prompt_tokens - cached_tokens,
@@ -158,12 +158,12 @@
         let progress = Arc::new(Progress::default());
         self.jobs.insert(id, Arc::clone(&progress));
         self.record(now);
-        Started {
+        AdmittedRequest {
             id,
             progress,
             length,
             cached_tokens,
-            fate: self.faults.next_fate(),
+            faults: self.faults.next_response(),
         }
     }
 
@@ -184,28 +184,28 @@
         step
     }
 
-    /// Ends a step that took `took`; the jobs to wake.
-    pub(super) fn end_step(&mut self, took: Duration, now: Millis) -> Vec<Arc<Progress>> {
+    /// Ends a step that took `duration`; the jobs to wake.
+    pub(super) fn end_step(&mut self, duration: Duration, now: Millis) -> Vec<Arc<Progress>> {
         let end = self.batch.end_step();
-        let rate = end.advanced.len() as f64 / took.as_secs_f64();
-        self.token_rate += (rate - self.token_rate) * RATE_WEIGHT;
+        let rate = end.advanced.len() as f64 / duration.as_secs_f64();
+        self.token_rate += (rate - self.token_rate) * TOKEN_RATE_WEIGHT;
         let jobs = &self.jobs;
-        let woken: Vec<_> = end
+        let advanced: Vec<_> = end
             .advanced
             .iter()
             .filter_map(|id| jobs.get(id))
             .cloned()
             .collect();
-        for progress in &woken {
+        for progress in &advanced {
             progress.advance();
         }
         for id in &end.finished {
             if let Some(progress) = self.jobs.remove(id) {
-                progress.end(Outcome::Complete);
+                progress.finish(JobState::Complete);
             }
         }
         self.record(now);
-        woken
+        advanced
     }
 
     pub(super) fn load(&self, now: Millis) -> LoadReport {
@@ -232,35 +232,35 @@
     /// # Errors
     ///
     /// The newest fencing number, when the engine checks and the order's is older.
-    pub(super) fn order(&mut self, order: Order, now: Millis) -> Result<Fence, Fence> {
+    pub(super) fn order(&mut self, order: Order, now: Millis) -> Result<FenceReply, FenceReply> {
         if self.checks && order.fence < self.fence {
-            self.tally.counts.orders_refused += 1;
-            return Err(Fence { fence: self.fence });
+            self.counters.stats.orders_refused += 1;
+            return Err(FenceReply { fence: self.fence });
         }
         self.fence = order.fence;
         let fence = order.fence;
         match order.kind {
             OrderKind::Load { model } => {
                 let changed = !self.models.contains_key(&model);
-                self.tally.ordered(fence, "load", &model, changed);
+                self.counters.record_order(fence, "load", &model, changed);
                 let ready = now + self.load_time;
                 self.models.entry(model).or_insert(ready);
             }
             OrderKind::Unload { model } => {
                 let changed = self.models.remove(&model).is_some();
-                self.tally.ordered(fence, "unload", &model, changed);
+                self.counters.record_order(fence, "unload", &model, changed);
             }
             OrderKind::Role { role } => {
                 let changed = self.role != role;
-                self.tally.ordered(fence, "role", &role, changed);
+                self.counters.record_order(fence, "role", &role, changed);
                 self.role = role;
             }
         }
-        Ok(Fence { fence })
+        Ok(FenceReply { fence })
     }
 
     /// Applies a command.
-    pub(super) fn command(&mut self, command: EngineCommand) -> Effect {
+    pub(super) fn command(&mut self, command: EngineCommand) -> PortAction {
         match command {
             EngineCommand::Slow { factor } => self.batch.set_slow(factor),
             EngineCommand::Batch { settings } => self.batch.set_settings(settings),
@@ -275,23 +275,25 @@
             }
             EngineCommand::ReportLag { ms } => self.reports.set_lag(Millis(ms)),
             EngineCommand::Events { delay_ms, gaps } => {
-                self.events.set_faults(Millis(delay_ms), gaps);
+                self.events.set_delivery(Millis(delay_ms), gaps);
             }
             EngineCommand::Checks { on } => self.checks = on,
-            EngineCommand::HangUp { marker } => self.tally.hang_up(marker),
-            EngineCommand::Refuse { on: true } => return Effect::Refuse,
-            EngineCommand::Refuse { on: false } | EngineCommand::Restart => return Effect::Reopen,
+            EngineCommand::HangUp { marker } => self.counters.record_disconnect(marker),
+            EngineCommand::Refuse { on: true } => return PortAction::Refuse,
+            EngineCommand::Refuse { on: false } | EngineCommand::Restart => {
+                return PortAction::Reopen;
+            }
             EngineCommand::Crash => {
                 self.crash();
-                return Effect::Crash;
+                return PortAction::Crash;
             }
             EngineCommand::Clear => {
-                self.faults = Faults::default();
+                self.faults = ActiveFaults::default();
                 self.batch.set_slow(1.0);
-                return Effect::Reopen;
+                return PortAction::Reopen;
             }
         }
-        Effect::None
+        PortAction::None
     }
 
     /// Jobs in the batch and in the queue.
@@ -303,32 +305,32 @@
         self.batch.clear();
         self.cache.clear();
         for (_, progress) in self.jobs.drain() {
-            progress.end(Outcome::Lost);
+            progress.finish(JobState::Lost);
             progress.wake();
         }
     }
 
     /// Looks the prompt's prefix up and stores it; the tokens that needn't be prefilled.
-    fn use_prefix(&mut self, prompt: &str, tokens: u32, now: Millis) -> u32 {
+    fn lookup_prefix(&mut self, prompt: &str, tokens: u32, now: Millis) -> u32 {
         let prefix = cache::prefix_hash(prompt);
-        let used = self.cache.touch(&prefix);
-        let rng = &mut self.gap_rng;
-        if let Some(evicted) = used.evicted {
+        let lookup = self.cache.touch(&prefix);
+        let rng = &mut self.event_loss_rng;
+        if let Some(evicted) = lookup.evicted {
             self.events.push(CacheChange::Evicted, &evicted, now, rng);
         }
-        if !used.hit {
-            self.tally.counts.prefix_misses += 1;
+        if !lookup.hit {
+            self.counters.stats.prefix_misses += 1;
             self.events.push(CacheChange::Stored, &prefix, now, rng);
             return 0;
         }
-        self.tally.counts.prefix_hits += 1;
+        self.counters.stats.prefix_hits += 1;
         (f64::from(tokens) * self.cached_share)
             .floor()
             .min(f64::from(tokens)) as u32
     }
 
     fn record(&mut self, now: Millis) {
-        self.reports.record(Load {
+        self.reports.record(LoadSample {
             at: now,
             running: self.batch.running(),
             waiting: self.batch.waiting(),
--- a/crates/standins/src/engine/events.rs
+++ b/crates/standins/src/engine/events.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 /// How many events are kept for readers.
-const KEPT: usize = 4096;
+const MAX_EVENTS: usize = 4096;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
@@ -37,46 +37,46 @@
 #[derive(Debug)]
 pub(super) struct EventLog {
     delay: Millis,
-    gap_share: f64,
+    loss_rate: f64,
     last: u64,
-    kept: VecDeque<CacheEvent>,
+    events: VecDeque<CacheEvent>,
 }
 
 impl EventLog {
-    pub(super) fn new(delay: Millis, gap_share: f64) -> EventLog {
+    pub(super) fn new(delay: Millis, loss_rate: f64) -> EventLog {
         EventLog {
             delay,
-            gap_share,
+            loss_rate,
             last: 0,
-            kept: VecDeque::new(),
+            events: VecDeque::new(),
         }
     }
 
-    pub(super) fn set_faults(&mut self, delay: Millis, gap_share: f64) {
+    pub(super) fn set_delivery(&mut self, delay: Millis, loss_rate: f64) {
         self.delay = delay;
-        self.gap_share = gap_share;
+        self.loss_rate = loss_rate;
     }
 
     /// Records an event; a share of them is lost and leaves a gap in the numbers.
     pub(super) fn push(&mut self, kind: CacheChange, prefix: &str, now: Millis, rng: &mut StdRng) {
         self.last += 1;
-        if rng.random::<f64>() < self.gap_share {
+        if rng.random::<f64>() < self.loss_rate {
             return;
         }
-        self.kept.push_back(CacheEvent {
+        self.events.push_back(CacheEvent {
             seq: self.last,
             kind,
             prefix: prefix.to_owned(),
             at: now,
         });
-        if self.kept.len() > KEPT {
-            self.kept.pop_front();
+        if self.events.len() > MAX_EVENTS {
+            self.events.pop_front();
         }
     }
 
     /// The events after `after` that are old enough to show.
     pub(super) fn page(&self, after: u64, now: Millis) -> EventPage {
-        let shown = self.kept.iter().filter(|e| e.at + self.delay <= now);
+        let shown = self.events.iter().filter(|e| e.at + self.delay <= now);
         let last = shown.clone().next_back().map_or(0, |e| e.seq);
         let events = shown.filter(|e| e.seq > after).cloned().collect();
         EventPage { last, events }
--- a/crates/standins/src/engine/fault.rs
+++ b/crates/standins/src/engine/fault.rs
@@ -30,7 +30,7 @@
 
 /// The faults in force.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Faults {
+pub(super) struct ActiveFaults {
     pub(super) unavailable: bool,
     pub(super) stall: Option<u32>,
     pub(super) cut: Option<Cut>,
@@ -38,15 +38,15 @@
 
 /// What happens to one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Fate {
+pub(super) struct ResponseFaults {
     pub(super) stall: Option<u32>,
     pub(super) cut: Option<Cut>,
 }
 
-impl Faults {
+impl ActiveFaults {
     /// Decides the fate of the next answer and counts it.
-    pub(super) fn next_fate(&mut self) -> Fate {
-        Fate {
+    pub(super) fn next_response(&mut self) -> ResponseFaults {
+        ResponseFaults {
             stall: self.stall,
             cut: self.next_cut(),
         }
--- a/crates/standins/src/engine/output.rs
+++ b/crates/standins/src/engine/output.rs
@@ -27,8 +27,8 @@
     pub fn sample(&self, rng: &mut StdRng) -> u32 {
         let low = f64::from(self.low.max(1)).ln();
         let high = f64::from(self.high.max(self.low).max(1)).ln();
-        let drawn = low + (high - low) * rng.random::<f64>();
-        drawn.exp().round() as u32
+        let sampled = low + (high - low) * rng.random::<f64>();
+        sampled.exp().round() as u32
     }
 
     /// The mean of the distribution.
--- a/crates/standins/src/engine/progress.rs
+++ b/crates/standins/src/engine/progress.rs
@@ -9,9 +9,9 @@
 
 /// What became of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Outcome {
+pub(super) enum JobState {
     /// It is queued or running.
-    Open,
+    Pending,
     /// All of its tokens are there.
     Complete,
     /// The engine crashed.
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Progress {
     tokens: AtomicU32,
-    outcome: AtomicU8,
+    state: AtomicU8,
     waker: AtomicWaker,
 }
 
@@ -31,11 +31,11 @@
         self.tokens.load(Ordering::Acquire)
     }
 
-    pub(super) fn outcome(&self) -> Outcome {
-        match self.outcome.load(Ordering::Acquire) {
-            0 => Outcome::Open,
-            1 => Outcome::Complete,
-            _ => Outcome::Lost,
+    pub(super) fn state(&self) -> JobState {
+        match self.state.load(Ordering::Acquire) {
+            0 => JobState::Pending,
+            1 => JobState::Complete,
+            _ => JobState::Lost,
         }
     }
 
@@ -49,13 +49,13 @@
         self.tokens.fetch_add(1, Ordering::Release);
     }
 
-    pub(super) fn end(&self, outcome: Outcome) {
-        let code = match outcome {
-            Outcome::Open => 0,
-            Outcome::Complete => 1,
-            Outcome::Lost => 2,
+    pub(super) fn finish(&self, state: JobState) {
+        let code = match state {
+            JobState::Pending => 0,
+            JobState::Complete => 1,
+            JobState::Lost => 2,
         };
-        self.outcome.store(code, Ordering::Release);
+        self.state.store(code, Ordering::Release);
     }
 
     pub(super) fn wake(&self) {
--- a/crates/standins/src/engine/reports.rs
+++ b/crates/standins/src/engine/reports.rs
@@ -5,11 +5,11 @@
 use crocushold_base::Millis;
 
 /// Reports are recorded at this interval, at most.
-const INTERVAL: Millis = Millis(10);
+const SAMPLE_INTERVAL: Millis = Millis(10);
 
 /// The load at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Load {
+pub(crate) struct LoadSample {
     pub(crate) at: Millis,
     pub(crate) running: usize,
     pub(crate) waiting: usize,
@@ -19,20 +19,20 @@
 
 /// The loads of the last while, oldest first.
 #[derive(Debug)]
-pub(crate) struct Reports {
+pub(crate) struct LoadHistory {
     lag: Millis,
-    past: VecDeque<Load>,
+    samples: VecDeque<LoadSample>,
 }
 
-impl Reports {
-    pub(crate) fn new(lag: Millis) -> Reports {
-        let idle = Load {
+impl LoadHistory {
+    pub(crate) fn new(lag: Millis) -> LoadHistory {
+        let idle = LoadSample {
             kv_free: 1.0,
-            ..Load::default()
+            ..LoadSample::default()
         };
-        Reports {
+        LoadHistory {
             lag,
-            past: VecDeque::from([idle]),
+            samples: VecDeque::from([idle]),
         }
     }
 
@@ -41,22 +41,22 @@
     }
 
     /// Records the present load; loads within one interval overwrite each other.
-    pub(crate) fn record(&mut self, load: Load) {
-        let slot = load.at.0 / INTERVAL.0;
-        match self.past.back_mut() {
-            Some(last) if last.at.0 / INTERVAL.0 == slot => *last = load,
-            _ => self.past.push_back(load),
+    pub(crate) fn record(&mut self, load: LoadSample) {
+        let slot = load.at.0 / SAMPLE_INTERVAL.0;
+        match self.samples.back_mut() {
+            Some(last) if last.at.0 / SAMPLE_INTERVAL.0 == slot => *last = load,
+            _ => self.samples.push_back(load),
         }
-        while self.past.len() > 1 && self.past[1].at + self.lag <= load.at {
-            self.past.pop_front();
+        while self.samples.len() > 1 && self.samples[1].at + self.lag <= load.at {
+            self.samples.pop_front();
         }
     }
 
     /// The newest load that is as old as the lag, or else the oldest there is.
-    pub(crate) fn view(&self, now: Millis) -> Load {
-        let old = |load: &&Load| load.at + self.lag <= now;
-        let seen = self.past.iter().rev().find(old);
-        let mut load = seen.or(self.past.front()).copied().unwrap_or_default();
+    pub(crate) fn view(&self, now: Millis) -> LoadSample {
+        let visible = |load: &&LoadSample| load.at + self.lag <= now;
+        let sample = self.samples.iter().rev().find(visible);
+        let mut load = sample.or(self.samples.front()).copied().unwrap_or_default();
         // Nothing has changed since, so the report is as fresh as the lag allows, not as old as the
         // last change: an idle engine must not look like one that stopped reporting.
         load.at = load.at.max(now.since(self.lag));
--- a/crates/standins/src/engine/send.rs
+++ b/crates/standins/src/engine/send.rs
@@ -11,12 +11,12 @@
 use http_types::Response;
 use http_types::StatusCode;
 
-use super::answer::CutBytes;
-use super::answer::Run;
+use super::answer::ActiveRequest;
 use super::answer::TokenStream;
+use super::answer::TruncatedBody;
 use super::fault::Cut;
 use super::fault::CutFraming;
-use super::text::Texts;
+use super::text::ResponseText;
 use crate::port;
 
 /// Media type of a stream of server-sent events.
@@ -27,69 +27,70 @@
 
 /// Streams an answer; its head goes out with the first token.
 pub(super) async fn stream_answer(
-    run: Run,
-    texts: Texts,
+    request: ActiveRequest,
+    text: ResponseText,
     conn: TcpStream,
 ) -> http_types::Result<Response> {
-    run.tokens(1, conn.clone()).await?;
-    let cut = run.started.fate.cut;
-    let stream = TokenStream::new(run, texts, conn.clone());
+    request.tokens(1, conn.clone()).await?;
+    let cut = request.admitted.faults.cut;
+    let stream = TokenStream::new(request, text, conn.clone());
     let Some(cut) = cut else {
         return Ok(with_body(Body::from_reader(stream, None), EVENT_STREAM));
     };
     let total = stream.total_len();
-    send_cut(stream, cut, total, EVENT_STREAM, conn).await
+    send_truncated(stream, cut, total, EVENT_STREAM, conn).await
 }
 
 /// Sends an answer in one piece once it is complete.
 pub(super) async fn whole_answer(
-    mut run: Run,
-    texts: Texts,
+    mut request: ActiveRequest,
+    text: ResponseText,
     conn: TcpStream,
 ) -> http_types::Result<Response> {
-    let fate = run.started.fate;
-    if let Some(after) = fate.stall {
-        run.tokens(after.min(run.started.length), conn.clone())
+    let faults = request.admitted.faults;
+    if let Some(after) = faults.stall {
+        request
+            .tokens(after.min(request.admitted.length), conn.clone())
             .await?;
-        return hang(conn).await;
+        return wait_for_disconnect(conn).await;
     }
-    let Some(cut) = fate.cut.filter(|cut| cut.after < run.started.length) else {
-        run.tokens(run.started.length, conn).await?;
-        run.complete();
-        return Ok(with_body(Body::from_string(texts.whole()), JSON));
+    let Some(cut) = faults.cut.filter(|cut| cut.after < request.admitted.length) else {
+        request.tokens(request.admitted.length, conn).await?;
+        request.complete();
+        return Ok(with_body(Body::from_string(text.full_body()), JSON));
     };
-    run.tokens(cut.after, conn.clone()).await?;
-    run.fail();
-    let total = texts.whole().len();
-    let body = CutBytes::new(&texts, cut);
-    send_cut(body, cut, total, JSON, conn).await
+    request.tokens(cut.after, conn.clone()).await?;
+    request.fail();
+    let total = text.full_body().len();
+    let body = TruncatedBody::new(&text, cut);
+    send_truncated(body, cut, total, JSON, conn).await
 }
 
 /// Sends a body that ends in an error, in the form that the fault asks for.
-async fn send_cut(
+async fn send_truncated(
     body: impl futures::AsyncBufRead + Unpin + Send + Sync + 'static,
     cut: Cut,
     total: usize,
-    media: &str,
+    media_type: &str,
     conn: TcpStream,
 ) -> http_types::Result<Response> {
     match cut.framing {
-        CutFraming::Chunked => Ok(with_body(Body::from_reader(body, None), media)),
-        CutFraming::Length => Ok(with_body(Body::from_reader(body, Some(total)), media)),
+        CutFraming::Chunked => Ok(with_body(Body::from_reader(body, None), media_type)),
+        CutFraming::Length => Ok(with_body(Body::from_reader(body, Some(total)), media_type)),
         CutFraming::Close => {
-            let _ = send_until_close(body, media, &conn).await;
+            let _ = send_until_close(body, media_type, &conn).await;
             let _ = conn.shutdown(Shutdown::Both);
-            Err(port::aborted().into())
+            Err(port::connection_aborted().into())
         }
     }
 }
 
 async fn send_until_close(
     mut body: impl AsyncRead + Unpin,
-    media: &str,
+    media_type: &str,
     mut conn: &TcpStream,
 ) -> io::Result<()> {
-    let head = format!("HTTP/1.1 200 OK\r\ncontent-type: {media}\r\n\r\n");
+    let head = format!("HTTP/1.1 200 OK\r\ncontent-type: {media_type}\r\n\r\n");
     conn.write_all(head.as_bytes()).await?;
     let mut buf = vec![0; 4096];
     loop {
@@ -102,14 +103,14 @@
 }
 
 /// Never answers; ends when the caller gives up.
-async fn hang(conn: TcpStream) -> http_types::Result<Response> {
-    port::hang_up(conn).await;
-    Err(port::aborted().into())
+async fn wait_for_disconnect(conn: TcpStream) -> http_types::Result<Response> {
+    port::client_disconnected(conn).await;
+    Err(port::connection_aborted().into())
 }
 
-fn with_body(body: Body, media: &str) -> Response {
+fn with_body(body: Body, media_type: &str) -> Response {
     let mut response = Response::new(StatusCode::Ok);
     response.set_body(body);
-    response.insert_header("content-type", media);
+    response.insert_header("content-type", media_type);
     response
 }
--- a/crates/standins/src/engine/server.rs
+++ b/crates/standins/src/engine/server.rs
@@ -23,23 +23,23 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::answer::Run;
+use super::answer::ActiveRequest;
 use super::batch::JobId;
 use super::command::EngineCommand;
 use super::command::EngineSettings;
-use super::core::Core;
+use super::core::EngineState;
 use super::core::Order;
-use super::request::Completion;
-use super::request::Form;
+use super::request::CompletionKind;
+use super::request::CompletionRequest;
 use super::send;
 use super::stats::EngineStats;
-use super::text::Texts;
+use super::text::ResponseText;
 use crate::gate::Gate;
 use crate::handle::Handle;
 use crate::handle::Standin;
 use crate::port;
 use crate::port::Call;
-use crate::port::Effect;
+use crate::port::PortAction;
 use crate::reply;
 
 /// A clock that is later than this doesn't make up for the lost steps.
@@ -49,11 +49,11 @@
 pub struct Engine {
     clock: Clock,
     gate: Gate,
-    core: Mutex<Core>,
-    work: Sender<()>,
-    worked: Receiver<()>,
-    retime: Sender<()>,
-    retimed: Receiver<()>,
+    state: Mutex<EngineState>,
+    work_tx: Sender<()>,
+    work_rx: Receiver<()>,
+    speed_change_tx: Sender<()>,
+    speed_change_rx: Receiver<()>,
 }
 
 #[derive(Deserialize)]
@@ -94,49 +94,53 @@
     ///
     /// Fails when the address can't be bound.
     pub async fn start(addr: SocketAddr, settings: EngineSettings) -> io::Result<Handle<Engine>> {
-        let (work, worked) = channel::bounded(1);
-        let (retime, retimed) = channel::bounded(1);
+        let (work_tx, work_rx) = channel::bounded(1);
+        let (speed_change_tx, speed_change_rx) = channel::bounded(1);
         let engine = Engine {
             clock: Clock::start(),
             gate: Gate::default(),
-            core: Mutex::new(Core::new(settings)),
-            work,
-            worked,
-            retime,
-            retimed,
+            state: Mutex::new(EngineState::new(settings)),
+            work_tx,
+            work_rx,
+            speed_change_tx,
+            speed_change_rx,
         };
         Handle::start(engine, addr).await
     }
 
     /// How often a request with this marker ran.
     pub fn runs(&self, marker: &str) -> u64 {
-        port::lock(&self.core).tally.runs(marker)
+        port::lock(&self.state).counters.runs(marker)
     }
 
-    pub(super) fn settle_complete(&self, tokens: u32) {
-        port::lock(&self.core).tally.completed(tokens);
+    pub(super) fn record_complete(&self, tokens: u32) {
+        port::lock(&self.state).counters.record_completion(tokens);
     }
 
-    pub(super) fn settle_failed(&self, id: JobId, tokens: u32) {
-        let mut core = port::lock(&self.core);
-        core.tally.failed(tokens);
-        core.remove(id, self.clock.now());
+    pub(super) fn record_failed(&self, id: JobId, tokens: u32) {
+        let mut state = port::lock(&self.state);
+        state.counters.record_failure(tokens);
+        state.remove(id, self.clock.now());
     }
 
-    pub(super) fn settle_cancelled(&self, id: JobId, marker: &str, tokens: u32) {
-        let mut core = port::lock(&self.core);
-        core.tally.cancelled(marker, tokens);
-        core.remove(id, self.clock.now());
+    pub(super) fn record_cancelled(&self, id: JobId, marker: &str, tokens: u32) {
+        let mut state = port::lock(&self.state);
+        state.counters.record_cancellation(marker, tokens);
+        state.remove(id, self.clock.now());
     }
 
     async fn dispatch(self: Arc<Self>, call: Call) -> http_types::Result<Response> {
-        if !self.gate.pass_for(&call.conn).await {
-            return Err(port::aborted().into());
+        if !self.gate.wait_open_for(&call.conn).await {
+            return Err(port::connection_aborted().into());
         }
         let path = call.request.url().path().to_owned();
         match (call.request.method(), path.as_str()) {
-            (Method::Post, "/v1/chat/completions") => self.complete(Form::Chat, call).await,
-            (Method::Post, "/v1/completions") => self.complete(Form::Text, call).await,
+            (Method::Post, "/v1/chat/completions") => {
+                self.respond_to_completion(CompletionKind::Chat, call).await
+            }
+            (Method::Post, "/v1/completions") => {
+                self.respond_to_completion(CompletionKind::Text, call).await
+            }
             (Method::Get, "/v1/models") => Ok(self.models()),
             (Method::Get, "/load") => Ok(self.load()),
             (Method::Get, "/cache-events") => Ok(self.events(&call)),
@@ -146,7 +150,7 @@
     }
 
     fn models(&self) -> Response {
-        let models = port::lock(&self.core).models(self.clock.now());
+        let models = port::lock(&self.state).models(self.clock.now());
         let entry = |id| ModelEntry {
             id,
             object: "model",
@@ -159,7 +163,7 @@
     }
 
     fn load(&self) -> Response {
-        let report = port::lock(&self.core).load(self.clock.now());
+        let report = port::lock(&self.state).load(self.clock.now());
         reply::json(StatusCode::Ok, &report)
     }
 
@@ -167,7 +171,7 @@
         let Ok(EventQuery { after }) = call.request.query() else {
             return reply::error(StatusCode::BadRequest, "bad_query");
         };
-        let page = port::lock(&self.core).events(after, self.clock.now());
+        let page = port::lock(&self.state).events(after, self.clock.now());
         reply::json(StatusCode::Ok, &page)
     }
 
@@ -175,69 +179,77 @@
         let Ok(order) = serde_json::from_slice::<Order>(&call.body) else {
             return reply::error(StatusCode::BadRequest, "bad_order");
         };
-        match port::lock(&self.core).order(order, self.clock.now()) {
+        match port::lock(&self.state).order(order, self.clock.now()) {
             Ok(fence) => reply::json(StatusCode::Ok, &fence),
             Err(fence) => reply::json(StatusCode::Conflict, &fence),
         }
     }
 
-    async fn complete(self: Arc<Self>, form: Form, call: Call) -> http_types::Result<Response> {
-        let request = match Completion::read(form, &call) {
+    async fn respond_to_completion(
+        self: Arc<Self>,
+        kind: CompletionKind,
+        call: Call,
+    ) -> http_types::Result<Response> {
+        let request = match CompletionRequest::read(kind, &call) {
             Ok(request) => request,
             Err(status) => return Ok(self.refuse(Refusal::new(status, "bad_request"))),
         };
-        let run = match self.begin(&request) {
+        let run = match self.admit(&request) {
             Ok(run) => run,
             Err(refusal) => return Ok(self.refuse(refusal)),
         };
-        let texts = Texts::new(&request, &run.started);
+        let text = ResponseText::new(&request, &run.admitted);
         if request.stream {
-            send::stream_answer(run, texts, call.conn).await
+            send::stream_answer(run, text, call.conn).await
         } else {
-            send::whole_answer(run, texts, call.conn).await
+            send::whole_answer(run, text, call.conn).await
         }
     }
 
-    fn begin(self: &Arc<Self>, request: &Completion) -> Result<Run, Refusal> {
+    fn admit(self: &Arc<Self>, request: &CompletionRequest) -> Result<ActiveRequest, Refusal> {
         let now = self.clock.now();
-        let started = {
-            let mut core = port::lock(&self.core);
-            if core.faults.unavailable {
+        let admitted = {
+            let mut state = port::lock(&self.state);
+            if state.faults.unavailable {
                 return Err(Refusal::new(StatusCode::ServiceUnavailable, "unavailable"));
             }
-            if !core.has_model(&request.model, now) {
+            if !state.has_model(&request.model, now) {
                 return Err(Refusal::new(StatusCode::NotFound, "model_not_found"));
             }
-            core.start(request, now)
+            state.admit(request, now)
         };
-        let _ = self.work.try_send(());
-        Ok(Run::new(Arc::clone(self), started, request.marker.clone()))
+        let _ = self.work_tx.try_send(());
+        Ok(ActiveRequest::new(
+            Arc::clone(self),
+            admitted,
+            request.marker.clone(),
+        ))
     }
 
     fn refuse(&self, refusal: Refusal) -> Response {
-        port::lock(&self.core).tally.counts.refused += 1;
+        port::lock(&self.state).counters.stats.refused += 1;
         reply::error(refusal.status, refusal.kind)
     }
 
     /// Steps the batch for as long as the engine lives.
-    async fn drive(self: Arc<Self>) {
+    async fn run_batch(self: Arc<Self>) {
         let mut due = Instant::now();
         loop {
-            self.gate.pass().await;
-            let begun = port::lock(&self.core).begin_step(self.clock.now());
+            self.gate.wait_open().await;
+            let begun = port::lock(&self.state).begin_step(self.clock.now());
             let Some(step) = begun else {
-                let _ = self.worked.recv().await;
+                let _ = self.work_rx.recv().await;
                 due = Instant::now();
                 continue;
             };
-            let Some(ended) = self.wait_step(due + step).await else {
+            let Some(ended) = self.wait_step_end(due + step).await else {
                 due = Instant::now();
                 continue;
             };
             due = ended;
-            self.gate.pass().await;
-            let woken = port::lock(&self.core).end_step(step, self.clock.now());
-            for progress in woken {
+            self.gate.wait_open().await;
+            let advanced = port::lock(&self.state).end_step(step, self.clock.now());
+            for progress in advanced {
                 progress.wake();
             }
         }
@@ -248,10 +260,10 @@
     ///
     /// A step that was begun at a thousandth of the speed lasts a hundred seconds. If it went on after
     /// the speed was put back, the engine would hang for a test that is over.
-    async fn wait_step(&self, due: Instant) -> Option<Instant> {
-        let ended = wait_until(due).boxed();
-        let retimed = self.retimed.recv().boxed();
-        match future::select(ended, retimed).await {
+    async fn wait_step_end(&self, due: Instant) -> Option<Instant> {
+        let ended = sleep_until(due).boxed();
+        let speed_changed = self.speed_change_rx.recv().boxed();
+        match future::select(ended, speed_changed).await {
             Either::Left((ended, _)) => Some(ended),
             Either::Right(_) => None,
         }
@@ -262,46 +274,46 @@
     type Command = EngineCommand;
     type Stats = EngineStats;
 
-    fn answer(self: Arc<Self>, call: Call) -> BoxFuture<'static, http_types::Result<Response>> {
+    fn respond(self: Arc<Self>, call: Call) -> BoxFuture<'static, http_types::Result<Response>> {
         self.dispatch(call).boxed()
     }
 
-    fn command(&self, command: EngineCommand) -> Effect {
+    fn command(&self, command: EngineCommand) -> PortAction {
         match command {
-            EngineCommand::Hang { on } => self.gate.set_shut(on),
-            EngineCommand::Clear => self.gate.set_shut(false),
+            EngineCommand::Hang { on } => self.gate.set_closed(on),
+            EngineCommand::Clear => self.gate.set_closed(false),
             _ => {}
         }
-        let retimes = command.changes_speed();
-        let effect = port::lock(&self.core).command(command);
-        if retimes {
+        let changes_speed = command.changes_speed();
+        let action = port::lock(&self.state).command(command);
+        if changes_speed {
             // A full channel holds a notice already.
-            let _ = self.retime.try_send(());
+            let _ = self.speed_change_tx.try_send(());
         }
-        effect
+        action
     }
 
     fn stats(&self) -> EngineStats {
-        let core = port::lock(&self.core);
-        let (running, waiting) = core.occupancy();
+        let state = port::lock(&self.state);
+        let (running, waiting) = state.occupancy();
         EngineStats {
             running: running as u64,
             waiting: waiting as u64,
-            ..core.tally.counts.clone()
+            ..state.counters.stats.clone()
         }
     }
 
-    fn all_runs(&self) -> HashMap<String, u64> {
-        port::lock(&self.core).tally.all_runs()
+    fn runs_by_marker(&self) -> HashMap<String, u64> {
+        port::lock(&self.state).counters.runs_by_marker()
     }
 
     fn background(self: Arc<Self>) -> BoxFuture<'static, ()> {
-        self.drive().boxed()
+        self.run_batch().boxed()
     }
 }
 
 /// Waits for a step's end; the moment from which the next step counts.
-async fn wait_until(due: Instant) -> Instant {
+async fn sleep_until(due: Instant) -> Instant {
     let now = Instant::now();
     if let Some(left) = due.checked_duration_since(now) {
         task::sleep(left).await;
--- a/crates/standins/src/engine/stats.rs
+++ b/crates/standins/src/engine/stats.rs
@@ -9,10 +9,10 @@
 use serde::Serialize;
 
 /// How many markers are counted one by one.
-const MARKERS: usize = 200_000;
+const MAX_MARKERS: usize = 200_000;
 
 /// How many cancellations are listed.
-const CANCELLATIONS: usize = 1024;
+const MAX_CANCELLATIONS: usize = 1024;
 
 /// A request that was cancelled because its caller closed the connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
 }
 
 /// How many orders are listed.
-const ORDERS: usize = 1024;
+const MAX_ORDERS: usize = 1024;
 
 /// An order that was carried out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -94,24 +94,24 @@
 
 /// Runs by marker, and the counters.
 #[derive(Debug, Default)]
-pub(super) struct Tally {
-    pub(super) counts: EngineStats,
+pub(super) struct Counters {
+    pub(super) stats: EngineStats,
     runs: HashMap<String, u64>,
-    hang_ups: BTreeMap<String, u64>,
+    disconnects: BTreeMap<String, u64>,
 }
 
-impl Tally {
+impl Counters {
     /// Counts a run of `marker`.
-    pub(super) fn run(&mut self, marker: &str) {
-        self.counts.started += 1;
+    pub(super) fn record_run(&mut self, marker: &str) {
+        self.stats.started += 1;
         if let Some(runs) = self.runs.get_mut(marker) {
             *runs += 1;
-            self.counts.repeated.insert(marker.to_owned(), *runs);
-        } else if self.runs.len() < MARKERS {
+            self.stats.repeated.insert(marker.to_owned(), *runs);
+        } else if self.runs.len() < MAX_MARKERS {
             self.runs.insert(marker.to_owned(), 1);
-            self.counts.markers += 1;
+            self.stats.markers += 1;
         } else {
-            self.counts.uncounted += 1;
+            self.stats.uncounted += 1;
         }
     }
 
@@ -121,49 +121,49 @@
     }
 
     /// How often each marker ran.
-    pub(super) fn all_runs(&self) -> HashMap<String, u64> {
+    pub(super) fn runs_by_marker(&self) -> HashMap<String, u64> {
         self.runs.clone()
     }
 
     /// Notes that the caller of `marker` hangs up now.
-    pub(super) fn hang_up(&mut self, marker: String) {
+    pub(super) fn record_disconnect(&mut self, marker: String) {
         let now = unix_micros();
-        let listed = self.counts.cancellations.iter_mut();
+        let cancellations = self.stats.cancellations.iter_mut();
         // The cancel may have come first; the two messages travel by different ways.
-        let mut same = listed.filter(|c| c.marker == marker);
+        let mut same = cancellations.filter(|c| c.marker == marker);
         if let Some(cancellation) = same.next_back() {
             cancellation.after_us.get_or_insert(0);
             return;
         }
-        if self.hang_ups.len() < CANCELLATIONS {
-            self.hang_ups.insert(marker, now);
+        if self.disconnects.len() < MAX_CANCELLATIONS {
+            self.disconnects.insert(marker, now);
         }
     }
 
     /// Counts a request whose caller left.
-    pub(super) fn cancelled(&mut self, marker: &str, tokens: u32) {
+    pub(super) fn record_cancellation(&mut self, marker: &str, tokens: u32) {
         let at_us = unix_micros();
-        let hung_up = self.hang_ups.remove(marker);
-        self.counts.cancelled += 1;
-        self.counts.cancelled_tokens += u64::from(tokens);
-        if self.counts.cancellations.len() == CANCELLATIONS {
-            self.counts.cancellations.remove(0);
+        let disconnected_at = self.disconnects.remove(marker);
+        self.stats.cancelled += 1;
+        self.stats.cancelled_tokens += u64::from(tokens);
+        if self.stats.cancellations.len() == MAX_CANCELLATIONS {
+            self.stats.cancellations.remove(0);
         }
-        self.counts.cancellations.push(Cancellation {
+        self.stats.cancellations.push(Cancellation {
             marker: marker.to_owned(),
             at_us,
             tokens,
-            after_us: hung_up.map(|at| at_us.saturating_sub(at)),
+            after_us: disconnected_at.map(|at| at_us.saturating_sub(at)),
         });
     }
 
     /// Counts an order that was carried out.
-    pub(super) fn ordered(&mut self, fence: u64, kind: &str, subject: &str, changed: bool) {
-        self.counts.orders_done += 1;
-        if self.counts.orders.len() == ORDERS {
-            self.counts.orders.remove(0);
+    pub(super) fn record_order(&mut self, fence: u64, kind: &str, subject: &str, changed: bool) {
+        self.stats.orders_done += 1;
+        if self.stats.orders.len() == MAX_ORDERS {
+            self.stats.orders.remove(0);
         }
-        self.counts.orders.push(OrderRecord {
+        self.stats.orders.push(OrderRecord {
             at_us: unix_micros(),
             fence,
             kind: kind.to_owned(),
@@ -173,15 +173,15 @@
     }
 
     /// Counts a request that ended by a fault of the engine.
-    pub(super) fn failed(&mut self, tokens: u32) {
-        self.counts.failed += 1;
-        self.counts.failed_tokens += u64::from(tokens);
+    pub(super) fn record_failure(&mut self, tokens: u32) {
+        self.stats.failed += 1;
+        self.stats.failed_tokens += u64::from(tokens);
     }
 
     /// Counts a request whose answer went out whole.
-    pub(super) fn completed(&mut self, tokens: u32) {
-        self.counts.completed += 1;
-        self.counts.useful_tokens += u64::from(tokens);
+    pub(super) fn record_completion(&mut self, tokens: u32) {
+        self.stats.completed += 1;
+        self.stats.useful_tokens += u64::from(tokens);
     }
 }
 
--- a/crates/standins/src/engine/tests.rs
+++ b/crates/standins/src/engine/tests.rs
@@ -10,8 +10,8 @@
 use super::events::CacheChange;
 use super::events::EventLog;
 use super::output::LengthDistribution;
-use super::reports::Load;
-use super::reports::Reports;
+use super::reports::LoadHistory;
+use super::reports::LoadSample;
 
 #[test]
 fn prefix_covers_the_first_256_bytes_only() {
@@ -58,12 +58,12 @@
 
 #[test]
 fn load_report_is_as_old_as_its_lag() {
-    let mut reports = Reports::new(Millis(200));
+    let mut reports = LoadHistory::new(Millis(200));
     for (at, running) in [(100, 1), (200, 2), (300, 3)] {
-        reports.record(Load {
+        reports.record(LoadSample {
             at: Millis(at),
             running,
-            ..Load::default()
+            ..LoadSample::default()
         });
     }
     let running = |now| reports.view(Millis(now)).running;
@@ -74,10 +74,10 @@
 /// the report isn't: one that carried the time of the change would be thrown away as expired.
 #[test]
 fn idle_engine_reports_a_fresh_time() {
-    let mut reports = Reports::new(Millis(200));
-    reports.record(Load {
+    let mut reports = LoadHistory::new(Millis(200));
+    reports.record(LoadSample {
         at: Millis(100),
-        ..Load::default()
+        ..LoadSample::default()
     });
     assert_eq!(reports.view(Millis(60_000)).at, Millis(59_800));
 }
@@ -86,14 +86,14 @@
 fn lengths_stay_inside_their_bounds_and_average_to_their_mean() {
     let lengths = LengthDistribution { low: 10, high: 400 };
     let mut rng = StdRng::seed_from_u64(7);
-    let drawn: Vec<u32> = (0..20_000).map(|_| lengths.sample(&mut rng)).collect();
-    assert!(drawn.iter().all(|length| (10..=400).contains(length)));
-    let mean = drawn.iter().map(|&l| f64::from(l)).sum::<f64>() / 20_000.0;
+    let sampled: Vec<u32> = (0..20_000).map(|_| lengths.sample(&mut rng)).collect();
+    assert!(sampled.iter().all(|length| (10..=400).contains(length)));
+    let mean = sampled.iter().map(|&l| f64::from(l)).sum::<f64>() / 20_000.0;
     assert!((mean / lengths.mean() - 1.0).abs() < 0.03, "mean {mean}");
 }
 
-fn event_log(gap_share: f64, events: u32) -> EventLog {
-    let mut log = EventLog::new(Millis(200), gap_share);
+fn event_log(loss_rate: f64, events: u32) -> EventLog {
+    let mut log = EventLog::new(Millis(200), loss_rate);
     let mut rng = StdRng::seed_from_u64(3);
     for _ in 0..events {
         log.push(CacheChange::Stored, "9f3a", Millis(0), &mut rng);
--- a/crates/standins/src/engine/text.rs
+++ b/crates/standins/src/engine/text.rs
@@ -2,14 +2,14 @@
 
 use serde_json::Value;
 
-use super::core::Started;
-use super::request::Completion;
-use super::request::Form;
+use super::core::AdmittedRequest;
+use super::request::CompletionKind;
+use super::request::CompletionRequest;
 
 /// The text of one answer. Every token carries the request's marker, so that a test can tell whose
 /// answer it reads.
-pub(super) struct Texts {
-    form: Form,
+pub(super) struct ResponseText {
+    kind: CompletionKind,
     id: String,
     model: String,
     marker: String,
@@ -18,31 +18,31 @@
     cached_tokens: u32,
 }
 
-impl Texts {
-    pub(super) fn new(request: &Completion, started: &Started) -> Texts {
-        Texts {
-            form: request.form,
-            id: format!("cmpl-{}", started.id.0),
+impl ResponseText {
+    pub(super) fn new(request: &CompletionRequest, admitted: &AdmittedRequest) -> ResponseText {
+        ResponseText {
+            kind: request.kind,
+            id: format!("cmpl-{}", admitted.id.0),
             model: escape(&request.model),
             marker: escape(&request.marker),
-            length: started.length,
+            length: admitted.length,
             prompt_tokens: request.prompt_tokens(),
-            cached_tokens: started.cached_tokens,
+            cached_tokens: admitted.cached_tokens,
         }
     }
 
     /// One token as a server-sent event.
-    pub(super) fn push_token(&self, token: u32, out: &mut Vec<u8>) {
-        let Texts {
+    pub(super) fn push_token_event(&self, token: u32, out: &mut Vec<u8>) {
+        let ResponseText {
             id, model, marker, ..
         } = self;
-        let event = match self.form {
-            Form::Chat => format!(
+        let event = match self.kind {
+            CompletionKind::Chat => format!(
                 "data: {{\"id\":\"{id}\",\"object\":\"chat.completion.chunk\",\"created\":0,\
                  \"model\":\"{model}\",\"choices\":[{{\"index\":0,\
                  \"delta\":{{\"content\":\"{marker} {token} \"}},\"finish_reason\":null}}]}}\n\n"
             ),
-            Form::Text => format!(
+            CompletionKind::Text => format!(
                 "data: {{\"id\":\"{id}\",\"object\":\"text_completion\",\"created\":0,\
                  \"model\":\"{model}\",\"choices\":[{{\"index\":0,\
                  \"text\":\"{marker} {token} \",\"finish_reason\":null}}]}}\n\n"
@@ -52,11 +52,11 @@
     }
 
     /// The last two events: usage, and the end of the stream.
-    pub(super) fn push_end(&self, out: &mut Vec<u8>) {
-        let Texts { id, model, .. } = self;
-        let (object, empty) = match self.form {
-            Form::Chat => ("chat.completion.chunk", "\"delta\":{}"),
-            Form::Text => ("text_completion", "\"text\":\"\""),
+    pub(super) fn push_end_events(&self, out: &mut Vec<u8>) {
+        let ResponseText { id, model, .. } = self;
+        let (object, empty) = match self.kind {
+            CompletionKind::Chat => ("chat.completion.chunk", "\"delta\":{}"),
+            CompletionKind::Text => ("text_completion", "\"text\":\"\""),
         };
         let usage = self.usage();
         let event = format!(
@@ -68,14 +68,14 @@
     }
 
     /// The whole answer as one JSON text.
-    pub(super) fn whole(&self) -> String {
-        let mut text = self.whole_head();
+    pub(super) fn full_body(&self) -> String {
+        let mut text = self.full_body_head();
         for token in 0..self.length {
-            text.push_str(&self.word(token));
+            text.push_str(&self.token_text(token));
         }
-        let close = match self.form {
-            Form::Chat => "\"}",
-            Form::Text => "\"",
+        let close = match self.kind {
+            CompletionKind::Chat => "\"}",
+            CompletionKind::Text => "\"",
         };
         let usage = self.usage();
         text.push_str(close);
@@ -86,19 +86,19 @@
     }
 
     /// Bytes of the whole answer up to the end of its first `tokens` tokens.
-    pub(super) fn whole_cut(&self, tokens: u32) -> usize {
-        let words = (0..tokens.min(self.length)).map(|token| self.word(token).len());
-        self.whole_head().len() + words.sum::<usize>()
+    pub(super) fn full_body_prefix_len(&self, tokens: u32) -> usize {
+        let lengths = (0..tokens.min(self.length)).map(|token| self.token_text(token).len());
+        self.full_body_head().len() + lengths.sum::<usize>()
     }
 
-    fn whole_head(&self) -> String {
-        let Texts { id, model, .. } = self;
-        let (object, open) = match self.form {
-            Form::Chat => (
+    fn full_body_head(&self) -> String {
+        let ResponseText { id, model, .. } = self;
+        let (object, open) = match self.kind {
+            CompletionKind::Chat => (
                 "chat.completion",
                 "\"message\":{\"role\":\"assistant\",\"content\":\"",
             ),
-            Form::Text => ("text_completion", "\"text\":\""),
+            CompletionKind::Text => ("text_completion", "\"text\":\""),
         };
         format!(
             "{{\"id\":\"{id}\",\"object\":\"{object}\",\"created\":0,\"model\":\"{model}\",\
@@ -106,12 +106,12 @@
         )
     }
 
-    fn word(&self, token: u32) -> String {
+    fn token_text(&self, token: u32) -> String {
         format!("{} {token} ", self.marker)
     }
 
     fn usage(&self) -> String {
-        let Texts {
+        let ResponseText {
             length,
             prompt_tokens,
             cached_tokens,
--- a/crates/standins/src/gate.rs
+++ b/crates/standins/src/gate.rs
@@ -1,4 +1,4 @@
-//! A gate that holds everything up while it is shut, like a process that was stopped.
+//! A gate that holds everything up while it is closed, like a process that was stopped.
 
 use std::sync::Mutex;
 
@@ -17,39 +17,39 @@
 
 #[derive(Debug, Default)]
 struct State {
-    shut: bool,
+    closed: bool,
     waiters: Vec<oneshot::Sender<()>>,
 }
 
 impl Gate {
     /// Shuts or opens the gate; what waits before it goes on once it opens.
-    pub(crate) fn set_shut(&self, shut: bool) {
+    pub(crate) fn set_closed(&self, closed: bool) {
         let mut state = port::lock(&self.state);
-        state.shut = shut;
-        if !shut {
+        state.closed = closed;
+        if !closed {
             for waiter in state.waiters.drain(..) {
                 let _ = waiter.send(());
             }
         }
     }
 
-    /// Waits for as long as the gate is shut.
-    pub(crate) async fn pass(&self) {
-        while let Some(opened) = self.wait() {
+    /// Waits for as long as the gate is closed.
+    pub(crate) async fn wait_open(&self) {
+        while let Some(opened) = self.waiter() {
             let _ = opened.await;
         }
     }
 
     /// Waits likewise on behalf of a caller; false when the caller left meanwhile.
-    pub(crate) async fn pass_for(&self, conn: &TcpStream) -> bool {
-        let gone = port::hang_up(conn.clone());
-        let passed = futures::future::select(self.pass().boxed(), gone.boxed());
-        matches!(passed.await, Either::Left(_))
+    pub(crate) async fn wait_open_for(&self, conn: &TcpStream) -> bool {
+        let disconnected = port::client_disconnected(conn.clone());
+        let selected = futures::future::select(self.wait_open().boxed(), disconnected.boxed());
+        matches!(selected.await, Either::Left(_))
     }
 
-    fn wait(&self) -> Option<oneshot::Receiver<()>> {
+    fn waiter(&self) -> Option<oneshot::Receiver<()>> {
         let mut state = port::lock(&self.state);
-        if !state.shut {
+        if !state.closed {
             return None;
         }
         state.waiters.retain(|waiter| !waiter.is_canceled());
--- a/crates/standins/src/handle.rs
+++ b/crates/standins/src/handle.rs
@@ -20,19 +20,19 @@
 use serde::de::DeserializeOwned;
 
 use crate::port::Call;
-use crate::port::Effect;
 use crate::port::Endpoint;
 use crate::port::Port;
+use crate::port::PortAction;
 use crate::reply;
 
 /// Path of the commands.
-const CONTROL: &str = "/control";
+const CONTROL_PATH: &str = "/control";
 
 /// Path of the counters.
-const STATS: &str = "/control/stats";
+const STATS_PATH: &str = "/control/stats";
 
 /// Path of the runs by marker.
-const RUNS: &str = "/control/runs";
+const RUNS_PATH: &str = "/control/runs";
 
 /// One kind of stand-in: what it answers, and the commands it takes.
 pub trait Standin: Send + Sync + 'static {
@@ -43,16 +43,16 @@
     type Stats: Serialize;
 
     /// Answers one call. An error closes the connection without an answer.
-    fn answer(self: Arc<Self>, call: Call) -> BoxFuture<'static, http_types::Result<Response>>;
+    fn respond(self: Arc<Self>, call: Call) -> BoxFuture<'static, http_types::Result<Response>>;
 
     /// Applies a command; the result says what happens to the listening port.
-    fn command(&self, command: Self::Command) -> Effect;
+    fn command(&self, command: Self::Command) -> PortAction;
 
     /// The present counters.
     fn stats(&self) -> Self::Stats;
 
     /// How often each marked request ran, or had its effect; JSON on `GET /control/runs`.
-    fn all_runs(&self) -> HashMap<String, u64> {
+    fn runs_by_marker(&self) -> HashMap<String, u64> {
         HashMap::new()
     }
 
@@ -114,14 +114,14 @@
     ///
     /// Fails when the port can't be bound again.
     pub async fn command(&self, command: S::Command) -> io::Result<()> {
-        let effect = self.standin.command(command);
-        self.port.apply(effect).await
+        let action = self.standin.command(command);
+        self.port.apply(action).await
     }
 
     /// Stops listening and closes every connection.
     pub async fn stop(mut self) {
-        let _ = self.port.apply(Effect::Crash).await;
-        let _ = self.control.apply(Effect::Crash).await;
+        let _ = self.port.apply(PortAction::Crash).await;
+        let _ = self.control.apply(PortAction::Crash).await;
         if let Some(background) = self.background.take() {
             background.cancel().await;
         }
@@ -138,8 +138,8 @@
 
 impl<S: Standin> Drop for Handle<S> {
     fn drop(&mut self) {
-        self.port.abandon();
-        self.control.abandon();
+        self.port.shut_down();
+        self.control.shut_down();
         if let Some(background) = self.background.take() {
             task::spawn(background.cancel());
         }
@@ -164,20 +164,20 @@
         let standin = Arc::clone(&standin);
         call.port = port.get().cloned().unwrap_or_default();
         match (call.request.method(), call.request.url().path()) {
-            (Method::Post, CONTROL) => control(standin, call).boxed(),
-            (Method::Get, STATS) => {
+            (Method::Post, CONTROL_PATH) => control(standin, call).boxed(),
+            (Method::Get, STATS_PATH) => {
                 let response = reply::json(StatusCode::Ok, &standin.stats());
                 futures::future::ready(Ok(response)).boxed()
             }
-            (Method::Get, RUNS) => {
-                let response = reply::json(StatusCode::Ok, &standin.all_runs());
+            (Method::Get, RUNS_PATH) => {
+                let response = reply::json(StatusCode::Ok, &standin.runs_by_marker());
                 futures::future::ready(Ok(response)).boxed()
             }
             _ if listener == Listener::Control => {
                 let response = reply::error(StatusCode::NotFound, "not_found");
                 futures::future::ready(Ok(response)).boxed()
             }
-            _ => standin.answer(call),
+            _ => standin.respond(call),
         }
     })
 }
@@ -189,7 +189,7 @@
             return Ok(reply::error(StatusCode::BadRequest, &error.to_string()));
         }
     };
-    let effect = standin.command(command);
-    call.apply(effect).await;
+    let action = standin.command(command);
+    call.apply(action).await;
     Ok(Response::new(StatusCode::NoContent))
 }
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -14,13 +14,13 @@
 mod report;
 mod response;
 mod run;
+mod run_counts;
 mod single;
-mod tally;
 mod tokens;
 
 pub use exchange::Exchange;
 pub use exchange::RequestOutcome;
-pub use framing::Malformed;
+pub use framing::MalformedResponse;
 pub use plan::Burst;
 pub use plan::GiveUp;
 pub use plan::Header;
--- a/crates/standins/src/load/client.rs
+++ b/crates/standins/src/load/client.rs
@@ -20,21 +20,21 @@
 const MAX_IDLE: Duration = Duration::from_secs(1);
 
 /// A connection, and whether it has carried a request before.
-pub(super) struct Conn {
+pub(super) struct EntryConnection {
     pub(super) stream: TcpStream,
     pub(super) entry: usize,
 }
 
-struct Idle {
-    conn: Conn,
+struct IdleConnection {
+    conn: EntryConnection,
     since: Instant,
 }
 
 /// The entry addresses, taken in turn, with their idle connections.
 pub(super) struct Client {
     entries: Vec<SocketAddr>,
-    idle: Vec<Mutex<Vec<Idle>>>,
-    turn: AtomicUsize,
+    idle: Vec<Mutex<Vec<IdleConnection>>>,
+    next_entry: AtomicUsize,
     keep_alive: bool,
 }
 
@@ -44,7 +44,7 @@
         Client {
             entries,
             idle,
-            turn: AtomicUsize::new(0),
+            next_entry: AtomicUsize::new(0),
             keep_alive,
         }
     }
@@ -59,41 +59,41 @@
     /// # Errors
     ///
     /// Fails when every entry refuses.
-    pub(super) async fn connect(&self) -> io::Result<Conn> {
-        let mut last = io::Error::from(io::ErrorKind::NotConnected);
+    pub(super) async fn connect(&self) -> io::Result<EntryConnection> {
+        let mut last_error = io::Error::from(io::ErrorKind::NotConnected);
         for _ in 0..self.entries.len() {
-            let entry = self.turn.fetch_add(1, Ordering::Relaxed) % self.entries.len();
+            let entry = self.next_entry.fetch_add(1, Ordering::Relaxed) % self.entries.len();
             if let Some(conn) = self.take_idle(entry) {
                 return Ok(conn);
             }
             match self.connect_to(entry).await {
                 Ok(conn) => return Ok(conn),
-                Err(error) => last = error,
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
     /// Keeps a connection whose answer was whole for a later request.
-    pub(super) fn give_back(&self, conn: Conn) {
+    pub(super) fn release(&self, conn: EntryConnection) {
         if !self.keep_alive {
             return;
         }
         let since = Instant::now();
         let entry = conn.entry;
-        port::lock(&self.idle[entry]).push(Idle { conn, since });
+        port::lock(&self.idle[entry]).push(IdleConnection { conn, since });
     }
 
-    async fn connect_to(&self, entry: usize) -> io::Result<Conn> {
+    async fn connect_to(&self, entry: usize) -> io::Result<EntryConnection> {
         let connecting = TcpStream::connect(self.entries[entry]);
         let stream = io::timeout(CONNECT_TIMEOUT, connecting).await?;
         stream.set_nodelay(true)?;
-        Ok(Conn { stream, entry })
+        Ok(EntryConnection { stream, entry })
     }
 
-    fn take_idle(&self, entry: usize) -> Option<Conn> {
+    fn take_idle(&self, entry: usize) -> Option<EntryConnection> {
         let mut idle = port::lock(&self.idle[entry]);
-        while let Some(Idle { conn, since }) = idle.pop() {
+        while let Some(IdleConnection { conn, since }) = idle.pop() {
             // The other side may have closed it: a request sent then would look like one cut.
             let mut byte = [0];
             let closed = conn.stream.peek(&mut byte).now_or_never().is_some();
--- a/crates/standins/src/load/exchange.rs
+++ b/crates/standins/src/load/exchange.rs
@@ -13,7 +13,7 @@
 use super::response::Response;
 
 /// Bytes read from a connection at a time.
-const READ_BYTES: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// How a request ended, as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,22 +53,22 @@
 
 /// When a caller stops waiting.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Patience {
+pub(super) struct WaitLimits {
     pub(super) timeout: Duration,
     pub(super) give_up: Option<Duration>,
 }
 
 /// A request that is ready to be sent.
-pub(super) struct Outgoing {
+pub(super) struct OutgoingRequest {
     pub(super) bytes: Vec<u8>,
     pub(super) response: Response,
     /// Tokens that the answer must have; none for a plain call.
     pub(super) tokens: Option<u64>,
     pub(super) due: Instant,
-    pub(super) patience: Patience,
+    pub(super) limits: WaitLimits,
 }
 
-struct Reading {
+struct ResponseReader {
     response: Response,
     tokens: Option<u64>,
     due: Instant,
@@ -78,12 +78,12 @@
 }
 
 /// Sends a request and reads its answer.
-pub(super) async fn exchange(client: &Client, outgoing: Outgoing) -> Exchange {
-    let Patience { timeout, give_up } = outgoing.patience;
+pub(super) async fn exchange(client: &Client, outgoing: OutgoingRequest) -> Exchange {
+    let WaitLimits { timeout, give_up } = outgoing.limits;
     let due = outgoing.due;
     let limit = give_up.unwrap_or(timeout).min(timeout);
     let left = limit.saturating_sub(due.elapsed());
-    let mut reading = Reading {
+    let mut reader = ResponseReader {
         response: outgoing.response,
         tokens: outgoing.tokens,
         due,
@@ -91,22 +91,22 @@
         last: due,
         gaps: Vec::new(),
     };
-    let send_and_receive = reading.send_and_receive(client, &outgoing.bytes);
-    let outcome = match future::timeout(left, send_and_receive).await {
+    let exchanging = reader.send_and_receive(client, &outgoing.bytes);
+    let outcome = match future::timeout(left, exchanging).await {
         Ok(outcome) => outcome,
         Err(_) if give_up.is_some_and(|after| after <= timeout) => RequestOutcome::GaveUp,
         Err(_) => RequestOutcome::TimedOut,
     };
     Exchange {
         outcome,
-        response: reading.response,
-        first_token: reading.first,
-        token_gaps: reading.gaps,
+        response: reader.response,
+        first_token: reader.first,
+        token_gaps: reader.gaps,
         duration: due.elapsed(),
     }
 }
 
-impl Reading {
+impl ResponseReader {
     async fn send_and_receive(&mut self, client: &Client, request: &[u8]) -> RequestOutcome {
         let Ok(mut conn) = client.connect().await else {
             return RequestOutcome::ConnectFailed;
@@ -114,20 +114,20 @@
         // An answer may come although the request couldn't be written to its end.
         let written = conn.stream.write_all(request).await;
         let read = self.read(&mut conn.stream).await;
-        if read.is_err() || !self.response.is_whole() {
+        if read.is_err() || !self.response.is_complete() {
             return self.classify_truncated();
         }
         let outcome = self.classify();
-        if written.is_ok() && !closes(&self.response) {
-            client.give_back(conn);
+        if written.is_ok() && !closes_connection(&self.response) {
+            client.release(conn);
         }
         outcome
     }
 
     /// Reads until the answer is whole or the connection ends.
     async fn read(&mut self, stream: &mut TcpStream) -> io::Result<()> {
-        let mut buf = vec![0; READ_BYTES];
-        while !self.response.is_whole() {
+        let mut buf = vec![0; READ_BUFFER_BYTES];
+        while !self.response.is_complete() {
             let count = stream.read(&mut buf).await?;
             if count == 0 {
                 return Ok(());
@@ -135,7 +135,7 @@
             let before = self.response.tokens();
             let fed = self.response.feed(&buf[..count]);
             let used = fed.map_err(|_| io::Error::from(io::ErrorKind::InvalidData))?;
-            self.note_time(before);
+            self.record_token_times(before);
             if used < count {
                 // Bytes after the end of the answer: they'd complete somebody else's.
                 return Err(io::Error::from(io::ErrorKind::InvalidData));
@@ -144,25 +144,25 @@
         Ok(())
     }
 
-    fn note_time(&mut self, before: u64) {
+    fn record_token_times(&mut self, before: u64) {
         let after = self.response.tokens();
         let streamed = self.response.is_stream();
-        let begun = if streamed {
+        let started = if streamed {
             after > 0
         } else {
             self.response.has_head()
         };
-        if !begun {
+        if !started {
             return;
         }
         let now = Instant::now();
-        let mut fresh = after - before;
+        let mut new_tokens = after - before;
         if self.first.is_none() {
             self.first = Some(now - self.due);
             self.last = now;
-            fresh = fresh.saturating_sub(1);
+            new_tokens = new_tokens.saturating_sub(1);
         }
-        for _ in 0..fresh {
+        for _ in 0..new_tokens {
             let gap = (now - self.last).as_micros();
             self.gaps.push(u32::try_from(gap).unwrap_or(u32::MAX));
             self.last = now;
@@ -175,7 +175,7 @@
             return RequestOutcome::Refused;
         }
         if self.tokens.is_some() && !response.is_stream() {
-            response.check_whole();
+            response.check_body();
         }
         if response.is_foreign() {
             return RequestOutcome::Misdelivered;
@@ -199,7 +199,7 @@
     }
 }
 
-fn closes(response: &Response) -> bool {
+fn closes_connection(response: &Response) -> bool {
     response
         .header("connection")
         .is_some_and(|value| value.contains("close"))
--- a/crates/standins/src/load/framing.rs
+++ b/crates/standins/src/load/framing.rs
@@ -3,35 +3,35 @@
 use std::fmt;
 
 /// Longest head, and longest line of the framing, in bytes.
-const MAX_LINE: usize = 64 * 1024;
+const MAX_LINE_BYTES: usize = 64 * 1024;
 
 /// An answer that isn't HTTP/1.1 as we know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Malformed;
+pub struct MalformedResponse;
 
-impl fmt::Display for Malformed {
+impl fmt::Display for MalformedResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("malformed answer")
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for MalformedResponse {}
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum State {
     #[default]
     Head,
     Sized {
-        left: u64,
+        remaining: u64,
     },
     ChunkSize,
     Chunk {
-        left: u64,
+        remaining: u64,
     },
     ChunkEnd,
     Trailer,
     UntilClose,
-    Whole,
+    Complete,
 }
 
 /// The framing of one answer.
@@ -46,17 +46,21 @@
 impl Framing {
     /// Takes bytes from the connection and appends those of the body to `out`; how many belong to
     /// this answer.
-    pub(super) fn feed(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, Malformed> {
+    pub(super) fn feed(
+        &mut self,
+        bytes: &[u8],
+        out: &mut Vec<u8>,
+    ) -> Result<usize, MalformedResponse> {
         let mut rest = bytes;
-        while !rest.is_empty() && self.state != State::Whole {
+        while !rest.is_empty() && self.state != State::Complete {
             let used = self.step(rest, out)?;
             rest = &rest[used..];
         }
         Ok(bytes.len() - rest.len())
     }
 
-    pub(super) fn is_whole(&self) -> bool {
-        self.state == State::Whole
+    pub(super) fn is_complete(&self) -> bool {
+        self.state == State::Complete
     }
 
     pub(super) fn status(&self) -> u16 {
@@ -75,60 +79,60 @@
         })
     }
 
-    fn step(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, Malformed> {
+    fn step(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, MalformedResponse> {
         match self.state {
             State::Head => self.head_line(bytes),
             State::ChunkSize => self.chunk_size(bytes),
             State::ChunkEnd | State::Trailer => self.blank_line(bytes),
-            State::Sized { left } => {
-                let used = take(bytes, left, out);
-                let left = left - used as u64;
-                self.state = if left == 0 {
-                    State::Whole
+            State::Sized { remaining } => {
+                let used = take(bytes, remaining, out);
+                let remaining = remaining - used as u64;
+                self.state = if remaining == 0 {
+                    State::Complete
                 } else {
-                    State::Sized { left }
+                    State::Sized { remaining }
                 };
                 Ok(used)
             }
-            State::Chunk { left } => {
-                let used = take(bytes, left, out);
-                let left = left - used as u64;
-                self.state = if left == 0 {
+            State::Chunk { remaining } => {
+                let used = take(bytes, remaining, out);
+                let remaining = remaining - used as u64;
+                self.state = if remaining == 0 {
                     State::ChunkEnd
                 } else {
-                    State::Chunk { left }
+                    State::Chunk { remaining }
                 };
                 Ok(used)
             }
             State::UntilClose => Ok(take(bytes, u64::MAX, out)),
-            State::Whole => Ok(0),
+            State::Complete => Ok(0),
         }
     }
 
     /// Collects one line into `self.line`; whether it is complete.
-    fn collect(&mut self, bytes: &[u8]) -> Result<(usize, bool), Malformed> {
+    fn collect_line(&mut self, bytes: &[u8]) -> Result<(usize, bool), MalformedResponse> {
         let end = bytes.iter().position(|&b| b == b'\n');
         let used = end.map_or(bytes.len(), |at| at + 1);
         self.line.extend_from_slice(&bytes[..used]);
-        if self.line.len() > MAX_LINE {
-            return Err(Malformed);
+        if self.line.len() > MAX_LINE_BYTES {
+            return Err(MalformedResponse);
         }
         Ok((used, end.is_some()))
     }
 
-    fn head_line(&mut self, bytes: &[u8]) -> Result<usize, Malformed> {
-        let (used, complete) = self.collect(bytes)?;
+    fn head_line(&mut self, bytes: &[u8]) -> Result<usize, MalformedResponse> {
+        let (used, complete) = self.collect_line(bytes)?;
         if !complete {
             return Ok(used);
         }
         let line = std::mem::take(&mut self.line);
-        let text = std::str::from_utf8(&line).map_err(|_| Malformed)?;
+        let text = std::str::from_utf8(&line).map_err(|_| MalformedResponse)?;
         let text = text.trim_end();
         if !text.is_empty() {
             self.head.push_str(&text.to_ascii_lowercase());
             self.head.push('\n');
-            return if self.head.len() > MAX_LINE {
-                Err(Malformed)
+            return if self.head.len() > MAX_LINE_BYTES {
+                Err(MalformedResponse)
             } else {
                 Ok(used)
             };
@@ -137,9 +141,11 @@
         Ok(used)
     }
 
-    fn end_head(&mut self) -> Result<(), Malformed> {
+    fn end_head(&mut self) -> Result<(), MalformedResponse> {
         let status = self.head.split(' ').nth(1).and_then(|word| word.get(..3));
-        let status: u16 = status.and_then(|s| s.parse().ok()).ok_or(Malformed)?;
+        let status: u16 = status
+            .and_then(|s| s.parse().ok())
+            .ok_or(MalformedResponse)?;
         if status == 100 {
             self.head.clear();
             return Ok(());
@@ -149,51 +155,53 @@
         let length = self.header("content-length").map(str::parse::<u64>);
         self.state = match length {
             _ if chunked => State::ChunkSize,
-            Some(Ok(0)) => State::Whole,
-            Some(Ok(left)) => State::Sized { left },
-            Some(Err(_)) => return Err(Malformed),
-            None if status == 204 => State::Whole,
+            Some(Ok(0)) => State::Complete,
+            Some(Ok(remaining)) => State::Sized { remaining },
+            Some(Err(_)) => return Err(MalformedResponse),
+            None if status == 204 => State::Complete,
             None => State::UntilClose,
         };
         Ok(())
     }
 
-    fn chunk_size(&mut self, bytes: &[u8]) -> Result<usize, Malformed> {
-        let (used, complete) = self.collect(bytes)?;
+    fn chunk_size(&mut self, bytes: &[u8]) -> Result<usize, MalformedResponse> {
+        let (used, complete) = self.collect_line(bytes)?;
         if !complete {
             return Ok(used);
         }
-        let text = std::str::from_utf8(&self.line).map_err(|_| Malformed)?;
+        let text = std::str::from_utf8(&self.line).map_err(|_| MalformedResponse)?;
         let digits = text.split(';').next().unwrap_or("").trim();
-        let left = u64::from_str_radix(digits, 16).map_err(|_| Malformed)?;
+        let remaining = u64::from_str_radix(digits, 16).map_err(|_| MalformedResponse)?;
         self.line.clear();
-        self.state = if left == 0 {
+        self.state = if remaining == 0 {
             State::Trailer
         } else {
-            State::Chunk { left }
+            State::Chunk { remaining }
         };
         Ok(used)
     }
 
-    fn blank_line(&mut self, bytes: &[u8]) -> Result<usize, Malformed> {
-        let (used, complete) = self.collect(bytes)?;
+    fn blank_line(&mut self, bytes: &[u8]) -> Result<usize, MalformedResponse> {
+        let (used, complete) = self.collect_line(bytes)?;
         if !complete {
             return Ok(used);
         }
         let blank = self.line.iter().all(u8::is_ascii_whitespace);
         self.line.clear();
         match (self.state, blank) {
-            (State::Trailer, true) => self.state = State::Whole,
+            (State::Trailer, true) => self.state = State::Complete,
             (State::Trailer, false) => {}
             (_, true) => self.state = State::ChunkSize,
-            (_, false) => return Err(Malformed),
+            (_, false) => return Err(MalformedResponse),
         }
         Ok(used)
     }
 }
 
-fn take(bytes: &[u8], left: u64, out: &mut Vec<u8>) -> usize {
-    let used = bytes.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+fn take(bytes: &[u8], remaining: u64, out: &mut Vec<u8>) -> usize {
+    let used = bytes
+        .len()
+        .min(usize::try_from(remaining).unwrap_or(usize::MAX));
     out.extend_from_slice(&bytes[..used]);
     used
 }
--- a/crates/standins/src/load/plan.rs
+++ b/crates/standins/src/load/plan.rs
@@ -187,8 +187,8 @@
     }
 
     /// Tokens of an answer whose length was drawn, after the request's own limit.
-    pub(super) fn limit(&self, drawn: u32) -> u32 {
-        drawn.min(self.max_tokens.unwrap_or(u32::MAX))
+    pub(super) fn expected_tokens(&self, sampled: u32) -> u32 {
+        sampled.min(self.max_tokens.unwrap_or(u32::MAX))
     }
 
     /// The highest rate there ever is.
--- a/crates/standins/src/load/prompt.rs
+++ b/crates/standins/src/load/prompt.rs
@@ -10,7 +10,7 @@
 use super::plan::RequestKind;
 
 /// Bytes of a prompt that requests of the same prefix share: what an engine hashes.
-const PREFIX_BYTES: usize = 256;
+const SHARED_PREFIX_BYTES: usize = 256;
 
 #[derive(Serialize)]
 struct Message<'a> {
@@ -19,7 +19,7 @@
 }
 
 #[derive(Serialize)]
-struct Completion<'a> {
+struct CompletionBody<'a> {
     model: &'a str,
     #[serde(skip_serializing_if = "Option::is_none")]
     messages: Option<[Message<'a>; 1]>,
@@ -77,7 +77,7 @@
         content: &text,
     };
     let chat = class.kind == RequestKind::Chat;
-    let body = Completion {
+    let body = CompletionBody {
         model: &class.model,
         messages: chat.then_some([message]),
         prompt: (!chat).then_some(text.as_str()),
@@ -97,8 +97,8 @@
         0 => format!("{marker} "),
         prefixes => format!("{} prefix {} ", class.name, rng.random_range(0..prefixes)),
     };
-    pad(&mut text, length.min(PREFIX_BYTES));
-    if length > PREFIX_BYTES {
+    pad(&mut text, length.min(SHARED_PREFIX_BYTES));
+    if length > SHARED_PREFIX_BYTES {
         text.push_str(marker);
         pad(&mut text, length);
     }
--- a/crates/standins/src/load/record.rs
+++ b/crates/standins/src/load/record.rs
@@ -16,23 +16,23 @@
 const MAX_MICROS: u64 = 600_000_000;
 
 /// Share of a request's gaps that may be longer than its target.
-const GAP_SHARE: f64 = 0.05;
+const MAX_SLOW_GAP_SHARE: f64 = 0.05;
 
 /// Counters and histograms of one class.
-pub(super) struct Record {
+pub(super) struct ClassRecorder {
     targets: Targets,
-    counts: ClassReport,
+    report: ClassReport,
     first: Histogram<u64>,
     between: Histogram<u64>,
     whole: Histogram<u64>,
     timeline: Vec<Second>,
 }
 
-impl Record {
-    pub(super) fn new(class: &LoadClass) -> Record {
-        Record {
+impl ClassRecorder {
+    pub(super) fn new(class: &LoadClass) -> ClassRecorder {
+        ClassRecorder {
             targets: class.targets,
-            counts: ClassReport {
+            report: ClassReport {
                 name: class.name.clone(),
                 ..ClassReport::default()
             },
@@ -44,18 +44,18 @@
     }
 
     /// Counts a request that was due but couldn't be sent.
-    pub(super) fn unsent(&mut self) {
-        self.counts.unsent += 1;
+    pub(super) fn record_unsent(&mut self) {
+        self.report.unsent += 1;
     }
 
     /// Counts a request that has ended; `second` is when it was due.
-    pub(super) fn add(&mut self, exchange: &Exchange, not_run_marker: &str, second: usize) {
-        let attained = self.attained(exchange);
-        self.count_ending(exchange, not_run_marker);
-        self.counts.sent += 1;
-        self.counts.attained += u64::from(attained);
-        self.counts.tokens += exchange.response.tokens();
-        self.add_times(exchange);
+    pub(super) fn record(&mut self, exchange: &Exchange, not_run_marker: &str, second: usize) {
+        let attained = self.meets_targets(exchange);
+        self.count_outcome(exchange, not_run_marker);
+        self.report.sent += 1;
+        self.report.attained += u64::from(attained);
+        self.report.tokens += exchange.response.tokens();
+        self.record_times(exchange);
         if self.timeline.len() <= second {
             self.timeline.resize(second + 1, Second::default());
         }
@@ -67,7 +67,7 @@
 
     /// The report; the timeline only when asked for.
     pub(super) fn report(&self, timeline: bool) -> ClassReport {
-        let mut report = self.counts.clone();
+        let mut report = self.report.clone();
         report.first = Quantiles::of(&self.first);
         report.between = Quantiles::of(&self.between);
         report.whole = Quantiles::of(&self.whole);
@@ -77,33 +77,33 @@
         report
     }
 
-    fn count_ending(&mut self, exchange: &Exchange, not_run_marker: &str) {
-        let counts = &mut self.counts;
+    fn count_outcome(&mut self, exchange: &Exchange, not_run_marker: &str) {
+        let report = &mut self.report;
         match exchange.outcome {
-            RequestOutcome::Complete => counts.completed += 1,
+            RequestOutcome::Complete => report.completed += 1,
             RequestOutcome::Refused => {
-                counts.refused += 1;
-                *counts
+                report.refused += 1;
+                *report
                     .statuses
                     .entry(exchange.response.status())
                     .or_insert(0) += 1;
                 let retry_after = exchange.response.header("retry-after").is_some();
-                counts.without_retry_after += u64::from(!retry_after);
-                counts.reported_not_run += u64::from(says_not_run(exchange, not_run_marker));
+                report.without_retry_after += u64::from(!retry_after);
+                report.reported_not_run += u64::from(reports_not_run(exchange, not_run_marker));
             }
-            RequestOutcome::Cut => counts.cut += 1,
-            RequestOutcome::Misdelivered => counts.misdelivered += 1,
-            RequestOutcome::Disordered => counts.disordered += 1,
-            RequestOutcome::TimedOut => counts.timed_out += 1,
-            RequestOutcome::GaveUp => counts.gave_up += 1,
-            RequestOutcome::ConnectFailed => counts.connect_failed += 1,
+            RequestOutcome::Cut => report.cut += 1,
+            RequestOutcome::Misdelivered => report.misdelivered += 1,
+            RequestOutcome::Disordered => report.disordered += 1,
+            RequestOutcome::TimedOut => report.timed_out += 1,
+            RequestOutcome::GaveUp => report.gave_up += 1,
+            RequestOutcome::ConnectFailed => report.connect_failed += 1,
         }
         if exchange.outcome == RequestOutcome::Complete {
-            counts.useful_tokens += exchange.response.tokens();
+            report.useful_tokens += exchange.response.tokens();
         }
     }
 
-    fn add_times(&mut self, exchange: &Exchange) {
+    fn record_times(&mut self, exchange: &Exchange) {
         if let Some(first) = exchange.first_token {
             self.first.saturating_record(micros(first));
         }
@@ -115,14 +115,14 @@
         }
     }
 
-    fn attained(&self, exchange: &Exchange) -> bool {
+    fn meets_targets(&self, exchange: &Exchange) -> bool {
         let Targets {
             first_ms,
             between_ms,
             whole_ms,
         } = self.targets;
-        let within = |took: Duration, limit: Option<u64>| {
-            limit.is_none_or(|ms| took <= Duration::from_millis(ms))
+        let within = |duration: Duration, limit: Option<u64>| {
+            limit.is_none_or(|ms| duration <= Duration::from_millis(ms))
         };
         exchange.outcome == RequestOutcome::Complete
             && exchange
@@ -134,7 +134,7 @@
 }
 
 /// Whether a refusal states that the request wasn't run.
-pub(super) fn says_not_run(exchange: &Exchange, not_run_marker: &str) -> bool {
+pub(super) fn reports_not_run(exchange: &Exchange, not_run_marker: &str) -> bool {
     let head = exchange.response.head();
     let body = String::from_utf8_lossy(exchange.response.body());
     !not_run_marker.is_empty() && (head.contains(not_run_marker) || body.contains(not_run_marker))
@@ -142,12 +142,12 @@
 
 fn gaps_within(gaps: &[u32], ms: u64) -> bool {
     let limit = ms.saturating_mul(1000);
-    let longer = gaps.iter().filter(|&&gap| u64::from(gap) > limit).count();
-    longer as f64 <= gaps.len() as f64 * GAP_SHARE
+    let slow = gaps.iter().filter(|&&gap| u64::from(gap) > limit).count();
+    slow as f64 <= gaps.len() as f64 * MAX_SLOW_GAP_SHARE
 }
 
-fn micros(took: Duration) -> u64 {
-    u64::try_from(took.as_micros()).unwrap_or(u64::MAX)
+fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
 fn histogram() -> Histogram<u64> {
--- a/crates/standins/src/load/response.rs
+++ b/crates/standins/src/load/response.rs
@@ -1,17 +1,17 @@
 //! Reading an answer as it arrives, cheaply.
 
 use super::framing::Framing;
-use super::framing::Malformed;
-use super::tokens::Tokens;
+use super::framing::MalformedResponse;
+use super::tokens::TokenChecker;
 
 /// Longest body that is kept whole, and longest line of a stream, in bytes.
-const MAX_KEPT: usize = 32 * 1024 * 1024;
+const MAX_BUFFERED_BYTES: usize = 32 * 1024 * 1024;
 
 /// An answer that is being read.
 #[derive(Debug)]
 pub struct Response {
     framing: Framing,
-    tokens: Tokens,
+    tokens: TokenChecker,
     stream: bool,
     body: Vec<u8>,
     scanned: usize,
@@ -23,7 +23,7 @@
     pub fn new(marker: &str, stream: bool) -> Response {
         Response {
             framing: Framing::default(),
-            tokens: Tokens::new(marker),
+            tokens: TokenChecker::new(marker),
             stream,
             body: Vec::new(),
             scanned: 0,
@@ -36,21 +36,21 @@
     /// # Errors
     ///
     /// Fails when the bytes aren't an answer, or the answer is too long.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<usize, Malformed> {
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<usize, MalformedResponse> {
         let used = self.framing.feed(bytes, &mut self.body)?;
         if self.is_stream() {
             self.scan_events();
         }
-        if self.body.len() > MAX_KEPT {
-            return Err(Malformed);
+        if self.body.len() > MAX_BUFFERED_BYTES {
+            return Err(MalformedResponse);
         }
         Ok(used)
     }
 
     /// Whether the framing says that the answer is whole. A body that ends where the connection
     /// closes never says so.
-    pub fn is_whole(&self) -> bool {
-        self.framing.is_whole()
+    pub fn is_complete(&self) -> bool {
+        self.framing.is_complete()
     }
 
     /// Whether the head has arrived.
@@ -104,8 +104,8 @@
     }
 
     /// Checks the tokens of a whole (not streamed) answer.
-    pub fn check_whole(&mut self) {
-        self.tokens.whole(&self.body);
+    pub fn check_body(&mut self) {
+        self.tokens.check_body(&self.body);
     }
 
     /// Reads the lines that are complete, and forgets them.
@@ -116,7 +116,7 @@
             let line = &self.body[from..end];
             if let Some(data) = line.strip_prefix(b"data: ") {
                 self.done |= data.starts_with(b"[DONE]");
-                self.tokens.event(data);
+                self.tokens.check_event(data);
             }
             from = end + 1;
             self.scanned = from;
--- a/crates/standins/src/load/run.rs
+++ b/crates/standins/src/load/run.rs
@@ -18,29 +18,29 @@
 
 use super::client::Client;
 use super::exchange;
-use super::exchange::Outgoing;
+use super::exchange::OutgoingRequest;
 use super::exchange::RequestOutcome;
 use super::plan::LoadClass;
 use super::plan::LoadPlan;
 use super::record;
-use super::record::Record;
+use super::record::ClassRecorder;
 use super::report::LoadReport;
 use super::report::Quantiles;
+use super::run_counts::RunCounts;
 use super::single;
-use super::tally::RunTally;
 use crate::port;
 
 /// How many requests that were said not to have been run are remembered.
-const MAX_TOLD: usize = 200_000;
+const MAX_REPORTED_NOT_RUN: usize = 200_000;
 
 /// What the requests of a run share.
-struct Shared {
+struct RunState {
     plan: LoadPlan,
     client: Client,
-    records: Vec<Mutex<Record>>,
+    records: Vec<Mutex<ClassRecorder>>,
     lateness: Mutex<Histogram<u64>>,
-    told: Mutex<HashSet<String>>,
-    open: AtomicUsize,
+    reported_not_run: Mutex<HashSet<String>>,
+    in_flight: AtomicUsize,
 }
 
 /// The next arrivals of one class.
@@ -60,15 +60,15 @@
         return Err(io::Error::other("the plan names no entry address"));
     }
     let start = Instant::now();
-    let shared = Arc::new(Shared::new(plan));
-    for request in send_all(&shared, start).await {
+    let shared = Arc::new(RunState::new(plan));
+    for request in send_requests(&shared, start).await {
         request.await;
     }
-    let tally = RunTally::collect(&shared.plan.standins).await;
-    Ok(shared.report(start.elapsed(), &tally))
+    let run_counts = RunCounts::collect(&shared.plan.standins).await;
+    Ok(shared.report(start.elapsed(), &run_counts))
 }
 
-async fn send_all(shared: &Arc<Shared>, start: Instant) -> Vec<JoinHandle<()>> {
+async fn send_requests(shared: &Arc<RunState>, start: Instant) -> Vec<JoinHandle<()>> {
     let plan = &shared.plan;
     let mut arrivals: Vec<_> = (0..plan.classes.len())
         .map(|i| Arrivals::new(plan, i))
@@ -119,96 +119,98 @@
     }
 }
 
-impl Shared {
-    fn new(plan: LoadPlan) -> Shared {
+impl RunState {
+    fn new(plan: LoadPlan) -> RunState {
         let records = plan
             .classes
             .iter()
-            .map(|c| Mutex::new(Record::new(c)))
+            .map(|c| Mutex::new(ClassRecorder::new(c)))
             .collect();
         let lateness = Histogram::new(3).expect("three significant digits are allowed");
-        Shared {
+        RunState {
             client: Client::new(plan.entries.clone(), plan.keep_alive),
             records,
             lateness: Mutex::new(lateness),
-            told: Mutex::new(HashSet::new()),
-            open: AtomicUsize::new(0),
+            reported_not_run: Mutex::new(HashSet::new()),
+            in_flight: AtomicUsize::new(0),
             plan,
         }
     }
 
     /// Sends one request; none when too many are in progress.
     fn send(
-        self: &Arc<Shared>,
+        self: &Arc<RunState>,
         class: usize,
         time: f64,
         due: Instant,
         arrivals: &mut Arrivals,
     ) -> Option<JoinHandle<()>> {
-        if self.open.load(Ordering::Relaxed) >= self.plan.max_open {
-            port::lock(&self.records[class]).unsent();
+        if self.in_flight.load(Ordering::Relaxed) >= self.plan.max_open {
+            port::lock(&self.records[class]).record_unsent();
             return None;
         }
-        self.open.fetch_add(1, Ordering::Relaxed);
+        self.in_flight.fetch_add(1, Ordering::Relaxed);
         arrivals.sent += 1;
         let settings = &self.plan.classes[class];
         let marker = format!("{}.{}.{}", settings.name, self.plan.seed, arrivals.sent);
         let host = self.client.host();
         let share = settings.give_up.map_or(0.0, |give_up| give_up.share);
-        let leaves = |rng: &mut StdRng| rng.random::<f64>() < share;
+        let gives_up = |rng: &mut StdRng| rng.random::<f64>() < share;
         let rng = &mut arrivals.rng;
-        let outgoing = Outgoing {
+        let outgoing = OutgoingRequest {
             due,
-            ..single::prepare(settings, &marker, host, rng, leaves)
+            ..single::prepare(settings, &marker, host, rng, gives_up)
         };
-        let late = u64::try_from(due.elapsed().as_micros()).unwrap_or(u64::MAX);
-        port::lock(&self.lateness).saturating_record(late);
+        let lateness = u64::try_from(due.elapsed().as_micros()).unwrap_or(u64::MAX);
+        port::lock(&self.lateness).saturating_record(lateness);
         let shared = Arc::clone(self);
         Some(task::spawn(async move {
-            shared.finish(class, time, marker, outgoing).await;
+            shared.complete(class, time, marker, outgoing).await;
         }))
     }
 
-    async fn finish(&self, class: usize, time: f64, marker: String, outgoing: Outgoing) {
+    async fn complete(&self, class: usize, time: f64, marker: String, outgoing: OutgoingRequest) {
         let exchange = exchange::exchange(&self.client, outgoing).await;
-        self.open.fetch_sub(1, Ordering::Relaxed);
+        self.in_flight.fetch_sub(1, Ordering::Relaxed);
         let not_run_marker = &self.plan.not_run_marker;
         if exchange.outcome == RequestOutcome::Refused
-            && record::says_not_run(&exchange, not_run_marker)
+            && record::reports_not_run(&exchange, not_run_marker)
         {
-            let mut told = port::lock(&self.told);
-            if told.len() < MAX_TOLD {
-                told.insert(marker);
+            let mut reported_not_run = port::lock(&self.reported_not_run);
+            if reported_not_run.len() < MAX_REPORTED_NOT_RUN {
+                reported_not_run.insert(marker);
             }
         }
         if time >= self.plan.warmup {
             let mut record = port::lock(&self.records[class]);
-            record.add(&exchange, not_run_marker, time as usize);
+            record.record(&exchange, not_run_marker, time as usize);
         }
     }
 
-    fn report(&self, took: Duration, tally: &RunTally) -> LoadReport {
-        let told = port::lock(&self.told);
+    fn report(&self, duration: Duration, run_counts: &RunCounts) -> LoadReport {
+        let reported_not_run = port::lock(&self.reported_not_run);
         let mut classes = Vec::new();
         for record in &self.records {
             let mut class = port::lock(record).report(self.plan.timeline);
             let prefix = format!("{}.{}.", class.name, self.plan.seed);
-            let runs = tally
+            let runs = run_counts
                 .runs
                 .iter()
                 .filter(|(marker, _)| marker.starts_with(&prefix));
             class.repeated = runs.filter(|&(_, &runs)| runs > 1).count() as u64;
-            let told = told.iter().filter(|marker| marker.starts_with(&prefix));
-            class.falsely_reported_not_run = told
-                .filter(|marker| tally.runs.contains_key(*marker))
+            let reported_not_run = reported_not_run
+                .iter()
+                .filter(|marker| marker.starts_with(&prefix));
+            class.falsely_reported_not_run = reported_not_run
+                .filter(|marker| run_counts.runs.contains_key(*marker))
                 .count() as u64;
             classes.push(class);
         }
         LoadReport {
-            seconds: took.as_secs_f64(),
+            seconds: duration.as_secs_f64(),
             lateness: Quantiles::of(&port::lock(&self.lateness)),
             classes,
-            standins: tally.totals,
+            standins: run_counts.totals,
         }
     }
 }
--- a/crates/standins/src/load/tally.rs
+++ b/crates/standins/src/load/run_counts.rs
@@ -10,38 +10,38 @@
 
 use super::client::Client;
 use super::exchange;
-use super::exchange::Outgoing;
-use super::exchange::Patience;
+use super::exchange::OutgoingRequest;
 use super::exchange::RequestOutcome;
+use super::exchange::WaitLimits;
 use super::report::StandinTotals;
 use super::response::Response;
 use crate::engine::EngineStats;
 
 /// Longest wait for a stand-in's counters.
-const TIMEOUT: Duration = Duration::from_secs(10);
+const STATS_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Runs by marker over all stand-ins, and their totals.
 #[derive(Debug, Default)]
-pub(super) struct RunTally {
+pub(super) struct RunCounts {
     pub(super) runs: HashMap<String, u64>,
     pub(super) totals: StandinTotals,
 }
 
-impl RunTally {
+impl RunCounts {
     /// Asks every stand-in. One that is down is counted as unasked, since a gap in the counts would
     /// hide a request that ran twice.
-    pub(super) async fn collect(standins: &[SocketAddr]) -> RunTally {
-        let mut tally = RunTally::default();
+    pub(super) async fn collect(standins: &[SocketAddr]) -> RunCounts {
+        let mut run_counts = RunCounts::default();
         for &standin in standins {
-            match tally.ask(standin).await {
-                Ok(()) => tally.totals.reachable += 1,
-                Err(_) => tally.totals.unreachable += 1,
+            match run_counts.add_standin(standin).await {
+                Ok(()) => run_counts.totals.reachable += 1,
+                Err(_) => run_counts.totals.unreachable += 1,
             }
         }
-        tally
+        run_counts
     }
 
-    async fn ask(&mut self, standin: SocketAddr) -> io::Result<()> {
+    async fn add_standin(&mut self, standin: SocketAddr) -> io::Result<()> {
         let stats: EngineStats = get(standin, "/control/stats").await?;
         let runs: HashMap<String, u64> = get(standin, "/control/runs").await?;
         for (marker, count) in runs {
@@ -67,13 +67,13 @@
 async fn get<T: DeserializeOwned>(standin: SocketAddr, path: &str) -> io::Result<T> {
     let client = Client::new(vec![standin], false);
     let head = format!("GET {path} HTTP/1.1\r\nhost: {standin}\r\nconnection: close\r\n\r\n");
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         bytes: head.into_bytes(),
         response: Response::new("", false),
         tokens: None,
         due: Instant::now(),
-        patience: Patience {
-            timeout: TIMEOUT,
+        limits: WaitLimits {
+            timeout: STATS_TIMEOUT,
             give_up: None,
         },
     };
--- a/crates/standins/src/load/single.rs
+++ b/crates/standins/src/load/single.rs
@@ -10,8 +10,8 @@
 use super::client::Client;
 use super::exchange;
 use super::exchange::Exchange;
-use super::exchange::Outgoing;
-use super::exchange::Patience;
+use super::exchange::OutgoingRequest;
+use super::exchange::WaitLimits;
 use super::plan::LoadClass;
 use super::plan::RequestKind;
 use super::prompt;
@@ -34,17 +34,18 @@
     marker: &str,
     host: SocketAddr,
     rng: &mut StdRng,
-    leaves: impl FnOnce(&mut StdRng) -> bool,
-) -> Outgoing {
+    gives_up: impl FnOnce(&mut StdRng) -> bool,
+) -> OutgoingRequest {
     let output = class.output.sample(rng);
-    let tokens = (class.kind != RequestKind::Call).then(|| u64::from(class.limit(output)));
-    let give_up = class.give_up.filter(|_| leaves(rng));
-    Outgoing {
+    let tokens =
+        (class.kind != RequestKind::Call).then(|| u64::from(class.expected_tokens(output)));
+    let give_up = class.give_up.filter(|_| gives_up(rng));
+    OutgoingRequest {
         bytes: prompt::request_bytes(class, marker, host, output, rng),
         response: Response::new(marker, class.stream),
         tokens,
         due: Instant::now(),
-        patience: Patience {
+        limits: WaitLimits {
             timeout: Duration::from_millis(class.timeout_ms),
             give_up: give_up.map(|give_up| Duration::from_millis(give_up.after_ms)),
         },
--- a/crates/standins/src/load/tokens.rs
+++ b/crates/standins/src/load/tokens.rs
@@ -5,18 +5,18 @@
 
 /// The tokens of one answer.
 #[derive(Debug)]
-pub(super) struct Tokens {
-    needle: Vec<u8>,
+pub(super) struct TokenChecker {
+    prefix: Vec<u8>,
     count: u64,
     foreign: bool,
     disordered: bool,
 }
 
-impl Tokens {
+impl TokenChecker {
     /// Expects tokens of the request with this marker.
-    pub(super) fn new(marker: &str) -> Tokens {
-        Tokens {
-            needle: format!("{marker} ").into_bytes(),
+    pub(super) fn new(marker: &str) -> TokenChecker {
+        TokenChecker {
+            prefix: format!("{marker} ").into_bytes(),
             count: 0,
             foreign: false,
             disordered: false,
@@ -36,35 +36,35 @@
     }
 
     /// Checks the text of one event, which is at most one token.
-    pub(super) fn event(&mut self, json: &[u8]) {
+    pub(super) fn check_event(&mut self, json: &[u8]) {
         if let Some(text) = content(json) {
-            self.token(text);
+            self.check_token(text);
         }
     }
 
     /// Checks the text of a whole answer.
-    pub(super) fn whole(&mut self, json: &[u8]) {
+    pub(super) fn check_body(&mut self, json: &[u8]) {
         let Some(mut rest) = content(json) else {
             self.disordered = true;
             return;
         };
         while rest.first().is_some_and(|&b| b != b'"') {
-            rest = self.token(rest);
+            rest = self.check_token(rest);
         }
     }
 
     /// Checks one `MARKER NUMBER ` at the start of `text`; what follows it.
-    fn token<'a>(&mut self, text: &'a [u8]) -> &'a [u8] {
+    fn check_token<'a>(&mut self, text: &'a [u8]) -> &'a [u8] {
         let expected = self.count;
         self.count += 1;
-        let Some(rest) = text.strip_prefix(self.needle.as_slice()) else {
+        let Some(rest) = text.strip_prefix(self.prefix.as_slice()) else {
             self.foreign = true;
             return &[];
         };
         let is_digit = |b: &&u8| b.is_ascii_digit();
         let digits = rest.iter().take_while(is_digit).take(MAX_DIGITS).count();
-        let fold = |n, b: &u8| n * 10 + u64::from(b - b'0');
-        let number = rest[..digits].iter().fold(0, fold);
+        let append_digit = |n, b: &u8| n * 10 + u64::from(b - b'0');
+        let number = rest[..digits].iter().fold(0, append_digit);
         self.disordered |= digits == 0 || number != expected;
         rest.get(digits + 1..).unwrap_or(&[])
     }
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -30,7 +30,7 @@
 
 mod cli;
 
-type Outcome<T> = Result<T, Box<dyn Error>>;
+type CliResult<T> = Result<T, Box<dyn Error>>;
 
 fn main() -> ExitCode {
     let command = cli::command().run();
@@ -43,7 +43,7 @@
     }
 }
 
-async fn run(command: Command) -> Outcome<()> {
+async fn run(command: Command) -> CliResult<()> {
     match command {
         Command::Platform {
             listen,
@@ -82,7 +82,7 @@
     parts: Vec<PartFile>,
     instances: Option<PathBuf>,
     budget: u64,
-) -> Outcome<PlatformSettings> {
+) -> CliResult<PlatformSettings> {
     let mut settings = PlatformSettings {
         read_budget: budget,
         instances: read_instances(instances)?,
@@ -99,7 +99,7 @@
     entries: Vec<SocketAddr>,
     standins: Vec<SocketAddr>,
     file: PathBuf,
-) -> Outcome<()> {
+) -> CliResult<()> {
     let mut plan: LoadPlan = serde_json::from_slice(&fs::read(file)?)?;
     if !entries.is_empty() {
         plan.entries = entries;
@@ -117,7 +117,7 @@
     listen: SocketAddr,
     count: usize,
     settings: &EngineSettings,
-) -> Outcome<Vec<Handle<Engine>>> {
+) -> CliResult<Vec<Handle<Engine>>> {
     let any = SocketAddr::new(listen.ip(), 0);
     let mut engines = Vec::new();
     for number in 0..count {
@@ -132,7 +132,7 @@
 }
 
 /// Prints the addresses and serves until the process is ended.
-async fn serve<S: Standin>(handles: Vec<Handle<S>>) -> Outcome<()> {
+async fn serve<S: Standin>(handles: Vec<Handle<S>>) -> CliResult<()> {
     let mut out = std::io::stdout();
     for handle in &handles {
         writeln!(out, "listening={}", handle.addr())?;
@@ -142,14 +142,14 @@
     std::future::pending().await
 }
 
-fn read_settings<T: DeserializeOwned + Default>(json: Option<String>) -> Outcome<T> {
+fn read_settings<T: DeserializeOwned + Default>(json: Option<String>) -> CliResult<T> {
     match json {
         Some(json) => Ok(serde_json::from_str(&json)?),
         None => Ok(T::default()),
     }
 }
 
-fn read_instances(file: Option<PathBuf>) -> Outcome<Vec<Instance>> {
+fn read_instances(file: Option<PathBuf>) -> CliResult<Vec<Instance>> {
     match file {
         Some(file) => Ok(serde_json::from_slice(&fs::read(file)?)?),
         None => Ok(Vec::new()),
--- a/crates/standins/src/platform/budget.rs
+++ b/crates/standins/src/platform/budget.rs
@@ -7,19 +7,19 @@
 
 /// Counts reads in windows of one second and refuses those over the budget.
 #[derive(Debug)]
-pub(super) struct Budget {
+pub(super) struct ReadBudget {
     limit: u64,
-    window: Millis,
+    window_start: Millis,
     used: u64,
     peak: u64,
     refused: u64,
 }
 
-impl Budget {
-    pub(super) fn new(limit: u64) -> Budget {
-        Budget {
+impl ReadBudget {
+    pub(super) fn new(limit: u64) -> ReadBudget {
+        ReadBudget {
             limit,
-            window: Millis::ZERO,
+            window_start: Millis::ZERO,
             used: 0,
             peak: 0,
             refused: 0,
@@ -31,9 +31,9 @@
     }
 
     /// Takes one read; false when this second's budget is spent.
-    pub(super) fn take(&mut self, now: Millis) -> bool {
-        if now.since(self.window) >= WINDOW {
-            self.window = now;
+    pub(super) fn try_acquire(&mut self, now: Millis) -> bool {
+        if now.since(self.window_start) >= WINDOW {
+            self.window_start = now;
             self.used = 0;
         }
         if self.used >= self.limit {
--- a/crates/standins/src/platform/config.rs
+++ b/crates/standins/src/platform/config.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 /// How many earlier revisions are kept for going back to.
-const HISTORY: usize = 256;
+const MAX_PAST_REVISIONS: usize = 256;
 
 /// One team's part.
 #[derive(Clone, Debug)]
@@ -53,16 +53,16 @@
 
 /// The configuration with its history.
 #[derive(Debug)]
-pub(super) struct Config {
+pub(super) struct ConfigHistory {
     current: Revision,
     past: VecDeque<Revision>,
     newest: u64,
     pinned: Option<u64>,
 }
 
-impl Config {
-    pub(super) fn new() -> Config {
-        Config {
+impl ConfigHistory {
+    pub(super) fn new() -> ConfigHistory {
+        ConfigHistory {
             current: Revision::default(),
             past: VecDeque::new(),
             newest: 0,
@@ -75,7 +75,7 @@
         let Some(pinned) = self.pinned else {
             return &self.current;
         };
-        self.at(pinned).unwrap_or(&self.current)
+        self.revision_at(pinned).unwrap_or(&self.current)
     }
 
     /// Publishes a part (`None` removes it) under the next revision.
@@ -97,7 +97,7 @@
         }
         self.past
             .push_back(std::mem::replace(&mut self.current, next));
-        if self.past.len() > HISTORY {
+        if self.past.len() > MAX_PAST_REVISIONS {
             self.past.pop_front();
         }
     }
@@ -114,8 +114,8 @@
 
     /// Makes an older revision the current one. Later changes are numbered on from the newest ever,
     /// or, with `reuse`, from the older one, as after a restore from a backup.
-    pub(super) fn go_back(&mut self, revision: u64, reuse: bool) {
-        let Some(older) = self.at(revision).cloned() else {
+    pub(super) fn roll_back(&mut self, revision: u64, reuse: bool) {
+        let Some(older) = self.revision_at(revision).cloned() else {
             return;
         };
         self.past
@@ -125,7 +125,7 @@
         }
     }
 
-    fn at(&self, revision: u64) -> Option<&Revision> {
+    fn revision_at(&self, revision: u64) -> Option<&Revision> {
         let all = self.past.iter().chain([&self.current]);
         all.rev().find(|r| r.number <= revision)
     }
--- a/crates/standins/src/platform/instances.rs
+++ b/crates/standins/src/platform/instances.rs
@@ -56,26 +56,29 @@
 #[derive(Debug)]
 struct Change {
     /// When it was made; none for the list that shows from the start.
-    at: Option<Millis>,
+    changed_at: Option<Millis>,
     list: InstanceList,
 }
 
 /// The list with the changes that don't show yet.
 #[derive(Debug)]
-pub(super) struct Instances {
+pub(super) struct DelayedInstanceList {
     lag: Millis,
     changes: Vec<Change>,
 }
 
-impl Instances {
+impl DelayedInstanceList {
     /// Starts with a list that shows at once.
-    pub(super) fn new(instances: Vec<Instance>) -> Instances {
+    pub(super) fn new(instances: Vec<Instance>) -> DelayedInstanceList {
         let list = InstanceList {
             revision: 1,
             instances,
         };
-        let first = Change { at: None, list };
-        Instances {
+        let first = Change {
+            changed_at: None,
+            list,
+        };
+        DelayedInstanceList {
             lag: Millis::ZERO,
             changes: vec![first],
         }
@@ -91,8 +94,8 @@
             revision: self.newest().revision + 1,
             instances,
         };
-        let at = Some(now);
-        self.changes.push(Change { at, list });
+        let changed_at = Some(now);
+        self.changes.push(Change { changed_at, list });
     }
 
     /// Changes the state of one instance; it shows when the lag has passed.
@@ -107,9 +110,13 @@
     /// The list as readers see it now.
     pub(super) fn view(&mut self, now: Millis) -> &InstanceList {
         let lag = self.lag;
-        let shows = |change: &Change| change.at.is_none_or(|at| at + lag <= now);
-        let seen = self.changes.iter().rposition(shows).unwrap_or(0);
-        self.changes.drain(..seen);
+        let is_visible = |change: &Change| {
+            change
+                .changed_at
+                .is_none_or(|changed_at| changed_at + lag <= now)
+        };
+        let visible = self.changes.iter().rposition(is_visible).unwrap_or(0);
+        self.changes.drain(..visible);
         &self.changes[0].list
     }
 
--- a/crates/standins/src/platform/server.rs
+++ b/crates/standins/src/platform/server.rs
@@ -19,27 +19,27 @@
 use http_types::mime;
 use serde::Deserialize;
 
-use super::budget::Budget;
+use super::budget::ReadBudget;
 use super::command::PlatformCommand;
 use super::command::PlatformSettings;
 use super::command::PlatformStats;
-use super::config::Config;
-use super::instances::Instances;
+use super::config::ConfigHistory;
+use super::instances::DelayedInstanceList;
 use crate::gate::Gate;
 use crate::handle::Handle;
 use crate::handle::Standin;
 use crate::port;
 use crate::port::Call;
-use crate::port::Effect;
+use crate::port::PortAction;
 use crate::reply;
 
-const CONFIG: &str = "/v1/config";
-const WATCH: &str = "/v1/config/watch";
-const PARTS: &str = "/v1/config/parts/";
-const INSTANCES: &str = "/v1/instances";
+const CONFIG_PATH: &str = "/v1/config";
+const WATCH_PATH: &str = "/v1/config/watch";
+const PARTS_PATH: &str = "/v1/config/parts/";
+const INSTANCES_PATH: &str = "/v1/instances";
 
 /// Longest wait of a watch, whatever the reader asks for.
-const MAX_WAIT: Millis = Millis::from_secs(120);
+const MAX_WATCH_WAIT: Millis = Millis::from_secs(120);
 
 /// The platform's stand-in; see [`Platform::start`].
 pub struct Platform {
@@ -49,10 +49,10 @@
 }
 
 struct State {
-    config: Config,
-    instances: Instances,
-    budget: Budget,
-    counts: PlatformStats,
+    config: ConfigHistory,
+    instances: DelayedInstanceList,
+    budget: ReadBudget,
+    stats: PlatformStats,
     watchers: Vec<oneshot::Sender<()>>,
 }
 
@@ -75,15 +75,15 @@
         addr: SocketAddr,
         settings: PlatformSettings,
     ) -> io::Result<Handle<Platform>> {
-        let mut config = Config::new();
+        let mut config = ConfigHistory::new();
         for (team, text) in settings.parts {
             config.publish(&team, Some(text));
         }
         let state = State {
             config,
-            instances: Instances::new(settings.instances),
-            budget: Budget::new(settings.read_budget),
-            counts: PlatformStats::default(),
+            instances: DelayedInstanceList::new(settings.instances),
+            budget: ReadBudget::new(settings.read_budget),
+            stats: PlatformStats::default(),
             watchers: Vec::new(),
         };
         let platform = Platform {
@@ -96,57 +96,57 @@
 
     async fn dispatch(self: Arc<Self>, call: Call) -> http_types::Result<Response> {
         let conn = call.conn.clone();
-        if !self.gate.pass_for(&conn).await {
-            return Err(port::aborted().into());
+        if !self.gate.wait_open_for(&conn).await {
+            return Err(port::connection_aborted().into());
         }
         let answer = self.route(call).await;
         // Once more: a watch that began before the freeze must stay silent too.
-        if !self.gate.pass_for(&conn).await {
-            return Err(port::aborted().into());
+        if !self.gate.wait_open_for(&conn).await {
+            return Err(port::connection_aborted().into());
         }
         answer
     }
 
     async fn route(&self, call: Call) -> http_types::Result<Response> {
         let path = call.request.url().path().to_owned();
-        if call.request.method() != Method::Get || !is_known(&path) {
+        if call.request.method() != Method::Get || !is_known_path(&path) {
             return Ok(reply::error(StatusCode::NotFound, "not_found"));
         }
-        if !self.take_read() {
-            return Ok(over_budget());
+        if !self.acquire_read() {
+            return Ok(budget_exceeded());
         }
         match path.as_str() {
-            CONFIG => Ok(self.index()),
-            WATCH => self.watch(call).await,
-            INSTANCES => Ok(self.list()),
-            _ => Ok(self.part(&path[PARTS.len()..])),
+            CONFIG_PATH => Ok(self.index()),
+            WATCH_PATH => self.watch(call).await,
+            INSTANCES_PATH => Ok(self.list()),
+            _ => Ok(self.part(&path[PARTS_PATH.len()..])),
         }
     }
 
-    fn take_read(&self) -> bool {
+    fn acquire_read(&self) -> bool {
         let now = self.clock.now();
         let mut state = port::lock(&self.state);
-        let granted = state.budget.take(now);
-        state.counts.reads += u64::from(granted);
+        let granted = state.budget.try_acquire(now);
+        state.stats.reads += u64::from(granted);
         granted
     }
 
     fn index(&self) -> Response {
         let mut state = port::lock(&self.state);
-        state.counts.indexes += 1;
+        state.stats.indexes += 1;
         reply::json(StatusCode::Ok, &state.config.view().index())
     }
 
     fn list(&self) -> Response {
         let now = self.clock.now();
         let mut state = port::lock(&self.state);
-        state.counts.lists += 1;
+        state.stats.lists += 1;
         reply::json(StatusCode::Ok, state.instances.view(now))
     }
 
     fn part(&self, team: &str) -> Response {
         let mut state = port::lock(&self.state);
-        state.counts.parts += 1;
+        state.stats.parts += 1;
         let view = state.config.view();
         let Some(part) = view.parts.get(team) else {
             return reply::error(StatusCode::NotFound, "no_such_part");
@@ -164,16 +164,16 @@
             Ok(query) => query,
             Err(_) => return Ok(reply::error(StatusCode::BadRequest, "bad_query")),
         };
-        let _waiting = Waiting::begin(&self.state);
-        let wait = Duration::from(Millis(query.wait_ms).min(MAX_WAIT));
+        let _waiting = WaitingWatch::begin(&self.state);
+        let wait = Duration::from(Millis(query.wait_ms).min(MAX_WATCH_WAIT));
         let changed = future::timeout(wait, self.changed(query.after));
-        let gone = port::hang_up(call.conn);
-        match futures::future::select(changed.boxed(), gone.boxed()).await {
+        let disconnected = port::client_disconnected(call.conn);
+        match futures::future::select(changed.boxed(), disconnected.boxed()).await {
             Either::Left(_) => {
                 let state = port::lock(&self.state);
                 Ok(reply::json(StatusCode::Ok, &state.config.view().index()))
             }
-            Either::Right(_) => Err(port::aborted().into()),
+            Either::Right(_) => Err(port::connection_aborted().into()),
         }
     }
 
@@ -199,22 +199,22 @@
     type Command = PlatformCommand;
     type Stats = PlatformStats;
 
-    fn answer(self: Arc<Self>, call: Call) -> BoxFuture<'static, http_types::Result<Response>> {
+    fn respond(self: Arc<Self>, call: Call) -> BoxFuture<'static, http_types::Result<Response>> {
         self.dispatch(call).boxed()
     }
 
-    fn command(&self, command: PlatformCommand) -> Effect {
+    fn command(&self, command: PlatformCommand) -> PortAction {
         if let PlatformCommand::Frozen { on } = command {
-            self.gate.set_shut(on);
-            return Effect::None;
+            self.gate.set_closed(on);
+            return PortAction::None;
         }
         let now = self.clock.now();
         let mut state = port::lock(&self.state);
-        let effect = state.apply(command, now);
+        let action = state.apply(command, now);
         for watcher in state.watchers.drain(..) {
             let _ = watcher.send(());
         }
-        effect
+        action
     }
 
     fn stats(&self) -> PlatformStats {
@@ -223,13 +223,13 @@
             refused: state.budget.refused(),
             peak: state.budget.peak(),
             revision: state.config.newest(),
-            ..state.counts.clone()
+            ..state.stats.clone()
         }
     }
 }
 
 impl State {
-    fn apply(&mut self, command: PlatformCommand, now: Millis) -> Effect {
+    fn apply(&mut self, command: PlatformCommand, now: Millis) -> PortAction {
         match command {
             PlatformCommand::Part { team, text } => self.config.publish(&team, Some(text)),
             PlatformCommand::RemovePart { team } => self.config.publish(&team, None),
@@ -238,43 +238,43 @@
                 self.instances.set_state(&id, state, now);
             }
             PlatformCommand::Lag { ms } => self.instances.set_lag(Millis(ms)),
-            PlatformCommand::Down { on: true } => return Effect::Crash,
-            PlatformCommand::Down { on: false } => return Effect::Reopen,
+            PlatformCommand::Down { on: true } => return PortAction::Crash,
+            PlatformCommand::Down { on: false } => return PortAction::Reopen,
             PlatformCommand::Stale { revision } => self.config.pin(revision),
-            PlatformCommand::GoBack { revision, reuse } => self.config.go_back(revision, reuse),
+            PlatformCommand::GoBack { revision, reuse } => self.config.roll_back(revision, reuse),
             // The gate stands before the state; see `command`.
             PlatformCommand::Frozen { .. } => {}
             PlatformCommand::Budget { reads } => self.budget.set_limit(reads),
         }
-        Effect::None
+        PortAction::None
     }
 }
 
 /// Counts a watch as waiting for as long as it lives.
-struct Waiting<'a> {
+struct WaitingWatch<'a> {
     state: &'a Mutex<State>,
 }
 
-impl<'a> Waiting<'a> {
-    fn begin(state: &'a Mutex<State>) -> Waiting<'a> {
+impl<'a> WaitingWatch<'a> {
+    fn begin(state: &'a Mutex<State>) -> WaitingWatch<'a> {
         let mut locked = port::lock(state);
-        locked.counts.watches += 1;
-        locked.counts.waiting += 1;
-        Waiting { state }
+        locked.stats.watches += 1;
+        locked.stats.waiting += 1;
+        WaitingWatch { state }
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingWatch<'_> {
     fn drop(&mut self) {
-        port::lock(self.state).counts.waiting -= 1;
+        port::lock(self.state).stats.waiting -= 1;
     }
 }
 
-fn is_known(path: &str) -> bool {
-    matches!(path, CONFIG | WATCH | INSTANCES) || path.starts_with(PARTS)
+fn is_known_path(path: &str) -> bool {
+    matches!(path, CONFIG_PATH | WATCH_PATH | INSTANCES_PATH) || path.starts_with(PARTS_PATH)
 }
 
-fn over_budget() -> Response {
+fn budget_exceeded() -> Response {
     let mut response = reply::error(StatusCode::TooManyRequests, "read_budget");
     response.insert_header("retry-after", "1");
     response
--- a/crates/standins/src/platform/tests.rs
+++ b/crates/standins/src/platform/tests.rs
@@ -3,20 +3,20 @@
 use crocushold_base::Millis;
 use test_case::test_case;
 
-use super::budget::Budget;
-use super::config::Config;
+use super::budget::ReadBudget;
+use super::config::ConfigHistory;
+use super::instances::DelayedInstanceList;
 use super::instances::Instance;
 use super::instances::InstanceState;
-use super::instances::Instances;
 use super::instances::Role;
 
 #[test]
 fn budget_refuses_beyond_its_limit_until_the_next_second() {
-    let mut budget = Budget::new(2);
-    let granted: Vec<bool> = (0..3).map(|_| budget.take(Millis(10))).collect();
+    let mut budget = ReadBudget::new(2);
+    let granted: Vec<bool> = (0..3).map(|_| budget.try_acquire(Millis(10))).collect();
     assert_eq!(granted, [true, true, false]);
-    assert!(!budget.take(Millis(999)), "still the same second");
-    assert!(budget.take(Millis(1000)));
+    assert!(!budget.try_acquire(Millis(999)), "still the same second");
+    assert!(budget.try_acquire(Millis(1000)));
     assert_eq!((budget.peak(), budget.refused()), (2, 2));
 }
 
@@ -24,7 +24,7 @@
 #[test_case(1000, 2000, "leaving"; "after the lag has passed")]
 #[test_case(0, 1000, "leaving"; "without a lag")]
 fn instance_list_shows_changes_after_its_lag(lag: u64, now: u64, state: &str) {
-    let mut instances = Instances::new(vec![server("runner-1")]);
+    let mut instances = DelayedInstanceList::new(vec![server("runner-1")]);
     instances.set_lag(Millis(lag));
     instances.set_state("runner-1", InstanceState::Leaving, Millis(1000));
     let seen = serde_json::to_value(instances.view(Millis(now))).unwrap();
@@ -45,21 +45,21 @@
 #[test_case(true, 2; "numbers of the lost changes come again")]
 fn going_back_loses_the_later_changes(reuse: bool, next: u64) {
     let mut config = published(&["one", "two"]);
-    config.go_back(1, reuse);
+    config.roll_back(1, reuse);
     assert_eq!((text(&config), config.view().number), ("one", 1));
     config.publish("clara", Some("other".to_owned()));
     assert_eq!((text(&config), config.view().number), ("other", next));
 }
 
-fn published(texts: &[&str]) -> Config {
-    let mut config = Config::new();
+fn published(texts: &[&str]) -> ConfigHistory {
+    let mut config = ConfigHistory::new();
     for &text in texts {
         config.publish("clara", Some(text.to_owned()));
     }
     config
 }
 
-fn text(config: &Config) -> &str {
+fn text(config: &ConfigHistory) -> &str {
     &config.view().parts["clara"].text
 }
 
--- a/crates/standins/src/port.rs
+++ b/crates/standins/src/port.rs
@@ -25,11 +25,11 @@
 use http_types::Response;
 
 /// Largest request body that a stand-in reads, in bytes.
-const MAX_BODY: u64 = 16 * 1024 * 1024;
+const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
 
 /// How often, and how many times, a closed port tries to bind its old address again.
-const REBIND_PAUSE: Duration = Duration::from_millis(20);
-const REBIND_TRIES: u32 = 100;
+const REBIND_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_REBIND_ATTEMPTS: u32 = 100;
 
 /// One request as a stand-in sees it: the head, the whole body, and the connection it came on.
 pub struct Call {
@@ -49,16 +49,16 @@
     }
 
     /// Applies an effect to the port that the call came on; after a crash this never returns.
-    pub(crate) async fn apply(&self, effect: Effect) {
+    pub(crate) async fn apply(&self, action: PortAction) {
         if let Some(port) = self.port.upgrade() {
-            let _ = port.apply(effect).await;
+            let _ = port.apply(action).await;
         }
     }
 }
 
 /// What a command does to the listening port.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum PortAction {
     /// Nothing.
     #[default]
     None,
@@ -70,15 +70,15 @@
     Reopen,
 }
 
-pub(crate) type Answer = BoxFuture<'static, http_types::Result<Response>>;
-pub(crate) type Endpoint = Arc<dyn Fn(Call) -> Answer + Send + Sync>;
+pub(crate) type ResponseFuture = BoxFuture<'static, http_types::Result<Response>>;
+pub(crate) type Endpoint = Arc<dyn Fn(Call) -> ResponseFuture + Send + Sync>;
 
 /// A listening port of one stand-in.
 pub(crate) struct Port {
     addr: SocketAddr,
     endpoint: Endpoint,
-    accepting: Mutex<Option<Accepting>>,
-    conns: Arc<Conns>,
+    acceptor: Mutex<Option<Acceptor>>,
+    conns: Arc<Connections>,
 }
 
 /// A listener in use: the task that accepts, and a second descriptor to stop it by.
@@ -86,12 +86,12 @@
 /// Closing the listener isn't enough: a process that is being forked elsewhere holds a copy of the
 /// descriptor until it has executed its program, and for so long the kernel would go on taking
 /// connections. Shutting the socket down ends that for every copy.
-struct Accepting {
+struct Acceptor {
     task: JoinHandle<()>,
     socket: std::net::TcpStream,
 }
 
-impl Accepting {
+impl Acceptor {
     fn stop(self) -> JoinHandle<()> {
         let _ = self.socket.shutdown(Shutdown::Both);
         self.task
@@ -105,10 +105,10 @@
         let port = Port {
             addr: listener.local_addr()?,
             endpoint,
-            accepting: Mutex::new(None),
-            conns: Arc::new(Conns::default()),
+            acceptor: Mutex::new(None),
+            conns: Arc::new(Connections::default()),
         };
-        port.accept(listener)?;
+        port.start_accepting(listener)?;
         Ok(port)
     }
 
@@ -117,74 +117,74 @@
     }
 
     /// Applies the effect of a command.
-    pub(crate) async fn apply(&self, effect: Effect) -> io::Result<()> {
-        match effect {
-            Effect::None => Ok(()),
-            Effect::Refuse => {
+    pub(crate) async fn apply(&self, action: PortAction) -> io::Result<()> {
+        match action {
+            PortAction::None => Ok(()),
+            PortAction::Refuse => {
                 self.close().await;
                 Ok(())
             }
-            Effect::Crash => {
+            PortAction::Crash => {
                 self.close().await;
-                self.conns.cut();
+                self.conns.close_all();
                 Ok(())
             }
-            Effect::Reopen => self.reopen().await,
+            PortAction::Reopen => self.reopen().await,
         }
     }
 
     /// Stops listening and closes each connection without waiting for it.
-    pub(crate) fn abandon(&self) {
-        if let Some(accepting) = lock(&self.accepting).take() {
-            task::spawn(accepting.stop().cancel());
+    pub(crate) fn shut_down(&self) {
+        if let Some(acceptor) = lock(&self.acceptor).take() {
+            task::spawn(acceptor.stop().cancel());
         }
-        self.conns.cut();
+        self.conns.close_all();
     }
 
     async fn close(&self) {
-        let accepting = lock(&self.accepting).take();
-        if let Some(accepting) = accepting {
+        let acceptor = lock(&self.acceptor).take();
+        if let Some(acceptor) = acceptor {
             // A task of its own: a command that came over this very port may be aborted half-way.
-            task::spawn(accepting.stop().cancel()).await;
+            task::spawn(acceptor.stop().cancel()).await;
         }
     }
 
     async fn reopen(&self) -> io::Result<()> {
-        if lock(&self.accepting).is_some() {
+        if lock(&self.acceptor).is_some() {
             return Ok(());
         }
-        for _ in 1..REBIND_TRIES {
+        for _ in 1..MAX_REBIND_ATTEMPTS {
             if let Ok(listener) = std::net::TcpListener::bind(self.addr) {
-                return self.accept(listener);
+                return self.start_accepting(listener);
             }
-            task::sleep(REBIND_PAUSE).await;
+            task::sleep(REBIND_INTERVAL).await;
         }
-        self.accept(std::net::TcpListener::bind(self.addr)?)
+        self.start_accepting(std::net::TcpListener::bind(self.addr)?)
     }
 
-    fn accept(&self, listener: std::net::TcpListener) -> io::Result<()> {
+    fn start_accepting(&self, listener: std::net::TcpListener) -> io::Result<()> {
         let socket = std::net::TcpStream::from(OwnedFd::from(listener.try_clone()?));
         let listener = TcpListener::from(listener);
         let endpoint = Arc::clone(&self.endpoint);
         let conns = Arc::clone(&self.conns);
-        let task = task::spawn(accept_all(listener, endpoint, conns));
-        *lock(&self.accepting) = Some(Accepting { task, socket });
+        let task = task::spawn(accept_connections(listener, endpoint, conns));
+        *lock(&self.acceptor) = Some(Acceptor { task, socket });
         Ok(())
     }
 }
 
 impl Drop for Port {
     fn drop(&mut self) {
-        self.abandon();
+        self.shut_down();
     }
 }
 
-async fn accept_all(listener: TcpListener, endpoint: Endpoint, conns: Arc<Conns>) {
+async fn accept_connections(listener: TcpListener, endpoint: Endpoint, conns: Arc<Connections>) {
     let mut incoming = listener.incoming();
     while let Some(accepted) = incoming.next().await {
         let Ok(conn) = accepted else {
             // Out of descriptors, most likely: without a pause this loop would spin.
-            task::sleep(REBIND_PAUSE).await;
+            task::sleep(REBIND_INTERVAL).await;
             continue;
         };
         conns.spawn(conn, Arc::clone(&endpoint));
@@ -193,23 +193,23 @@
 
 /// The open connections of one port.
 #[derive(Default)]
-struct Conns {
-    open: Mutex<OpenConns>,
+struct Connections {
+    open: Mutex<OpenConnections>,
 }
 
 #[derive(Default)]
-struct OpenConns {
-    last: u64,
-    live: HashMap<u64, OpenConn>,
+struct OpenConnections {
+    last_id: u64,
+    live: HashMap<u64, OpenConnection>,
 }
 
-struct OpenConn {
+struct OpenConnection {
     conn: TcpStream,
     abort: AbortHandle,
 }
 
-impl Conns {
-    fn spawn(self: &Arc<Conns>, conn: TcpStream, endpoint: Endpoint) {
+impl Connections {
+    fn spawn(self: &Arc<Connections>, conn: TcpStream, endpoint: Endpoint) {
         // Without it a token waits for the acknowledgement of the one before.
         let _ = conn.set_nodelay(true);
         let (abort, registration) = AbortHandle::new_pair();
@@ -224,13 +224,13 @@
 
     fn insert(&self, conn: TcpStream, abort: AbortHandle) -> u64 {
         let mut open = lock(&self.open);
-        open.last += 1;
-        let id = open.last;
-        open.live.insert(id, OpenConn { conn, abort });
+        open.last_id += 1;
+        let id = open.last_id;
+        open.live.insert(id, OpenConnection { conn, abort });
         id
     }
 
-    fn cut(&self) {
+    fn close_all(&self) {
         for (_, open) in lock(&self.open).live.drain() {
             open.abort.abort();
             let _ = open.conn.shutdown(Shutdown::Both);
@@ -255,7 +255,7 @@
 async fn read_call(mut request: Request, conn: TcpStream) -> http_types::Result<Call> {
     let mut body = Vec::new();
     let reader = request.take_body();
-    reader.take(MAX_BODY).read_to_end(&mut body).await?;
+    reader.take(MAX_BODY_BYTES).read_to_end(&mut body).await?;
     Ok(Call {
         request,
         body,
@@ -265,7 +265,7 @@
 }
 
 /// The error of a call that ends without an answer.
-pub(crate) fn aborted() -> io::Error {
+pub(crate) fn connection_aborted() -> io::Error {
     io::Error::from(io::ErrorKind::ConnectionAborted)
 }
 
@@ -273,7 +273,7 @@
 ///
 /// A caller that only stops sending counts as one that left, as with the usual engines. Bytes of a
 /// further request that arrive early end the watch: it then waits for ever.
-pub(crate) async fn hang_up(conn: TcpStream) {
+pub(crate) async fn client_disconnected(conn: TcpStream) {
     let mut byte = [0];
     match conn.peek(&mut byte).await {
         Ok(0) | Err(_) => {}
--- a/crates/standins/src/service/server.rs
+++ b/crates/standins/src/service/server.rs
@@ -25,13 +25,13 @@
 use crate::handle::Standin;
 use crate::port;
 use crate::port::Call;
-use crate::port::Effect;
+use crate::port::PortAction;
 use crate::reply;
 
 /// How many keys are counted one by one.
-const KEYS: usize = 200_000;
+const MAX_KEYS: usize = 200_000;
 
-/// Headers that name a call, the first one present counts.
+/// Headers that name a call, the first one present stats.
 const KEY_HEADERS: [&str; 2] = ["idempotency-key", "x-marker"];
 
 /// A plain service's stand-in; see [`PlainService::start`].
@@ -43,8 +43,8 @@
 struct State {
     settings: ServiceSettings,
     fault: ServiceFault,
-    fault_times: Option<u32>,
-    counts: ServiceStats,
+    remaining_faults: Option<u32>,
+    stats: ServiceStats,
     effects: HashMap<String, u64>,
 }
 
@@ -87,8 +87,8 @@
         let state = State {
             settings,
             fault: ServiceFault::None,
-            fault_times: None,
-            counts: ServiceStats::default(),
+            remaining_faults: None,
+            stats: ServiceStats::default(),
             effects: HashMap::new(),
         };
         let service = PlainService {
@@ -108,37 +108,37 @@
         if call.request.url().path() == "/load" {
             return Ok(self.load());
         }
-        let _running = Running::begin(&self.state);
-        let (fault, settings) = port::lock(&self.state).next_call();
+        let _running = RunningCall::begin(&self.state);
+        let (fault, settings) = port::lock(&self.state).begin_call();
         if fault == ServiceFault::Unavailable {
             return Ok(reply::error(StatusCode::ServiceUnavailable, "unavailable"));
         }
         if fault == ServiceFault::HangBefore {
             return hang(call.conn).await;
         }
-        pause(settings.before_ms, &call.conn).await?;
+        delay(settings.before_ms, &call.conn).await?;
         let key = key_of(&call).to_owned();
-        let effects = port::lock(&self.state).effect(&key);
+        let effects = port::lock(&self.state).record_effect(&key);
         match fault {
             ServiceFault::HangAfter => return hang(call.conn).await,
-            ServiceFault::DropAfter => return Err(closed()),
+            ServiceFault::DropAfter => return Err(connection_aborted()),
             ServiceFault::CrashAfter => {
-                call.apply(Effect::Crash).await;
-                return Err(closed());
+                call.apply(PortAction::Crash).await;
+                return Err(connection_aborted());
             }
             _ => {}
         }
         task::sleep(Duration::from_millis(settings.after_ms)).await;
-        port::lock(&self.state).counts.answered += 1;
+        port::lock(&self.state).stats.answered += 1;
         Ok(receipt(&call, &key, effects))
     }
 
     fn load(&self) -> Response {
         let mut state = port::lock(&self.state);
-        state.counts.polls += 1;
+        state.stats.polls += 1;
         let report = LoadReport {
             at_ms: self.clock.now().0,
-            running: state.counts.running,
+            running: state.stats.running,
             waiting: 0,
             batch_limit: state.settings.batch_limit,
             token_rate: 0.0,
@@ -155,30 +155,30 @@
     type Command = ServiceCommand;
     type Stats = ServiceStats;
 
-    fn answer(self: Arc<Self>, call: Call) -> BoxFuture<'static, http_types::Result<Response>> {
+    fn respond(self: Arc<Self>, call: Call) -> BoxFuture<'static, http_types::Result<Response>> {
         self.dispatch(call).boxed()
     }
 
-    fn command(&self, command: ServiceCommand) -> Effect {
+    fn command(&self, command: ServiceCommand) -> PortAction {
         port::lock(&self.state).apply(command)
     }
 
     fn stats(&self) -> ServiceStats {
         let state = port::lock(&self.state);
-        state.counts.clone()
+        state.stats.clone()
     }
 
-    fn all_runs(&self) -> HashMap<String, u64> {
+    fn runs_by_marker(&self) -> HashMap<String, u64> {
         port::lock(&self.state).effects.clone()
     }
 }
 
 impl State {
     /// Counts a call; the fault that strikes it, and the delays.
-    fn next_call(&mut self) -> (ServiceFault, ServiceSettings) {
-        self.counts.calls += 1;
+    fn begin_call(&mut self) -> (ServiceFault, ServiceSettings) {
+        self.stats.calls += 1;
         let mut fault = self.fault;
-        match &mut self.fault_times {
+        match &mut self.remaining_faults {
             None => {}
             Some(0) => fault = ServiceFault::None,
             Some(times) => *times -= 1,
@@ -187,24 +187,24 @@
     }
 
     /// Has the effect; how often this key has had it now.
-    fn effect(&mut self, key: &str) -> u64 {
-        self.counts.effects += 1;
+    fn record_effect(&mut self, key: &str) -> u64 {
+        self.stats.effects += 1;
         let known = self.effects.contains_key(key);
-        if key.is_empty() || (!known && self.effects.len() >= KEYS) {
-            self.counts.uncounted += 1;
+        if key.is_empty() || (!known && self.effects.len() >= MAX_KEYS) {
+            self.stats.uncounted += 1;
             return 1;
         }
         let effects = self.effects.entry(key.to_owned()).or_insert(0);
         *effects += 1;
         if *effects > 1 {
-            self.counts.repeated.insert(key.to_owned(), *effects);
+            self.stats.repeated.insert(key.to_owned(), *effects);
         } else {
-            self.counts.keys += 1;
+            self.stats.keys += 1;
         }
         *effects
     }
 
-    fn apply(&mut self, command: ServiceCommand) -> Effect {
+    fn apply(&mut self, command: ServiceCommand) -> PortAction {
         match command {
             ServiceCommand::Delay {
                 before_ms,
@@ -215,61 +215,61 @@
             }
             ServiceCommand::Fault { fault, times } => {
                 self.fault = fault;
-                self.fault_times = times;
+                self.remaining_faults = times;
             }
-            ServiceCommand::Crash => return Effect::Crash,
-            ServiceCommand::Refuse { on: true } => return Effect::Refuse,
+            ServiceCommand::Crash => return PortAction::Crash,
+            ServiceCommand::Refuse { on: true } => return PortAction::Refuse,
             ServiceCommand::Refuse { on: false } | ServiceCommand::Restart => {
-                return Effect::Reopen;
+                return PortAction::Reopen;
             }
             ServiceCommand::Clear => {
                 self.fault = ServiceFault::None;
-                return Effect::Reopen;
+                return PortAction::Reopen;
             }
         }
-        Effect::None
+        PortAction::None
     }
 }
 
 /// Counts a call as running for as long as it lives.
-struct Running<'a> {
+struct RunningCall<'a> {
     state: &'a Mutex<State>,
 }
 
-impl<'a> Running<'a> {
-    fn begin(state: &'a Mutex<State>) -> Running<'a> {
-        port::lock(state).counts.running += 1;
-        Running { state }
+impl<'a> RunningCall<'a> {
+    fn begin(state: &'a Mutex<State>) -> RunningCall<'a> {
+        port::lock(state).stats.running += 1;
+        RunningCall { state }
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for RunningCall<'_> {
     fn drop(&mut self) {
-        port::lock(self.state).counts.running -= 1;
+        port::lock(self.state).stats.running -= 1;
     }
 }
 
 /// Waits before the effect; a caller that leaves in the meantime prevents it.
-async fn pause(ms: u64, conn: &TcpStream) -> http_types::Result<()> {
+async fn delay(ms: u64, conn: &TcpStream) -> http_types::Result<()> {
     if ms == 0 {
         return Ok(());
     }
-    let gone = port::hang_up(conn.clone());
+    let disconnected = port::client_disconnected(conn.clone());
     let slept = task::sleep(Duration::from_millis(ms));
-    match futures::future::select(slept.boxed(), gone.boxed()).await {
+    match futures::future::select(slept.boxed(), disconnected.boxed()).await {
         Either::Left(_) => Ok(()),
-        Either::Right(_) => Err(closed()),
+        Either::Right(_) => Err(connection_aborted()),
     }
 }
 
 /// Never answers; ends when the caller gives up.
 async fn hang(conn: TcpStream) -> http_types::Result<Response> {
-    port::hang_up(conn).await;
-    Err(closed())
+    port::client_disconnected(conn).await;
+    Err(connection_aborted())
 }
 
-fn closed() -> http_types::Error {
-    port::aborted().into()
+fn connection_aborted() -> http_types::Error {
+    port::connection_aborted().into()
 }
 
 fn key_of(call: &Call) -> &str {
--- a/crates/standins/tests/all/engine.rs
+++ b/crates/standins/tests/all/engine.rs
@@ -46,9 +46,9 @@
     let body = request("mine", 2, false).to_string();
     let call = wire::post_request("/v1/chat/completions", "", &body);
     let _conn = wire::send(engine.addr(), &call).await;
-    wire::eventually("the step has begun", || engine.stats().running == 1).await;
+    wire::wait_until("the step has begun", || engine.stats().running == 1).await;
     engine.command(EngineCommand::Clear).await.unwrap();
-    wire::eventually("the request is done", || engine.stats().useful_tokens == 2).await;
+    wire::wait_until("the request is done", || engine.stats().useful_tokens == 2).await;
 }
 
 #[async_std::test]
@@ -69,14 +69,14 @@
     let body = request("gone", 30_000, stream).to_string();
     let request = wire::post_request("/v1/chat/completions", "", &body);
     let conn = wire::send(engine.addr(), &request).await;
-    wire::eventually("the request runs", || engine.stats().running == 1).await;
+    wire::wait_until("the request runs", || engine.stats().running == 1).await;
     let marker = "gone".to_owned();
     engine
         .command(EngineCommand::HangUp { marker })
         .await
         .unwrap();
     drop(conn);
-    wire::eventually("the cancel", || engine.stats().cancelled == 1).await;
+    wire::wait_until("the cancel", || engine.stats().cancelled == 1).await;
     let stats = engine.stats();
     assert_eq!((stats.running, stats.completed), (0, 0));
     assert_eq!(stats.cancellations[0].marker, "gone");
@@ -133,14 +133,14 @@
     let request = wire::post_request("/v1/chat/completions", "", &body);
     let conn = wire::send(engine.addr(), &request).await;
     // The engine has generated everything, and still the caller waits.
-    wire::eventually("the batch is done", || {
+    wire::wait_until("the batch is done", || {
         let stats = engine.stats();
         stats.started == 1 && stats.running + stats.waiting == 0
     })
     .await;
     assert_eq!(engine.stats().completed, 0);
     drop(conn);
-    wire::eventually("the caller is missed", || engine.stats().cancelled == 1).await;
+    wire::wait_until("the caller is missed", || engine.stats().cancelled == 1).await;
 }
 
 /// The engine dies in the middle of an answer: the caller's connection ends, new ones are refused,
@@ -151,16 +151,16 @@
     let body = request("lost", 30_000, true).to_string();
     let request_text = wire::post_request("/v1/chat/completions", "", &body);
     let conn = wire::send(engine.addr(), &request_text).await;
-    wire::eventually("the request runs", || engine.stats().running == 1).await;
+    wire::wait_until("the request runs", || engine.stats().running == 1).await;
     engine.command(EngineCommand::Crash).await.unwrap();
-    let reply = wire::finish(conn).await;
+    let reply = wire::read_to_close(conn).await;
     assert!(!reply.body.contains("[DONE]"));
     assert!(
         async_std::net::TcpStream::connect(engine.addr())
             .await
             .is_err()
     );
-    wire::eventually("the request is lost", || engine.stats().failed == 1).await;
+    wire::wait_until("the request is lost", || engine.stats().failed == 1).await;
     engine.command(EngineCommand::Restart).await.unwrap();
     assert_eq!(chat(&engine, &request("next", 1, false)).await.status, 200);
     assert_eq!((engine.stats().completed, engine.stats().cancelled), (1, 0));
@@ -188,7 +188,7 @@
         .command(EngineCommand::Hang { on: false })
         .await
         .unwrap();
-    assert_eq!(wire::finish(conn).await.status, 200);
+    assert_eq!(wire::read_to_close(conn).await.status, 200);
 }
 
 #[test_case(true, 409, 2; "an engine that checks refuses")]
@@ -200,7 +200,7 @@
         load_ms: 0,
         ..fast()
     };
-    let engine = Engine::start(wire::any(), settings).await.unwrap();
+    let engine = Engine::start(wire::any_address(), settings).await.unwrap();
     let load = |fence| json!({"fence": fence, "kind": "load", "model": format!("m{fence}")});
     assert_eq!(order(&engine, &load(2)).await.status, 200);
     assert_eq!(
@@ -220,7 +220,7 @@
         load_ms: 3_600_000,
         ..fast()
     };
-    let engine = Engine::start(wire::any(), settings).await.unwrap();
+    let engine = Engine::start(wire::any_address(), settings).await.unwrap();
     order(
         &engine,
         &json!({"fence": 1, "kind": "load", "model": "new"}),
@@ -241,7 +241,7 @@
         ..fast().batch
     };
     let settings = EngineSettings { batch, ..fast() };
-    let engine = Engine::start(wire::any(), settings).await.unwrap();
+    let engine = Engine::start(wire::any_address(), settings).await.unwrap();
     let mut conns = Vec::new();
     for (waiting, priority, tokens) in [(0, 0, 30_000), (1, 9, 30_000), (2, 1, 1)] {
         let mut body = request("queued", tokens, false);
@@ -249,11 +249,11 @@
         let request = wire::post_request("/v1/chat/completions", "", &body.to_string());
         conns.push(wire::send(engine.addr(), &request).await);
         let settled = || (engine.stats().running, engine.stats().waiting) == (1, waiting);
-        wire::eventually("the request is in its place", settled).await;
+        wire::wait_until("the request is in its place", settled).await;
     }
     let short = conns.pop().unwrap();
     drop(conns.remove(0));
-    assert_eq!(wire::finish(short).await.status, 200);
+    assert_eq!(wire::read_to_close(short).await.status, 200);
     let stats = engine.stats();
     assert_eq!((stats.completed, stats.running + stats.waiting), (1, 1));
 }
@@ -261,7 +261,7 @@
 #[async_std::test]
 async fn same_prefix_is_cached_the_second_time() {
     let engine = engine().await;
-    let usage = |reply: wire::Reply| reply.json()["usage"].clone();
+    let usage = |reply: wire::RawResponse| reply.json()["usage"].clone();
     let cached = "/prompt_tokens_details/cached_tokens";
     let first = usage(chat(&engine, &request("one", 1, false)).await);
     let second = usage(chat(&engine, &request("two", 1, false)).await);
@@ -271,7 +271,7 @@
 }
 
 async fn engine() -> Handle<Engine> {
-    Engine::start(wire::any(), fast()).await.unwrap()
+    Engine::start(wire::any_address(), fast()).await.unwrap()
 }
 
 fn fast() -> EngineSettings {
@@ -295,10 +295,10 @@
     })
 }
 
-async fn chat(engine: &Handle<Engine>, body: &Value) -> wire::Reply {
+async fn chat(engine: &Handle<Engine>, body: &Value) -> wire::RawResponse {
     wire::post(engine.addr(), "/v1/chat/completions", "", &body.to_string()).await
 }
 
-async fn order(engine: &Handle<Engine>, body: &Value) -> wire::Reply {
+async fn order(engine: &Handle<Engine>, body: &Value) -> wire::RawResponse {
     wire::post(engine.addr(), "/orders", "", &body.to_string()).await
 }
--- a/crates/standins/tests/all/load.rs
+++ b/crates/standins/tests/all/load.rs
@@ -18,7 +18,7 @@
 use crocushold_standins::load::GiveUp;
 use crocushold_standins::load::LoadClass;
 use crocushold_standins::load::LoadPlan;
-use crocushold_standins::load::Malformed;
+use crocushold_standins::load::MalformedResponse;
 use crocushold_standins::load::RequestKind;
 use crocushold_standins::load::RequestOutcome;
 use crocushold_standins::load::Response;
@@ -38,7 +38,7 @@
             assert_eq!(response.feed(part.as_bytes()), Ok(part.len()));
         }
         assert!(
-            response.is_whole() && response.is_done(),
+            response.is_complete() && response.is_done(),
             "split at {split}"
         );
         assert_eq!(response.tokens(), 3);
@@ -62,7 +62,7 @@
     response
         .feed(chunked(&["mine 0 "], false).as_bytes())
         .unwrap();
-    assert!(!response.is_whole());
+    assert!(!response.is_complete());
 }
 
 #[test]
@@ -70,13 +70,13 @@
     let mut response = Response::new("mine", false);
     let answer = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nokHTTP/1.1";
     assert_eq!(response.feed(answer.as_bytes()), Ok(answer.len() - 8));
-    assert!(response.is_whole());
+    assert!(response.is_complete());
 }
 
 #[test]
 fn nonsense_is_malformed() {
     let mut response = Response::new("mine", false);
-    assert_eq!(response.feed(b"nonsense\r\n\r\n"), Err(Malformed));
+    assert_eq!(response.feed(b"nonsense\r\n\r\n"), Err(MalformedResponse));
 }
 
 #[async_std::test]
@@ -149,7 +149,7 @@
 #[async_std::test]
 async fn relayed_answer(tokens: &[&str], ended: bool, last: &str, outcome: RequestOutcome) {
     let answer = format!("{}{last}", chunked(tokens, ended));
-    let listener = TcpListener::bind(wire::any()).await.unwrap();
+    let listener = TcpListener::bind(wire::any_address()).await.unwrap();
     let entry = listener.local_addr().unwrap();
     task::spawn(async move {
         let (mut conn, _) = listener.accept().await.unwrap();
@@ -211,7 +211,9 @@
 #[async_std::test]
 async fn effect_had_twice_is_counted_as_doubled() {
     let settings = ServiceSettings::default();
-    let service = PlainService::start(wire::any(), settings).await.unwrap();
+    let service = PlainService::start(wire::any_address(), settings)
+        .await
+        .unwrap();
     let class = LoadClass {
         name: "book".to_owned(),
         kind: RequestKind::Call,
@@ -259,7 +261,7 @@
         },
         ..EngineSettings::default()
     };
-    Engine::start(wire::any(), settings).await.unwrap()
+    Engine::start(wire::any_address(), settings).await.unwrap()
 }
 
 fn class() -> LoadClass {
--- a/crates/standins/tests/all/platform.rs
+++ b/crates/standins/tests/all/platform.rs
@@ -47,7 +47,7 @@
         platform.addr(),
         "/v1/config/watch?after=0&wait-ms=60000",
     ));
-    wire::eventually("the watch waits", || platform.stats().waiting == 1).await;
+    wire::wait_until("the watch waits", || platform.stats().waiting == 1).await;
     publish(&platform, "[a]\n").await;
     assert_eq!(watch.await.json()["revision"], 1);
     assert_eq!((platform.stats().reads, platform.stats().waiting), (1, 0));
@@ -67,10 +67,10 @@
     let platform = platform(2000).await;
     let watch = "/v1/config/watch?after=0&wait-ms=60000";
     let mut watch = task::spawn(wire::get(platform.addr(), watch));
-    wire::eventually("the watch waits", || platform.stats().waiting == 1).await;
+    wire::wait_until("the watch waits", || platform.stats().waiting == 1).await;
     command(&platform, PlatformCommand::Frozen { on: true }).await;
     publish(&platform, "[a]\n").await;
-    wire::eventually("the watch sees it", || platform.stats().waiting == 0).await;
+    wire::wait_until("the watch sees it", || platform.stats().waiting == 0).await;
     let mut index = task::spawn(wire::get(platform.addr(), "/v1/config"));
     // Answered on the control port, so the public one has had its chance.
     assert_eq!(
@@ -93,7 +93,7 @@
     let platform = platform(2000).await;
     let watch = "/v1/config/watch?after=0&wait-ms=60000";
     let watch = task::spawn(wire::get(platform.addr(), watch));
-    wire::eventually("the watch waits", || platform.stats().waiting == 1).await;
+    wire::wait_until("the watch waits", || platform.stats().waiting == 1).await;
     control(&platform, r#"{"kind":"down","on":true}"#).await;
     assert_eq!(watch.await.status, 0);
     let refused = async_std::net::TcpStream::connect(platform.addr()).await;
@@ -115,7 +115,9 @@
         read_budget,
         ..PlatformSettings::default()
     };
-    Platform::start(wire::any(), settings).await.unwrap()
+    Platform::start(wire::any_address(), settings)
+        .await
+        .unwrap()
 }
 
 async fn publish(platform: &Handle<Platform>, text: &str) {
--- a/crates/standins/tests/all/service.rs
+++ b/crates/standins/tests/all/service.rs
@@ -56,18 +56,20 @@
     service.command(command).await.unwrap();
     let request = wire::post_request("/book", "x-marker: slot\r\n", "{}");
     let conn = wire::send(service.addr(), &request).await;
-    wire::eventually("the call runs", || service.stats().running == 1).await;
-    wire::eventually("the effect", || service.effects("slot") == effects).await;
+    wire::wait_until("the call runs", || service.stats().running == 1).await;
+    wire::wait_until("the effect", || service.effects("slot") == effects).await;
     drop(conn);
-    wire::eventually("the call ends", || service.stats().running == 0).await;
+    wire::wait_until("the call ends", || service.stats().running == 0).await;
     assert_eq!(service.effects("slot"), effects);
 }
 
 async fn service() -> Handle<PlainService> {
     let settings = ServiceSettings::default();
-    PlainService::start(wire::any(), settings).await.unwrap()
+    PlainService::start(wire::any_address(), settings)
+        .await
+        .unwrap()
 }
 
-async fn book(service: &Handle<PlainService>, headers: &str) -> wire::Reply {
+async fn book(service: &Handle<PlainService>, headers: &str) -> wire::RawResponse {
     wire::post(service.addr(), "/book/slot", headers, "{}").await
 }
--- a/crates/standins/tests/all/wire.rs
+++ b/crates/standins/tests/all/wire.rs
@@ -12,33 +12,33 @@
 use serde_json::Value;
 
 /// Longest wait for anything that is expected to happen.
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// An answer, read until the connection closed.
-pub(crate) struct Reply {
+pub(crate) struct RawResponse {
     pub(crate) status: u16,
     pub(crate) head: String,
     pub(crate) body: String,
 }
 
-impl Reply {
+impl RawResponse {
     pub(crate) fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap()
     }
 }
 
 /// Any free port.
-pub(crate) fn any() -> SocketAddr {
+pub(crate) fn any_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-pub(crate) async fn get(addr: SocketAddr, path: &str) -> Reply {
+pub(crate) async fn get(addr: SocketAddr, path: &str) -> RawResponse {
     let request = format!("GET {path} HTTP/1.1\r\nhost: test\r\nconnection: close\r\n\r\n");
-    finish(send(addr, &request).await).await
+    read_to_close(send(addr, &request).await).await
 }
 
-pub(crate) async fn post(addr: SocketAddr, path: &str, headers: &str, body: &str) -> Reply {
-    finish(send(addr, &post_request(path, headers, body)).await).await
+pub(crate) async fn post(addr: SocketAddr, path: &str, headers: &str, body: &str) -> RawResponse {
+    read_to_close(send(addr, &post_request(path, headers, body)).await).await
 }
 
 pub(crate) fn post_request(path: &str, headers: &str, body: &str) -> String {
@@ -57,14 +57,14 @@
 }
 
 /// Reads an answer until the connection closes.
-pub(crate) async fn finish(mut conn: TcpStream) -> Reply {
+pub(crate) async fn read_to_close(mut conn: TcpStream) -> RawResponse {
     let mut bytes = Vec::new();
-    let read = future::timeout(PATIENCE, conn.read_to_end(&mut bytes)).await;
+    let read = future::timeout(TIMEOUT, conn.read_to_end(&mut bytes)).await;
     // A reset after the last byte is a close too.
     let _ = read.expect("the connection closes in time");
     let text = String::from_utf8(bytes).unwrap();
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
-    Reply {
+    RawResponse {
         status: head.get(9..12).and_then(|s| s.parse().ok()).unwrap_or(0),
         head: head.to_ascii_lowercase(),
         body: body.to_owned(),
@@ -72,10 +72,10 @@
 }
 
 /// Waits until a condition holds.
-pub(crate) async fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
+pub(crate) async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "never came true: {what}");
+        assert!(start.elapsed() < TIMEOUT, "never came true: {what}");
         task::sleep(Duration::from_millis(1)).await;
     }
 }
