--- a/crates/standins/src/cli.rs
+++ b/crates/standins/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line parsing.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 use bpaf::construct;
 use bpaf::long;
 
-/// What the program is asked to do.
+/// A parsed subcommand.
 #[derive(Clone, Debug)]
 pub(crate) enum Command {
     /// Run the configuration service and the instance list.
@@ -58,7 +58,7 @@
     }
 }
 
-/// The parser of the whole command line.
+/// Builds the parser for the whole command line.
 pub(crate) fn command() -> OptionParser<Command> {
     let platform = platform();
     let engine = engine();
@@ -66,21 +66,21 @@
     let load = load();
     construct!([platform, engine, service, load])
         .to_options()
-        .descr("Stand-ins for the things that crocushold meets in production; for tests only")
+        .descr("Test doubles for the systems that crocushold communicates with; for tests only")
 }
 
 fn platform() -> impl Parser<Command> {
     let listen = listen();
     let part = long("part")
-        .help("A team's part of the configuration text, from a file")
+        .help("File with a team's part of the configuration text; may be repeated")
         .argument::<PartFile>("TEAM=FILE")
         .many();
     let instances = long("instances")
-        .help("The instance list, from a file: a JSON array of instances")
+        .help("File with the instance list: a JSON array of instances")
         .argument::<PathBuf>("FILE")
         .optional();
     let budget = long("budget")
-        .help("Reads granted in a second")
+        .help("Reads granted per second")
         .argument::<u64>("READS")
         .fallback(2000)
         .display_fallback();
@@ -98,13 +98,13 @@
 fn engine() -> impl Parser<Command> {
     let listen = listen();
     let count = long("count")
-        .help("Engines to run, each on its own free port but for the first")
+        .help("Number of engines to run; all but the first listen on free ports")
         .argument::<usize>("N")
         .fallback(1)
         .display_fallback();
     let settings = settings();
     let model = long("model")
-        .help("A model that is loaded from the start; replaces those of the settings")
+        .help("Model loaded at startup; replaces the models of the settings; may be repeated")
         .argument::<String>("MODEL")
         .many();
     construct!(Command::Engine {
@@ -123,21 +123,21 @@
     let settings = settings();
     construct!(Command::Service { listen, settings })
         .to_options()
-        .descr("A plain service that counts its effects")
+        .descr("A plain service that counts side effects")
         .command("service")
 }
 
 fn load() -> impl Parser<Command> {
     let entry = long("entry")
-        .help("Address that requests go to; replaces those of the plan")
+        .help("Address that requests are sent to; replaces those of the plan; may be repeated")
         .argument::<SocketAddr>("ADDR")
         .many();
     let standin = long("standin")
-        .help("Stand-in to ask how often requests ran; replaces those of the plan")
+        .help("Stand-in whose run counts are read; replaces those of the plan; may be repeated")
         .argument::<SocketAddr>("ADDR")
         .many();
     let plan = long("plan")
-        .help("The plan, from a file: JSON; what is left out keeps its default")
+        .help("JSON file with the plan; omitted fields keep their defaults")
         .argument::<PathBuf>("FILE");
     construct!(Command::Load {
         entry,
@@ -145,13 +145,13 @@
         plan,
     })
     .to_options()
-    .descr("An open-loop load generator; prints its report as JSON")
+    .descr("An open-loop load generator that prints its report as JSON")
     .command("load")
 }
 
 fn listen() -> impl Parser<SocketAddr> {
     long("listen")
-        .help("Address to listen on; port 0 takes any free one")
+        .help("Address to listen on; port 0 selects a free port")
         .argument::<SocketAddr>("ADDR")
         .fallback(SocketAddr::from(([127, 0, 0, 1], 0)))
         .display_fallback()
@@ -159,7 +159,7 @@
 
 fn settings() -> impl Parser<Option<String>> {
     long("settings")
-        .help("Settings, as JSON; what is left out keeps its default")
+        .help("Settings as JSON; omitted fields keep their defaults")
         .argument::<String>("JSON")
         .optional()
 }
--- a/crates/standins/src/gate.rs
+++ b/crates/standins/src/gate.rs
@@ -1,4 +1,4 @@
-//! A gate that holds everything up while it is closed, like a process that was stopped.
+//! A gate that blocks all work while it is closed, to simulate a stopped process.
 
 use std::sync::Mutex;
 
@@ -9,7 +9,7 @@
 
 use crate::port;
 
-/// Open at first.
+/// A gate that is initially open.
 #[derive(Debug, Default)]
 pub(crate) struct Gate {
     state: Mutex<State>,
@@ -22,7 +22,7 @@
 }
 
 impl Gate {
-    /// Shuts or opens the gate; what waits before it goes on once it opens.
+    /// Closes or opens the gate; opening it wakes all waiting tasks.
     pub(crate) fn set_closed(&self, closed: bool) {
         let mut state = port::lock(&self.state);
         state.closed = closed;
@@ -33,14 +33,14 @@
         }
     }
 
-    /// Waits for as long as the gate is closed.
+    /// Waits until the gate is open.
     pub(crate) async fn wait_open(&self) {
         while let Some(opened) = self.waiter() {
             let _ = opened.await;
         }
     }
 
-    /// Waits likewise on behalf of a caller; false when the caller left meanwhile.
+    /// Waits until the gate is open; returns false if the client disconnects first.
     pub(crate) async fn wait_open_for(&self, conn: &TcpStream) -> bool {
         let disconnected = port::client_disconnected(conn.clone());
         let selected = futures::future::select(self.wait_open().boxed(), disconnected.boxed());
--- a/crates/standins/src/handle.rs
+++ b/crates/standins/src/handle.rs
@@ -25,44 +25,44 @@
 use crate::port::PortAction;
 use crate::reply;
 
-/// Path of the commands.
+/// Path that accepts commands.
 const CONTROL_PATH: &str = "/control";
 
-/// Path of the counters.
+/// Path that returns the counters.
 const STATS_PATH: &str = "/control/stats";
 
-/// Path of the runs by marker.
+/// Path that returns the run counts by marker.
 const RUNS_PATH: &str = "/control/runs";
 
-/// One kind of stand-in: what it answers, and the commands it takes.
+/// The behavior of one kind of stand-in: its responses, commands and counters.
 pub trait Standin: Send + Sync + 'static {
-    /// A command, as JSON on `POST /control`.
+    /// Command type, received as JSON on `POST /control`.
     type Command: DeserializeOwned + Send;
 
-    /// The counters, as JSON on `GET /control/stats`.
+    /// Counter type, returned as JSON on `GET /control/stats`.
     type Stats: Serialize;
 
-    /// Answers one call. An error closes the connection without an answer.
+    /// Responds to a request. An error closes the connection without a response.
     fn respond(self: Arc<Self>, call: Call) -> BoxFuture<'static, http_types::Result<Response>>;
 
-    /// Applies a command; the result says what happens to the listening port.
+    /// Applies a command and returns what to do with the public listener.
     fn command(&self, command: Self::Command) -> PortAction;
 
-    /// The present counters.
+    /// Returns the current counters.
     fn stats(&self) -> Self::Stats;
 
-    /// How often each marked request ran, or had its effect; JSON on `GET /control/runs`.
+    /// Returns how often each marker ran or took effect; JSON on `GET /control/runs`.
     fn runs_by_marker(&self) -> HashMap<String, u64> {
         HashMap::new()
     }
 
-    /// Work that goes on while no call waits.
+    /// Runs in the background, independently of requests.
     fn background(self: Arc<Self>) -> BoxFuture<'static, ()> {
         futures::future::ready(()).boxed()
     }
 }
 
-/// A running stand-in. It stops when the handle is dropped.
+/// A running stand-in, which stops when the handle is dropped.
 pub struct Handle<S: Standin> {
     standin: Arc<S>,
     port: Arc<Port>,
@@ -71,11 +71,11 @@
 }
 
 impl<S: Standin> Handle<S> {
-    /// Starts `standin` on `addr` (port 0: any free one) and its control port beside it.
+    /// Starts `standin` on `addr` (port 0 selects a free port) and a control listener on a free port.
     ///
     /// # Errors
     ///
-    /// Fails when an address can't be bound.
+    /// Returns an error if an address can't be bound.
     pub async fn start(standin: S, addr: SocketAddr) -> io::Result<Handle<S>> {
         let standin = Arc::new(standin);
         let cell = Arc::new(OnceLock::new());
@@ -93,32 +93,32 @@
         })
     }
 
-    /// The address that the stand-in answers on.
+    /// Returns the public address.
     pub fn addr(&self) -> SocketAddr {
         self.port.addr()
     }
 
-    /// The address that takes commands also while the stand-in's own is down.
+    /// Returns the control address, which accepts commands even while the public listener is down.
     pub fn control_addr(&self) -> SocketAddr {
         self.control.addr()
     }
 
-    /// The present counters.
+    /// Returns the current counters.
     pub fn stats(&self) -> S::Stats {
         self.standin.stats()
     }
 
-    /// Applies one command and waits until it is in force.
+    /// Applies a command and waits until it has taken effect.
     ///
     /// # Errors
     ///
-    /// Fails when the port can't be bound again.
+    /// Returns an error if the public address can't be bound again.
     pub async fn command(&self, command: S::Command) -> io::Result<()> {
         let action = self.standin.command(command);
         self.port.apply(action).await
     }
 
-    /// Stops listening and closes every connection.
+    /// Stops listening and closes all connections.
     pub async fn stop(mut self) {
         let _ = self.port.apply(PortAction::Crash).await;
         let _ = self.control.apply(PortAction::Crash).await;
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,21 +1,22 @@
-//! Small stand-ins for everything that crocushold meets in production: the platform's configuration
-//! service and instance list, model engines, plain services, and callers. Never shipped.
+//! Test doubles for the systems that crocushold communicates with in production: the platform's
+//! configuration service and instance list, model engines, plain services, and clients. Never
+//! shipped.
 //!
-//! Each stand-in listens on a port of its own on 127.0.0.1 and is commanded to fail in the ways that
-//! the real thing fails. A test in the same process holds a [`Handle`]; a separate process (the
-//! binary `crocushold-standin`) takes the same commands as JSON on `POST /control` and shows its
-//! counters on `GET /control/stats`. Both listeners answer those two paths: the stand-in's own, and
-//! a second one that stays up while the first is down, frozen or crashed.
+//! Each stand-in listens on its own port on 127.0.0.1 and injects faults on command. Tests in the
+//! same process control it through a [`Handle`]; a separate process (the binary
+//! `crocushold-standin`) accepts the same commands as JSON on `POST /control` and returns its
+//! counters on `GET /control/stats`. Both the public listener and a second control listener serve
+//! these paths; the control listener stays up while the public one is down, frozen or crashed.
 //!
-//! * [`Platform`]: configuration index, parts, watch and instance list, within a read budget.
-//! * [`Engine`]: a model engine with continuous batching, a prefix cache and streamed answers.
-//! * [`PlainService`]: any method and path, with a counter of effects by idempotency key.
-//! * [`load`]: an open-loop load generator that records what callers would see.
+//! * [`Platform`]: configuration index, parts, watch and instance list, with a read budget.
+//! * [`Engine`]: a model engine with continuous batching, a prefix cache and streamed responses.
+//! * [`PlainService`]: accepts any method and path and counts side effects by idempotency key.
+//! * [`load`]: an open-loop load generator that records what clients observe.
 //!
 //! # Commands
 //!
-//! A command is one JSON object; its `kind` names the variant of [`PlatformCommand`],
-//! [`EngineCommand`] or [`ServiceCommand`] in kebab case:
+//! A command is a JSON object whose `kind` is the variant of [`PlatformCommand`], [`EngineCommand`]
+//! or [`ServiceCommand`] in kebab case:
 //!
 //! ```text
 //! platform  {"kind": "part", "team": "clara", "text": "[class chat]\n"}
@@ -26,15 +27,15 @@
 //! service   {"kind": "fault", "fault": "drop-after", "times": 1}
 //! ```
 //!
-//! A command that closes the public listener is best sent to the control address: on the public one
-//! its own answer is cut too.
+//! Send commands that close the public listener to the control address: on the public listener the
+//! response to the command is cut off as well.
 //!
 //! # Markers
 //!
-//! A request names itself by the body field `user`, or else by the header `x-marker`; every token of
-//! its answer repeats the marker and the token's number. `GET /control/runs` tells how often each
-//! marker ran. The body field `target_tokens` fixes the length of an answer without the router's
-//! knowledge, up to `max_tokens`.
+//! A request is identified by the body field `user`, or by the header `x-marker` if the field is
+//! absent. Each token of the response contains this marker and the token's index.
+//! `GET /control/runs` returns how often each marker ran. The body field `target_tokens` sets the
+//! length of a response, up to `max_tokens`; the router doesn't know this field.
 
 mod engine;
 mod gate;
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -1,8 +1,8 @@
 //! The stand-ins as separate processes: `crocushold-standin platform|engine|service|load`.
 //!
-//! The first line on standard output is `listening=ADDR`, the second `control=ADDR` (a pair for each
-//! engine when there are several); both addresses
-//! take commands as JSON on `POST /control` and show counters on `GET /control/stats`.
+//! Standard output starts with the lines `listening=ADDR` and `control=ADDR`, one pair for each
+//! engine. Both addresses accept commands as JSON on `POST /control` and return counters on
+//! `GET /control/stats`.
 
 use std::error::Error;
 use std::fs;
@@ -94,7 +94,7 @@
     Ok(settings)
 }
 
-/// Runs the plan in a file and prints the report.
+/// Runs the load plan in `file` and prints the report.
 async fn print_load(
     entries: Vec<SocketAddr>,
     standins: Vec<SocketAddr>,
@@ -112,7 +112,7 @@
     Ok(())
 }
 
-/// Starts `count` engines, the first one on `listen`, the others on free ports.
+/// Starts `count` engines: the first on `listen`, the others on free ports of the same IP address.
 async fn start_engines(
     listen: SocketAddr,
     count: usize,
@@ -131,7 +131,7 @@
     Ok(engines)
 }
 
-/// Prints the addresses and serves until the process is ended.
+/// Prints the addresses and serves until the process is terminated.
 async fn serve<S: Standin>(handles: Vec<Handle<S>>) -> CliResult<()> {
     let mut out = std::io::stdout();
     for handle in &handles {
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: a configuration service that is read and watched, and the instance list.
+//! The platform: a configuration service with reads and watches, and the instance list.
 
 mod budget;
 mod command;
--- a/crates/standins/src/platform/budget.rs
+++ b/crates/standins/src/platform/budget.rs
@@ -1,11 +1,11 @@
-//! The budget of reads that all readers share.
+//! The read budget shared by all readers.
 
 use crocushold_base::Millis;
 
-/// Length of the window in which reads are counted.
+/// Length of the fixed window in which reads are counted.
 const WINDOW: Millis = Millis(1000);
 
-/// Counts reads in windows of one second and refuses those over the budget.
+/// A fixed-window rate limiter for reads.
 #[derive(Debug)]
 pub(super) struct ReadBudget {
     limit: u64,
@@ -30,7 +30,7 @@
         self.limit = limit;
     }
 
-    /// Takes one read; false when this second's budget is spent.
+    /// Consumes one read; returns false if the budget of the current window is exhausted.
     pub(super) fn try_acquire(&mut self, now: Millis) -> bool {
         if now.since(self.window_start) >= WINDOW {
             self.window_start = now;
@@ -45,7 +45,7 @@
         true
     }
 
-    /// The most reads granted in one window.
+    /// Returns the maximum number of reads granted in one window.
     pub(super) fn peak(&self) -> u64 {
         self.peak
     }
--- a/crates/standins/src/platform/command.rs
+++ b/crates/standins/src/platform/command.rs
@@ -8,14 +8,14 @@
 use super::instances::Instance;
 use super::instances::InstanceState;
 
-/// What the platform starts with.
+/// Initial settings of the platform.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// Reads granted in a second, over all readers.
+    /// Reads granted per second, for all readers together.
     pub read_budget: u64,
-    /// Parts of the configuration text by team; each gets a revision of its own, in this order.
+    /// Parts of the configuration text by team, published in this order, each as a new revision.
     pub parts: BTreeMap<String, String>,
-    /// The instance list; it shows at once.
+    /// The instance list, visible immediately.
     pub instances: Vec<Instance>,
 }
 
@@ -49,49 +49,49 @@
         /// The team.
         team: String,
     },
-    /// Replaces the instance list; it shows after the lag.
+    /// Replaces the instance list; visible after the lag.
     Instances {
         /// The new list.
         instances: Vec<Instance>,
     },
-    /// Changes the state of one instance; it shows after the lag.
+    /// Changes the state of an instance; visible after the lag.
     InstanceState {
         /// The instance.
         id: String,
         /// Its new state.
         state: InstanceState,
     },
-    /// Sets how late the instance list shows a change, in milliseconds.
+    /// Sets the delay until a change of the instance list becomes visible.
     Lag {
         /// The lag in milliseconds.
         ms: u64,
     },
-    /// Accepts connections and answers nothing until it is off again; what waits is answered then.
+    /// Accepts connections without responding; pending requests complete when the fault ends.
     Frozen {
-        /// Whether the fault is on.
+        /// Whether the fault is active.
         on: bool,
     },
-    /// Refuses connections and closes the open ones.
+    /// Refuses new connections and closes open ones.
     Down {
-        /// Whether the fault is on.
+        /// Whether the fault is active.
         on: bool,
     },
-    /// Answers as of an older revision, whatever is published; none ends it.
+    /// Serves an older revision regardless of later changes; `None` ends the fault.
     Stale {
-        /// The revision to answer with.
+        /// The revision to serve.
         revision: Option<u64>,
     },
-    /// Makes an older revision the current one.
+    /// Rolls the configuration back to an older revision.
     GoBack {
-        /// The revision to go back to.
+        /// The revision to roll back to.
         revision: u64,
-        /// Whether later changes use the numbers of the lost ones again.
+        /// Whether later changes reuse the numbers of the lost revisions.
         #[serde(default)]
         reuse: bool,
     },
-    /// Sets the reads granted in a second.
+    /// Sets the read budget.
     Budget {
-        /// Reads a second.
+        /// Reads granted per second.
         reads: u64,
     },
 }
@@ -100,22 +100,22 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct PlatformStats {
-    /// Calls within the budget; a watch counts once.
+    /// Requests granted by the read budget; a watch counts once.
     pub reads: u64,
-    /// Calls answered 429.
+    /// Requests refused with 429.
     pub refused: u64,
-    /// The most reads granted in one second.
+    /// Maximum number of reads granted in one second.
     pub peak: u64,
-    /// Watches that wait now.
+    /// Watches in progress.
     pub waiting: u64,
     /// Reads of the index.
     pub indexes: u64,
     /// Reads of a part.
     pub parts: u64,
-    /// Watches begun.
+    /// Watches started.
     pub watches: u64,
     /// Reads of the instance list.
     pub lists: u64,
-    /// Newest revision that was published.
+    /// Newest published revision.
     pub revision: u64,
 }
--- a/crates/standins/src/platform/config.rs
+++ b/crates/standins/src/platform/config.rs
@@ -6,24 +6,24 @@
 
 use serde::Serialize;
 
-/// How many earlier revisions are kept for going back to.
+/// Maximum number of earlier revisions kept for rollback and stale reads.
 const MAX_PAST_REVISIONS: usize = 256;
 
-/// One team's part.
+/// A team's part of the configuration.
 #[derive(Clone, Debug)]
 pub(super) struct Part {
     pub(super) text: Arc<str>,
     pub(super) revision: u64,
 }
 
-/// The whole configuration at one revision.
+/// The complete configuration at one revision.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Revision {
     pub(super) number: u64,
     pub(super) parts: BTreeMap<String, Part>,
 }
 
-/// The answer to `GET /v1/config`.
+/// The response to `GET /v1/config`.
 #[derive(Debug, Serialize)]
 pub(super) struct Index {
     revision: u64,
@@ -51,7 +51,7 @@
     }
 }
 
-/// The configuration with its history.
+/// The current configuration and its history.
 #[derive(Debug)]
 pub(super) struct ConfigHistory {
     current: Revision,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The revision that readers see: the pinned one, or the current one.
+    /// Returns the revision visible to readers: the pinned one if set, otherwise the current one.
     pub(super) fn view(&self) -> &Revision {
         let Some(pinned) = self.pinned else {
             return &self.current;
@@ -102,18 +102,18 @@
         }
     }
 
-    /// The newest revision that was published.
+    /// Returns the newest published revision.
     pub(super) fn newest(&self) -> u64 {
         self.newest
     }
 
-    /// Answers as of `revision` until told otherwise, whatever is published.
+    /// Serves `revision` regardless of later changes; `None` serves the current revision again.
     pub(super) fn pin(&mut self, revision: Option<u64>) {
         self.pinned = revision;
     }
 
-    /// Makes an older revision the current one. Later changes are numbered on from the newest ever,
-    /// or, with `reuse`, from the older one, as after a restore from a backup.
+    /// Rolls back to an older revision. Later changes continue from the newest revision number, or
+    /// with `reuse` from the older one, as after a restore from a backup.
     pub(super) fn roll_back(&mut self, revision: u64, reuse: bool) {
         let Some(older) = self.revision_at(revision).cloned() else {
             return;
--- a/crates/standins/src/platform/instances.rs
+++ b/crates/standins/src/platform/instances.rs
@@ -1,52 +1,52 @@
-//! The instance list, which shows changes late.
+//! The instance list, whose changes become visible after a delay.
 
 use crocushold_base::Millis;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What an instance is for.
+/// The role of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// An instance of crocushold.
+    /// An entry instance.
     Entry,
     /// A backend server.
     Server,
 }
 
-/// Whether an instance stays.
+/// Lifecycle state of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InstanceState {
     /// In service.
     Live,
-    /// About to stop; it gets no new work.
+    /// About to stop; receives no new work.
     Leaving,
 }
 
-/// One line of the instance list.
+/// An entry of the instance list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Instance {
-    /// Name, unique in the fleet.
+    /// Identifier, unique in the fleet.
     pub id: String,
-    /// What the instance is for.
+    /// Role of the instance.
     pub role: Role,
-    /// The service that a backend server belongs to; empty for an entry instance.
+    /// Service that a backend server belongs to; empty for an entry instance.
     #[serde(default)]
     pub service: String,
     /// Availability zone.
     pub zone: String,
-    /// Address for callers, `ip:port`.
+    /// Address for clients, `ip:port`.
     pub address: String,
     /// Address for peers, `ip:port`; empty for a backend server.
     #[serde(default)]
     pub peer_address: String,
-    /// Whether the instance stays.
+    /// Lifecycle state.
     pub state: InstanceState,
 }
 
-/// The answer to `GET /v1/instances`.
+/// The response to `GET /v1/instances`.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(super) struct InstanceList {
     revision: u64,
@@ -55,12 +55,12 @@
 
 #[derive(Debug)]
 struct Change {
-    /// When it was made; none for the list that shows from the start.
+    /// Time of the change; `None` for the initial list, which is always visible.
     changed_at: Option<Millis>,
     list: InstanceList,
 }
 
-/// The list with the changes that don't show yet.
+/// The visible list and the changes that aren't visible yet.
 #[derive(Debug)]
 pub(super) struct DelayedInstanceList {
     lag: Millis,
@@ -68,7 +68,7 @@
 }
 
 impl DelayedInstanceList {
-    /// Starts with a list that shows at once.
+    /// Creates a list that is visible immediately.
     pub(super) fn new(instances: Vec<Instance>) -> DelayedInstanceList {
         let list = InstanceList {
             revision: 1,
@@ -88,7 +88,7 @@
         self.lag = lag;
     }
 
-    /// Replaces the list; it shows when the lag has passed.
+    /// Replaces the list; visible after the lag.
     pub(super) fn set(&mut self, instances: Vec<Instance>, now: Millis) {
         let list = InstanceList {
             revision: self.newest().revision + 1,
@@ -98,7 +98,7 @@
         self.changes.push(Change { changed_at, list });
     }
 
-    /// Changes the state of one instance; it shows when the lag has passed.
+    /// Changes the state of an instance; visible after the lag.
     pub(super) fn set_state(&mut self, id: &str, state: InstanceState, now: Millis) {
         let mut instances = self.newest().instances.clone();
         for instance in instances.iter_mut().filter(|i| i.id == id) {
@@ -107,7 +107,7 @@
         self.set(instances, now);
     }
 
-    /// The list as readers see it now.
+    /// Returns the list visible at `now`.
     pub(super) fn view(&mut self, now: Millis) -> &InstanceList {
         let lag = self.lag;
         let is_visible = |change: &Change| {
--- a/crates/standins/src/platform/server.rs
+++ b/crates/standins/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! The platform's calls.
+//! Request handling of the platform.
 
 use std::io;
 use std::net::SocketAddr;
@@ -38,10 +38,10 @@
 const PARTS_PATH: &str = "/v1/config/parts/";
 const INSTANCES_PATH: &str = "/v1/instances";
 
-/// Longest wait of a watch, whatever the reader asks for.
+/// Maximum wait of a watch, regardless of the requested wait.
 const MAX_WATCH_WAIT: Millis = Millis::from_secs(120);
 
-/// The platform's stand-in; see [`Platform::start`].
+/// The platform; see [`Platform::start`].
 pub struct Platform {
     clock: Clock,
     gate: Gate,
@@ -66,11 +66,11 @@
 }
 
 impl Platform {
-    /// Starts a platform on `addr` (port 0: any free one).
+    /// Starts a platform on `addr` (port 0 selects a free port).
     ///
     /// # Errors
     ///
-    /// Fails when the address can't be bound.
+    /// Returns an error if the address can't be bound.
     pub async fn start(
         addr: SocketAddr,
         settings: PlatformSettings,
@@ -100,7 +100,7 @@
             return Err(port::connection_aborted().into());
         }
         let answer = self.route(call).await;
-        // Once more: a watch that began before the freeze must stay silent too.
+        // Checked again, since a watch that started before the freeze must not respond either.
         if !self.gate.wait_open_for(&conn).await {
             return Err(port::connection_aborted().into());
         }
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Waits until readers see a revision after `after`.
+    /// Waits until a revision newer than `after` is visible to readers.
     async fn changed(&self, after: u64) {
         loop {
             let woken = {
@@ -242,7 +242,7 @@
             PlatformCommand::Down { on: false } => return PortAction::Reopen,
             PlatformCommand::Stale { revision } => self.config.pin(revision),
             PlatformCommand::GoBack { revision, reuse } => self.config.roll_back(revision, reuse),
-            // The gate stands before the state; see `command`.
+            // Handled in `Standin::command`, before the state is locked.
             PlatformCommand::Frozen { .. } => {}
             PlatformCommand::Budget { reads } => self.budget.set_limit(reads),
         }
@@ -250,7 +250,7 @@
     }
 }
 
-/// Counts a watch as waiting for as long as it lives.
+/// Counts a watch as waiting until dropped.
 struct WaitingWatch<'a> {
     state: &'a Mutex<State>,
 }
--- a/crates/standins/src/port.rs
+++ b/crates/standins/src/port.rs
@@ -1,4 +1,4 @@
-//! A listening port that can be closed, reopened and cut while it is in use.
+//! A listener that can be closed and reopened, and whose connections can be closed, while in use.
 
 use std::collections::HashMap;
 use std::io;
@@ -24,31 +24,34 @@
 use http_types::Request;
 use http_types::Response;
 
-/// Largest request body that a stand-in reads, in bytes.
+/// Maximum number of bytes read of a request body.
 const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
 
-/// How often, and how many times, a closed port tries to bind its old address again.
+/// Delay between attempts to bind the previous address again, and after a failed accept.
 const REBIND_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Maximum number of attempts to bind the previous address again.
 const MAX_REBIND_ATTEMPTS: u32 = 100;
 
-/// One request as a stand-in sees it: the head, the whole body, and the connection it came on.
+/// A received request: the head, the complete body, and its connection.
 pub struct Call {
-    /// The head; its body has been taken out.
+    /// The request without its body.
     pub request: Request,
-    /// The whole request body.
+    /// The complete request body.
     pub body: Vec<u8>,
-    /// The caller's connection, for watching it and for answers that break the protocol.
+    /// The client's connection, to detect disconnects and to write responses that violate HTTP.
     pub conn: TcpStream,
     pub(crate) port: Weak<Port>,
 }
 
 impl Call {
-    /// The value of the first header of this name, if any.
+    /// Returns the value of the header with this name, if present.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.request.header(name).map(|values| values.as_str())
     }
 
-    /// Applies an effect to the port that the call came on; after a crash this never returns.
+    /// Applies an action to the stand-in's public port. [`PortAction::Crash`] also closes
+    /// the connection of this request if it was received on that port, so it gets no response.
     pub(crate) async fn apply(&self, action: PortAction) {
         if let Some(port) = self.port.upgrade() {
             let _ = port.apply(action).await;
@@ -56,24 +59,24 @@
     }
 }
 
-/// What a command does to the listening port.
+/// An action on the public listener, requested by a command.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PortAction {
-    /// Nothing.
+    /// Leaves the listener as it is.
     #[default]
     None,
-    /// New connections are refused; open ones live on.
+    /// Refuses new connections and keeps open ones.
     Refuse,
-    /// New connections are refused and open ones are closed, as when a process dies.
+    /// Refuses new connections and closes open ones, as when a process is killed.
     Crash,
-    /// The port listens again, at the same address.
+    /// Listens again on the same address.
     Reopen,
 }
 
 pub(crate) type ResponseFuture = BoxFuture<'static, http_types::Result<Response>>;
 pub(crate) type Endpoint = Arc<dyn Fn(Call) -> ResponseFuture + Send + Sync>;
 
-/// A listening port of one stand-in.
+/// A listener of a stand-in and its connections.
 pub(crate) struct Port {
     addr: SocketAddr,
     endpoint: Endpoint,
@@ -81,11 +84,11 @@
     conns: Arc<Connections>,
 }
 
-/// A listener in use: the task that accepts, and a second descriptor to stop it by.
+/// The accept task and a duplicate descriptor of its listener, used to stop it.
 ///
-/// Closing the listener isn't enough: a process that is being forked elsewhere holds a copy of the
-/// descriptor until it has executed its program, and for so long the kernel would go on taking
-/// connections. Shutting the socket down ends that for every copy.
+/// Closing the listener isn't sufficient: a concurrently forked process holds a copy of the
+/// descriptor until `exec`, and the kernel keeps accepting connections until then. Shutting the
+/// socket down stops this for every copy.
 struct Acceptor {
     task: JoinHandle<()>,
     socket: std::net::TcpStream,
@@ -99,7 +102,7 @@
 }
 
 impl Port {
-    /// Binds `addr` and starts to accept.
+    /// Binds `addr` and starts accepting connections.
     pub(crate) async fn open(addr: SocketAddr, endpoint: Endpoint) -> io::Result<Port> {
         let listener = std::net::TcpListener::bind(addr)?;
         let port = Port {
@@ -116,7 +119,7 @@
         self.addr
     }
 
-    /// Applies the effect of a command.
+    /// Applies an action and waits until it has taken effect.
     pub(crate) async fn apply(&self, action: PortAction) -> io::Result<()> {
         match action {
             PortAction::None => Ok(()),
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Stops listening and closes each connection without waiting for it.
+    /// Stops listening and closes all connections without waiting.
     pub(crate) fn shut_down(&self) {
         if let Some(acceptor) = lock(&self.acceptor).take() {
             task::spawn(acceptor.stop().cancel());
@@ -144,7 +147,7 @@
     async fn close(&self) {
         let acceptor = lock(&self.acceptor).take();
         if let Some(acceptor) = acceptor {
-            // A task of its own: a command that came over this very port may be aborted half-way.
+            // A separate task, because a command received on this port may itself be aborted.
             task::spawn(acceptor.stop().cancel()).await;
         }
     }
@@ -183,7 +186,7 @@
     let mut incoming = listener.incoming();
     while let Some(accepted) = incoming.next().await {
         let Ok(conn) = accepted else {
-            // Out of descriptors, most likely: without a pause this loop would spin.
+            // Most likely out of descriptors; the delay keeps this from being a busy loop.
             task::sleep(REBIND_INTERVAL).await;
             continue;
         };
@@ -191,7 +194,7 @@
     }
 }
 
-/// The open connections of one port.
+/// The open connections of a port.
 #[derive(Default)]
 struct Connections {
     open: Mutex<OpenConnections>,
@@ -210,7 +213,7 @@
 
 impl Connections {
     fn spawn(self: &Arc<Connections>, conn: TcpStream, endpoint: Endpoint) {
-        // Without it a token waits for the acknowledgement of the one before.
+        // With Nagle's algorithm, each token would wait until the previous one is acknowledged.
         let _ = conn.set_nodelay(true);
         let (abort, registration) = AbortHandle::new_pair();
         let id = self.insert(conn.clone(), abort);
@@ -264,15 +267,15 @@
     })
 }
 
-/// The error of a call that ends without an answer.
+/// Returns the error of a request that ends without a response.
 pub(crate) fn connection_aborted() -> io::Error {
     io::Error::from(io::ErrorKind::ConnectionAborted)
 }
 
-/// Waits until the caller closes its side of the connection, or the connection breaks.
+/// Waits until the client closes its side of the connection or the connection fails.
 ///
-/// A caller that only stops sending counts as one that left, as with the usual engines. Bytes of a
-/// further request that arrive early end the watch: it then waits for ever.
+/// A half-closed connection counts as a disconnect, as in common engines. If bytes of a pipelined
+/// request arrive, the disconnect can't be detected any more and the future never completes.
 pub(crate) async fn client_disconnected(conn: TcpStream) {
     let mut byte = [0];
     match conn.peek(&mut byte).await {
@@ -281,7 +284,7 @@
     }
 }
 
-/// Locks a mutex whose data stays usable when another thread panicked.
+/// Locks a mutex and ignores poisoning: the data stays usable when another thread panicked.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/standins/src/reply.rs
+++ b/crates/standins/src/reply.rs
@@ -1,11 +1,11 @@
-//! Answers that every stand-in gives in the same form.
+//! Responses shared by all stand-ins.
 
 use http_types::Response;
 use http_types::StatusCode;
 use http_types::mime;
 use serde::Serialize;
 
-/// An answer with a JSON body.
+/// Builds a response with a JSON body.
 pub(crate) fn json(status: StatusCode, value: &impl Serialize) -> Response {
     let body = serde_json::to_vec(value).expect("plain data structures always serialise");
     let mut response = Response::new(status);
@@ -14,7 +14,7 @@
     response
 }
 
-/// An answer with an OpenAI-style error body.
+/// Builds a response with an OpenAI-style error body.
 pub(crate) fn error(status: StatusCode, kind: &str) -> Response {
     #[derive(Serialize)]
     struct Detail<'a> {
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service: any method and path, with a counter of effects by idempotency key.
+//! A plain service that accepts any method and path and counts side effects by idempotency key.
 
 mod command;
 mod server;
--- a/crates/standins/src/service/command.rs
+++ b/crates/standins/src/service/command.rs
@@ -5,34 +5,34 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Where a call goes wrong.
+/// A fault injected into requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceFault {
-    /// Nowhere.
+    /// No fault.
     #[default]
     None,
-    /// It hangs before it has had its effect.
+    /// Hangs before the side effect.
     HangBefore,
-    /// It has its effect, then hangs.
+    /// Hangs after the side effect.
     HangAfter,
-    /// It has its effect, then its connection closes without an answer.
+    /// Closes the connection without a response after the side effect.
     DropAfter,
-    /// It has its effect, then the whole service crashes.
+    /// Crashes the service after the side effect.
     CrashAfter,
-    /// It is answered 503 without an effect.
+    /// Responds with 503 without a side effect.
     Unavailable,
 }
 
-/// What a plain service starts with.
+/// Initial settings of a plain service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default, deny_unknown_fields)]
 pub struct ServiceSettings {
-    /// Time from a call to its effect, in milliseconds.
+    /// Delay before the side effect, in milliseconds.
     pub before_ms: u64,
-    /// Time from the effect to the answer, in milliseconds.
+    /// Delay between the side effect and the response, in milliseconds.
     pub after_ms: u64,
-    /// Calls at once that `/load` reports as the limit.
+    /// Concurrency limit reported by `/load`.
     pub batch_limit: usize,
 }
 
@@ -54,31 +54,31 @@
     rename_all_fields = "kebab-case"
 )]
 pub enum ServiceCommand {
-    /// Sets the times before and after the effect.
+    /// Sets the delays before and after the side effect.
     Delay {
-        /// From the call to the effect, in milliseconds.
+        /// Delay before the side effect, in milliseconds.
         before_ms: u64,
-        /// From the effect to the answer, in milliseconds.
+        /// Delay between the side effect and the response, in milliseconds.
         after_ms: u64,
     },
-    /// Sets what goes wrong with calls that arrive from now on.
+    /// Injects a fault into requests received from now on.
     Fault {
         /// The fault.
         fault: ServiceFault,
-        /// How many calls it strikes; none for all.
+        /// Number of affected requests; `None` for all.
         #[serde(default)]
         times: Option<u32>,
     },
-    /// Closes the listener and all connections at once.
+    /// Closes the listener and all connections immediately.
     Crash,
-    /// Refuses new connections; open ones live on.
+    /// Refuses new connections and keeps open ones.
     Refuse {
-        /// Whether the fault is on.
+        /// Whether the fault is active.
         on: bool,
     },
-    /// Listens again after a crash or a refusal; the effects are kept.
+    /// Listens again after `Crash` or `Refuse`; the effect counts are kept.
     Restart,
-    /// Ends all faults, and listens again.
+    /// Clears all faults and listens again.
     Clear,
 }
 
@@ -86,20 +86,20 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct ServiceStats {
-    /// Calls that arrived.
+    /// Requests received, without `/load`.
     pub calls: u64,
-    /// Reads of `/load`, which aren't calls.
+    /// Reads of `/load`.
     pub polls: u64,
-    /// Effects, repeated ones included.
+    /// Side effects, including repeated ones.
     pub effects: u64,
-    /// Calls that were answered after their effect.
+    /// Requests that received a response after their side effect.
     pub answered: u64,
-    /// Calls that are in progress now.
+    /// Requests in progress.
     pub running: u64,
-    /// Different keys that had an effect.
+    /// Distinct keys with a side effect.
     pub keys: u64,
-    /// Effects without a key, or with one too many to count.
+    /// Side effects without a key, or with a new key beyond the maximum number of counted keys.
     pub uncounted: u64,
-    /// Keys that had their effect more than once, with the number.
+    /// Number of side effects of each key that has more than one.
     pub repeated: BTreeMap<String, u64>,
 }
--- a/crates/standins/src/service/server.rs
+++ b/crates/standins/src/service/server.rs
@@ -1,4 +1,4 @@
-//! The plain service's calls.
+//! Request handling of the plain service.
 
 use std::collections::HashMap;
 use std::io;
@@ -28,13 +28,13 @@
 use crate::port::PortAction;
 use crate::reply;
 
-/// How many keys are counted one by one.
+/// Maximum number of keys whose side effects are counted.
 const MAX_KEYS: usize = 200_000;
 
-/// Headers that name a call, the first one present stats.
+/// Headers that can contain the key of a request; the first one present is used.
 const KEY_HEADERS: [&str; 2] = ["idempotency-key", "x-marker"];
 
-/// A plain service's stand-in; see [`PlainService::start`].
+/// A plain service; see [`PlainService::start`].
 pub struct PlainService {
     clock: Clock,
     state: Mutex<State>,
@@ -48,7 +48,7 @@
     effects: HashMap<String, u64>,
 }
 
-/// The answer to a call: what was done, for whom, and how often that makes.
+/// The response body of a request: its key, the key's number of side effects, and the request.
 #[derive(Serialize)]
 struct Receipt<'a> {
     marker: &'a str,
@@ -58,7 +58,7 @@
     bytes: usize,
 }
 
-/// The answer to `GET /load`.
+/// The response to `GET /load`.
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
 struct LoadReport {
@@ -75,11 +75,11 @@
 }
 
 impl PlainService {
-    /// Starts a plain service on `addr` (port 0: any free one).
+    /// Starts a plain service on `addr` (port 0 selects a free port).
     ///
     /// # Errors
     ///
-    /// Fails when the address can't be bound.
+    /// Returns an error if the address can't be bound.
     pub async fn start(
         addr: SocketAddr,
         settings: ServiceSettings,
@@ -98,7 +98,7 @@
         Handle::start(service, addr).await
     }
 
-    /// How often a call with this key had its effect.
+    /// Returns the number of side effects of `key`.
     pub fn effects(&self, key: &str) -> u64 {
         let state = port::lock(&self.state);
         state.effects.get(key).copied().unwrap_or(0)
@@ -174,7 +174,7 @@
 }
 
 impl State {
-    /// Counts a call; the fault that strikes it, and the delays.
+    /// Counts a request; returns the fault to inject and the settings.
     fn begin_call(&mut self) -> (ServiceFault, ServiceSettings) {
         self.stats.calls += 1;
         let mut fault = self.fault;
@@ -186,7 +186,7 @@
         (fault, self.settings.clone())
     }
 
-    /// Has the effect; how often this key has had it now.
+    /// Records a side effect and returns how many `key` has had, or 1 if it isn't counted.
     fn record_effect(&mut self, key: &str) -> u64 {
         self.stats.effects += 1;
         let known = self.effects.contains_key(key);
@@ -231,7 +231,7 @@
     }
 }
 
-/// Counts a call as running for as long as it lives.
+/// Counts a request as running until dropped.
 struct RunningCall<'a> {
     state: &'a Mutex<State>,
 }
@@ -249,7 +249,7 @@
     }
 }
 
-/// Waits before the effect; a caller that leaves in the meantime prevents it.
+/// Delays the side effect; returns an error if the client disconnects meanwhile, which prevents it.
 async fn delay(ms: u64, conn: &TcpStream) -> http_types::Result<()> {
     if ms == 0 {
         return Ok(());
@@ -262,7 +262,7 @@
     }
 }
 
-/// Never answers; ends when the caller gives up.
+/// Sends no response and waits until the client disconnects.
 async fn hang(conn: TcpStream) -> http_types::Result<Response> {
     port::client_disconnected(conn).await;
     Err(connection_aborted())
