--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,4 +1,5 @@
-//! A model engine: continuous batching, a prefix cache, streamed answers, lagged reports, orders.
+//! A model engine with continuous batching, a prefix cache, streamed responses, delayed load
+//! reports and orders.
 
 mod answer;
 mod batch;
--- a/crates/standins/src/engine/answer.rs
+++ b/crates/standins/src/engine/answer.rs
@@ -1,4 +1,4 @@
-//! Answers in progress: the stream of tokens, and bodies that end too early.
+//! Response bodies: streams of tokens and truncated bodies.
 
 use std::io;
 use std::pin::Pin;
@@ -22,7 +22,8 @@
 use super::text::ResponseText;
 use crate::port;
 
-/// A request in the engine. Dropped before it is settled, it counts as cancelled by its caller.
+/// A request in the engine. If it is dropped before its end is recorded, it counts as cancelled by
+/// the client, or as failed if the engine has crashed.
 pub(super) struct ActiveRequest {
     engine: Arc<Engine>,
     pub(super) admitted: AdmittedRequest,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// The whole answer was handed over.
+    /// Records that the complete response was handed over.
     pub(super) fn complete(&mut self) {
         if !self.recorded {
             self.recorded = true;
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The answer was ended by a fault.
+    /// Records that a fault ended the response.
     pub(super) fn fail(&mut self) {
         if !self.recorded {
             self.recorded = true;
@@ -61,7 +62,8 @@
         }
     }
 
-    /// Waits until `tokens` tokens are there; an error when the engine crashed or the caller left.
+    /// Waits until `tokens` tokens are generated. Returns an error if the engine crashes or the
+    /// client disconnects.
     pub(super) async fn tokens(&self, tokens: u32, conn: TcpStream) -> io::Result<()> {
         let mut disconnected = port::client_disconnected(conn).boxed();
         poll_fn(|cx| {
@@ -94,7 +96,7 @@
     }
 }
 
-/// A streamed answer: one read gives one token, so that one write carries one token.
+/// A streamed response body. Each read returns one token, so that each write sends one token.
 pub(super) struct TokenStream {
     request: ActiveRequest,
     text: ResponseText,
@@ -102,7 +104,7 @@
     ended: bool,
     buf: Vec<u8>,
     position: usize,
-    // Behind a mutex only because a body must be `Sync`; there is one reader.
+    // The mutex only makes the type `Sync`, which a body must be; there is a single reader.
     disconnected: Mutex<BoxFuture<'static, ()>>,
 }
 
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Bytes that the whole stream would have.
+    /// Returns the length of the complete stream in bytes.
     pub(super) fn total_len(&self) -> usize {
         let mut all = Vec::new();
         for token in 0..self.request.admitted.length {
@@ -129,7 +131,7 @@
         all.len()
     }
 
-    /// Puts the next event into the buffer; leaves it empty at the end of the stream.
+    /// Writes the next event to the buffer, or leaves it empty at the end of the stream.
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let faults = self.request.admitted.faults;
         if faults.cut.is_some_and(|cut| self.written >= cut.after) {
@@ -203,14 +205,14 @@
     }
 }
 
-/// Bytes followed by an error, which makes the server close the connection.
+/// A truncated body: bytes followed by an error, upon which the server closes the connection.
 pub(super) struct TruncatedBody {
     bytes: Vec<u8>,
     position: usize,
 }
 
 impl TruncatedBody {
-    /// The part of a whole answer that goes out before the cut.
+    /// Creates the body of a response that isn't streamed, truncated as `cut` states.
     pub(super) fn new(text: &ResponseText, cut: Cut) -> TruncatedBody {
         let mut bytes = text.full_body().into_bytes();
         bytes.truncate(text.full_body_prefix_len(cut.after));
--- a/crates/standins/src/engine/batch.rs
+++ b/crates/standins/src/engine/batch.rs
@@ -1,8 +1,8 @@
 //! Continuous batching as a pure state machine.
 //!
-//! Time runs in steps. A step takes in waiting jobs up to the batch limit, prefills a bounded number
-//! of prompt tokens, and gives each job whose prompt is done one more token. It lasts longer the
-//! more jobs share it and the more prompt tokens it prefills.
+//! Time advances in steps. A step admits waiting jobs up to the batch limit, prefills a bounded
+//! number of prompt tokens, and generates one token for each job whose prefill is complete. Its
+//! duration grows with the number of decoding jobs and of prefilled tokens.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,21 +12,21 @@
 
 /// Speed and size of the batch.
 ///
-/// Steps are shorter than a millisecond's resolution allows, so their parts are fractions.
+/// The durations are fractional because whole milliseconds are too coarse for a step.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default, deny_unknown_fields)]
 pub struct BatchSettings {
-    /// Jobs that share a step.
+    /// Maximum number of jobs in a step.
     pub batch_limit: usize,
-    /// Time of a step without any job, in milliseconds.
+    /// Base duration of a step, in milliseconds.
     pub base_ms: f64,
-    /// Time that each job adds to a step, in milliseconds.
+    /// Duration that each decoding job adds to a step, in milliseconds.
     pub sequence_ms: f64,
-    /// Prompt tokens prefilled in a second.
+    /// Prompt tokens prefilled per second.
     pub prefill_rate: f64,
-    /// Prompt tokens prefilled in one step, at most.
+    /// Maximum number of prompt tokens prefilled in a step.
     pub prefill_chunk: u32,
-    /// Tokens of prompts and answers that fit into the KV memory.
+    /// Capacity of the KV cache memory, in tokens of prompts and responses.
     pub kv_tokens: u64,
 }
 
@@ -43,29 +43,29 @@
     }
 }
 
-/// Names a job; never used twice.
+/// Identifies a job; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
-/// A request as the batch sees it.
+/// A request to be scheduled in the batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// Lower is sooner.
+    /// Priority; lower values are scheduled first.
     pub priority: i64,
-    /// Prompt tokens that must be prefilled, less the cached ones.
+    /// Prompt tokens to prefill, without the cached ones.
     pub prefill: u32,
-    /// Tokens that the job holds in KV memory once it is done.
+    /// Tokens that the job reserves in the KV cache memory: its prompt and its response.
     pub kv_tokens: u32,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub length: u32,
 }
 
-/// What a step brought.
+/// The result of a step.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StepResult {
-    /// Jobs that got one more token, finished ones included.
+    /// Jobs that generated a token, including finished ones.
     pub advanced: Vec<JobId>,
-    /// Jobs that are done and have left the batch.
+    /// Jobs that have finished and left the batch.
     pub finished: Vec<JobId>,
 }
 
@@ -84,7 +84,7 @@
     id: JobId,
 }
 
-/// The batch and the queue before it.
+/// The batch and its queue.
 #[derive(Debug)]
 pub struct Batch {
     settings: BatchSettings,
@@ -96,7 +96,7 @@
 }
 
 impl Batch {
-    /// An empty batch.
+    /// Creates an empty batch.
     pub fn new(settings: BatchSettings) -> Batch {
         Batch {
             settings,
@@ -108,38 +108,38 @@
         }
     }
 
-    /// Changes speed and size from the next step on.
+    /// Changes speed and size, starting with the next step.
     pub fn set_settings(&mut self, settings: BatchSettings) {
         self.settings = settings;
     }
 
-    /// Makes each later step last `factor` times as long.
+    /// Multiplies the duration of later steps by `factor`.
     pub fn set_slow(&mut self, factor: f64) {
         self.slow_factor = factor;
     }
 
-    /// The present settings.
+    /// Returns the current settings.
     pub fn settings(&self) -> &BatchSettings {
         &self.settings
     }
 
-    /// Jobs in the batch.
+    /// Returns the number of jobs in the batch.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Jobs in the queue.
+    /// Returns the number of jobs in the queue.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Share of the KV memory that is free.
+    /// Returns the free share of the KV cache memory.
     pub fn kv_free(&self) -> f64 {
         let total = self.settings.kv_tokens.max(1) as f64;
         (1.0 - self.kv_used as f64 / total).max(0.0)
     }
 
-    /// Queues a job behind those of the same or a sooner priority.
+    /// Queues a job behind all jobs with the same or a more urgent priority.
     pub fn submit(&mut self, job: Job) -> JobId {
         self.last_id += 1;
         let id = JobId(self.last_id);
@@ -148,7 +148,7 @@
         id
     }
 
-    /// Removes a job, queued or running; false when it has left already.
+    /// Removes a queued or running job; returns false if it has already left.
     pub fn cancel(&mut self, id: JobId) -> bool {
         if let Some(at) = self.running.iter().position(|r| r.id == id) {
             let job = self.running.remove(at);
@@ -160,14 +160,14 @@
         self.waiting.len() < before
     }
 
-    /// Removes every job.
+    /// Removes all jobs.
     pub fn clear(&mut self) {
         self.waiting.clear();
         self.running.clear();
         self.kv_used = 0;
     }
 
-    /// Begins a step; its duration, or none when there is nothing to do.
+    /// Begins a step and returns its duration, or `None` if there are no jobs.
     pub fn begin_step(&mut self) -> Option<Duration> {
         self.admit();
         if self.running.is_empty() {
@@ -182,12 +182,12 @@
         Some(Duration::from_secs_f64(ms.max(0.01) / 1000.0))
     }
 
-    /// Ends the step that was begun last.
+    /// Ends the current step.
     pub fn end_step(&mut self) -> StepResult {
         let mut end = StepResult::default();
         for job in &mut self.running {
             if !job.decoding {
-                // Its prompt may have been finished in this step: it decodes in the next one.
+                // If this step completed the prefill, the job decodes from the next step on.
                 job.decoding = job.prefill == 0;
                 continue;
             }
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Prefills prompts in the order of arrival in the batch; the tokens that were prefilled.
+    /// Prefills prompts in the order of admission; returns the number of prefilled tokens.
     fn prefill(&mut self) -> u32 {
         let mut budget = self.settings.prefill_chunk;
         for job in &mut self.running {
--- a/crates/standins/src/engine/cache.rs
+++ b/crates/standins/src/engine/cache.rs
@@ -1,30 +1,30 @@
-//! The prefix cache: a bounded set of prompt prefixes, least recently used out first.
+//! The prefix cache: a bounded set of prompt prefixes with LRU eviction.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
 use twox_hash::XxHash3_64;
 
-/// Bytes of the prompt that make up its prefix.
+/// Length of a prompt's prefix, in bytes.
 const PREFIX_BYTES: usize = 256;
 
-/// The prefix of a prompt: the 64-bit XXH3 hash of its first 256 bytes, in hexadecimal.
+/// Returns the 64-bit XXH3 hash of the first 256 bytes of `prompt`, in hexadecimal.
 pub fn prefix_hash(prompt: &str) -> String {
     let bytes = prompt.as_bytes();
     let head = &bytes[..bytes.len().min(PREFIX_BYTES)];
     format!("{:016x}", XxHash3_64::oneshot(head))
 }
 
-/// What using a prefix did to the cache.
+/// The result of a cache lookup.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Lookup {
-    /// Whether the prefix was there.
+    /// Whether the prefix was cached.
     pub(super) hit: bool,
-    /// The prefix that had to go to make room.
+    /// The prefix that was evicted to make room.
     pub(super) evicted: Option<String>,
 }
 
-/// The prefixes that are held.
+/// The cached prefixes.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     limit: usize,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Uses a prefix: it is the youngest afterwards.
+    /// Looks up a prefix, inserts it if absent, and makes it the most recently used one.
     pub(super) fn touch(&mut self, prefix: &str) -> Lookup {
         self.clock += 1;
         let before = self.last_use.insert(prefix.to_owned(), self.clock);
--- a/crates/standins/src/engine/command.rs
+++ b/crates/standins/src/engine/command.rs
@@ -7,33 +7,34 @@
 use super::fault::Cut;
 use super::output::LengthDistribution;
 
-/// What an engine starts with.
+/// Initial settings of an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default, deny_unknown_fields)]
 pub struct EngineSettings {
     /// Speed and size of the batch.
     pub batch: BatchSettings,
-    /// Models that are loaded at the start.
+    /// Models loaded at startup.
     pub models: Vec<String>,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an older fencing token are refused.
     pub checks: bool,
-    /// The role that `/load` reports: `prefill`, `decode` or `both`.
+    /// Role reported by `/load`: `prefill`, `decode` or `both`.
     pub role: String,
     /// Time to load a model, in milliseconds.
     pub load_ms: u64,
-    /// How old load reports are, in milliseconds.
+    /// Age of load reports, in milliseconds.
     pub report_lag: u64,
-    /// Prefixes that the cache holds.
+    /// Capacity of the prefix cache, in prefixes.
     pub cache_limit: usize,
-    /// Share of a prompt's prefill that a cached prefix saves.
+    /// Share of a prompt's tokens that needn't be prefilled when its prefix is cached.
     pub cached_share: f64,
-    /// How late cache events show, in milliseconds.
+    /// Delay of cache events, in milliseconds.
     pub event_delay: u64,
-    /// Share of the cache events that are lost.
+    /// Share of cache events that are lost.
     pub event_gaps: f64,
-    /// Lengths of answers when the request doesn't fix them; none: `max_tokens` is the length.
+    /// Distribution of response lengths for requests without `target_tokens`; `None` uses
+    /// `max_tokens`.
     pub lengths: Option<LengthDistribution>,
-    /// Seed of everything random.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
 
@@ -64,9 +65,9 @@
     rename_all_fields = "kebab-case"
 )]
 pub enum EngineCommand {
-    /// Makes each step last longer by this factor; 1 ends it.
+    /// Slows the engine down; a factor of 1 ends the fault.
     Slow {
-        /// The factor.
+        /// Factor on the duration of each step.
         factor: f64,
     },
     /// Changes speed and size of the batch.
@@ -74,71 +75,72 @@
         /// The new settings.
         settings: BatchSettings,
     },
-    /// Stands still like a stopped process: connections are accepted, nothing is answered whatever
-    /// the path, and the batch rests. What waits goes on once the fault is off.
+    /// Simulates a stopped process: connections are accepted, no path responds, and the batch makes
+    /// no progress. Pending requests continue when the fault ends.
     Hang {
-        /// Whether the fault is on.
+        /// Whether the fault is active.
         on: bool,
     },
-    /// Closes the listener and all connections at once; the batch and the cache are lost.
+    /// Closes the listener and all connections immediately; the batch and the cache are lost.
     Crash,
-    /// Listens again after a crash or a refusal.
+    /// Listens again after `Crash` or `Refuse`.
     Restart,
-    /// Refuses new connections; open ones live on.
+    /// Refuses new connections and keeps open ones.
     Refuse {
-        /// Whether the fault is on.
+        /// Whether the fault is active.
         on: bool,
     },
-    /// Answers 503 to every completion.
+    /// Responds with 503 to all completions.
     Unavailable {
-        /// Whether the fault is on.
+        /// Whether the fault is active.
         on: bool,
     },
-    /// Ends answers in the middle; none ends the fault.
+    /// Truncates responses; `None` ends the fault.
     Cut {
-        /// Where and how.
+        /// Where and how responses are truncated.
         cut: Option<Cut>,
     },
-    /// Streams this many tokens and then no more, on an open connection; none ends the fault.
+    /// Stalls responses and keeps their connections open; `None` ends the fault.
     Stall {
-        /// Tokens that still go out.
+        /// Number of tokens sent before the stall; nothing is sent of a response without a stream.
         after: Option<u32>,
     },
-    /// Draws the lengths of answers; none: `max_tokens` is the length.
+    /// Samples the lengths of responses; `None` uses `max_tokens`.
     Lengths {
         /// The distribution.
         lengths: Option<LengthDistribution>,
-        /// Seed of the draws.
+        /// Seed of the samples.
         seed: u64,
     },
-    /// Sets how old load reports are.
+    /// Sets the age of load reports.
     ReportLag {
         /// The lag in milliseconds.
         ms: u64,
     },
-    /// Sets how late cache events show and how many are lost.
+    /// Sets the delay and the loss rate of cache events.
     Events {
         /// The delay in milliseconds.
         delay_ms: u64,
-        /// The share that is lost.
+        /// Share of events that are lost.
         gaps: f64,
     },
     /// Sets whether orders with an old fencing number are refused.
     Checks {
-        /// Whether they are.
+        /// Whether they are refused.
         on: bool,
     },
-    /// Tells that the caller of a marker hangs up now, to measure the time until the cancel.
+    /// Reports that the client of a request disconnects now, to measure the time until the request
+    /// is cancelled.
     HangUp {
-        /// The request's marker.
+        /// Marker of the request.
         marker: String,
     },
-    /// Ends all faults, and listens again.
+    /// Clears the faults on completions, `Slow` and `Hang`, and listens again.
     Clear,
 }
 
 impl EngineCommand {
-    /// Whether a step that was begun before takes another time now.
+    /// Whether the command changes the duration of the step in progress.
     pub(super) fn changes_speed(&self) -> bool {
         matches!(
             self,
--- a/crates/standins/src/engine/core.rs
+++ b/crates/standins/src/engine/core.rs
@@ -1,4 +1,4 @@
-//! The state of an engine behind its calls.
+//! The state of an engine.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -32,10 +32,10 @@
 use super::stats::Counters;
 use crate::port::PortAction;
 
-/// Weight of the newest step in the reported token rate.
+/// Weight of the latest step in the exponential moving average of the token rate.
 const TOKEN_RATE_WEIGHT: f64 = 0.1;
 
-/// An order, as the body of `POST /orders`.
+/// The body of `POST /orders`.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct Order {
     fence: u64,
@@ -51,13 +51,13 @@
     Role { role: String },
 }
 
-/// The fencing number that an order is answered with.
+/// The response to an order: the engine's fencing token.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct FenceReply {
     fence: u64,
 }
 
-/// The answer to `GET /load`.
+/// The response to `GET /load`.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(super) struct LoadReport {
@@ -73,7 +73,7 @@
     fence: u64,
 }
 
-/// A request that was taken into the queue.
+/// A request that was admitted to the queue.
 #[derive(Debug)]
 pub(super) struct AdmittedRequest {
     pub(super) id: JobId,
@@ -129,18 +129,18 @@
         }
     }
 
-    /// Whether a model is loaded; a request that names none takes any.
+    /// Whether a model is loaded. True for an empty name, since such a request accepts any model.
     pub(super) fn has_model(&self, model: &str, now: Millis) -> bool {
         model.is_empty() || self.models.get(model).is_some_and(|&ready| ready <= now)
     }
 
-    /// The models that are loaded.
+    /// Returns the loaded models.
     pub(super) fn models(&self, now: Millis) -> Vec<String> {
         let loaded = self.models.iter().filter(|&(_, &ready)| ready <= now);
         loaded.map(|(model, _)| model.clone()).collect()
     }
 
-    /// Takes a request into the queue.
+    /// Admits a request to the queue.
     pub(super) fn admit(&mut self, request: &CompletionRequest, now: Millis) -> AdmittedRequest {
         self.counters.record_run(&request.marker);
         let prompt_tokens = request.prompt_tokens();
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Takes a job out of the queue and the batch.
+    /// Removes a job from the queue and the batch.
     pub(super) fn remove(&mut self, id: JobId, now: Millis) {
         if self.jobs.remove(&id).is_some() {
             self.batch.cancel(id);
@@ -184,7 +184,7 @@
         step
     }
 
-    /// Ends a step that took `duration`; the jobs to wake.
+    /// Ends a step that took `duration`; returns the jobs to wake.
     pub(super) fn end_step(&mut self, duration: Duration, now: Millis) -> Vec<Arc<Progress>> {
         let end = self.batch.end_step();
         let rate = end.advanced.len() as f64 / duration.as_secs_f64();
@@ -231,7 +231,7 @@
     ///
     /// # Errors
     ///
-    /// The newest fencing number, when the engine checks and the order's is older.
+    /// Returns the current fencing token if the engine checks tokens and the order's is older.
     pub(super) fn order(&mut self, order: Order, now: Millis) -> Result<FenceReply, FenceReply> {
         if self.checks && order.fence < self.fence {
             self.counters.stats.orders_refused += 1;
@@ -264,7 +264,7 @@
         match command {
             EngineCommand::Slow { factor } => self.batch.set_slow(factor),
             EngineCommand::Batch { settings } => self.batch.set_settings(settings),
-            // The gate stands before the state; see `Engine::command`.
+            // Handled in `Engine::command`, before the state is locked.
             EngineCommand::Hang { .. } => {}
             EngineCommand::Unavailable { on } => self.faults.unavailable = on,
             EngineCommand::Cut { cut } => self.faults.cut = cut,
@@ -296,7 +296,7 @@
         PortAction::None
     }
 
-    /// Jobs in the batch and in the queue.
+    /// Returns the number of jobs in the batch and in the queue.
     pub(super) fn occupancy(&self) -> (usize, usize) {
         (self.batch.running(), self.batch.waiting())
     }
@@ -310,7 +310,7 @@
         }
     }
 
-    /// Looks the prompt's prefix up and stores it; the tokens that needn't be prefilled.
+    /// Looks up and stores the prefix of a prompt; returns the tokens that needn't be prefilled.
     fn lookup_prefix(&mut self, prompt: &str, tokens: u32, now: Millis) -> u32 {
         let prefix = cache::prefix_hash(prompt);
         let lookup = self.cache.touch(&prefix);
--- a/crates/standins/src/engine/events.rs
+++ b/crates/standins/src/engine/events.rs
@@ -1,4 +1,4 @@
-//! Cache events, published late and with gaps.
+//! Cache events, published with a delay and with losses.
 
 use std::collections::VecDeque;
 
@@ -7,7 +7,7 @@
 use rand::rngs::StdRng;
 use serde::Serialize;
 
-/// How many events are kept for readers.
+/// Maximum number of events kept for readers.
 const MAX_EVENTS: usize = 4096;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -26,7 +26,7 @@
     at: Millis,
 }
 
-/// The answer to `GET /cache-events`.
+/// The response to `GET /cache-events`.
 #[derive(Debug, Serialize)]
 pub(super) struct EventPage {
     last: u64,
@@ -57,7 +57,7 @@
         self.loss_rate = loss_rate;
     }
 
-    /// Records an event; a share of them is lost and leaves a gap in the numbers.
+    /// Records an event. Lost events leave gaps in the sequence numbers.
     pub(super) fn push(&mut self, kind: CacheChange, prefix: &str, now: Millis, rng: &mut StdRng) {
         self.last += 1;
         if rng.random::<f64>() < self.loss_rate {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The events after `after` that are old enough to show.
+    /// Returns the visible events with a sequence number greater than `after`.
     pub(super) fn page(&self, after: u64, now: Millis) -> EventPage {
         let shown = self.events.iter().filter(|e| e.at + self.delay <= now);
         let last = shown.clone().next_back().map_or(0, |e| e.seq);
--- a/crates/standins/src/engine/fault.rs
+++ b/crates/standins/src/engine/fault.rs
@@ -1,34 +1,34 @@
-//! Faults that an engine shows on command.
+//! Faults that an engine injects on command.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How a cut answer looks on the wire.
+/// Message framing of a truncated response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CutFraming {
     /// Chunked, without the last chunk.
     Chunked,
-    /// A `Content-Length` that the body falls short of.
+    /// A `Content-Length` greater than the length of the body.
     Length,
-    /// No length and not chunked: the body ends where the connection closes.
+    /// Neither chunked nor with a `Content-Length`: the body ends where the connection closes.
     Close,
 }
 
-/// Ends answers in the middle.
+/// Truncates responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cut {
-    /// Tokens that still go out.
+    /// Number of tokens sent before the cut.
     pub after: u32,
-    /// How the cut looks.
+    /// Message framing of the truncated response.
     #[serde(rename = "form")]
     pub framing: CutFraming,
-    /// How many answers are cut; none for all.
+    /// Number of responses to truncate; `None` for all.
     #[serde(default)]
     pub times: Option<u32>,
 }
 
-/// The faults in force.
+/// The active faults.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ActiveFaults {
     pub(super) unavailable: bool,
@@ -36,7 +36,7 @@
     pub(super) cut: Option<Cut>,
 }
 
-/// What happens to one answer.
+/// The faults of one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct ResponseFaults {
     pub(super) stall: Option<u32>,
@@ -44,7 +44,7 @@
 }
 
 impl ActiveFaults {
-    /// Decides the fate of the next answer and counts it.
+    /// Returns the faults of the next response and counts it against the limit of cuts.
     pub(super) fn next_response(&mut self) -> ResponseFaults {
         ResponseFaults {
             stall: self.stall,
--- a/crates/standins/src/engine/output.rs
+++ b/crates/standins/src/engine/output.rs
@@ -1,21 +1,21 @@
-//! How long answers get.
+//! Lengths of responses.
 
 use rand::RngExt;
 use rand::rngs::StdRng;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A distribution of lengths: many short ones, few long ones, between two bounds.
+/// A log-uniform distribution of lengths: many short ones and few long ones, between two bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LengthDistribution {
-    /// Shortest, at least 1.
+    /// Minimum, at least 1.
     pub low: u32,
-    /// Longest.
+    /// Maximum.
     pub high: u32,
 }
 
 impl LengthDistribution {
-    /// Always the same length.
+    /// Returns a distribution with a single length.
     pub const fn fixed(length: u32) -> LengthDistribution {
         LengthDistribution {
             low: length,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Draws a length; its logarithm is uniform between those of the bounds.
+    /// Samples a length, whose logarithm is uniformly distributed.
     pub fn sample(&self, rng: &mut StdRng) -> u32 {
         let low = f64::from(self.low.max(1)).ln();
         let high = f64::from(self.high.max(self.low).max(1)).ln();
@@ -31,7 +31,7 @@
         sampled.exp().round() as u32
     }
 
-    /// The mean of the distribution.
+    /// Returns the mean.
     pub fn mean(&self) -> f64 {
         let low = f64::from(self.low.max(1));
         let high = f64::from(self.high.max(self.low).max(1));
--- a/crates/standins/src/engine/progress.rs
+++ b/crates/standins/src/engine/progress.rs
@@ -1,4 +1,4 @@
-//! How far a job is, shared between the batch and the answer that relays it.
+//! The progress of a job, shared between the batch and the response.
 
 use std::sync::atomic::AtomicU8;
 use std::sync::atomic::AtomicU32;
@@ -7,18 +7,18 @@
 
 use futures::task::AtomicWaker;
 
-/// What became of a job.
+/// The state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum JobState {
-    /// It is queued or running.
+    /// Queued or running.
     Pending,
-    /// All of its tokens are there.
+    /// All tokens are generated.
     Complete,
-    /// The engine crashed.
+    /// Lost in a crash of the engine.
     Lost,
 }
 
-/// Tokens that were generated, counted without a lock: there are many a second.
+/// The progress of a job, without a lock because many tokens are generated per second.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
     tokens: AtomicU32,
@@ -39,12 +39,13 @@
         }
     }
 
-    /// Wakes `waker` at the next change. Register first, then look: a change in between isn't lost.
+    /// Registers `waker` for the next change. Call it before reading the progress, or else a change
+    /// in between is missed.
     pub(super) fn register(&self, waker: &Waker) {
         self.waker.register(waker);
     }
 
-    /// One more token, perhaps the last; the caller wakes afterwards.
+    /// Counts a generated token. The caller wakes the task afterwards.
     pub(super) fn advance(&self) {
         self.tokens.fetch_add(1, Ordering::Release);
     }
--- a/crates/standins/src/engine/reports.rs
+++ b/crates/standins/src/engine/reports.rs
@@ -1,13 +1,13 @@
-//! Load reports that lag behind the truth.
+//! Load reports, delayed by a configured lag.
 
 use std::collections::VecDeque;
 
 use crocushold_base::Millis;
 
-/// Reports are recorded at this interval, at most.
+/// Minimum interval between recorded samples.
 const SAMPLE_INTERVAL: Millis = Millis(10);
 
-/// The load at one moment.
+/// The load at one point in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct LoadSample {
     pub(crate) at: Millis,
@@ -17,7 +17,7 @@
     pub(crate) kv_free: f64,
 }
 
-/// The loads of the last while, oldest first.
+/// The recent load samples, oldest first.
 #[derive(Debug)]
 pub(crate) struct LoadHistory {
     lag: Millis,
@@ -40,7 +40,7 @@
         self.lag = lag;
     }
 
-    /// Records the present load; loads within one interval overwrite each other.
+    /// Records the current load; samples within one interval overwrite each other.
     pub(crate) fn record(&mut self, load: LoadSample) {
         let slot = load.at.0 / SAMPLE_INTERVAL.0;
         match self.samples.back_mut() {
@@ -52,13 +52,14 @@
         }
     }
 
-    /// The newest load that is as old as the lag, or else the oldest there is.
+    /// Returns the newest sample that is at least as old as the lag, or else the oldest sample.
     pub(crate) fn view(&self, now: Millis) -> LoadSample {
         let visible = |load: &&LoadSample| load.at + self.lag <= now;
         let sample = self.samples.iter().rev().find(visible);
         let mut load = sample.or(self.samples.front()).copied().unwrap_or_default();
-        // Nothing has changed since, so the report is as fresh as the lag allows, not as old as the
-        // last change: an idle engine must not look like one that stopped reporting.
+        // The load hasn't changed since this sample, so the report is as recent as the lag allows.
+        // With the time of the last change, an idle engine would look like one that stopped
+        // reporting.
         load.at = load.at.max(now.since(self.lag));
         load
     }
--- a/crates/standins/src/engine/request.rs
+++ b/crates/standins/src/engine/request.rs
@@ -1,4 +1,4 @@
-//! What an engine reads from a request.
+//! Parsing of completion requests.
 
 use http_types::StatusCode;
 use serde::Deserialize;
@@ -6,26 +6,26 @@
 
 use crate::port::Call;
 
-/// Length of an answer when nothing says otherwise, in tokens.
+/// Default length of a response, in tokens.
 const DEFAULT_OUTPUT_TOKENS: u32 = 16;
 
-/// Longest answer, in tokens.
+/// Maximum length of a response, in tokens.
 const MAX_OUTPUT_TOKENS: u32 = 32_768;
 
-/// Bytes of prompt text to a token.
+/// Bytes of prompt text per token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Header that marks a request when its body has no `user`.
+/// Header with the marker of a request whose body has no `user`.
 const MARKER_HEADER: &str = "x-marker";
 
-/// Which of the two completion calls was made.
+/// The API of a completion request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CompletionKind {
     Chat,
     Text,
 }
 
-/// A request, read and checked.
+/// A parsed completion request.
 #[derive(Clone, Debug)]
 pub(super) struct CompletionRequest {
     pub(super) kind: CompletionKind,
@@ -34,9 +34,9 @@
     pub(super) prompt: String,
     pub(super) priority: i64,
     pub(super) stream: bool,
-    /// The length that the request fixes, known to the engine alone.
+    /// Length of the response, set by the request and known only to the engine.
     pub(super) target_tokens: Option<u32>,
-    /// The most tokens that the caller wants.
+    /// Maximum number of tokens that the client requests.
     pub(super) max_tokens: Option<u32>,
 }
 
@@ -65,7 +65,11 @@
 }
 
 impl CompletionRequest {
-    /// Reads a request; the status to answer with when it can't be.
+    /// Parses a request.
+    ///
+    /// # Errors
+    ///
+    /// Returns the status of the response if the body is invalid.
     pub(super) fn read(kind: CompletionKind, call: &Call) -> Result<CompletionRequest, StatusCode> {
         let body: Body = serde_json::from_slice(&call.body).map_err(|_| StatusCode::BadRequest)?;
         let prompt = match kind {
@@ -85,12 +89,13 @@
         })
     }
 
-    /// Tokens of the prompt, at least one.
+    /// Returns the number of tokens of the prompt, at least 1.
     pub(super) fn prompt_tokens(&self) -> u32 {
         self.prompt.len().div_ceil(BYTES_PER_TOKEN).max(1) as u32
     }
 
-    /// Tokens of the answer; `drawn` is the length that a distribution gave, if one is set.
+    /// Returns the number of tokens of the response; `sampled` is the length sampled from the
+    /// engine's distribution, if it has one.
     pub(super) fn output_tokens(&self, sampled: Option<u32>) -> u32 {
         let requested = self
             .target_tokens
@@ -103,7 +108,7 @@
     }
 }
 
-/// The prompt text of a chat: the contents of its messages, one a line.
+/// Returns the prompt of a chat: the contents of its messages, one per line.
 fn chat_prompt(messages: &[Message]) -> String {
     let contents: Vec<String> = messages.iter().map(|m| prompt_text(&m.content)).collect();
     contents.join("\n")
--- a/crates/standins/src/engine/send.rs
+++ b/crates/standins/src/engine/send.rs
@@ -1,4 +1,4 @@
-//! Sending answers, also in the forms that break the protocol.
+//! Sending responses, including ones that violate HTTP.
 
 use std::io;
 use std::net::Shutdown;
@@ -22,10 +22,10 @@
 /// Media type of a stream of server-sent events.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// Media type of a whole answer.
+/// Media type of a response that isn't streamed.
 const JSON: &str = "application/json";
 
-/// Streams an answer; its head goes out with the first token.
+/// Streams a response; its head is sent with the first token.
 pub(super) async fn stream_answer(
     request: ActiveRequest,
     text: ResponseText,
@@ -41,7 +41,7 @@
     send_truncated(stream, cut, total, EVENT_STREAM, conn).await
 }
 
-/// Sends an answer in one piece once it is complete.
+/// Sends a response that isn't streamed, once all tokens are generated.
 pub(super) async fn whole_answer(
     mut request: ActiveRequest,
     text: ResponseText,
@@ -66,7 +66,7 @@
     send_truncated(body, cut, total, JSON, conn).await
 }
 
-/// Sends a body that ends in an error, in the form that the fault asks for.
+/// Sends a body that ends in an error, with the message framing of the fault.
 async fn send_truncated(
     body: impl futures::AsyncBufRead + Unpin + Send + Sync + 'static,
     cut: Cut,
@@ -102,7 +102,7 @@
     }
 }
 
-/// Never answers; ends when the caller gives up.
+/// Sends no response and waits until the client disconnects.
 async fn wait_for_disconnect(conn: TcpStream) -> http_types::Result<Response> {
     port::client_disconnected(conn).await;
     Err(port::connection_aborted().into())
--- a/crates/standins/src/engine/server.rs
+++ b/crates/standins/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! The engine's calls and its clock.
+//! Request handling and scheduling of the engine.
 
 use std::collections::HashMap;
 use std::io;
@@ -42,10 +42,10 @@
 use crate::port::PortAction;
 use crate::reply;
 
-/// A clock that is later than this doesn't make up for the lost steps.
+/// Maximum delay that the batch catches up on; steps lost to longer delays aren't made up for.
 const MAX_BACKLOG: Duration = Duration::from_millis(100);
 
-/// A model engine's stand-in; see [`Engine::start`].
+/// A model engine; see [`Engine::start`].
 pub struct Engine {
     clock: Clock,
     gate: Gate,
@@ -74,7 +74,7 @@
     object: &'static str,
 }
 
-/// Why a completion isn't run.
+/// The reason why a completion isn't run.
 #[derive(Clone, Copy, Debug)]
 struct Refusal {
     status: StatusCode,
@@ -88,11 +88,11 @@
 }
 
 impl Engine {
-    /// Starts an engine on `addr` (port 0: any free one).
+    /// Starts an engine on `addr` (port 0 selects a free port).
     ///
     /// # Errors
     ///
-    /// Fails when the address can't be bound.
+    /// Returns an error if the address can't be bound.
     pub async fn start(addr: SocketAddr, settings: EngineSettings) -> io::Result<Handle<Engine>> {
         let (work_tx, work_rx) = channel::bounded(1);
         let (speed_change_tx, speed_change_rx) = channel::bounded(1);
@@ -108,7 +108,7 @@
         Handle::start(engine, addr).await
     }
 
-    /// How often a request with this marker ran.
+    /// Returns how often requests with this marker ran.
     pub fn runs(&self, marker: &str) -> u64 {
         port::lock(&self.state).counters.runs(marker)
     }
@@ -231,7 +231,7 @@
         reply::error(refusal.status, refusal.kind)
     }
 
-    /// Steps the batch for as long as the engine lives.
+    /// Runs the steps of the batch, forever.
     async fn run_batch(self: Arc<Self>) {
         let mut due = Instant::now();
         loop {
@@ -255,11 +255,11 @@
         }
     }
 
-    /// Waits for a step's end; the moment from which the next step counts, or none when the speed
-    /// changed meanwhile.
+    /// Waits for the end of a step. Returns the start time of the next step, or `None` if the speed
+    /// changed meanwhile and the step must begin again.
     ///
-    /// A step that was begun at a thousandth of the speed lasts a hundred seconds. If it went on after
-    /// the speed was put back, the engine would hang for a test that is over.
+    /// A step that began at a thousandth of the speed takes a hundred seconds. If it continued
+    /// after the speed was restored, the engine would hang because of a test that is over.
     async fn wait_step_end(&self, due: Instant) -> Option<Instant> {
         let ended = sleep_until(due).boxed();
         let speed_changed = self.speed_change_rx.recv().boxed();
@@ -287,7 +287,7 @@
         let changes_speed = command.changes_speed();
         let action = port::lock(&self.state).command(command);
         if changes_speed {
-            // A full channel holds a notice already.
+            // If the channel is full, a notification is already pending.
             let _ = self.speed_change_tx.try_send(());
         }
         action
@@ -312,7 +312,7 @@
     }
 }
 
-/// Waits for a step's end; the moment from which the next step counts.
+/// Sleeps until the end of a step. Returns the start time of the next step.
 async fn sleep_until(due: Instant) -> Instant {
     let now = Instant::now();
     if let Some(left) = due.checked_duration_since(now) {
--- a/crates/standins/src/engine/stats.rs
+++ b/crates/standins/src/engine/stats.rs
@@ -8,43 +8,43 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How many markers are counted one by one.
+/// Maximum number of markers whose runs are counted.
 const MAX_MARKERS: usize = 200_000;
 
-/// How many cancellations are listed.
+/// Maximum number of cancellations kept.
 const MAX_CANCELLATIONS: usize = 1024;
 
-/// A request that was cancelled because its caller closed the connection.
+/// A request that was cancelled because its client disconnected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Cancellation {
-    /// The request's marker.
+    /// Marker of the request.
     pub marker: String,
-    /// When it was cancelled, in microseconds since the Unix epoch.
+    /// Time of the cancellation, in microseconds since the Unix epoch.
     pub at_us: u64,
-    /// Tokens that were generated for nothing.
+    /// Tokens generated before the cancellation.
     pub tokens: u32,
-    /// Microseconds between the caller's hang-up and the cancel, when a `hang-up` command told the
-    /// engine of it.
+    /// Microseconds between the disconnect and the cancellation, if a `hang-up` command reported
+    /// the disconnect.
     pub after_us: Option<u64>,
 }
 
-/// How many orders are listed.
+/// Maximum number of orders kept.
 const MAX_ORDERS: usize = 1024;
 
 /// An order that was carried out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct OrderRecord {
-    /// When it came, in microseconds since the Unix epoch.
+    /// Time of the order, in microseconds since the Unix epoch.
     pub at_us: u64,
-    /// Its fencing number.
+    /// Fencing token.
     pub fence: u64,
     /// `load`, `unload` or `role`.
     pub kind: String,
     /// The model or the role.
     pub subject: String,
-    /// Whether it changed anything: a load of a model that is there asks nothing of the weight store.
+    /// Whether it changed anything; loading a model that is already there needs no weight store.
     pub changed: bool,
 }
 
@@ -52,39 +52,39 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct EngineStats {
-    /// Requests that entered the queue.
+    /// Requests admitted to the queue.
     pub started: u64,
-    /// Requests whose whole answer was handed to the connection.
+    /// Requests whose complete response was handed to the connection.
     pub completed: u64,
-    /// Requests whose caller closed the connection first.
+    /// Requests whose client disconnected before the end, also during a stall.
     pub cancelled: u64,
-    /// Requests cut, stalled until the caller left, or lost in a crash.
+    /// Requests that were truncated or lost in a crash.
     pub failed: u64,
-    /// Requests answered with an error status.
+    /// Requests that received an error status.
     pub refused: u64,
     /// Tokens of completed requests.
     pub useful_tokens: u64,
-    /// Tokens of requests whose caller closed the connection.
+    /// Tokens of cancelled requests.
     pub cancelled_tokens: u64,
-    /// Tokens of requests cut, or lost in a crash.
+    /// Tokens of failed requests.
     pub failed_tokens: u64,
     /// Prompts whose prefix was cached.
     pub prefix_hits: u64,
-    /// Prompts whose prefix wasn't.
+    /// Prompts whose prefix wasn't cached.
     pub prefix_misses: u64,
     /// Orders that were carried out.
     pub orders_done: u64,
-    /// Orders refused for an old fencing number.
+    /// Orders refused because of an older fencing token.
     pub orders_refused: u64,
-    /// Requests in the batch now.
+    /// Requests in the batch.
     pub running: u64,
-    /// Requests in the queue now.
+    /// Requests in the queue.
     pub waiting: u64,
-    /// Markers that ran more than once, with their runs.
+    /// Number of runs of each marker that ran more than once.
     pub repeated: BTreeMap<String, u64>,
-    /// Different markers seen.
+    /// Distinct markers counted.
     pub markers: u64,
-    /// Requests whose marker wasn't counted, because there are too many.
+    /// Requests whose marker wasn't counted because the maximum number of markers was reached.
     pub uncounted: u64,
     /// The latest cancellations.
     pub cancellations: Vec<Cancellation>,
@@ -92,7 +92,7 @@
     pub orders: Vec<OrderRecord>,
 }
 
-/// Runs by marker, and the counters.
+/// Counters and run counts by marker.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
     pub(super) stats: EngineStats,
@@ -115,21 +115,22 @@
         }
     }
 
-    /// How often `marker` ran.
+    /// Returns how often `marker` ran.
     pub(super) fn runs(&self, marker: &str) -> u64 {
         self.runs.get(marker).copied().unwrap_or(0)
     }
 
-    /// How often each marker ran.
+    /// Returns how often each marker ran.
     pub(super) fn runs_by_marker(&self) -> HashMap<String, u64> {
         self.runs.clone()
     }
 
-    /// Notes that the caller of `marker` hangs up now.
+    /// Records that the client of `marker` disconnects now.
     pub(super) fn record_disconnect(&mut self, marker: String) {
         let now = unix_micros();
         let cancellations = self.stats.cancellations.iter_mut();
-        // The cancel may have come first; the two messages travel by different ways.
+        // The command and the disconnect arrive on different connections, so the cancellation may
+        // have been recorded first.
         let mut same = cancellations.filter(|c| c.marker == marker);
         if let Some(cancellation) = same.next_back() {
             cancellation.after_us.get_or_insert(0);
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Counts a request whose caller left.
+    /// Counts a request whose client disconnected.
     pub(super) fn record_cancellation(&mut self, marker: &str, tokens: u32) {
         let at_us = unix_micros();
         let disconnected_at = self.disconnects.remove(marker);
@@ -172,13 +173,13 @@
         });
     }
 
-    /// Counts a request that ended by a fault of the engine.
+    /// Counts a request that was ended by a fault.
     pub(super) fn record_failure(&mut self, tokens: u32) {
         self.stats.failed += 1;
         self.stats.failed_tokens += u64::from(tokens);
     }
 
-    /// Counts a request whose answer went out whole.
+    /// Counts a request whose complete response was sent.
     pub(super) fn record_completion(&mut self, tokens: u32) {
         self.stats.completed += 1;
         self.stats.useful_tokens += u64::from(tokens);
--- a/crates/standins/src/engine/tests.rs
+++ b/crates/standins/src/engine/tests.rs
@@ -1,4 +1,4 @@
-//! The engine's parts, without sockets or a clock.
+//! Unit tests of the engine's parts, without sockets or a clock.
 
 use crocushold_base::Millis;
 use rand::SeedableRng;
@@ -70,8 +70,8 @@
     assert_eq!([300, 399, 400, 500].map(running), [1, 1, 2, 3]);
 }
 
-/// A reader sees an engine that has been idle for a minute. Its last change is a minute old, but
-/// the report isn't: one that carried the time of the change would be thrown away as expired.
+/// The last change of an engine that has been idle for a minute is a minute old. A report with the
+/// time of this change would be discarded as expired.
 #[test]
 fn idle_engine_reports_a_fresh_time() {
     let mut reports = LoadHistory::new(Millis(200));
--- a/crates/standins/src/engine/text.rs
+++ b/crates/standins/src/engine/text.rs
@@ -1,4 +1,4 @@
-//! The text of answers, whole and as server-sent events.
+//! The text of responses, as a single JSON body or as server-sent events.
 
 use serde_json::Value;
 
@@ -6,8 +6,8 @@
 use super::request::CompletionKind;
 use super::request::CompletionRequest;
 
-/// The text of one answer. Every token carries the request's marker, so that a test can tell whose
-/// answer it reads.
+/// The text of a response. Each token contains the request's marker, so that tests can detect
+/// responses that belong to another request.
 pub(super) struct ResponseText {
     kind: CompletionKind,
     id: String,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// One token as a server-sent event.
+    /// Appends a token as a server-sent event.
     pub(super) fn push_token_event(&self, token: u32, out: &mut Vec<u8>) {
         let ResponseText {
             id, model, marker, ..
@@ -51,7 +51,7 @@
         out.extend_from_slice(event.as_bytes());
     }
 
-    /// The last two events: usage, and the end of the stream.
+    /// Appends the last two events: usage and the end of the stream.
     pub(super) fn push_end_events(&self, out: &mut Vec<u8>) {
         let ResponseText { id, model, .. } = self;
         let (object, empty) = match self.kind {
@@ -67,7 +67,7 @@
         out.extend_from_slice(event.as_bytes());
     }
 
-    /// The whole answer as one JSON text.
+    /// Returns the complete response as a JSON body.
     pub(super) fn full_body(&self) -> String {
         let mut text = self.full_body_head();
         for token in 0..self.length {
@@ -85,7 +85,7 @@
         text
     }
 
-    /// Bytes of the whole answer up to the end of its first `tokens` tokens.
+    /// Returns the length of the JSON body up to the end of its first `tokens` tokens, in bytes.
     pub(super) fn full_body_prefix_len(&self, tokens: u32) -> usize {
         let lengths = (0..tokens.min(self.length)).map(|token| self.token_text(token).len());
         self.full_body_head().len() + lengths.sum::<usize>()
--- a/crates/standins/src/platform/tests.rs
+++ b/crates/standins/src/platform/tests.rs
@@ -1,4 +1,4 @@
-//! The platform's parts, without sockets or a clock.
+//! Unit tests of the platform's parts, without sockets or a clock.
 
 use crocushold_base::Millis;
 use test_case::test_case;
