--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -1,9 +1,9 @@
-//! An open-loop load generator: requests are sent when they are due, whatever became of the earlier
-//! ones, and each answer is checked down to its last token.
+//! An open-loop load generator: requests are sent at their scheduled times, independently of the
+//! progress of earlier requests, and each response is checked down to its last token.
 //!
-//! A [`LoadPlan`] names the entry addresses and the classes of requests; [`run`] sends them and
-//! returns a [`LoadReport`]; [`send_one`] sends a single request. Given an engine's address in place of an entry instance's, the same
-//! plan measures the engine alone.
+//! A [`LoadPlan`] lists the entry addresses and the request classes; [`run`] sends the requests and
+//! returns a [`LoadReport`]; [`send_one`] sends a single request. With the address of an engine in
+//! place of an entry instance's, the same plan measures the engine alone.
 
 mod client;
 mod exchange;
--- a/crates/standins/src/load/client.rs
+++ b/crates/standins/src/load/client.rs
@@ -1,4 +1,4 @@
-//! Connections to the entry addresses.
+//! The pool of connections to the entry addresses.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -13,13 +13,13 @@
 
 use crate::port;
 
-/// Longest wait for a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A connection that has been idle for longer isn't used again.
+/// Maximum idle time of a connection that is reused.
 const MAX_IDLE: Duration = Duration::from_secs(1);
 
-/// A connection, and whether it has carried a request before.
+/// A connection and the index of its entry address.
 pub(super) struct EntryConnection {
     pub(super) stream: TcpStream,
     pub(super) entry: usize,
@@ -30,7 +30,7 @@
     since: Instant,
 }
 
-/// The entry addresses, taken in turn, with their idle connections.
+/// The entry addresses, selected round-robin, with their idle connections.
 pub(super) struct Client {
     entries: Vec<SocketAddr>,
     idle: Vec<Mutex<Vec<IdleConnection>>>,
@@ -49,16 +49,16 @@
         }
     }
 
-    /// An address for the `host` header.
+    /// Returns the address for the `host` header.
     pub(super) fn host(&self) -> SocketAddr {
         self.entries[0]
     }
 
-    /// A connection to the next entry that takes one, as a balancer would choose it.
+    /// Returns a connection to the next entry address that accepts one, as a load balancer would.
     ///
     /// # Errors
     ///
-    /// Fails when every entry refuses.
+    /// Returns the last error if no entry address accepts a connection.
     pub(super) async fn connect(&self) -> io::Result<EntryConnection> {
         let mut last_error = io::Error::from(io::ErrorKind::NotConnected);
         for _ in 0..self.entries.len() {
@@ -74,7 +74,7 @@
         Err(last_error)
     }
 
-    /// Keeps a connection whose answer was whole for a later request.
+    /// Returns a connection to the pool after a complete response.
     pub(super) fn release(&self, conn: EntryConnection) {
         if !self.keep_alive {
             return;
@@ -94,7 +94,7 @@
     fn take_idle(&self, entry: usize) -> Option<EntryConnection> {
         let mut idle = port::lock(&self.idle[entry]);
         while let Some(IdleConnection { conn, since }) = idle.pop() {
-            // The other side may have closed it: a request sent then would look like one cut.
+            // The server may have closed it; a request sent on it would be recorded as cut.
             let mut byte = [0];
             let closed = conn.stream.peek(&mut byte).now_or_never().is_some();
             if !closed && since.elapsed() < MAX_IDLE {
--- a/crates/standins/src/load/exchange.rs
+++ b/crates/standins/src/load/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer.
+//! A request and its response.
 
 use std::io;
 use std::time::Duration;
@@ -12,57 +12,58 @@
 use super::client::Client;
 use super::response::Response;
 
-/// Bytes read from a connection at a time.
+/// Size of the buffer for reads from a connection.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// How a request ended, as its caller sees it.
+/// The outcome of a request, as the client observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The whole answer arrived, and it was the request's own.
+    /// A complete response arrived, and it belongs to the request.
     Complete,
-    /// An error status came.
+    /// The response has an error status.
     Refused,
-    /// The answer, or the connection before it, ended early.
+    /// The response was truncated, or the connection ended before it.
     Cut,
-    /// Tokens of another request came.
+    /// The response contains tokens of another request.
     Misdelivered,
-    /// Tokens were missing, repeated or out of order in an answer that claims to be whole.
+    /// Tokens are missing, repeated or out of order in a response that claims to be complete.
     Disordered,
-    /// Nothing more came in time.
+    /// The response wasn't complete before the timeout.
     TimedOut,
-    /// The caller left as planned.
+    /// The client disconnected as planned.
     GaveUp,
-    /// No entry took the connection.
+    /// No entry address accepted a connection.
     ConnectFailed,
 }
 
-/// What was seen of one request.
+/// The observed result of a request.
 #[derive(Debug)]
 pub struct Exchange {
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: RequestOutcome,
-    /// The answer, as far as it came.
+    /// The response, as far as it was received.
     pub response: Response,
-    /// When the first token, or the head of an answer that isn't streamed, came; counted from the time due.
+    /// Time from the scheduled start to the first token, or to the head of a response that isn't
+    /// streamed.
     pub first_token: Option<Duration>,
-    /// The gaps between tokens, in microseconds.
+    /// Times between consecutive tokens, in microseconds.
     pub token_gaps: Vec<u32>,
-    /// When it ended; counted from the time due.
+    /// Time from the scheduled start to the end.
     pub duration: Duration,
 }
 
-/// When a caller stops waiting.
+/// The limits after which a client stops waiting.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WaitLimits {
     pub(super) timeout: Duration,
     pub(super) give_up: Option<Duration>,
 }
 
-/// A request that is ready to be sent.
+/// A request to be sent.
 pub(super) struct OutgoingRequest {
     pub(super) bytes: Vec<u8>,
     pub(super) response: Response,
-    /// Tokens that the answer must have; none for a plain call.
+    /// Expected number of tokens in the response; `None` for a plain call.
     pub(super) tokens: Option<u64>,
     pub(super) due: Instant,
     pub(super) limits: WaitLimits,
@@ -77,7 +78,7 @@
     gaps: Vec<u32>,
 }
 
-/// Sends a request and reads its answer.
+/// Sends a request and reads its response.
 pub(super) async fn exchange(client: &Client, outgoing: OutgoingRequest) -> Exchange {
     let WaitLimits { timeout, give_up } = outgoing.limits;
     let due = outgoing.due;
@@ -111,7 +112,7 @@
         let Ok(mut conn) = client.connect().await else {
             return RequestOutcome::ConnectFailed;
         };
-        // An answer may come although the request couldn't be written to its end.
+        // A response may arrive even if the request couldn't be written completely.
         let written = conn.stream.write_all(request).await;
         let read = self.read(&mut conn.stream).await;
         if read.is_err() || !self.response.is_complete() {
@@ -124,7 +125,7 @@
         outcome
     }
 
-    /// Reads until the answer is whole or the connection ends.
+    /// Reads until the response is complete or the connection ends.
     async fn read(&mut self, stream: &mut TcpStream) -> io::Result<()> {
         let mut buf = vec![0; READ_BUFFER_BYTES];
         while !self.response.is_complete() {
@@ -137,7 +138,7 @@
             let used = fed.map_err(|_| io::Error::from(io::ErrorKind::InvalidData))?;
             self.record_token_times(before);
             if used < count {
-                // Bytes after the end of the answer: they'd complete somebody else's.
+                // Surplus bytes after the response would be read as part of the next one.
                 return Err(io::Error::from(io::ErrorKind::InvalidData));
             }
         }
@@ -190,7 +191,7 @@
         RequestOutcome::Complete
     }
 
-    /// The connection ended before the framing said that the answer was whole.
+    /// Returns the outcome of a response that is incomplete according to its framing.
     fn classify_truncated(&self) -> RequestOutcome {
         if self.response.is_foreign() {
             return RequestOutcome::Misdelivered;
--- a/crates/standins/src/load/framing.rs
+++ b/crates/standins/src/load/framing.rs
@@ -1,11 +1,11 @@
-//! The framing of an answer: head, chunks or length, and its end.
+//! HTTP/1.1 response framing: the head, and bodies delimited by chunks, length or close.
 
 use std::fmt;
 
-/// Longest head, and longest line of the framing, in bytes.
+/// Maximum length of the head, and of a line of the framing, in bytes.
 const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// An answer that isn't HTTP/1.1 as we know it.
+/// A response that isn't valid HTTP/1.1, or exceeds a size limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MalformedResponse;
 
@@ -34,7 +34,7 @@
     Complete,
 }
 
-/// The framing of one answer.
+/// The framing state of a response.
 #[derive(Debug, Default)]
 pub(super) struct Framing {
     state: State,
@@ -44,8 +44,8 @@
 }
 
 impl Framing {
-    /// Takes bytes from the connection and appends those of the body to `out`; how many belong to
-    /// this answer.
+    /// Consumes bytes from the connection and appends those of the body to `out`. Returns the
+    /// number of bytes that belong to this response.
     pub(super) fn feed(
         &mut self,
         bytes: &[u8],
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Collects one line into `self.line`; whether it is complete.
+    /// Collects a line into `self.line`. Returns the number of bytes used and whether the line is
+    /// complete.
     fn collect_line(&mut self, bytes: &[u8]) -> Result<(usize, bool), MalformedResponse> {
         let end = bytes.iter().position(|&b| b == b'\n');
         let used = end.map_or(bytes.len(), |at| at + 1);
--- a/crates/standins/src/load/plan.rs
+++ b/crates/standins/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! What the load generator is asked to do.
+//! The plan of a load test.
 
 use std::net::SocketAddr;
 
@@ -7,32 +7,32 @@
 
 use crate::engine::LengthDistribution;
 
-/// A whole run.
+/// The plan of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default, deny_unknown_fields)]
 pub struct LoadPlan {
-    /// Where requests go, in turn; after a refused connection the next one is tried.
+    /// Addresses that requests are sent to, round-robin; after a failed connection the next one.
     pub entries: Vec<SocketAddr>,
-    /// Stand-ins that are asked at the end how often each request ran.
+    /// Stand-ins whose run counts are read at the end.
     pub standins: Vec<SocketAddr>,
-    /// How long requests are sent, in seconds.
+    /// Duration in which requests are sent, in seconds.
     pub seconds: f64,
-    /// Seconds at the start whose requests aren't recorded.
+    /// Duration at the start whose requests aren't recorded, in seconds.
     pub warmup: f64,
-    /// Most requests of the whole run.
+    /// Maximum number of requests in the run.
     pub max_requests: u64,
-    /// Most requests in progress; those due beyond it count as unsent.
+    /// Maximum number of requests in flight; requests due beyond it count as unsent.
     pub max_open: usize,
-    /// Whether connections are used again.
+    /// Whether connections are reused.
     pub keep_alive: bool,
-    /// Whether the report has a line for each second.
+    /// Whether the report contains counts for each second.
     pub timeline: bool,
-    /// Text in a refusal's head or body that says that the request wasn't run.
+    /// Text in the head or body of a refusal that states that the request wasn't run.
     #[serde(rename = "not-run")]
     pub not_run_marker: String,
     /// Seed of arrivals, lengths and prompts.
     pub seed: u64,
-    /// The classes of requests.
+    /// Request classes.
     pub classes: Vec<LoadClass>,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// The call that a class makes.
+/// The kind of request that a class sends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestKind {
@@ -63,49 +63,49 @@
     Chat,
     /// `POST /v1/completions`.
     Text,
-    /// A call to a plain service.
+    /// A request to a plain service.
     Call,
 }
 
-/// One class of requests.
+/// A class of requests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default, deny_unknown_fields)]
 pub struct LoadClass {
     /// Name in the report; no dots.
     pub name: String,
-    /// Mean arrivals in a second (Poisson).
+    /// Mean rate of the Poisson arrivals, per second.
     pub rate: f64,
-    /// Bearer key; empty for none.
+    /// API key sent as a bearer token; empty for none.
     pub key: String,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<Header>,
-    /// The call.
+    /// Kind of the requests.
     #[serde(rename = "form")]
     pub kind: RequestKind,
-    /// Path of a call to a plain service.
+    /// Path of requests to a plain service.
     pub path: String,
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Prompt lengths, or body lengths of plain calls, in bytes.
+    /// Lengths of prompts, or of bodies sent to plain services, in bytes.
     pub prompt: LengthDistribution,
-    /// Different prompt prefixes; 0 makes every prompt unlike the others.
+    /// Number of distinct prompt prefixes; with 0, each prompt has its own.
     pub prefixes: u32,
-    /// Answer lengths in tokens. Only the engine's stand-in is told.
+    /// Response lengths in tokens, sent in a field that only the engine reads.
     pub output: LengthDistribution,
-    /// The `max_tokens` that the request states; none: not stated.
+    /// Value of `max_tokens` in the request, if any.
     #[serde(rename = "cap")]
     pub max_tokens: Option<u32>,
-    /// The `priority` that the request states; none: not stated.
+    /// Value of `priority` in the request, if any.
     pub priority: Option<i64>,
-    /// Whether answers are streamed.
+    /// Whether responses are streamed.
     pub stream: bool,
     /// Latency targets.
     pub targets: Targets,
-    /// When the caller gives a request up as lost, in milliseconds.
+    /// Time after which a request counts as timed out, in milliseconds.
     pub timeout_ms: u64,
-    /// Callers who leave early.
+    /// Clients that disconnect early.
     pub give_up: Option<GiveUp>,
-    /// Times of another arrival rate.
+    /// Periods with a different arrival rate.
     pub bursts: Vec<Burst>,
 }
 
@@ -142,42 +142,42 @@
     pub value: String,
 }
 
-/// Latency targets in milliseconds; those left out aren't asked for.
+/// Latency targets in milliseconds; absent targets aren't checked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default, deny_unknown_fields)]
 pub struct Targets {
-    /// From the time the request was due until its first token.
+    /// Time from the scheduled start to the first token.
     pub first_ms: Option<u64>,
-    /// Between tokens: 95 in 100 gaps of a request are no longer.
+    /// Time between tokens, met by 95% of the gaps of a request.
     pub between_ms: Option<u64>,
-    /// From the time the request was due until the end of the answer.
+    /// Time from the scheduled start to the end of the response.
     pub whole_ms: Option<u64>,
 }
 
-/// Callers who leave before the end.
+/// Clients that disconnect before the end.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct GiveUp {
-    /// Their share of the class.
+    /// Share of the class's requests.
     pub share: f64,
-    /// When they leave, in milliseconds after the request was due.
+    /// Time from the scheduled start to the disconnect, in milliseconds.
     pub after_ms: u64,
 }
 
-/// A time of another arrival rate.
+/// A period with a different arrival rate.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Burst {
-    /// Start, in seconds.
+    /// Start of the period, in seconds.
     pub from: f64,
-    /// End, in seconds.
+    /// End of the period, in seconds.
     pub until: f64,
-    /// What the rate is multiplied by.
+    /// Factor on the rate.
     pub factor: f64,
 }
 
 impl LoadClass {
-    /// Arrivals in a second at `time` seconds.
+    /// Returns the arrival rate at `time`, in seconds.
     pub(super) fn rate_at(&self, time: f64) -> f64 {
         let active = self
             .bursts
@@ -186,12 +186,12 @@
         active.fold(self.rate, |rate, burst| rate * burst.factor)
     }
 
-    /// Tokens of an answer whose length was drawn, after the request's own limit.
+    /// Returns the expected number of tokens for a sampled length, limited by `max_tokens`.
     pub(super) fn expected_tokens(&self, sampled: u32) -> u32 {
         sampled.min(self.max_tokens.unwrap_or(u32::MAX))
     }
 
-    /// The highest rate there ever is.
+    /// Returns an upper bound of the arrival rate.
     pub(super) fn peak_rate(&self) -> f64 {
         let factors = self.bursts.iter().map(|burst| burst.factor.max(1.0));
         self.rate * factors.product::<f64>()
--- a/crates/standins/src/load/prompt.rs
+++ b/crates/standins/src/load/prompt.rs
@@ -1,4 +1,4 @@
-//! The bytes of a request.
+//! Encoding of requests.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use super::plan::LoadClass;
 use super::plan::RequestKind;
 
-/// Bytes of a prompt that requests of the same prefix share: what an engine hashes.
+/// Length of a shared prompt prefix, in bytes; equal to the length that an engine hashes.
 const SHARED_PREFIX_BYTES: usize = 256;
 
 #[derive(Serialize)]
@@ -34,7 +34,7 @@
     user: &'a str,
 }
 
-/// The whole request, head and body, for an answer of `output` tokens.
+/// Encodes a request, head and body, for a response of `output` tokens.
 pub(super) fn request_bytes(
     class: &LoadClass,
     marker: &str,
@@ -90,7 +90,7 @@
     serde_json::to_vec(&body).expect("plain data structures always serialise")
 }
 
-/// A prefix that the class shares, then text that belongs to this request alone.
+/// Returns a prompt: a prefix shared within the class, followed by text unique to the request.
 fn prompt(class: &LoadClass, marker: &str, rng: &mut StdRng) -> String {
     let length = class.prompt.sample(rng) as usize;
     let mut text = match class.prefixes {
--- a/crates/standins/src/load/record.rs
+++ b/crates/standins/src/load/record.rs
@@ -1,4 +1,4 @@
-//! What was seen of one class.
+//! The recorder of a class's results.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 use super::report::Quantiles;
 use super::report::Second;
 
-/// Longest latency that the histograms tell from longer ones, in microseconds.
+/// Maximum latency in the histograms; longer ones are recorded as this value, in microseconds.
 const MAX_MICROS: u64 = 600_000_000;
 
-/// Share of a request's gaps that may be longer than its target.
+/// Maximum share of a request's gaps that may exceed the target.
 const MAX_SLOW_GAP_SHARE: f64 = 0.05;
 
-/// Counters and histograms of one class.
+/// Counters and histograms of a class.
 pub(super) struct ClassRecorder {
     targets: Targets,
     report: ClassReport,
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Counts a request that was due but couldn't be sent.
+    /// Records a request that was due but wasn't sent.
     pub(super) fn record_unsent(&mut self) {
         self.report.unsent += 1;
     }
 
-    /// Counts a request that has ended; `second` is when it was due.
+    /// Records a finished request that was due in second `second` of the run.
     pub(super) fn record(&mut self, exchange: &Exchange, not_run_marker: &str, second: usize) {
         let attained = self.meets_targets(exchange);
         self.count_outcome(exchange, not_run_marker);
@@ -65,7 +65,7 @@
         line.refused += u64::from(exchange.outcome == RequestOutcome::Refused);
     }
 
-    /// The report; the timeline only when asked for.
+    /// Returns the report, with the timeline if `timeline` is set.
     pub(super) fn report(&self, timeline: bool) -> ClassReport {
         let mut report = self.report.clone();
         report.first = Quantiles::of(&self.first);
@@ -133,7 +133,7 @@
     }
 }
 
-/// Whether a refusal states that the request wasn't run.
+/// Returns whether a refusal states that the request wasn't run.
 pub(super) fn reports_not_run(exchange: &Exchange, not_run_marker: &str) -> bool {
     let head = exchange.response.head();
     let body = String::from_utf8_lossy(exchange.response.body());
--- a/crates/standins/src/load/report.rs
+++ b/crates/standins/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run, as JSON.
+//! The report of a run.
 
 use std::collections::BTreeMap;
 
@@ -6,47 +6,48 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A whole run.
+/// The report of a run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct LoadReport {
-    /// How long the run took, in seconds, the last answers included.
+    /// Duration of the run until the last response and the counters of the stand-ins, in seconds.
     pub seconds: f64,
-    /// How late requests were sent, in milliseconds: the generator's own delay.
+    /// Delay of the generator in sending requests, in milliseconds.
     pub lateness: Quantiles,
-    /// The classes, in the plan's order.
+    /// Reports of the classes, in the order of the plan.
     pub classes: Vec<ClassReport>,
-    /// What the stand-ins counted over their whole life.
+    /// Counters of the stand-ins since they started.
     pub standins: StandinTotals,
 }
 
-/// One class.
+/// The report of a class.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ClassReport {
-    /// Name.
+    /// Name of the class.
     pub name: String,
-    /// Requests sent after the warm-up; every one is in exactly one of the endings below.
+    /// Requests sent after the warm-up, each counted under exactly one outcome below.
     pub sent: u64,
-    /// Requests that were due but not sent, because too many were in progress.
+    /// Requests that were due but not sent, because too many were in flight.
     pub unsent: u64,
-    /// Completed within their targets.
+    /// Requests completed within their targets.
     pub attained: u64,
-    /// Answered whole, and with their own answer.
+    /// Requests with a complete and correct response.
     pub completed: u64,
-    /// Answered with an error status.
+    /// Requests that received an error status.
     pub refused: u64,
-    /// Ended early.
+    /// Requests whose response or connection ended early.
     pub cut: u64,
-    /// Answered with tokens of another request.
+    /// Requests whose response contained tokens of another request.
     pub misdelivered: u64,
-    /// Answered as whole, but with tokens missing, repeated or out of order.
+    /// Requests whose response claimed to be complete, but with tokens missing, repeated or out of
+    /// order.
     pub disordered: u64,
-    /// Not answered in time.
+    /// Requests that timed out.
     pub timed_out: u64,
-    /// Left by the caller as planned.
+    /// Requests that the client abandoned as planned.
     pub gave_up: u64,
-    /// Refused a connection by every entry.
+    /// Requests for which no entry address accepted a connection.
     #[serde(rename = "unconnected")]
     pub connect_failed: u64,
     /// Refusals by status.
@@ -57,42 +58,42 @@
     /// Refusals that state that the request wasn't run.
     #[serde(rename = "said-unrun")]
     pub reported_not_run: u64,
-    /// Requests that were said not to have been run, and were.
+    /// Requests that ran although a refusal stated that they weren't run.
     #[serde(rename = "falsely-unrun")]
     pub falsely_reported_not_run: u64,
-    /// Requests that ran, or had their effect, more than once.
+    /// Requests that ran, or had their side effect, more than once.
     #[serde(rename = "doubled")]
     pub repeated: u64,
-    /// Tokens that arrived.
+    /// Tokens received.
     pub tokens: u64,
     /// Tokens of completed requests.
     pub useful_tokens: u64,
-    /// Time to the first token, from when the request was due.
+    /// Time from the scheduled start to the first token.
     pub first: Quantiles,
     /// Time between tokens.
     pub between: Quantiles,
-    /// Time to the end of a complete answer, from when the request was due.
+    /// Time from the scheduled start to the end of a complete response.
     pub whole: Quantiles,
     /// Counts by the second in which requests were due.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub timeline: Vec<Second>,
 }
 
-/// One second of a class.
+/// The counts of one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Second {
-    /// Requests due.
+    /// Requests that were due and sent.
     pub sent: u64,
-    /// Completed within their targets.
+    /// Requests completed within their targets.
     pub attained: u64,
-    /// Answered with an error status.
+    /// Requests that received an error status.
     pub refused: u64,
 }
 
 /// A distribution of times, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// How many.
+    /// Number of values.
     pub count: u64,
     /// Mean.
     pub mean: f64,
@@ -102,39 +103,39 @@
     pub p95: f64,
     /// 99th percentile.
     pub p99: f64,
-    /// Longest.
+    /// Maximum.
     pub max: f64,
 }
 
-/// What the stand-ins counted, summed.
+/// Sums of the stand-ins' counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct StandinTotals {
-    /// Stand-ins that gave their counters.
+    /// Stand-ins whose counters were read.
     #[serde(rename = "asked")]
     pub reachable: u64,
-    /// Stand-ins that couldn't be asked. Unless it is zero, the counts of doubled and falsely unrun
-    /// requests are lower bounds.
+    /// Stand-ins whose counters couldn't be read. Unless this is zero, `repeated` and
+    /// `falsely_reported_not_run` of the classes are lower bounds.
     #[serde(rename = "unasked")]
     pub unreachable: u64,
-    /// Requests that entered a queue.
+    /// Requests admitted to a queue.
     pub started: u64,
-    /// Requests whose whole answer went out.
+    /// Requests whose complete response was sent.
     pub completed: u64,
-    /// Requests whose caller left.
+    /// Requests whose client disconnected.
     pub cancelled: u64,
-    /// Requests cut or lost by a fault.
+    /// Requests truncated or lost because of a fault.
     pub failed: u64,
     /// Tokens of completed requests.
     pub useful_tokens: u64,
-    /// Tokens of requests whose caller left.
+    /// Tokens of cancelled requests.
     pub cancelled_tokens: u64,
-    /// Tokens of requests cut or lost by a fault.
+    /// Tokens of failed requests.
     pub failed_tokens: u64,
 }
 
 impl Quantiles {
-    /// Reads a histogram of microseconds.
+    /// Converts a histogram of microseconds.
     pub(super) fn of(histogram: &Histogram<u64>) -> Quantiles {
         if histogram.is_empty() {
             return Quantiles::default();
--- a/crates/standins/src/load/response.rs
+++ b/crates/standins/src/load/response.rs
@@ -1,13 +1,13 @@
-//! Reading an answer as it arrives, cheaply.
+//! Incremental parsing of a response.
 
 use super::framing::Framing;
 use super::framing::MalformedResponse;
 use super::tokens::TokenChecker;
 
-/// Longest body that is kept whole, and longest line of a stream, in bytes.
+/// Maximum length of a body that isn't streamed, and of a line of a stream, in bytes.
 const MAX_BUFFERED_BYTES: usize = 32 * 1024 * 1024;
 
-/// An answer that is being read.
+/// A response that is being received.
 #[derive(Debug)]
 pub struct Response {
     framing: Framing,
@@ -19,7 +19,7 @@
 }
 
 impl Response {
-    /// Begins to read the answer to the request with this marker; `stream` when events are expected.
+    /// Starts the response to the request with this marker; `stream` if events are expected.
     pub fn new(marker: &str, stream: bool) -> Response {
         Response {
             framing: Framing::default(),
@@ -31,11 +31,11 @@
         }
     }
 
-    /// Takes the next bytes from the connection; how many of them belong to this answer.
+    /// Consumes bytes from the connection. Returns how many of them belong to this response.
     ///
     /// # Errors
     ///
-    /// Fails when the bytes aren't an answer, or the answer is too long.
+    /// Returns an error if the response is invalid or too long.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<usize, MalformedResponse> {
         let used = self.framing.feed(bytes, &mut self.body)?;
         if self.is_stream() {
@@ -47,68 +47,68 @@
         Ok(used)
     }
 
-    /// Whether the framing says that the answer is whole. A body that ends where the connection
-    /// closes never says so.
+    /// Returns whether the response is complete according to its framing; never true for a body
+    /// that ends where the connection closes.
     pub fn is_complete(&self) -> bool {
         self.framing.is_complete()
     }
 
-    /// Whether the head has arrived.
+    /// Returns whether the head has been received.
     pub fn has_head(&self) -> bool {
         self.status() != 0
     }
 
-    /// The status; 0 before the head has arrived.
+    /// Returns the status, or 0 if the head hasn't been received.
     pub fn status(&self) -> u16 {
         self.framing.status()
     }
 
-    /// The head, in lower case.
+    /// Returns the head, in lower case.
     pub fn head(&self) -> &str {
         self.framing.head()
     }
 
-    /// The value of a header, in lower case.
+    /// Returns the value of a header, in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.framing.header(name)
     }
 
-    /// The body, as far as it isn't a stream.
+    /// Returns the body; of a stream, only the bytes after the last complete line.
     pub fn body(&self) -> &[u8] {
         &self.body
     }
 
-    /// Whether the answer is read as a stream of events.
+    /// Returns whether the response is parsed as a stream of events.
     pub fn is_stream(&self) -> bool {
         self.stream && self.status() == 200
     }
 
-    /// Tokens that arrived.
+    /// Returns the number of tokens received.
     pub fn tokens(&self) -> u64 {
         self.tokens.count()
     }
 
-    /// Whether the stream said `[DONE]`.
+    /// Returns whether the stream contained `[DONE]`.
     pub fn is_done(&self) -> bool {
         self.done
     }
 
-    /// Whether a token carried another request's marker.
+    /// Returns whether a token contained another request's marker.
     pub fn is_foreign(&self) -> bool {
         self.tokens.is_foreign()
     }
 
-    /// Whether a token was missing, repeated or out of its place.
+    /// Returns whether a token was missing, repeated or out of order.
     pub fn is_disordered(&self) -> bool {
         self.tokens.is_disordered()
     }
 
-    /// Checks the tokens of a whole (not streamed) answer.
+    /// Checks the tokens of a response that isn't streamed.
     pub fn check_body(&mut self) {
         self.tokens.check_body(&self.body);
     }
 
-    /// Reads the lines that are complete, and forgets them.
+    /// Parses and discards the complete lines in the buffer.
     fn scan_events(&mut self) {
         let mut from = 0;
         while let Some(length) = line_length(&self.body[self.scanned..]) {
--- a/crates/standins/src/load/run.rs
+++ b/crates/standins/src/load/run.rs
@@ -1,4 +1,4 @@
-//! Sending a plan's requests when they are due.
+//! Execution of a plan.
 
 use std::collections::HashSet;
 use std::io;
@@ -30,10 +30,10 @@
 use super::single;
 use crate::port;
 
-/// How many requests that were said not to have been run are remembered.
+/// Maximum number of refusals to keep that state that the request wasn't run.
 const MAX_REPORTED_NOT_RUN: usize = 200_000;
 
-/// What the requests of a run share.
+/// State shared by the requests of a run.
 struct RunState {
     plan: LoadPlan,
     client: Client,
@@ -43,7 +43,7 @@
     in_flight: AtomicUsize,
 }
 
-/// The next arrivals of one class.
+/// The arrival process of a class.
 struct Arrivals {
     rng: StdRng,
     next: f64,
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the plan names no entry.
+/// Returns an error if the plan has no entry address.
 pub async fn run(plan: LoadPlan) -> io::Result<LoadReport> {
     if plan.entries.is_empty() {
         return Err(io::Error::other("the plan names no entry address"));
@@ -101,8 +101,8 @@
         arrivals
     }
 
-    /// Draws the next arrival of a Poisson process whose rate changes, by thinning one that runs at
-    /// the highest rate.
+    /// Samples the next arrival of an inhomogeneous Poisson process, by thinning a process with the
+    /// peak rate.
     fn advance(&mut self, class: &LoadClass) {
         let peak = class.peak_rate();
         if peak <= 0.0 {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Sends one request; none when too many are in progress.
+    /// Sends a request, or returns `None` if too many are in flight.
     fn send(
         self: &Arc<RunState>,
         class: usize,
--- a/crates/standins/src/load/run_counts.rs
+++ b/crates/standins/src/load/run_counts.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins counted: how often each request ran.
+//! Run counts and counters read from the stand-ins.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,10 +17,10 @@
 use super::response::Response;
 use crate::engine::EngineStats;
 
-/// Longest wait for a stand-in's counters.
+/// Timeout for reading a stand-in's counters.
 const STATS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs by marker over all stand-ins, and their totals.
+/// Run counts by marker over all stand-ins, and the sums of their counters.
 #[derive(Debug, Default)]
 pub(super) struct RunCounts {
     pub(super) runs: HashMap<String, u64>,
@@ -28,8 +28,8 @@
 }
 
 impl RunCounts {
-    /// Asks every stand-in. One that is down is counted as unasked, since a gap in the counts would
-    /// hide a request that ran twice.
+    /// Reads the counters of all stand-ins. Those that can't be read are counted as unreachable,
+    /// since missing counts could hide a request that ran twice.
     pub(super) async fn collect(standins: &[SocketAddr]) -> RunCounts {
         let mut run_counts = RunCounts::default();
         for &standin in standins {
--- a/crates/standins/src/load/single.rs
+++ b/crates/standins/src/load/single.rs
@@ -1,4 +1,4 @@
-//! Sending one request, for tests that look at one answer.
+//! Sending of single requests, for tests that inspect one response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,9 +17,9 @@
 use super::prompt;
 use super::response::Response;
 
-/// Sends one request of a class on a connection of its own and reads its answer.
+/// Sends a request of a class on its own connection and reads the response.
 ///
-/// The class's `give_up` applies whatever its share.
+/// The class's `give_up` always applies, regardless of its share.
 pub async fn send_one(entry: SocketAddr, class: &LoadClass, marker: &str) -> Exchange {
     let client = Client::new(vec![entry], false);
     let outgoing = prepare(class, marker, entry, &mut StdRng::seed_from_u64(1), |_| {
@@ -28,7 +28,8 @@
     exchange::exchange(&client, outgoing).await
 }
 
-/// A request of a class, due now; `leaves` decides whether its caller gives up as planned.
+/// Prepares a request of a class that is due now; `gives_up` returns whether the class's `give_up`
+/// applies to it.
 pub(super) fn prepare(
     class: &LoadClass,
     marker: &str,
--- a/crates/standins/src/load/tokens.rs
+++ b/crates/standins/src/load/tokens.rs
@@ -1,9 +1,9 @@
-//! Checking the tokens of an answer: whose they are, and in which order they come.
+//! Checks of a response's tokens: that they belong to the request and are in order.
 
-/// Digits of a token's number that are read.
+/// Maximum number of digits parsed of a token's index.
 const MAX_DIGITS: usize = 9;
 
-/// The tokens of one answer.
+/// Checks the tokens of a response.
 #[derive(Debug)]
 pub(super) struct TokenChecker {
     prefix: Vec<u8>,
@@ -13,7 +13,7 @@
 }
 
 impl TokenChecker {
-    /// Expects tokens of the request with this marker.
+    /// Creates a checker for tokens of the request with this marker.
     pub(super) fn new(marker: &str) -> TokenChecker {
         TokenChecker {
             prefix: format!("{marker} ").into_bytes(),
@@ -35,14 +35,14 @@
         self.disordered
     }
 
-    /// Checks the text of one event, which is at most one token.
+    /// Checks an event, which contains at most one token.
     pub(super) fn check_event(&mut self, json: &[u8]) {
         if let Some(text) = content(json) {
             self.check_token(text);
         }
     }
 
-    /// Checks the text of a whole answer.
+    /// Checks the body of a response that isn't streamed.
     pub(super) fn check_body(&mut self, json: &[u8]) {
         let Some(mut rest) = content(json) else {
             self.disordered = true;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Checks one `MARKER NUMBER ` at the start of `text`; what follows it.
+    /// Checks a token `MARKER INDEX ` at the start of `text`; returns the rest.
     fn check_token<'a>(&mut self, text: &'a [u8]) -> &'a [u8] {
         let expected = self.count;
         self.count += 1;
@@ -70,7 +70,7 @@
     }
 }
 
-/// What follows the opening quote of the answer's text; none when it has no text.
+/// Returns what follows the opening quote of the response text, or `None` if there is no text.
 fn content(json: &[u8]) -> Option<&[u8]> {
     let text = std::str::from_utf8(json).ok()?;
     let after = |key: &str| text.find(key).map(|at| &text[at + key.len()..]);
