--- a/crates/standins/tests/all/batch.rs
+++ b/crates/standins/tests/all/batch.rs
@@ -1,4 +1,4 @@
-//! The model of continuous batching.
+//! The continuous batching model.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn queue_goes_by_priority_then_arrival() {
+fn queue_is_ordered_by_priority_then_arrival() {
     let mut batch = batch(1);
     let first = batch.submit(job(5, 1));
     let late = batch.submit(job(9, 1));
@@ -57,13 +57,13 @@
     };
     batch.submit(prompt);
     let steps: Vec<_> = (0..4).map(|_| step(&mut batch)).collect();
-    // 1000 prompt tokens take 50 ms beside the 10 ms of a step; the last step decodes.
+    // Prefilling 1000 tokens takes 50 ms in addition to the 10 ms of a step; the last step decodes.
     let expected = [(60.0, 0), (60.0, 0), (35.0, 0), (11.0, 1)];
     assert_eq!(steps, expected.map(|(ms, tokens)| (span(ms), tokens)));
 }
 
 #[test]
-fn cancelled_job_makes_room() {
+fn cancelled_job_frees_its_slot() {
     let mut batch = batch(1);
     let running = batch.submit(job(0, 1000));
     let waiting = batch.submit(job(0, 1000));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn full_kv_memory_holds_jobs_back() {
+fn full_kv_memory_keeps_jobs_queued() {
     let mut batch = batch(16);
     let big = Job {
         kv_tokens: 700,
--- a/crates/standins/tests/all/commands.rs
+++ b/crates/standins/tests/all/commands.rs
@@ -1,4 +1,4 @@
-//! The JSON of commands, as other processes send it.
+//! Deserialization of commands.
 
 use crocushold_standins::EngineCommand;
 use crocushold_standins::EngineSettings;
@@ -54,8 +54,8 @@
     assert!(from_str::<ServiceCommand>(json).is_ok());
 }
 
-/// A misspelt setting would otherwise leave the default in force, and the measurement would be of
-/// something else than the plan says.
+/// If a misspelt setting were ignored, its default would apply, and a measurement would differ from
+/// its plan.
 #[test]
 fn misspelt_setting_is_an_error() {
     assert!(from_str::<LoadPlan>(r#"{"second": 5}"#).is_err());
--- a/crates/standins/tests/all/engine.rs
+++ b/crates/standins/tests/all/engine.rs
@@ -1,4 +1,4 @@
-//! The engine over the wire.
+//! The engine over HTTP.
 
 use crocushold_standins::BatchSettings;
 use crocushold_standins::Cut;
@@ -14,7 +14,7 @@
 use crate::wire;
 
 #[async_std::test]
-async fn streamed_answer_carries_its_marker_in_every_token() {
+async fn streamed_response_contains_its_marker_in_each_token() {
     let engine = engine().await;
     let reply = chat(&engine, &request("mine", 3, true)).await;
     for token in 0..3 {
@@ -27,7 +27,7 @@
 }
 
 #[async_std::test]
-async fn whole_answer_has_its_length() {
+async fn response_without_stream_has_a_content_length() {
     let engine = engine().await;
     let reply = chat(&engine, &request("mine", 2, false)).await;
     let length = format!("content-length: {}", reply.body.len());
@@ -36,10 +36,11 @@
     assert_eq!(content, "mine 0 mine 1 ");
 }
 
-/// An engine is slowed so much that its step lasts minutes, and the fault ends while a request is in
-/// that step. The request must go on at once: a test's next request would else wait for the old step.
+/// An engine is slowed so much that a step takes minutes, and the fault ends while a request is in
+/// that step. The request must continue immediately, or else the next request of a test would wait
+/// for the old step.
 #[async_std::test]
-async fn a_step_does_not_outlast_the_slowness_in_which_it_began() {
+async fn a_step_in_progress_is_shortened_when_the_slowdown_ends() {
     let engine = engine().await;
     let slow = EngineCommand::Slow { factor: 1e6 };
     engine.command(slow).await.unwrap();
@@ -52,19 +53,19 @@
 }
 
 #[async_std::test]
-async fn text_completion_answers_in_its_own_form() {
+async fn text_completion_has_its_own_response_format() {
     let engine = engine().await;
     let body = json!({"prompt": "hello", "max_tokens": 1, "user": "mine"}).to_string();
     let reply = wire::post(engine.addr(), "/v1/completions", "", &body).await;
     assert_eq!(reply.json()["choices"][0]["text"], "mine 0 ");
 }
 
-/// The caller closes its connection while the engine generates, or while its request still queues.
-/// The engine must see it without writing, stop the work, and count it as wasted.
+/// The client disconnects while the engine generates tokens. The engine must detect this without
+/// writing, cancel the request and count it.
 #[test_case(true; "streamed")]
 #[test_case(false; "whole")]
 #[async_std::test]
-async fn hang_up_cancels_the_request(stream: bool) {
+async fn client_disconnect_cancels_the_request(stream: bool) {
     let engine = engine().await;
     let body = request("gone", 30_000, stream).to_string();
     let request = wire::post_request("/v1/chat/completions", "", &body);
@@ -76,15 +77,16 @@
         .await
         .unwrap();
     drop(conn);
-    wire::wait_until("the cancel", || engine.stats().cancelled == 1).await;
+    wire::wait_until("the request is cancelled", || engine.stats().cancelled == 1).await;
     let stats = engine.stats();
     assert_eq!((stats.running, stats.completed), (0, 0));
     assert_eq!(stats.cancellations[0].marker, "gone");
     assert!(stats.cancellations[0].after_us.is_some());
 }
 
-/// The caller receives two tokens and the end of the connection; each form of the cut breaks the
-/// framing in its own way, so that a reader who trusts the wrong sign takes the answer for whole.
+/// The client receives two tokens and the end of the connection. Each kind of cut breaks the
+/// message framing differently, so a reader that checks the wrong sign would accept the response as
+/// complete.
 #[test_case(CutFraming::Chunked, true)]
 #[test_case(CutFraming::Chunked, false)]
 #[test_case(CutFraming::Length, true)]
@@ -92,7 +94,7 @@
 #[test_case(CutFraming::Close, true)]
 #[test_case(CutFraming::Close, false)]
 #[async_std::test]
-async fn cut_answer_is_cut_on_the_wire(framing: CutFraming, stream: bool) {
+async fn cut_response_is_truncated_on_the_wire(framing: CutFraming, stream: bool) {
     let engine = engine().await;
     let cut = Some(Cut {
         after: 2,
@@ -118,10 +120,10 @@
     }
     let stats = engine.stats();
     assert_eq!((stats.failed, stats.useful_tokens), (1, 0));
-    // The batch may be ahead of what went out; those tokens are wasted too.
+    // The batch may have generated more tokens than were sent; those are counted as well.
     assert!((2..=5).contains(&stats.failed_tokens), "{stats:?}");
     let next = chat(&engine, &request("next", 1, true)).await;
-    assert!(next.body.contains("[DONE]"), "only one answer is cut");
+    assert!(next.body.contains("[DONE]"), "only one response is cut");
 }
 
 #[async_std::test]
@@ -132,7 +134,7 @@
     let body = request("mine", 3, true).to_string();
     let request = wire::post_request("/v1/chat/completions", "", &body);
     let conn = wire::send(engine.addr(), &request).await;
-    // The engine has generated everything, and still the caller waits.
+    // The engine has generated all tokens, and the client still waits.
     wire::wait_until("the batch is done", || {
         let stats = engine.stats();
         stats.started == 1 && stats.running + stats.waiting == 0
@@ -140,13 +142,16 @@
     .await;
     assert_eq!(engine.stats().completed, 0);
     drop(conn);
-    wire::wait_until("the caller is missed", || engine.stats().cancelled == 1).await;
+    wire::wait_until("the disconnect is detected", || {
+        engine.stats().cancelled == 1
+    })
+    .await;
 }
 
-/// The engine dies in the middle of an answer: the caller's connection ends, new ones are refused,
-/// and after the restart the lost request hasn't been completed.
+/// The engine crashes in the middle of a response: the client's connection is closed, new ones are
+/// refused, and the request isn't completed after the restart.
 #[async_std::test]
-async fn crash_ends_every_connection_until_the_restart() {
+async fn crash_closes_connections_and_refuses_new_ones_until_restart() {
     let engine = engine().await;
     let body = request("lost", 30_000, true).to_string();
     let request_text = wire::post_request("/v1/chat/completions", "", &body);
@@ -166,9 +171,9 @@
     assert_eq!((engine.stats().completed, engine.stats().cancelled), (1, 0));
 }
 
-/// A stopped engine accepts a request and does nothing with it; when it goes on, it answers late.
+/// A hung engine accepts a request without processing it, and responds after the fault ends.
 #[async_std::test]
-async fn hung_engine_answers_once_it_goes_on() {
+async fn hung_engine_responds_when_the_fault_ends() {
     let engine = engine().await;
     engine
         .command(EngineCommand::Hang { on: true })
@@ -191,10 +196,10 @@
     assert_eq!(wire::read_to_close(conn).await.status, 200);
 }
 
-#[test_case(true, 409, 2; "an engine that checks refuses")]
-#[test_case(false, 200, 1; "an engine that doesn't obeys")]
+#[test_case(true, 409, 2; "refused if the engine checks")]
+#[test_case(false, 200, 1; "accepted if it doesn't")]
 #[async_std::test]
-async fn order_with_an_old_fence(checks: bool, status: u16, fence: u64) {
+async fn order_with_an_older_fencing_token(checks: bool, status: u16, fence: u64) {
     let settings = EngineSettings {
         checks,
         load_ms: 0,
@@ -206,7 +211,7 @@
     assert_eq!(
         order(&engine, &load(2)).await.status,
         200,
-        "the same number isn't old"
+        "an equal token is accepted"
     );
     let old = order(&engine, &load(1)).await;
     assert_eq!((old.status, &old.json()["fence"]), (status, &json!(fence)));
@@ -215,7 +220,7 @@
 }
 
 #[async_std::test]
-async fn model_that_still_loads_is_not_served() {
+async fn model_that_is_still_loading_is_not_served() {
     let settings = EngineSettings {
         load_ms: 3_600_000,
         ..fast()
@@ -232,10 +237,10 @@
     assert_eq!(engine.stats().started, 0);
 }
 
-/// One request fills the batch, a long one of low priority queues, then a short one of high
-/// priority. Once there is room the short one goes first; else it would wait for the long one.
+/// One request fills the batch; a long request with a low priority is queued, then a short one with
+/// a high priority. If the queue ignored priorities, the short one would wait for the long one.
 #[async_std::test]
-async fn priority_of_the_body_orders_the_queue() {
+async fn queue_is_ordered_by_the_priority_in_the_body() {
     let batch = BatchSettings {
         batch_limit: 1,
         ..fast().batch
@@ -249,7 +254,7 @@
         let request = wire::post_request("/v1/chat/completions", "", &body.to_string());
         conns.push(wire::send(engine.addr(), &request).await);
         let settled = || (engine.stats().running, engine.stats().waiting) == (1, waiting);
-        wire::wait_until("the request is in its place", settled).await;
+        wire::wait_until("the request is running or queued", settled).await;
     }
     let short = conns.pop().unwrap();
     drop(conns.remove(0));
@@ -266,7 +271,7 @@
     let first = usage(chat(&engine, &request("one", 1, false)).await);
     let second = usage(chat(&engine, &request("two", 1, false)).await);
     assert_eq!(first.pointer(cached), Some(&json!(0)));
-    // 80% of the 100 tokens of the prompt.
+    // 80% of the 100 prompt tokens.
     assert_eq!(second.pointer(cached), Some(&json!(80)));
 }
 
--- a/crates/standins/tests/all/load.rs
+++ b/crates/standins/tests/all/load.rs
@@ -1,4 +1,4 @@
-//! The load generator, and what it takes for a whole answer.
+//! The load generator and its response checks.
 
 use async_std::io::ReadExt;
 use async_std::io::WriteExt;
@@ -30,7 +30,7 @@
 const CHUNKED: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 
 #[test]
-fn stream_is_read_the_same_however_its_bytes_arrive() {
+fn stream_is_parsed_regardless_of_how_its_bytes_are_split() {
     let answer = chunked(&["mine 0 ", "mine 1 ", "mine 2 "], true);
     for split in 0..answer.len() {
         let mut response = Response::new("mine", true);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn answer_without_its_last_chunk_is_not_whole() {
+fn response_without_its_last_chunk_is_incomplete() {
     let mut response = Response::new("mine", true);
     response
         .feed(chunked(&["mine 0 "], false).as_bytes())
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn bytes_after_the_answer_are_left() {
+fn bytes_after_the_response_are_not_consumed() {
     let mut response = Response::new("mine", false);
     let answer = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nokHTTP/1.1";
     assert_eq!(response.feed(answer.as_bytes()), Ok(answer.len() - 8));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn nonsense_is_malformed() {
+fn invalid_response_is_malformed() {
     let mut response = Response::new("mine", false);
     assert_eq!(response.feed(b"nonsense\r\n\r\n"), Err(MalformedResponse));
 }
@@ -127,7 +127,7 @@
 #[test_case(CutFraming::Close, true)]
 #[test_case(CutFraming::Close, false)]
 #[async_std::test]
-async fn cut_answer_is_recorded_as_cut(framing: CutFraming, stream: bool) {
+async fn truncated_response_is_recorded_as_cut(framing: CutFraming, stream: bool) {
     let engine = engine().await;
     let cut = Some(Cut {
         after: 2,
@@ -140,14 +140,20 @@
     assert_eq!(exchange.outcome, RequestOutcome::Cut);
 }
 
-/// A relay between caller and engine goes wrong although the framing of its answer is in order.
+/// A relay between client and engine sends wrong tokens, or ends the stream wrongly, although the
+/// message framing is valid.
 #[test_case(&["mine 0 ", "mine 1 "], true, "", RequestOutcome::Complete; "in order")]
 #[test_case(&["mine 0 "], true, "", RequestOutcome::Disordered; "its tail is missing")]
 #[test_case(&["mine 0 ", "other 1 "], true, "", RequestOutcome::Misdelivered; "another request's token")]
 #[test_case(&["mine 0 ", "mine 1 "], false, "0\r\n\r\n", RequestOutcome::Cut; "no end of the stream")]
 #[test_case(&["mine 0 ", "mine 1 "], true, "HTTP/1.1 200 OK", RequestOutcome::Cut; "bytes after its end")]
 #[async_std::test]
-async fn relayed_answer(tokens: &[&str], ended: bool, last: &str, outcome: RequestOutcome) {
+async fn relayed_response_is_checked(
+    tokens: &[&str],
+    ended: bool,
+    last: &str,
+    outcome: RequestOutcome,
+) {
     let answer = format!("{}{last}", chunked(tokens, ended));
     let listener = TcpListener::bind(wire::any_address()).await.unwrap();
     let entry = listener.local_addr().unwrap();
@@ -166,7 +172,7 @@
 }
 
 #[async_std::test]
-async fn refusals_and_unreachable_entries_are_told_apart() {
+async fn refusals_and_failed_connections_are_distinguished() {
     let engine = engine().await;
     let on = true;
     engine
@@ -184,7 +190,7 @@
 }
 
 #[async_std::test]
-async fn caller_who_leaves_as_planned_is_not_a_timeout() {
+async fn planned_disconnect_is_not_a_timeout() {
     let engine = engine().await;
     engine
         .command(EngineCommand::Hang { on: true })
@@ -209,7 +215,7 @@
 }
 
 #[async_std::test]
-async fn effect_had_twice_is_counted_as_doubled() {
+async fn repeated_side_effect_is_counted() {
     let settings = ServiceSettings::default();
     let service = PlainService::start(wire::any_address(), settings)
         .await
@@ -222,7 +228,7 @@
         targets: Targets::default(),
         ..class()
     };
-    // The run's first request will carry this marker too.
+    // The first request of the run has the same marker.
     wire::post(service.addr(), "/book", "x-marker: book.9.1\r\n", "{}").await;
     let plan = LoadPlan {
         entries: vec![service.addr()],
--- a/crates/standins/tests/all/main.rs
+++ b/crates/standins/tests/all/main.rs
@@ -1,6 +1,6 @@
-//! Tests of the stand-ins, over the wire where the wire matters.
+//! Integration tests of the stand-ins.
 
-// The exemption for tests that clippy.toml grants doesn't reach helpers and async tests.
+// The exemption for tests in clippy.toml doesn't cover helper functions and async tests.
 #![allow(clippy::unwrap_used)]
 
 mod batch;
--- a/crates/standins/tests/all/platform.rs
+++ b/crates/standins/tests/all/platform.rs
@@ -1,4 +1,4 @@
-//! The platform over the wire.
+//! The platform over HTTP.
 
 use async_std::task;
 use crocushold_standins::Handle;
@@ -25,9 +25,9 @@
 }
 
 #[async_std::test]
-async fn read_over_the_budget_is_told_when_to_come_back() {
+async fn read_beyond_the_budget_gets_a_retry_after() {
     let platform = platform(1).await;
-    // Two windows may meet in two reads, but not in three.
+    // A window may end between two of three reads, but not twice.
     let mut last = wire::get(platform.addr(), "/v1/config").await;
     for _ in 0..2 {
         if last.status == 200 {
@@ -41,7 +41,7 @@
 }
 
 #[async_std::test]
-async fn watch_ends_with_the_change_and_counts_once() {
+async fn watch_completes_on_a_change_and_counts_once() {
     let platform = platform(2000).await;
     let watch = task::spawn(wire::get(
         platform.addr(),
@@ -54,16 +54,16 @@
 }
 
 #[async_std::test]
-async fn watch_without_a_change_ends_with_the_unchanged_body() {
+async fn watch_without_a_change_returns_the_unchanged_index() {
     let platform = platform(2000).await;
     let path = "/v1/config/watch?after=0&wait-ms=20";
     assert_eq!(wire::get(platform.addr(), path).await.json()["revision"], 0);
 }
 
-/// A reader of a stopped platform gets a connection and then nothing, also on a watch that it began
-/// before; once the platform goes on, the calls are answered late.
+/// A frozen platform accepts connections without responding, also to a watch that started before
+/// the freeze. The responses follow when the fault ends.
 #[async_std::test]
-async fn frozen_platform_answers_only_after_it_thaws() {
+async fn frozen_platform_responds_only_after_the_fault_ends() {
     let platform = platform(2000).await;
     let watch = "/v1/config/watch?after=0&wait-ms=60000";
     let mut watch = task::spawn(wire::get(platform.addr(), watch));
@@ -72,7 +72,7 @@
     publish(&platform, "[a]\n").await;
     wire::wait_until("the watch sees it", || platform.stats().waiting == 0).await;
     let mut index = task::spawn(wire::get(platform.addr(), "/v1/config"));
-    // Answered on the control port, so the public one has had its chance.
+    // The control listener has responded, so the public one has had time to respond as well.
     assert_eq!(
         wire::get(platform.control_addr(), "/control/stats")
             .await
@@ -86,10 +86,10 @@
     assert_eq!(index.await.json()["revision"], 1);
 }
 
-/// A reader's waiting watch breaks off when the platform goes down, new connections are refused,
-/// and the control port alone can bring it back, at the same address.
+/// When the platform goes down, a pending watch is closed and new connections are refused. Only a
+/// command on the control listener can bring it back, at the same address.
 #[async_std::test]
-async fn down_platform_refuses_until_it_is_back() {
+async fn down_platform_refuses_connections_until_it_is_up() {
     let platform = platform(2000).await;
     let watch = "/v1/config/watch?after=0&wait-ms=60000";
     let watch = task::spawn(wire::get(platform.addr(), watch));
--- a/crates/standins/tests/all/process.rs
+++ b/crates/standins/tests/all/process.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as processes of their own.
+//! The stand-ins as separate processes.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -11,7 +11,7 @@
 
 use crate::wire;
 
-/// Ends the process with the test, also when the test fails.
+/// Kills the process when dropped, even if the test fails.
 struct Process(Child);
 
 impl Drop for Process {
@@ -25,7 +25,7 @@
 #[test_case(&["engine", "--model", "m"], "/v1/models", r#"{"kind":"crash"}"#)]
 #[test_case(&["service"], "/load", r#"{"kind":"crash"}"#)]
 #[async_std::test]
-async fn process_prints_its_addresses_and_takes_commands(args: &[&str], path: &str, down: &str) {
+async fn process_prints_its_addresses_and_accepts_commands(args: &[&str], path: &str, down: &str) {
     let (_process, lines) = start(args, 2);
     let listening = address(&lines[0], "listening=");
     let control = address(&lines[1], "control=");
--- a/crates/standins/tests/all/service.rs
+++ b/crates/standins/tests/all/service.rs
@@ -1,4 +1,4 @@
-//! The plain service over the wire.
+//! The plain service over HTTP.
 
 use crocushold_standins::Handle;
 use crocushold_standins::PlainService;
@@ -28,13 +28,13 @@
     assert_eq!(stats["repeated"]["slot-1"], 2);
 }
 
-/// The caller's connection closes without an answer, and from outside it can't be told whether the
-/// call had its effect: in one case it had, in the other it hadn't.
+/// A request fails, and the client can't tell from the failure whether the side effect took place;
+/// the number of effects differs by fault.
 #[test_case(ServiceFault::DropAfter, 1; "dropped after the effect")]
 #[test_case(ServiceFault::CrashAfter, 1; "crashed after the effect")]
-#[test_case(ServiceFault::Unavailable, 0; "answered without an effect")]
+#[test_case(ServiceFault::Unavailable, 0; "refused without an effect")]
 #[async_std::test]
-async fn fault_strikes_before_or_after_the_effect(fault: ServiceFault, effects: u64) {
+async fn fault_is_injected_before_or_after_the_effect(fault: ServiceFault, effects: u64) {
     let service = service().await;
     let times = Some(1);
     let command = ServiceCommand::Fault { fault, times };
@@ -50,16 +50,16 @@
 #[test_case(ServiceFault::HangBefore, 0; "before the effect")]
 #[test_case(ServiceFault::HangAfter, 1; "after the effect")]
 #[async_std::test]
-async fn hung_call_ends_when_its_caller_leaves(fault: ServiceFault, effects: u64) {
+async fn hung_request_ends_when_its_client_disconnects(fault: ServiceFault, effects: u64) {
     let service = service().await;
     let command = ServiceCommand::Fault { fault, times: None };
     service.command(command).await.unwrap();
     let request = wire::post_request("/book", "x-marker: slot\r\n", "{}");
     let conn = wire::send(service.addr(), &request).await;
-    wire::wait_until("the call runs", || service.stats().running == 1).await;
+    wire::wait_until("the request runs", || service.stats().running == 1).await;
     wire::wait_until("the effect", || service.effects("slot") == effects).await;
     drop(conn);
-    wire::wait_until("the call ends", || service.stats().running == 0).await;
+    wire::wait_until("the request ends", || service.stats().running == 0).await;
     assert_eq!(service.effects("slot"), effects);
 }
 
--- a/crates/standins/tests/all/wire.rs
+++ b/crates/standins/tests/all/wire.rs
@@ -1,4 +1,4 @@
-//! A client that shows the bytes of an answer as they came.
+//! An HTTP client that returns the bytes of a response as received.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use async_std::task;
 use serde_json::Value;
 
-/// Longest wait for anything that is expected to happen.
+/// Timeout for expected events.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An answer, read until the connection closed.
+/// A response, read until the connection closed.
 pub(crate) struct RawResponse {
     pub(crate) status: u16,
     pub(crate) head: String,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Any free port.
+/// Returns a loopback address with port 0, which selects a free port.
 pub(crate) fn any_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
@@ -49,19 +49,19 @@
     )
 }
 
-/// Opens a connection and sends bytes on it.
+/// Opens a connection and sends `request`.
 pub(crate) async fn send(addr: SocketAddr, request: &str) -> TcpStream {
     let mut conn = TcpStream::connect(addr).await.unwrap();
     conn.write_all(request.as_bytes()).await.unwrap();
     conn
 }
 
-/// Reads an answer until the connection closes.
+/// Reads a response until the connection closes.
 pub(crate) async fn read_to_close(mut conn: TcpStream) -> RawResponse {
     let mut bytes = Vec::new();
     let read = future::timeout(TIMEOUT, conn.read_to_end(&mut bytes)).await;
-    // A reset after the last byte is a close too.
-    let _ = read.expect("the connection closes in time");
+    // A connection reset counts as a close.
+    let _ = read.expect("the connection should close before the timeout");
     let text = String::from_utf8(bytes).unwrap();
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
     RawResponse {
@@ -71,11 +71,11 @@
     }
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds; panics after the timeout.
 pub(crate) async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < TIMEOUT, "never came true: {what}");
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting until: {what}");
         task::sleep(Duration::from_millis(1)).await;
     }
 }
