--- a/crates/measure/src/arrivals.rs
+++ b/crates/measure/src/arrivals.rs
@@ -118,7 +118,7 @@
 
 fn arrival(class: &ClassSpec, index: usize, due: f64, rng: &mut StdRng) -> Arrival {
     let tokens = match class.request_kind {
-        RequestKind::Model { output, .. } => output.draw(rng),
+        RequestKind::Model { output, .. } => output.sample(rng),
         RequestKind::Plain { .. } => 0,
     };
     Arrival {
--- a/crates/measure/src/drive.rs
+++ b/crates/measure/src/drive.rs
@@ -6,13 +6,13 @@
 use std::time::Instant;
 
 use async_std::task;
-use crocushold_standins::Lengths;
+use crocushold_standins::LengthDistribution;
 use crocushold_standins::load;
-use crocushold_standins::load::Ending;
 use crocushold_standins::load::Exchange;
 use crocushold_standins::load::GiveUp;
 use crocushold_standins::load::Header;
 use crocushold_standins::load::LoadClass;
+use crocushold_standins::load::RequestOutcome;
 
 use crate::arrivals::Arrival;
 use crate::scenario::MODEL;
@@ -42,8 +42,8 @@
     pub(crate) due: f64,
     /// Seconds between the due time and sending: the load generator's own delay.
     pub(crate) send_delay: f64,
-    /// How it ended; [`Ending::GaveUp`] when the run ended first.
-    pub(crate) ending: Ending,
+    /// How it ended; [`RequestOutcome::GaveUp`] when the run ended first.
+    pub(crate) ending: RequestOutcome,
     /// Whether it was refused with a `Retry-After` header.
     pub(crate) has_retry_after: bool,
     /// Whether the refusal states that the request wasn't run.
@@ -105,19 +105,21 @@
 }
 
 fn record(arrival: Arrival, marker: String, send_delay: f64, exchange: Exchange) -> RequestRecord {
-    let refused = exchange.ending == Ending::Refused;
+    let refused = exchange.outcome == RequestOutcome::Refused;
     let body = String::from_utf8_lossy(exchange.response.body());
     RequestRecord {
         class: arrival.class,
         marker,
         due: arrival.due,
         send_delay,
-        ending: exchange.ending,
+        ending: exchange.outcome,
         has_retry_after: refused && exchange.response.header("retry-after").is_some(),
         reported_not_run: refused && body.contains(NOT_RUN_FIELD),
-        first_token: exchange.first.map(|first| first.as_secs_f64() + send_delay),
-        gaps: exchange.gaps,
-        duration: exchange.whole.as_secs_f64() + send_delay,
+        first_token: exchange
+            .first_token
+            .map(|first_token| first_token.as_secs_f64() + send_delay),
+        gaps: exchange.token_gaps,
+        duration: exchange.duration.as_secs_f64() + send_delay,
         tokens: exchange.response.tokens(),
     }
 }
@@ -145,12 +147,12 @@
         } else {
             Vec::new()
         },
-        form: class.form(),
+        kind: class.form(),
         path: path.to_owned(),
         model: MODEL.to_owned(),
-        prompt: Lengths::fixed(prompt_bytes),
+        prompt: LengthDistribution::fixed(prompt_bytes),
         prefixes: 1,
-        output: Lengths::fixed(arrival.tokens.max(1)),
+        output: LengthDistribution::fixed(arrival.tokens.max(1)),
         stream,
         targets: class.targets,
         timeout_ms: class.timeout_ms,
--- a/crates/measure/src/relay.rs
+++ b/crates/measure/src/relay.rs
@@ -12,7 +12,7 @@
 use async_std::task;
 use crocushold_standins::BatchSettings;
 use crocushold_standins::EngineSettings;
-use crocushold_standins::load::Ending;
+use crocushold_standins::load::RequestOutcome;
 use futures::future::join;
 
 use crate::MeasureResult;
@@ -213,8 +213,12 @@
     let judged = |request: &&RequestRecord| {
         request.due >= TIMING.window_start && request.due < TIMING.end - TIMING.judging_margin
     };
-    let whole =
-        |request: &&RequestRecord| matches!(request.ending, Ending::Complete | Ending::GaveUp);
+    let whole = |request: &&RequestRecord| {
+        matches!(
+            request.ending,
+            RequestOutcome::Complete | RequestOutcome::GaveUp
+        )
+    };
     let judged: Vec<&RequestRecord> = all.iter().filter(judged).collect();
     let firsts: Vec<f64> = judged
         .iter()
--- a/crates/measure/src/scenario.rs
+++ b/crates/measure/src/scenario.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use crocushold_config::KeyDigest;
-use crocushold_standins::Lengths;
-use crocushold_standins::load::Form;
+use crocushold_standins::LengthDistribution;
+use crocushold_standins::load::RequestKind as LoadRequestKind;
 use crocushold_standins::load::Targets;
 
 /// Requests of a class.
@@ -16,7 +16,7 @@
         /// Share of the engines' capacity that the class requests at a demand level of 1.
         token_share: f64,
         /// Range of response lengths in tokens.
-        output: Lengths,
+        output: LengthDistribution,
         /// Length of the prompt in bytes.
         prompt_bytes: u32,
         /// Whether responses are streamed.
@@ -124,7 +124,7 @@
                 timeout_ms: 5_000,
                 request_kind: RequestKind::Model {
                     token_share: 0.2,
-                    output: Lengths { low: 16, high: 80 },
+                    output: LengthDistribution { low: 16, high: 80 },
                     prompt_bytes: 400,
                     stream: true,
                 },
@@ -139,7 +139,7 @@
                 timeout_ms: 20_000,
                 request_kind: RequestKind::Model {
                     token_share: 0.3,
-                    output: Lengths { low: 30, high: 160 },
+                    output: LengthDistribution { low: 30, high: 160 },
                     prompt_bytes: 800,
                     stream: false,
                 },
@@ -154,7 +154,7 @@
                 timeout_ms: BACKGROUND_TIMEOUT_MS,
                 request_kind: RequestKind::Model {
                     token_share: 0.5,
-                    output: Lengths { low: 60, high: 360 },
+                    output: LengthDistribution { low: 60, high: 360 },
                     prompt_bytes: 1600,
                     stream: true,
                 },
@@ -189,7 +189,7 @@
                 timeout_ms: 8_000,
                 request_kind: RequestKind::Model {
                     token_share: 0.2,
-                    output: Lengths { low: 16, high: 64 },
+                    output: LengthDistribution { low: 16, high: 64 },
                     prompt_bytes: 600,
                     stream: false,
                 },
@@ -204,7 +204,7 @@
                 timeout_ms: 12_000,
                 request_kind: RequestKind::Model {
                     token_share: 0.3,
-                    output: Lengths { low: 24, high: 120 },
+                    output: LengthDistribution { low: 24, high: 120 },
                     prompt_bytes: 1200,
                     stream: false,
                 },
@@ -219,7 +219,7 @@
                 timeout_ms: BACKGROUND_TIMEOUT_MS,
                 request_kind: RequestKind::Model {
                     token_share: 0.5,
-                    output: Lengths { low: 60, high: 360 },
+                    output: LengthDistribution { low: 60, high: 360 },
                     prompt_bytes: 1600,
                     stream: true,
                 },
@@ -251,7 +251,7 @@
             timeout_ms: BACKGROUND_TIMEOUT_MS,
             request_kind: RequestKind::Model {
                 token_share: 1.0,
-                output: Lengths::fixed(1),
+                output: LengthDistribution::fixed(1),
                 prompt_bytes: 400,
                 stream: true,
             },
@@ -280,10 +280,10 @@
 
 impl ClassSpec {
     /// Form of the requests that the load generator sends.
-    pub(crate) fn form(&self) -> Form {
+    pub(crate) fn form(&self) -> LoadRequestKind {
         match self.request_kind {
-            RequestKind::Model { .. } => Form::Chat,
-            RequestKind::Plain { .. } => Form::Call,
+            RequestKind::Model { .. } => LoadRequestKind::Chat,
+            RequestKind::Plain { .. } => LoadRequestKind::Call,
         }
     }
 
--- a/crates/measure/src/summary.rs
+++ b/crates/measure/src/summary.rs
@@ -6,7 +6,7 @@
 
 use crocushold_metrics::Exposition;
 use crocushold_standins::EngineStats;
-use crocushold_standins::load::Ending;
+use crocushold_standins::load::RequestOutcome;
 
 use crate::drive::RequestRecord;
 use crate::point::Timing;
@@ -171,7 +171,7 @@
             summary.judged += 1;
             summary.attained += u64::from(attained);
         }
-        if request.ending == Ending::Complete {
+        if request.ending == RequestOutcome::Complete {
             summary.count_late(request, class);
         }
     }
@@ -189,7 +189,10 @@
             self.repeated_non_idempotent += again;
         }
         self.falsely_reported_not_run += u64::from(request.reported_not_run && runs > 0);
-        let misdelivered = matches!(request.ending, Ending::Misdelivered | Ending::Disordered);
+        let misdelivered = matches!(
+            request.ending,
+            RequestOutcome::Misdelivered | RequestOutcome::Disordered
+        );
         self.misdelivered += u64::from(misdelivered);
     }
 
@@ -208,16 +211,18 @@
 
     fn count_ending(&mut self, request: &RequestRecord) {
         match request.ending {
-            Ending::Complete => self.completed += 1,
-            Ending::Refused if request.has_retry_after => self.refused += 1,
-            Ending::Refused if request.reported_not_run => self.refused_without_retry_after += 1,
-            Ending::Refused => self.unknown += 1,
-            Ending::Cut => self.cut += 1,
-            Ending::TimedOut => self.timed_out += 1,
-            Ending::Unconnected => self.connections_refused += 1,
+            RequestOutcome::Complete => self.completed += 1,
+            RequestOutcome::Refused if request.has_retry_after => self.refused += 1,
+            RequestOutcome::Refused if request.reported_not_run => {
+                self.refused_without_retry_after += 1;
+            }
+            RequestOutcome::Refused => self.unknown += 1,
+            RequestOutcome::Cut => self.cut += 1,
+            RequestOutcome::TimedOut => self.timed_out += 1,
+            RequestOutcome::ConnectFailed => self.connections_refused += 1,
             // The first two are counted in `count_runs`; the last was cut off by the end of the
             // measurement.
-            Ending::Misdelivered | Ending::Disordered | Ending::GaveUp => {}
+            RequestOutcome::Misdelivered | RequestOutcome::Disordered | RequestOutcome::GaveUp => {}
         }
     }
 }
@@ -237,7 +242,7 @@
 /// Whether the request met its targets; `None` when the measurement ended before that was known.
 fn targets_met(request: &RequestRecord, class: &ClassSpec) -> Option<bool> {
     let targets = class.targets;
-    if request.ending == Ending::GaveUp {
+    if request.ending == RequestOutcome::GaveUp {
         let open = request.duration;
         let first = request.first_token.unwrap_or(open);
         let late = !within_limit(first, targets.first_ms) || !within_limit(open, targets.whole_ms);
@@ -250,7 +255,7 @@
         .first_token
         .is_some_and(|first| within_limit(first, targets.first_ms));
     let whole = within_limit(request.duration, targets.whole_ms);
-    Some(request.ending == Ending::Complete && first && whole && gaps)
+    Some(request.ending == RequestOutcome::Complete && first && whole && gaps)
 }
 
 fn gaps_within(gaps: &[u32], ms: u64) -> bool {
@@ -267,12 +272,16 @@
         return 0.0;
     };
     let inside = |at: f64| timing.window_start <= at && at < timing.end;
-    let useful = matches!(request.ending, Ending::Complete | Ending::GaveUp);
+    let useful = matches!(
+        request.ending,
+        RequestOutcome::Complete | RequestOutcome::GaveUp
+    );
     if !useful {
         return 0.0;
     }
     if !stream {
-        let complete = request.ending == Ending::Complete && inside(request.due + request.duration);
+        let complete =
+            request.ending == RequestOutcome::Complete && inside(request.due + request.duration);
         return if complete { request.tokens as f64 } else { 0.0 };
     }
     let Some(first) = request.first_token else {
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,4 +1,5 @@
-//! A model engine: continuous batching, a prefix cache, streamed answers, lagged reports, orders.
+//! A model engine with continuous batching, a prefix cache, streamed responses, delayed load
+//! reports and orders.
 
 mod answer;
 mod batch;
@@ -22,13 +23,13 @@
 pub use batch::BatchSettings;
 pub use batch::Job;
 pub use batch::JobId;
-pub use batch::StepEnd;
+pub use batch::StepResult;
 pub use cache::prefix_hash;
 pub use command::EngineCommand;
 pub use command::EngineSettings;
 pub use fault::Cut;
-pub use fault::CutForm;
-pub use output::Lengths;
+pub use fault::CutFraming;
+pub use output::LengthDistribution;
 pub use server::Engine;
 pub use stats::Cancellation;
 pub use stats::EngineStats;
--- a/crates/standins/src/engine/batch.rs
+++ b/crates/standins/src/engine/batch.rs
@@ -1,8 +1,8 @@
 //! Continuous batching as a pure state machine.
 //!
-//! Time runs in steps. A step takes in waiting jobs up to the batch limit, prefills a bounded number
-//! of prompt tokens, and gives each job whose prompt is done one more token. It lasts longer the
-//! more jobs share it and the more prompt tokens it prefills.
+//! Time advances in steps. A step admits waiting jobs up to the batch limit, prefills a bounded
+//! number of prompt tokens, and generates one token for each job whose prefill is complete. Its
+//! duration grows with the number of decoding jobs and of prefilled tokens.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,21 +12,21 @@
 
 /// Speed and size of the batch.
 ///
-/// Steps are shorter than a millisecond's resolution allows, so their parts are fractions.
+/// The durations are fractional because whole milliseconds are too coarse for a step.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default, deny_unknown_fields)]
 pub struct BatchSettings {
-    /// Jobs that share a step.
+    /// Maximum number of jobs in a step.
     pub batch_limit: usize,
-    /// Time of a step without any job, in milliseconds.
+    /// Base duration of a step, in milliseconds.
     pub base_ms: f64,
-    /// Time that each job adds to a step, in milliseconds.
+    /// Duration that each decoding job adds to a step, in milliseconds.
     pub sequence_ms: f64,
-    /// Prompt tokens prefilled in a second.
+    /// Prompt tokens prefilled per second.
     pub prefill_rate: f64,
-    /// Prompt tokens prefilled in one step, at most.
+    /// Maximum number of prompt tokens prefilled in a step.
     pub prefill_chunk: u32,
-    /// Tokens of prompts and answers that fit into the KV memory.
+    /// Capacity of the KV cache memory, in tokens of prompts and responses.
     pub kv_tokens: u64,
 }
 
@@ -43,112 +43,112 @@
     }
 }
 
-/// Names a job; never used twice.
+/// Identifies a job; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
-/// A request as the batch sees it.
+/// A request to be scheduled in the batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// Lower is sooner.
+    /// Priority; lower values are scheduled first.
     pub priority: i64,
-    /// Prompt tokens that must be prefilled, less the cached ones.
+    /// Prompt tokens to prefill, without the cached ones.
     pub prefill: u32,
-    /// Tokens that the job holds in KV memory once it is done.
+    /// Tokens that the job reserves in the KV cache memory: its prompt and its response.
     pub kv_tokens: u32,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub length: u32,
 }
 
-/// What a step brought.
+/// The result of a step.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct StepEnd {
-    /// Jobs that got one more token, finished ones included.
+pub struct StepResult {
+    /// Jobs that generated a token, including finished ones.
     pub advanced: Vec<JobId>,
-    /// Jobs that are done and have left the batch.
+    /// Jobs that have finished and left the batch.
     pub finished: Vec<JobId>,
 }
 
 #[derive(Debug)]
-struct Running {
+struct RunningJob {
     id: JobId,
     kv_tokens: u32,
     prefill: u32,
-    left: u32,
-    decodes: bool,
+    remaining: u32,
+    decoding: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Turn {
+struct QueuePosition {
     priority: i64,
     id: JobId,
 }
 
-/// The batch and the queue before it.
+/// The batch and its queue.
 #[derive(Debug)]
 pub struct Batch {
     settings: BatchSettings,
     slow_factor: f64,
-    last: u64,
-    waiting: BTreeMap<Turn, Job>,
-    running: Vec<Running>,
+    last_id: u64,
+    waiting: BTreeMap<QueuePosition, Job>,
+    running: Vec<RunningJob>,
     kv_used: u64,
 }
 
 impl Batch {
-    /// An empty batch.
+    /// Creates an empty batch.
     pub fn new(settings: BatchSettings) -> Batch {
         Batch {
             settings,
             slow_factor: 1.0,
-            last: 0,
+            last_id: 0,
             waiting: BTreeMap::new(),
             running: Vec::new(),
             kv_used: 0,
         }
     }
 
-    /// Changes speed and size from the next step on.
+    /// Changes speed and size, starting with the next step.
     pub fn set_settings(&mut self, settings: BatchSettings) {
         self.settings = settings;
     }
 
-    /// Makes each later step last `factor` times as long.
+    /// Multiplies the duration of later steps by `factor`.
     pub fn set_slow(&mut self, factor: f64) {
         self.slow_factor = factor;
     }
 
-    /// The present settings.
+    /// Returns the current settings.
     pub fn settings(&self) -> &BatchSettings {
         &self.settings
     }
 
-    /// Jobs in the batch.
+    /// Returns the number of jobs in the batch.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Jobs in the queue.
+    /// Returns the number of jobs in the queue.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Share of the KV memory that is free.
+    /// Returns the free share of the KV cache memory.
     pub fn kv_free(&self) -> f64 {
         let total = self.settings.kv_tokens.max(1) as f64;
         (1.0 - self.kv_used as f64 / total).max(0.0)
     }
 
-    /// Queues a job behind those of the same or a sooner priority.
+    /// Queues a job behind all jobs with the same or a more urgent priority.
     pub fn submit(&mut self, job: Job) -> JobId {
-        self.last += 1;
-        let id = JobId(self.last);
+        self.last_id += 1;
+        let id = JobId(self.last_id);
         let priority = job.priority;
-        self.waiting.insert(Turn { priority, id }, job);
+        self.waiting.insert(QueuePosition { priority, id }, job);
         id
     }
 
-    /// Removes a job, queued or running; false when it has left already.
+    /// Removes a queued or running job; returns false if it has already left.
     pub fn cancel(&mut self, id: JobId) -> bool {
         if let Some(at) = self.running.iter().position(|r| r.id == id) {
             let job = self.running.remove(at);
@@ -156,53 +156,53 @@
             return true;
         }
         let before = self.waiting.len();
-        self.waiting.retain(|turn, _| turn.id != id);
+        self.waiting.retain(|position, _| position.id != id);
         self.waiting.len() < before
     }
 
-    /// Removes every job.
+    /// Removes all jobs.
     pub fn clear(&mut self) {
         self.waiting.clear();
         self.running.clear();
         self.kv_used = 0;
     }
 
-    /// Begins a step; its duration, or none when there is nothing to do.
+    /// Begins a step and returns its duration, or `None` if there are no jobs.
     pub fn begin_step(&mut self) -> Option<Duration> {
-        self.take_in();
+        self.admit();
         if self.running.is_empty() {
             return None;
         }
         let prefilled = self.prefill();
-        let decoding = self.running.iter().filter(|r| r.decodes).count();
+        let decoding_jobs = self.running.iter().filter(|r| r.decoding).count();
         let settings = &self.settings;
-        let decode_ms = settings.base_ms + settings.sequence_ms * decoding as f64;
+        let decode_ms = settings.base_ms + settings.sequence_ms * decoding_jobs as f64;
         let prefill_ms = f64::from(prefilled) / settings.prefill_rate * 1000.0;
         let ms = (decode_ms + prefill_ms) * self.slow_factor;
         Some(Duration::from_secs_f64(ms.max(0.01) / 1000.0))
     }
 
-    /// Ends the step that was begun last.
-    pub fn end_step(&mut self) -> StepEnd {
-        let mut end = StepEnd::default();
+    /// Ends the current step.
+    pub fn end_step(&mut self) -> StepResult {
+        let mut end = StepResult::default();
         for job in &mut self.running {
-            if !job.decodes {
-                // Its prompt may have been finished in this step: it decodes in the next one.
-                job.decodes = job.prefill == 0;
+            if !job.decoding {
+                // If this step completed the prefill, the job decodes from the next step on.
+                job.decoding = job.prefill == 0;
                 continue;
             }
-            job.left -= 1;
+            job.remaining -= 1;
             end.advanced.push(job.id);
-            if job.left == 0 {
+            if job.remaining == 0 {
                 end.finished.push(job.id);
                 self.kv_used -= u64::from(job.kv_tokens);
             }
         }
-        self.running.retain(|job| job.left > 0);
+        self.running.retain(|job| job.remaining > 0);
         end
     }
 
-    fn take_in(&mut self) {
+    fn admit(&mut self) {
         while self.running.len() < self.settings.batch_limit {
             let Some(first) = self.waiting.first_entry() else {
                 return;
@@ -212,19 +212,19 @@
             if !fits && !self.running.is_empty() {
                 return;
             }
-            let (turn, job) = first.remove_entry();
+            let (position, job) = first.remove_entry();
             self.kv_used += u64::from(kv_tokens);
-            self.running.push(Running {
-                id: turn.id,
+            self.running.push(RunningJob {
+                id: position.id,
                 kv_tokens,
                 prefill: job.prefill,
-                left: job.length.max(1),
-                decodes: job.prefill == 0,
+                remaining: job.length.max(1),
+                decoding: job.prefill == 0,
             });
         }
     }
 
-    /// Prefills prompts in the order of arrival in the batch; the tokens that were prefilled.
+    /// Prefills prompts in the order of admission; returns the number of prefilled tokens.
     fn prefill(&mut self) -> u32 {
         let mut budget = self.settings.prefill_chunk;
         for job in &mut self.running {
--- a/crates/standins/src/engine/progress.rs
+++ b/crates/standins/src/engine/progress.rs
@@ -1,4 +1,4 @@
-//! How far a job is, shared between the batch and the answer that relays it.
+//! The progress of a job, shared between the batch and the response.
 
 use std::sync::atomic::AtomicU8;
 use std::sync::atomic::AtomicU32;
@@ -7,22 +7,22 @@
 
 use futures::task::AtomicWaker;
 
-/// What became of a job.
+/// The state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Outcome {
-    /// It is queued or running.
-    Open,
-    /// All of its tokens are there.
+pub(super) enum JobState {
+    /// Queued or running.
+    Pending,
+    /// All tokens are generated.
     Complete,
-    /// The engine crashed.
+    /// Lost in a crash of the engine.
     Lost,
 }
 
-/// Tokens that were generated, counted without a lock: there are many a second.
+/// The progress of a job, without a lock because many tokens are generated per second.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
     tokens: AtomicU32,
-    outcome: AtomicU8,
+    state: AtomicU8,
     waker: AtomicWaker,
 }
 
@@ -31,31 +31,32 @@
         self.tokens.load(Ordering::Acquire)
     }
 
-    pub(super) fn outcome(&self) -> Outcome {
-        match self.outcome.load(Ordering::Acquire) {
-            0 => Outcome::Open,
-            1 => Outcome::Complete,
-            _ => Outcome::Lost,
+    pub(super) fn state(&self) -> JobState {
+        match self.state.load(Ordering::Acquire) {
+            0 => JobState::Pending,
+            1 => JobState::Complete,
+            _ => JobState::Lost,
         }
     }
 
-    /// Wakes `waker` at the next change. Register first, then look: a change in between isn't lost.
+    /// Registers `waker` for the next change. Call it before reading the progress, or else a change
+    /// in between is missed.
     pub(super) fn register(&self, waker: &Waker) {
         self.waker.register(waker);
     }
 
-    /// One more token, perhaps the last; the caller wakes afterwards.
+    /// Counts a generated token. The caller wakes the task afterwards.
     pub(super) fn advance(&self) {
         self.tokens.fetch_add(1, Ordering::Release);
     }
 
-    pub(super) fn end(&self, outcome: Outcome) {
-        let code = match outcome {
-            Outcome::Open => 0,
-            Outcome::Complete => 1,
-            Outcome::Lost => 2,
+    pub(super) fn finish(&self, state: JobState) {
+        let code = match state {
+            JobState::Pending => 0,
+            JobState::Complete => 1,
+            JobState::Lost => 2,
         };
-        self.outcome.store(code, Ordering::Release);
+        self.state.store(code, Ordering::Release);
     }
 
     pub(super) fn wake(&self) {
--- a/crates/standins/src/engine/request.rs
+++ b/crates/standins/src/engine/request.rs
@@ -1,4 +1,4 @@
-//! What an engine reads from a request.
+//! Parsing of completion requests.
 
 use http_types::StatusCode;
 use serde::Deserialize;
@@ -6,38 +6,38 @@
 
 use crate::port::Call;
 
-/// Length of an answer when nothing says otherwise, in tokens.
-const DEFAULT_LENGTH: u32 = 16;
+/// Default length of a response, in tokens.
+const DEFAULT_OUTPUT_TOKENS: u32 = 16;
 
-/// Longest answer, in tokens.
-const MAX_LENGTH: u32 = 32_768;
+/// Maximum length of a response, in tokens.
+const MAX_OUTPUT_TOKENS: u32 = 32_768;
 
-/// Bytes of prompt text to a token.
-const TOKEN_BYTES: usize = 4;
+/// Bytes of prompt text per token.
+const BYTES_PER_TOKEN: usize = 4;
 
-/// Header that marks a request when its body has no `user`.
-const MARKER: &str = "x-marker";
+/// Header with the marker of a request whose body has no `user`.
+const MARKER_HEADER: &str = "x-marker";
 
-/// Which of the two completion calls was made.
+/// The API of a completion request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Form {
+pub(super) enum CompletionKind {
     Chat,
     Text,
 }
 
-/// A request, read and checked.
+/// A parsed completion request.
 #[derive(Clone, Debug)]
-pub(super) struct Completion {
-    pub(super) form: Form,
+pub(super) struct CompletionRequest {
+    pub(super) kind: CompletionKind,
     pub(super) model: String,
     pub(super) marker: String,
     pub(super) prompt: String,
     pub(super) priority: i64,
     pub(super) stream: bool,
-    /// The length that the request fixes, known to the engine alone.
-    pub(super) target: Option<u32>,
-    /// The most tokens that the caller wants.
-    pub(super) limit: Option<u32>,
+    /// Length of the response, set by the request and known only to the engine.
+    pub(super) target_tokens: Option<u32>,
+    /// Maximum number of tokens that the client requests.
+    pub(super) max_tokens: Option<u32>,
 }
 
 #[derive(Deserialize)]
@@ -64,52 +64,57 @@
     user: Option<String>,
 }
 
-impl Completion {
-    /// Reads a request; the status to answer with when it can't be.
-    pub(super) fn read(form: Form, call: &Call) -> Result<Completion, StatusCode> {
+impl CompletionRequest {
+    /// Parses a request.
+    ///
+    /// # Errors
+    ///
+    /// Returns the status of the response if the body is invalid.
+    pub(super) fn read(kind: CompletionKind, call: &Call) -> Result<CompletionRequest, StatusCode> {
         let body: Body = serde_json::from_slice(&call.body).map_err(|_| StatusCode::BadRequest)?;
-        let prompt = match form {
-            Form::Chat => chat_prompt(&body.messages),
-            Form::Text => text(&body.prompt),
+        let prompt = match kind {
+            CompletionKind::Chat => chat_prompt(&body.messages),
+            CompletionKind::Text => prompt_text(&body.prompt),
         };
-        let header = || call.header(MARKER).map(str::to_owned);
-        Ok(Completion {
-            form,
+        let header = || call.header(MARKER_HEADER).map(str::to_owned);
+        Ok(CompletionRequest {
+            kind,
             model: body.model,
             marker: body.user.or_else(header).unwrap_or_default(),
             prompt,
             priority: body.priority,
             stream: body.stream,
-            target: body.target_tokens,
-            limit: body.max_tokens,
+            target_tokens: body.target_tokens,
+            max_tokens: body.max_tokens,
         })
     }
 
-    /// Tokens of the prompt, at least one.
+    /// Returns the number of tokens of the prompt, at least 1.
     pub(super) fn prompt_tokens(&self) -> u32 {
-        self.prompt.len().div_ceil(TOKEN_BYTES).max(1) as u32
+        self.prompt.len().div_ceil(BYTES_PER_TOKEN).max(1) as u32
     }
 
-    /// Tokens of the answer; `drawn` is the length that a distribution gave, if one is set.
-    pub(super) fn length(&self, drawn: Option<u32>) -> u32 {
-        let wanted = self
-            .target
-            .or(drawn)
-            .or(self.limit)
-            .unwrap_or(DEFAULT_LENGTH);
-        wanted
-            .min(self.limit.unwrap_or(MAX_LENGTH))
-            .clamp(1, MAX_LENGTH)
+    /// Returns the number of tokens of the response; `sampled` is the length sampled from the
+    /// engine's distribution, if it has one.
+    pub(super) fn output_tokens(&self, sampled: Option<u32>) -> u32 {
+        let requested = self
+            .target_tokens
+            .or(sampled)
+            .or(self.max_tokens)
+            .unwrap_or(DEFAULT_OUTPUT_TOKENS);
+        requested
+            .min(self.max_tokens.unwrap_or(MAX_OUTPUT_TOKENS))
+            .clamp(1, MAX_OUTPUT_TOKENS)
     }
 }
 
-/// The prompt text of a chat: the contents of its messages, one a line.
+/// Returns the prompt of a chat: the contents of its messages, one per line.
 fn chat_prompt(messages: &[Message]) -> String {
-    let contents: Vec<String> = messages.iter().map(|m| text(&m.content)).collect();
+    let contents: Vec<String> = messages.iter().map(|m| prompt_text(&m.content)).collect();
     contents.join("\n")
 }
 
-fn text(value: &Value) -> String {
+fn prompt_text(value: &Value) -> String {
     match value {
         Value::Null => String::new(),
         Value::String(text) => text.clone(),
--- a/crates/standins/src/engine/stats.rs
+++ b/crates/standins/src/engine/stats.rs
@@ -8,43 +8,43 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How many markers are counted one by one.
-const MARKERS: usize = 200_000;
+/// Maximum number of markers whose runs are counted.
+const MAX_MARKERS: usize = 200_000;
 
-/// How many cancellations are listed.
-const CANCELLATIONS: usize = 1024;
+/// Maximum number of cancellations kept.
+const MAX_CANCELLATIONS: usize = 1024;
 
-/// A request that was cancelled because its caller closed the connection.
+/// A request that was cancelled because its client disconnected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Cancellation {
-    /// The request's marker.
+    /// Marker of the request.
     pub marker: String,
-    /// When it was cancelled, in microseconds since the Unix epoch.
+    /// Time of the cancellation, in microseconds since the Unix epoch.
     pub at_us: u64,
-    /// Tokens that were generated for nothing.
+    /// Tokens generated before the cancellation.
     pub tokens: u32,
-    /// Microseconds between the caller's hang-up and the cancel, when a `hang-up` command told the
-    /// engine of it.
+    /// Microseconds between the disconnect and the cancellation, if a `hang-up` command reported
+    /// the disconnect.
     pub after_us: Option<u64>,
 }
 
-/// How many orders are listed.
-const ORDERS: usize = 1024;
+/// Maximum number of orders kept.
+const MAX_ORDERS: usize = 1024;
 
 /// An order that was carried out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct OrderRecord {
-    /// When it came, in microseconds since the Unix epoch.
+    /// Time of the order, in microseconds since the Unix epoch.
     pub at_us: u64,
-    /// Its fencing number.
+    /// Fencing token.
     pub fence: u64,
     /// `load`, `unload` or `role`.
     pub kind: String,
     /// The model or the role.
     pub subject: String,
-    /// Whether it changed anything: a load of a model that is there asks nothing of the weight store.
+    /// Whether it changed anything; loading a model that is already there needs no weight store.
     pub changed: bool,
 }
 
@@ -52,39 +52,39 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct EngineStats {
-    /// Requests that entered the queue.
+    /// Requests admitted to the queue.
     pub started: u64,
-    /// Requests whose whole answer was handed to the connection.
+    /// Requests whose complete response was handed to the connection.
     pub completed: u64,
-    /// Requests whose caller closed the connection first.
+    /// Requests whose client disconnected before the end, also during a stall.
     pub cancelled: u64,
-    /// Requests cut, stalled until the caller left, or lost in a crash.
+    /// Requests that were truncated or lost in a crash.
     pub failed: u64,
-    /// Requests answered with an error status.
+    /// Requests that received an error status.
     pub refused: u64,
     /// Tokens of completed requests.
     pub useful_tokens: u64,
-    /// Tokens of requests whose caller closed the connection.
+    /// Tokens of cancelled requests.
     pub cancelled_tokens: u64,
-    /// Tokens of requests cut, or lost in a crash.
+    /// Tokens of failed requests.
     pub failed_tokens: u64,
     /// Prompts whose prefix was cached.
     pub prefix_hits: u64,
-    /// Prompts whose prefix wasn't.
+    /// Prompts whose prefix wasn't cached.
     pub prefix_misses: u64,
     /// Orders that were carried out.
     pub orders_done: u64,
-    /// Orders refused for an old fencing number.
+    /// Orders refused because of an older fencing token.
     pub orders_refused: u64,
-    /// Requests in the batch now.
+    /// Requests in the batch.
     pub running: u64,
-    /// Requests in the queue now.
+    /// Requests in the queue.
     pub waiting: u64,
-    /// Markers that ran more than once, with their runs.
+    /// Number of runs of each marker that ran more than once.
     pub repeated: BTreeMap<String, u64>,
-    /// Different markers seen.
+    /// Distinct markers counted.
     pub markers: u64,
-    /// Requests whose marker wasn't counted, because there are too many.
+    /// Requests whose marker wasn't counted because the maximum number of markers was reached.
     pub uncounted: u64,
     /// The latest cancellations.
     pub cancellations: Vec<Cancellation>,
@@ -92,78 +92,79 @@
     pub orders: Vec<OrderRecord>,
 }
 
-/// Runs by marker, and the counters.
+/// Counters and run counts by marker.
 #[derive(Debug, Default)]
-pub(super) struct Tally {
-    pub(super) counts: EngineStats,
+pub(super) struct Counters {
+    pub(super) stats: EngineStats,
     runs: HashMap<String, u64>,
-    hang_ups: BTreeMap<String, u64>,
+    disconnects: BTreeMap<String, u64>,
 }
 
-impl Tally {
+impl Counters {
     /// Counts a run of `marker`.
-    pub(super) fn run(&mut self, marker: &str) {
-        self.counts.started += 1;
+    pub(super) fn record_run(&mut self, marker: &str) {
+        self.stats.started += 1;
         if let Some(runs) = self.runs.get_mut(marker) {
             *runs += 1;
-            self.counts.repeated.insert(marker.to_owned(), *runs);
-        } else if self.runs.len() < MARKERS {
+            self.stats.repeated.insert(marker.to_owned(), *runs);
+        } else if self.runs.len() < MAX_MARKERS {
             self.runs.insert(marker.to_owned(), 1);
-            self.counts.markers += 1;
+            self.stats.markers += 1;
         } else {
-            self.counts.uncounted += 1;
+            self.stats.uncounted += 1;
         }
     }
 
-    /// How often `marker` ran.
+    /// Returns how often `marker` ran.
     pub(super) fn runs(&self, marker: &str) -> u64 {
         self.runs.get(marker).copied().unwrap_or(0)
     }
 
-    /// How often each marker ran.
-    pub(super) fn all_runs(&self) -> HashMap<String, u64> {
+    /// Returns how often each marker ran.
+    pub(super) fn runs_by_marker(&self) -> HashMap<String, u64> {
         self.runs.clone()
     }
 
-    /// Notes that the caller of `marker` hangs up now.
-    pub(super) fn hang_up(&mut self, marker: String) {
+    /// Records that the client of `marker` disconnects now.
+    pub(super) fn record_disconnect(&mut self, marker: String) {
         let now = unix_micros();
-        let listed = self.counts.cancellations.iter_mut();
-        // The cancel may have come first; the two messages travel by different ways.
-        let mut same = listed.filter(|c| c.marker == marker);
+        let cancellations = self.stats.cancellations.iter_mut();
+        // The command and the disconnect arrive on different connections, so the cancellation may
+        // have been recorded first.
+        let mut same = cancellations.filter(|c| c.marker == marker);
         if let Some(cancellation) = same.next_back() {
             cancellation.after_us.get_or_insert(0);
             return;
         }
-        if self.hang_ups.len() < CANCELLATIONS {
-            self.hang_ups.insert(marker, now);
+        if self.disconnects.len() < MAX_CANCELLATIONS {
+            self.disconnects.insert(marker, now);
         }
     }
 
-    /// Counts a request whose caller left.
-    pub(super) fn cancelled(&mut self, marker: &str, tokens: u32) {
+    /// Counts a request whose client disconnected.
+    pub(super) fn record_cancellation(&mut self, marker: &str, tokens: u32) {
         let at_us = unix_micros();
-        let hung_up = self.hang_ups.remove(marker);
-        self.counts.cancelled += 1;
-        self.counts.cancelled_tokens += u64::from(tokens);
-        if self.counts.cancellations.len() == CANCELLATIONS {
-            self.counts.cancellations.remove(0);
+        let disconnected_at = self.disconnects.remove(marker);
+        self.stats.cancelled += 1;
+        self.stats.cancelled_tokens += u64::from(tokens);
+        if self.stats.cancellations.len() == MAX_CANCELLATIONS {
+            self.stats.cancellations.remove(0);
         }
-        self.counts.cancellations.push(Cancellation {
+        self.stats.cancellations.push(Cancellation {
             marker: marker.to_owned(),
             at_us,
             tokens,
-            after_us: hung_up.map(|at| at_us.saturating_sub(at)),
+            after_us: disconnected_at.map(|at| at_us.saturating_sub(at)),
         });
     }
 
     /// Counts an order that was carried out.
-    pub(super) fn ordered(&mut self, fence: u64, kind: &str, subject: &str, changed: bool) {
-        self.counts.orders_done += 1;
-        if self.counts.orders.len() == ORDERS {
-            self.counts.orders.remove(0);
+    pub(super) fn record_order(&mut self, fence: u64, kind: &str, subject: &str, changed: bool) {
+        self.stats.orders_done += 1;
+        if self.stats.orders.len() == MAX_ORDERS {
+            self.stats.orders.remove(0);
         }
-        self.counts.orders.push(OrderRecord {
+        self.stats.orders.push(OrderRecord {
             at_us: unix_micros(),
             fence,
             kind: kind.to_owned(),
@@ -172,16 +173,16 @@
         });
     }
 
-    /// Counts a request that ended by a fault of the engine.
-    pub(super) fn failed(&mut self, tokens: u32) {
-        self.counts.failed += 1;
-        self.counts.failed_tokens += u64::from(tokens);
+    /// Counts a request that was ended by a fault.
+    pub(super) fn record_failure(&mut self, tokens: u32) {
+        self.stats.failed += 1;
+        self.stats.failed_tokens += u64::from(tokens);
     }
 
-    /// Counts a request whose answer went out whole.
-    pub(super) fn completed(&mut self, tokens: u32) {
-        self.counts.completed += 1;
-        self.counts.useful_tokens += u64::from(tokens);
+    /// Counts a request whose complete response was sent.
+    pub(super) fn record_completion(&mut self, tokens: u32) {
+        self.stats.completed += 1;
+        self.stats.useful_tokens += u64::from(tokens);
     }
 }
 
--- a/crates/standins/src/handle.rs
+++ b/crates/standins/src/handle.rs
@@ -20,49 +20,49 @@
 use serde::de::DeserializeOwned;
 
 use crate::port::Call;
-use crate::port::Effect;
 use crate::port::Endpoint;
 use crate::port::Port;
+use crate::port::PortAction;
 use crate::reply;
 
-/// Path of the commands.
-const CONTROL: &str = "/control";
+/// Path that accepts commands.
+const CONTROL_PATH: &str = "/control";
 
-/// Path of the counters.
-const STATS: &str = "/control/stats";
+/// Path that returns the counters.
+const STATS_PATH: &str = "/control/stats";
 
-/// Path of the runs by marker.
-const RUNS: &str = "/control/runs";
+/// Path that returns the run counts by marker.
+const RUNS_PATH: &str = "/control/runs";
 
-/// One kind of stand-in: what it answers, and the commands it takes.
+/// The behavior of one kind of stand-in: its responses, commands and counters.
 pub trait Standin: Send + Sync + 'static {
-    /// A command, as JSON on `POST /control`.
+    /// Command type, received as JSON on `POST /control`.
     type Command: DeserializeOwned + Send;
 
-    /// The counters, as JSON on `GET /control/stats`.
+    /// Counter type, returned as JSON on `GET /control/stats`.
     type Stats: Serialize;
 
-    /// Answers one call. An error closes the connection without an answer.
-    fn answer(self: Arc<Self>, call: Call) -> BoxFuture<'static, http_types::Result<Response>>;
+    /// Responds to a request. An error closes the connection without a response.
+    fn respond(self: Arc<Self>, call: Call) -> BoxFuture<'static, http_types::Result<Response>>;
 
-    /// Applies a command; the result says what happens to the listening port.
-    fn command(&self, command: Self::Command) -> Effect;
+    /// Applies a command and returns what to do with the public listener.
+    fn command(&self, command: Self::Command) -> PortAction;
 
-    /// The present counters.
+    /// Returns the current counters.
     fn stats(&self) -> Self::Stats;
 
-    /// How often each marked request ran, or had its effect; JSON on `GET /control/runs`.
-    fn all_runs(&self) -> HashMap<String, u64> {
+    /// Returns how often each marker ran or took effect; JSON on `GET /control/runs`.
+    fn runs_by_marker(&self) -> HashMap<String, u64> {
         HashMap::new()
     }
 
-    /// Work that goes on while no call waits.
+    /// Runs in the background, independently of requests.
     fn background(self: Arc<Self>) -> BoxFuture<'static, ()> {
         futures::future::ready(()).boxed()
     }
 }
 
-/// A running stand-in. It stops when the handle is dropped.
+/// A running stand-in, which stops when the handle is dropped.
 pub struct Handle<S: Standin> {
     standin: Arc<S>,
     port: Arc<Port>,
@@ -71,11 +71,11 @@
 }
 
 impl<S: Standin> Handle<S> {
-    /// Starts `standin` on `addr` (port 0: any free one) and its control port beside it.
+    /// Starts `standin` on `addr` (port 0 selects a free port) and a control listener on a free port.
     ///
     /// # Errors
     ///
-    /// Fails when an address can't be bound.
+    /// Returns an error if an address can't be bound.
     pub async fn start(standin: S, addr: SocketAddr) -> io::Result<Handle<S>> {
         let standin = Arc::new(standin);
         let cell = Arc::new(OnceLock::new());
@@ -93,35 +93,35 @@
         })
     }
 
-    /// The address that the stand-in answers on.
+    /// Returns the public address.
     pub fn addr(&self) -> SocketAddr {
         self.port.addr()
     }
 
-    /// The address that takes commands also while the stand-in's own is down.
+    /// Returns the control address, which accepts commands even while the public listener is down.
     pub fn control_addr(&self) -> SocketAddr {
         self.control.addr()
     }
 
-    /// The present counters.
+    /// Returns the current counters.
     pub fn stats(&self) -> S::Stats {
         self.standin.stats()
     }
 
-    /// Applies one command and waits until it is in force.
+    /// Applies a command and waits until it has taken effect.
     ///
     /// # Errors
     ///
-    /// Fails when the port can't be bound again.
+    /// Returns an error if the public address can't be bound again.
     pub async fn command(&self, command: S::Command) -> io::Result<()> {
-        let effect = self.standin.command(command);
-        self.port.apply(effect).await
+        let action = self.standin.command(command);
+        self.port.apply(action).await
     }
 
-    /// Stops listening and closes every connection.
+    /// Stops listening and closes all connections.
     pub async fn stop(mut self) {
-        let _ = self.port.apply(Effect::Crash).await;
-        let _ = self.control.apply(Effect::Crash).await;
+        let _ = self.port.apply(PortAction::Crash).await;
+        let _ = self.control.apply(PortAction::Crash).await;
         if let Some(background) = self.background.take() {
             background.cancel().await;
         }
@@ -138,8 +138,8 @@
 
 impl<S: Standin> Drop for Handle<S> {
     fn drop(&mut self) {
-        self.port.abandon();
-        self.control.abandon();
+        self.port.shut_down();
+        self.control.shut_down();
         if let Some(background) = self.background.take() {
             task::spawn(background.cancel());
         }
@@ -164,20 +164,20 @@
         let standin = Arc::clone(&standin);
         call.port = port.get().cloned().unwrap_or_default();
         match (call.request.method(), call.request.url().path()) {
-            (Method::Post, CONTROL) => control(standin, call).boxed(),
-            (Method::Get, STATS) => {
+            (Method::Post, CONTROL_PATH) => control(standin, call).boxed(),
+            (Method::Get, STATS_PATH) => {
                 let response = reply::json(StatusCode::Ok, &standin.stats());
                 futures::future::ready(Ok(response)).boxed()
             }
-            (Method::Get, RUNS) => {
-                let response = reply::json(StatusCode::Ok, &standin.all_runs());
+            (Method::Get, RUNS_PATH) => {
+                let response = reply::json(StatusCode::Ok, &standin.runs_by_marker());
                 futures::future::ready(Ok(response)).boxed()
             }
             _ if listener == Listener::Control => {
                 let response = reply::error(StatusCode::NotFound, "not_found");
                 futures::future::ready(Ok(response)).boxed()
             }
-            _ => standin.answer(call),
+            _ => standin.respond(call),
         }
     })
 }
@@ -189,7 +189,7 @@
             return Ok(reply::error(StatusCode::BadRequest, &error.to_string()));
         }
     };
-    let effect = standin.command(command);
-    call.apply(effect).await;
+    let action = standin.command(command);
+    call.apply(action).await;
     Ok(Response::new(StatusCode::NoContent))
 }
--- a/crates/standins/src/load/client.rs
+++ b/crates/standins/src/load/client.rs
@@ -1,4 +1,4 @@
-//! Connections to the entry addresses.
+//! The pool of connections to the entry addresses.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -13,28 +13,28 @@
 
 use crate::port;
 
-/// Longest wait for a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A connection that has been idle for longer isn't used again.
+/// Maximum idle time of a connection that is reused.
 const MAX_IDLE: Duration = Duration::from_secs(1);
 
-/// A connection, and whether it has carried a request before.
-pub(super) struct Conn {
+/// A connection and the index of its entry address.
+pub(super) struct EntryConnection {
     pub(super) stream: TcpStream,
     pub(super) entry: usize,
 }
 
-struct Idle {
-    conn: Conn,
+struct IdleConnection {
+    conn: EntryConnection,
     since: Instant,
 }
 
-/// The entry addresses, taken in turn, with their idle connections.
+/// The entry addresses, selected round-robin, with their idle connections.
 pub(super) struct Client {
     entries: Vec<SocketAddr>,
-    idle: Vec<Mutex<Vec<Idle>>>,
-    turn: AtomicUsize,
+    idle: Vec<Mutex<Vec<IdleConnection>>>,
+    next_entry: AtomicUsize,
     keep_alive: bool,
 }
 
@@ -44,57 +44,57 @@
         Client {
             entries,
             idle,
-            turn: AtomicUsize::new(0),
+            next_entry: AtomicUsize::new(0),
             keep_alive,
         }
     }
 
-    /// An address for the `host` header.
+    /// Returns the address for the `host` header.
     pub(super) fn host(&self) -> SocketAddr {
         self.entries[0]
     }
 
-    /// A connection to the next entry that takes one, as a balancer would choose it.
+    /// Returns a connection to the next entry address that accepts one, as a load balancer would.
     ///
     /// # Errors
     ///
-    /// Fails when every entry refuses.
-    pub(super) async fn connect(&self) -> io::Result<Conn> {
-        let mut last = io::Error::from(io::ErrorKind::NotConnected);
+    /// Returns the last error if no entry address accepts a connection.
+    pub(super) async fn connect(&self) -> io::Result<EntryConnection> {
+        let mut last_error = io::Error::from(io::ErrorKind::NotConnected);
         for _ in 0..self.entries.len() {
-            let entry = self.turn.fetch_add(1, Ordering::Relaxed) % self.entries.len();
+            let entry = self.next_entry.fetch_add(1, Ordering::Relaxed) % self.entries.len();
             if let Some(conn) = self.take_idle(entry) {
                 return Ok(conn);
             }
             match self.connect_to(entry).await {
                 Ok(conn) => return Ok(conn),
-                Err(error) => last = error,
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    /// Keeps a connection whose answer was whole for a later request.
-    pub(super) fn give_back(&self, conn: Conn) {
+    /// Returns a connection to the pool after a complete response.
+    pub(super) fn release(&self, conn: EntryConnection) {
         if !self.keep_alive {
             return;
         }
         let since = Instant::now();
         let entry = conn.entry;
-        port::lock(&self.idle[entry]).push(Idle { conn, since });
+        port::lock(&self.idle[entry]).push(IdleConnection { conn, since });
     }
 
-    async fn connect_to(&self, entry: usize) -> io::Result<Conn> {
+    async fn connect_to(&self, entry: usize) -> io::Result<EntryConnection> {
         let connecting = TcpStream::connect(self.entries[entry]);
         let stream = io::timeout(CONNECT_TIMEOUT, connecting).await?;
         stream.set_nodelay(true)?;
-        Ok(Conn { stream, entry })
+        Ok(EntryConnection { stream, entry })
     }
 
-    fn take_idle(&self, entry: usize) -> Option<Conn> {
+    fn take_idle(&self, entry: usize) -> Option<EntryConnection> {
         let mut idle = port::lock(&self.idle[entry]);
-        while let Some(Idle { conn, since }) = idle.pop() {
-            // The other side may have closed it: a request sent then would look like one cut.
+        while let Some(IdleConnection { conn, since }) = idle.pop() {
+            // The server may have closed it; a request sent on it would be recorded as cut.
             let mut byte = [0];
             let closed = conn.stream.peek(&mut byte).now_or_never().is_some();
             if !closed && since.elapsed() < MAX_IDLE {
--- a/crates/standins/src/load/exchange.rs
+++ b/crates/standins/src/load/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer.
+//! A request and its response.
 
 use std::io;
 use std::time::Duration;
@@ -12,63 +12,64 @@
 use super::client::Client;
 use super::response::Response;
 
-/// Bytes read from a connection at a time.
-const READ_BYTES: usize = 16 * 1024;
+/// Size of the buffer for reads from a connection.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// How a request ended, as its caller sees it.
+/// The outcome of a request, as the client observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// The whole answer arrived, and it was the request's own.
+pub enum RequestOutcome {
+    /// A complete response arrived, and it belongs to the request.
     Complete,
-    /// An error status came.
+    /// The response has an error status.
     Refused,
-    /// The answer, or the connection before it, ended early.
+    /// The response was truncated, or the connection ended before it.
     Cut,
-    /// Tokens of another request came.
+    /// The response contains tokens of another request.
     Misdelivered,
-    /// Tokens were missing, repeated or out of order in an answer that claims to be whole.
+    /// Tokens are missing, repeated or out of order in a response that claims to be complete.
     Disordered,
-    /// Nothing more came in time.
+    /// The response wasn't complete before the timeout.
     TimedOut,
-    /// The caller left as planned.
+    /// The client disconnected as planned.
     GaveUp,
-    /// No entry took the connection.
-    Unconnected,
+    /// No entry address accepted a connection.
+    ConnectFailed,
 }
 
-/// What was seen of one request.
+/// The observed result of a request.
 #[derive(Debug)]
 pub struct Exchange {
-    /// How it ended.
-    pub ending: Ending,
-    /// The answer, as far as it came.
+    /// Outcome of the request.
+    pub outcome: RequestOutcome,
+    /// The response, as far as it was received.
     pub response: Response,
-    /// When the first token, or the head of an answer that isn't streamed, came; counted from the time due.
-    pub first: Option<Duration>,
-    /// The gaps between tokens, in microseconds.
-    pub gaps: Vec<u32>,
-    /// When it ended; counted from the time due.
-    pub whole: Duration,
+    /// Time from the scheduled start to the first token, or to the head of a response that isn't
+    /// streamed.
+    pub first_token: Option<Duration>,
+    /// Times between consecutive tokens, in microseconds.
+    pub token_gaps: Vec<u32>,
+    /// Time from the scheduled start to the end.
+    pub duration: Duration,
 }
 
-/// When a caller stops waiting.
+/// The limits after which a client stops waiting.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Patience {
+pub(super) struct WaitLimits {
     pub(super) timeout: Duration,
     pub(super) give_up: Option<Duration>,
 }
 
-/// A request that is ready to be sent.
-pub(super) struct Outgoing {
+/// A request to be sent.
+pub(super) struct OutgoingRequest {
     pub(super) bytes: Vec<u8>,
     pub(super) response: Response,
-    /// Tokens that the answer must have; none for a plain call.
+    /// Expected number of tokens in the response; `None` for a plain call.
     pub(super) tokens: Option<u64>,
     pub(super) due: Instant,
-    pub(super) patience: Patience,
+    pub(super) limits: WaitLimits,
 }
 
-struct Reading {
+struct ResponseReader {
     response: Response,
     tokens: Option<u64>,
     due: Instant,
@@ -77,13 +78,13 @@
     gaps: Vec<u32>,
 }
 
-/// Sends a request and reads its answer.
-pub(super) async fn exchange(client: &Client, outgoing: Outgoing) -> Exchange {
-    let Patience { timeout, give_up } = outgoing.patience;
+/// Sends a request and reads its response.
+pub(super) async fn exchange(client: &Client, outgoing: OutgoingRequest) -> Exchange {
+    let WaitLimits { timeout, give_up } = outgoing.limits;
     let due = outgoing.due;
     let limit = give_up.unwrap_or(timeout).min(timeout);
     let left = limit.saturating_sub(due.elapsed());
-    let mut reading = Reading {
+    let mut reader = ResponseReader {
         response: outgoing.response,
         tokens: outgoing.tokens,
         due,
@@ -91,43 +92,43 @@
         last: due,
         gaps: Vec::new(),
     };
-    let talk = reading.talk(client, &outgoing.bytes);
-    let ending = match future::timeout(left, talk).await {
-        Ok(ending) => ending,
-        Err(_) if give_up.is_some_and(|after| after <= timeout) => Ending::GaveUp,
-        Err(_) => Ending::TimedOut,
+    let exchanging = reader.send_and_receive(client, &outgoing.bytes);
+    let outcome = match future::timeout(left, exchanging).await {
+        Ok(outcome) => outcome,
+        Err(_) if give_up.is_some_and(|after| after <= timeout) => RequestOutcome::GaveUp,
+        Err(_) => RequestOutcome::TimedOut,
     };
     Exchange {
-        ending,
-        response: reading.response,
-        first: reading.first,
-        gaps: reading.gaps,
-        whole: due.elapsed(),
+        outcome,
+        response: reader.response,
+        first_token: reader.first,
+        token_gaps: reader.gaps,
+        duration: due.elapsed(),
     }
 }
 
-impl Reading {
-    async fn talk(&mut self, client: &Client, request: &[u8]) -> Ending {
+impl ResponseReader {
+    async fn send_and_receive(&mut self, client: &Client, request: &[u8]) -> RequestOutcome {
         let Ok(mut conn) = client.connect().await else {
-            return Ending::Unconnected;
+            return RequestOutcome::ConnectFailed;
         };
-        // An answer may come although the request couldn't be written to its end.
+        // A response may arrive even if the request couldn't be written completely.
         let written = conn.stream.write_all(request).await;
         let read = self.read(&mut conn.stream).await;
-        if read.is_err() || !self.response.is_whole() {
-            return self.early_end();
+        if read.is_err() || !self.response.is_complete() {
+            return self.classify_truncated();
         }
-        let ending = self.verdict();
-        if written.is_ok() && !closes(&self.response) {
-            client.give_back(conn);
+        let outcome = self.classify();
+        if written.is_ok() && !closes_connection(&self.response) {
+            client.release(conn);
         }
-        ending
+        outcome
     }
 
-    /// Reads until the answer is whole or the connection ends.
+    /// Reads until the response is complete or the connection ends.
     async fn read(&mut self, stream: &mut TcpStream) -> io::Result<()> {
-        let mut buf = vec![0; READ_BYTES];
-        while !self.response.is_whole() {
+        let mut buf = vec![0; READ_BUFFER_BYTES];
+        while !self.response.is_complete() {
             let count = stream.read(&mut buf).await?;
             if count == 0 {
                 return Ok(());
@@ -135,71 +136,71 @@
             let before = self.response.tokens();
             let fed = self.response.feed(&buf[..count]);
             let used = fed.map_err(|_| io::Error::from(io::ErrorKind::InvalidData))?;
-            self.note_time(before);
+            self.record_token_times(before);
             if used < count {
-                // Bytes after the end of the answer: they'd complete somebody else's.
+                // Surplus bytes after the response would be read as part of the next one.
                 return Err(io::Error::from(io::ErrorKind::InvalidData));
             }
         }
         Ok(())
     }
 
-    fn note_time(&mut self, before: u64) {
+    fn record_token_times(&mut self, before: u64) {
         let after = self.response.tokens();
         let streamed = self.response.is_stream();
-        let begun = if streamed {
+        let started = if streamed {
             after > 0
         } else {
             self.response.has_head()
         };
-        if !begun {
+        if !started {
             return;
         }
         let now = Instant::now();
-        let mut fresh = after - before;
+        let mut new_tokens = after - before;
         if self.first.is_none() {
             self.first = Some(now - self.due);
             self.last = now;
-            fresh = fresh.saturating_sub(1);
+            new_tokens = new_tokens.saturating_sub(1);
         }
-        for _ in 0..fresh {
+        for _ in 0..new_tokens {
             let gap = (now - self.last).as_micros();
             self.gaps.push(u32::try_from(gap).unwrap_or(u32::MAX));
             self.last = now;
         }
     }
 
-    fn verdict(&mut self) -> Ending {
+    fn classify(&mut self) -> RequestOutcome {
         let response = &mut self.response;
         if response.status() >= 400 {
-            return Ending::Refused;
+            return RequestOutcome::Refused;
         }
         if self.tokens.is_some() && !response.is_stream() {
-            response.check_whole();
+            response.check_body();
         }
         if response.is_foreign() {
-            return Ending::Misdelivered;
+            return RequestOutcome::Misdelivered;
         }
         if response.is_stream() && !response.is_done() {
-            return Ending::Cut;
+            return RequestOutcome::Cut;
         }
         let complete = self.tokens.is_none_or(|tokens| tokens == response.tokens());
         if response.is_disordered() || !complete {
-            return Ending::Disordered;
+            return RequestOutcome::Disordered;
         }
-        Ending::Complete
+        RequestOutcome::Complete
     }
 
-    /// The connection ended before the framing said that the answer was whole.
-    fn early_end(&self) -> Ending {
+    /// Returns the outcome of a response that is incomplete according to its framing.
+    fn classify_truncated(&self) -> RequestOutcome {
         if self.response.is_foreign() {
-            return Ending::Misdelivered;
+            return RequestOutcome::Misdelivered;
         }
-        Ending::Cut
+        RequestOutcome::Cut
     }
 }
 
-fn closes(response: &Response) -> bool {
+fn closes_connection(response: &Response) -> bool {
     response
         .header("connection")
         .is_some_and(|value| value.contains("close"))
--- a/crates/standins/src/load/record.rs
+++ b/crates/standins/src/load/record.rs
@@ -1,38 +1,38 @@
-//! What was seen of one class.
+//! The recorder of a class's results.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-use super::exchange::Ending;
 use super::exchange::Exchange;
+use super::exchange::RequestOutcome;
 use super::plan::LoadClass;
 use super::plan::Targets;
 use super::report::ClassReport;
 use super::report::Quantiles;
 use super::report::Second;
 
-/// Longest latency that the histograms tell from longer ones, in microseconds.
+/// Maximum latency in the histograms; longer ones are recorded as this value, in microseconds.
 const MAX_MICROS: u64 = 600_000_000;
 
-/// Share of a request's gaps that may be longer than its target.
-const GAP_SHARE: f64 = 0.05;
+/// Maximum share of a request's gaps that may exceed the target.
+const MAX_SLOW_GAP_SHARE: f64 = 0.05;
 
-/// Counters and histograms of one class.
-pub(super) struct Record {
+/// Counters and histograms of a class.
+pub(super) struct ClassRecorder {
     targets: Targets,
-    counts: ClassReport,
+    report: ClassReport,
     first: Histogram<u64>,
     between: Histogram<u64>,
     whole: Histogram<u64>,
     timeline: Vec<Second>,
 }
 
-impl Record {
-    pub(super) fn new(class: &LoadClass) -> Record {
-        Record {
+impl ClassRecorder {
+    pub(super) fn new(class: &LoadClass) -> ClassRecorder {
+        ClassRecorder {
             targets: class.targets,
-            counts: ClassReport {
+            report: ClassReport {
                 name: class.name.clone(),
                 ..ClassReport::default()
             },
@@ -43,31 +43,31 @@
         }
     }
 
-    /// Counts a request that was due but couldn't be sent.
-    pub(super) fn unsent(&mut self) {
-        self.counts.unsent += 1;
+    /// Records a request that was due but wasn't sent.
+    pub(super) fn record_unsent(&mut self) {
+        self.report.unsent += 1;
     }
 
-    /// Counts a request that has ended; `second` is when it was due.
-    pub(super) fn add(&mut self, exchange: &Exchange, not_run: &str, second: usize) {
-        let attained = self.attained(exchange);
-        self.count_ending(exchange, not_run);
-        self.counts.sent += 1;
-        self.counts.attained += u64::from(attained);
-        self.counts.tokens += exchange.response.tokens();
-        self.add_times(exchange);
+    /// Records a finished request that was due in second `second` of the run.
+    pub(super) fn record(&mut self, exchange: &Exchange, not_run_marker: &str, second: usize) {
+        let attained = self.meets_targets(exchange);
+        self.count_outcome(exchange, not_run_marker);
+        self.report.sent += 1;
+        self.report.attained += u64::from(attained);
+        self.report.tokens += exchange.response.tokens();
+        self.record_times(exchange);
         if self.timeline.len() <= second {
             self.timeline.resize(second + 1, Second::default());
         }
         let line = &mut self.timeline[second];
         line.sent += 1;
         line.attained += u64::from(attained);
-        line.refused += u64::from(exchange.ending == Ending::Refused);
+        line.refused += u64::from(exchange.outcome == RequestOutcome::Refused);
     }
 
-    /// The report; the timeline only when asked for.
+    /// Returns the report, with the timeline if `timeline` is set.
     pub(super) fn report(&self, timeline: bool) -> ClassReport {
-        let mut report = self.counts.clone();
+        let mut report = self.report.clone();
         report.first = Quantiles::of(&self.first);
         report.between = Quantiles::of(&self.between);
         report.whole = Quantiles::of(&self.whole);
@@ -77,75 +77,77 @@
         report
     }
 
-    fn count_ending(&mut self, exchange: &Exchange, not_run: &str) {
-        let counts = &mut self.counts;
-        match exchange.ending {
-            Ending::Complete => counts.completed += 1,
-            Ending::Refused => {
-                counts.refused += 1;
-                *counts
+    fn count_outcome(&mut self, exchange: &Exchange, not_run_marker: &str) {
+        let report = &mut self.report;
+        match exchange.outcome {
+            RequestOutcome::Complete => report.completed += 1,
+            RequestOutcome::Refused => {
+                report.refused += 1;
+                *report
                     .statuses
                     .entry(exchange.response.status())
                     .or_insert(0) += 1;
                 let retry_after = exchange.response.header("retry-after").is_some();
-                counts.without_hint += u64::from(!retry_after);
-                counts.said_unrun += u64::from(says_not_run(exchange, not_run));
+                report.without_retry_after += u64::from(!retry_after);
+                report.reported_not_run += u64::from(reports_not_run(exchange, not_run_marker));
             }
-            Ending::Cut => counts.cut += 1,
-            Ending::Misdelivered => counts.misdelivered += 1,
-            Ending::Disordered => counts.disordered += 1,
-            Ending::TimedOut => counts.timed_out += 1,
-            Ending::GaveUp => counts.gave_up += 1,
-            Ending::Unconnected => counts.unconnected += 1,
+            RequestOutcome::Cut => report.cut += 1,
+            RequestOutcome::Misdelivered => report.misdelivered += 1,
+            RequestOutcome::Disordered => report.disordered += 1,
+            RequestOutcome::TimedOut => report.timed_out += 1,
+            RequestOutcome::GaveUp => report.gave_up += 1,
+            RequestOutcome::ConnectFailed => report.connect_failed += 1,
         }
-        if exchange.ending == Ending::Complete {
-            counts.useful_tokens += exchange.response.tokens();
+        if exchange.outcome == RequestOutcome::Complete {
+            report.useful_tokens += exchange.response.tokens();
         }
     }
 
-    fn add_times(&mut self, exchange: &Exchange) {
-        if let Some(first) = exchange.first {
+    fn record_times(&mut self, exchange: &Exchange) {
+        if let Some(first) = exchange.first_token {
             self.first.saturating_record(micros(first));
         }
-        for &gap in &exchange.gaps {
+        for &gap in &exchange.token_gaps {
             self.between.saturating_record(u64::from(gap));
         }
-        if exchange.ending == Ending::Complete {
-            self.whole.saturating_record(micros(exchange.whole));
+        if exchange.outcome == RequestOutcome::Complete {
+            self.whole.saturating_record(micros(exchange.duration));
         }
     }
 
-    fn attained(&self, exchange: &Exchange) -> bool {
+    fn meets_targets(&self, exchange: &Exchange) -> bool {
         let Targets {
             first_ms,
             between_ms,
             whole_ms,
         } = self.targets;
-        let within = |took: Duration, limit: Option<u64>| {
-            limit.is_none_or(|ms| took <= Duration::from_millis(ms))
+        let within = |duration: Duration, limit: Option<u64>| {
+            limit.is_none_or(|ms| duration <= Duration::from_millis(ms))
         };
-        exchange.ending == Ending::Complete
-            && exchange.first.is_some_and(|first| within(first, first_ms))
-            && within(exchange.whole, whole_ms)
-            && between_ms.is_none_or(|ms| gaps_within(&exchange.gaps, ms))
+        exchange.outcome == RequestOutcome::Complete
+            && exchange
+                .first_token
+                .is_some_and(|first| within(first, first_ms))
+            && within(exchange.duration, whole_ms)
+            && between_ms.is_none_or(|ms| gaps_within(&exchange.token_gaps, ms))
     }
 }
 
-/// Whether a refusal states that the request wasn't run.
-pub(super) fn says_not_run(exchange: &Exchange, not_run: &str) -> bool {
+/// Returns whether a refusal states that the request wasn't run.
+pub(super) fn reports_not_run(exchange: &Exchange, not_run_marker: &str) -> bool {
     let head = exchange.response.head();
     let body = String::from_utf8_lossy(exchange.response.body());
-    !not_run.is_empty() && (head.contains(not_run) || body.contains(not_run))
+    !not_run_marker.is_empty() && (head.contains(not_run_marker) || body.contains(not_run_marker))
 }
 
 fn gaps_within(gaps: &[u32], ms: u64) -> bool {
     let limit = ms.saturating_mul(1000);
-    let longer = gaps.iter().filter(|&&gap| u64::from(gap) > limit).count();
-    longer as f64 <= gaps.len() as f64 * GAP_SHARE
+    let slow = gaps.iter().filter(|&&gap| u64::from(gap) > limit).count();
+    slow as f64 <= gaps.len() as f64 * MAX_SLOW_GAP_SHARE
 }
 
-fn micros(took: Duration) -> u64 {
-    u64::try_from(took.as_micros()).unwrap_or(u64::MAX)
+fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
 fn histogram() -> Histogram<u64> {
--- a/crates/standins/src/load/tally.rs
+++ b/crates/standins/src/load/run_counts.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins counted: how often each request ran.
+//! Run counts and counters read from the stand-ins.
 
 use std::collections::HashMap;
 use std::io;
@@ -10,38 +10,38 @@
 
 use super::client::Client;
 use super::exchange;
-use super::exchange::Ending;
-use super::exchange::Outgoing;
-use super::exchange::Patience;
+use super::exchange::OutgoingRequest;
+use super::exchange::RequestOutcome;
+use super::exchange::WaitLimits;
 use super::report::StandinTotals;
 use super::response::Response;
 use crate::engine::EngineStats;
 
-/// Longest wait for a stand-in's counters.
-const TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout for reading a stand-in's counters.
+const STATS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs by marker over all stand-ins, and their totals.
+/// Run counts by marker over all stand-ins, and the sums of their counters.
 #[derive(Debug, Default)]
-pub(super) struct RunTally {
+pub(super) struct RunCounts {
     pub(super) runs: HashMap<String, u64>,
     pub(super) totals: StandinTotals,
 }
 
-impl RunTally {
-    /// Asks every stand-in. One that is down is counted as unasked, since a gap in the counts would
-    /// hide a request that ran twice.
-    pub(super) async fn collect(standins: &[SocketAddr]) -> RunTally {
-        let mut tally = RunTally::default();
+impl RunCounts {
+    /// Reads the counters of all stand-ins. Those that can't be read are counted as unreachable,
+    /// since missing counts could hide a request that ran twice.
+    pub(super) async fn collect(standins: &[SocketAddr]) -> RunCounts {
+        let mut run_counts = RunCounts::default();
         for &standin in standins {
-            match tally.ask(standin).await {
-                Ok(()) => tally.totals.asked += 1,
-                Err(_) => tally.totals.unasked += 1,
+            match run_counts.add_standin(standin).await {
+                Ok(()) => run_counts.totals.reachable += 1,
+                Err(_) => run_counts.totals.unreachable += 1,
             }
         }
-        tally
+        run_counts
     }
 
-    async fn ask(&mut self, standin: SocketAddr) -> io::Result<()> {
+    async fn add_standin(&mut self, standin: SocketAddr) -> io::Result<()> {
         let stats: EngineStats = get(standin, "/control/stats").await?;
         let runs: HashMap<String, u64> = get(standin, "/control/runs").await?;
         for (marker, count) in runs {
@@ -67,18 +67,18 @@
 async fn get<T: DeserializeOwned>(standin: SocketAddr, path: &str) -> io::Result<T> {
     let client = Client::new(vec![standin], false);
     let head = format!("GET {path} HTTP/1.1\r\nhost: {standin}\r\nconnection: close\r\n\r\n");
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         bytes: head.into_bytes(),
         response: Response::new("", false),
         tokens: None,
         due: Instant::now(),
-        patience: Patience {
-            timeout: TIMEOUT,
+        limits: WaitLimits {
+            timeout: STATS_TIMEOUT,
             give_up: None,
         },
     };
     let exchange = exchange::exchange(&client, outgoing).await;
-    if exchange.ending != Ending::Complete {
+    if exchange.outcome != RequestOutcome::Complete {
         return Err(io::Error::other(format!("{standin} gave no counters")));
     }
     Ok(serde_json::from_slice(exchange.response.body())?)
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -1,8 +1,8 @@
 //! The stand-ins as separate processes: `crocushold-standin platform|engine|service|load`.
 //!
-//! The first line on standard output is `listening=ADDR`, the second `control=ADDR` (a pair for each
-//! engine when there are several); both addresses
-//! take commands as JSON on `POST /control` and show counters on `GET /control/stats`.
+//! Standard output starts with the lines `listening=ADDR` and `control=ADDR`, one pair for each
+//! engine. Both addresses accept commands as JSON on `POST /control` and return counters on
+//! `GET /control/stats`.
 
 use std::error::Error;
 use std::fs;
@@ -30,7 +30,7 @@
 
 mod cli;
 
-type Outcome<T> = Result<T, Box<dyn Error>>;
+type CliResult<T> = Result<T, Box<dyn Error>>;
 
 fn main() -> ExitCode {
     let command = cli::command().run();
@@ -43,7 +43,7 @@
     }
 }
 
-async fn run(command: Command) -> Outcome<()> {
+async fn run(command: Command) -> CliResult<()> {
     match command {
         Command::Platform {
             listen,
@@ -82,7 +82,7 @@
     parts: Vec<PartFile>,
     instances: Option<PathBuf>,
     budget: u64,
-) -> Outcome<PlatformSettings> {
+) -> CliResult<PlatformSettings> {
     let mut settings = PlatformSettings {
         read_budget: budget,
         instances: read_instances(instances)?,
@@ -94,12 +94,12 @@
     Ok(settings)
 }
 
-/// Runs the plan in a file and prints the report.
+/// Runs the load plan in `file` and prints the report.
 async fn print_load(
     entries: Vec<SocketAddr>,
     standins: Vec<SocketAddr>,
     file: PathBuf,
-) -> Outcome<()> {
+) -> CliResult<()> {
     let mut plan: LoadPlan = serde_json::from_slice(&fs::read(file)?)?;
     if !entries.is_empty() {
         plan.entries = entries;
@@ -112,12 +112,12 @@
     Ok(())
 }
 
-/// Starts `count` engines, the first one on `listen`, the others on free ports.
+/// Starts `count` engines: the first on `listen`, the others on free ports of the same IP address.
 async fn start_engines(
     listen: SocketAddr,
     count: usize,
     settings: &EngineSettings,
-) -> Outcome<Vec<Handle<Engine>>> {
+) -> CliResult<Vec<Handle<Engine>>> {
     let any = SocketAddr::new(listen.ip(), 0);
     let mut engines = Vec::new();
     for number in 0..count {
@@ -131,8 +131,8 @@
     Ok(engines)
 }
 
-/// Prints the addresses and serves until the process is ended.
-async fn serve<S: Standin>(handles: Vec<Handle<S>>) -> Outcome<()> {
+/// Prints the addresses and serves until the process is terminated.
+async fn serve<S: Standin>(handles: Vec<Handle<S>>) -> CliResult<()> {
     let mut out = std::io::stdout();
     for handle in &handles {
         writeln!(out, "listening={}", handle.addr())?;
@@ -142,14 +142,14 @@
     std::future::pending().await
 }
 
-fn read_settings<T: DeserializeOwned + Default>(json: Option<String>) -> Outcome<T> {
+fn read_settings<T: DeserializeOwned + Default>(json: Option<String>) -> CliResult<T> {
     match json {
         Some(json) => Ok(serde_json::from_str(&json)?),
         None => Ok(T::default()),
     }
 }
 
-fn read_instances(file: Option<PathBuf>) -> Outcome<Vec<Instance>> {
+fn read_instances(file: Option<PathBuf>) -> CliResult<Vec<Instance>> {
     match file {
         Some(file) => Ok(serde_json::from_slice(&fs::read(file)?)?),
         None => Ok(Vec::new()),
--- a/crates/standins/src/platform/budget.rs
+++ b/crates/standins/src/platform/budget.rs
@@ -1,25 +1,25 @@
-//! The budget of reads that all readers share.
+//! The read budget shared by all readers.
 
 use crocushold_base::Millis;
 
-/// Length of the window in which reads are counted.
+/// Length of the fixed window in which reads are counted.
 const WINDOW: Millis = Millis(1000);
 
-/// Counts reads in windows of one second and refuses those over the budget.
+/// A fixed-window rate limiter for reads.
 #[derive(Debug)]
-pub(super) struct Budget {
+pub(super) struct ReadBudget {
     limit: u64,
-    window: Millis,
+    window_start: Millis,
     used: u64,
     peak: u64,
     refused: u64,
 }
 
-impl Budget {
-    pub(super) fn new(limit: u64) -> Budget {
-        Budget {
+impl ReadBudget {
+    pub(super) fn new(limit: u64) -> ReadBudget {
+        ReadBudget {
             limit,
-            window: Millis::ZERO,
+            window_start: Millis::ZERO,
             used: 0,
             peak: 0,
             refused: 0,
@@ -30,10 +30,10 @@
         self.limit = limit;
     }
 
-    /// Takes one read; false when this second's budget is spent.
-    pub(super) fn take(&mut self, now: Millis) -> bool {
-        if now.since(self.window) >= WINDOW {
-            self.window = now;
+    /// Consumes one read; returns false if the budget of the current window is exhausted.
+    pub(super) fn try_acquire(&mut self, now: Millis) -> bool {
+        if now.since(self.window_start) >= WINDOW {
+            self.window_start = now;
             self.used = 0;
         }
         if self.used >= self.limit {
@@ -45,7 +45,7 @@
         true
     }
 
-    /// The most reads granted in one window.
+    /// Returns the maximum number of reads granted in one window.
     pub(super) fn peak(&self) -> u64 {
         self.peak
     }
--- a/crates/standins/src/platform/instances.rs
+++ b/crates/standins/src/platform/instances.rs
@@ -1,52 +1,52 @@
-//! The instance list, which shows changes late.
+//! The instance list, whose changes become visible after a delay.
 
 use crocushold_base::Millis;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What an instance is for.
+/// The role of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// An instance of crocushold.
+    /// An entry instance.
     Entry,
     /// A backend server.
     Server,
 }
 
-/// Whether an instance stays.
+/// Lifecycle state of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InstanceState {
     /// In service.
     Live,
-    /// About to stop; it gets no new work.
+    /// About to stop; receives no new work.
     Leaving,
 }
 
-/// One line of the instance list.
+/// An entry of the instance list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Instance {
-    /// Name, unique in the fleet.
+    /// Identifier, unique in the fleet.
     pub id: String,
-    /// What the instance is for.
+    /// Role of the instance.
     pub role: Role,
-    /// The service that a backend server belongs to; empty for an entry instance.
+    /// Service that a backend server belongs to; empty for an entry instance.
     #[serde(default)]
     pub service: String,
     /// Availability zone.
     pub zone: String,
-    /// Address for callers, `ip:port`.
+    /// Address for clients, `ip:port`.
     pub address: String,
     /// Address for peers, `ip:port`; empty for a backend server.
     #[serde(default)]
     pub peer_address: String,
-    /// Whether the instance stays.
+    /// Lifecycle state.
     pub state: InstanceState,
 }
 
-/// The answer to `GET /v1/instances`.
+/// The response to `GET /v1/instances`.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(super) struct InstanceList {
     revision: u64,
@@ -55,27 +55,30 @@
 
 #[derive(Debug)]
 struct Change {
-    /// When it was made; none for the list that shows from the start.
-    at: Option<Millis>,
+    /// Time of the change; `None` for the initial list, which is always visible.
+    changed_at: Option<Millis>,
     list: InstanceList,
 }
 
-/// The list with the changes that don't show yet.
+/// The visible list and the changes that aren't visible yet.
 #[derive(Debug)]
-pub(super) struct Instances {
+pub(super) struct DelayedInstanceList {
     lag: Millis,
     changes: Vec<Change>,
 }
 
-impl Instances {
-    /// Starts with a list that shows at once.
-    pub(super) fn new(instances: Vec<Instance>) -> Instances {
+impl DelayedInstanceList {
+    /// Creates a list that is visible immediately.
+    pub(super) fn new(instances: Vec<Instance>) -> DelayedInstanceList {
         let list = InstanceList {
             revision: 1,
             instances,
         };
-        let first = Change { at: None, list };
-        Instances {
+        let first = Change {
+            changed_at: None,
+            list,
+        };
+        DelayedInstanceList {
             lag: Millis::ZERO,
             changes: vec![first],
         }
@@ -85,17 +88,17 @@
         self.lag = lag;
     }
 
-    /// Replaces the list; it shows when the lag has passed.
+    /// Replaces the list; visible after the lag.
     pub(super) fn set(&mut self, instances: Vec<Instance>, now: Millis) {
         let list = InstanceList {
             revision: self.newest().revision + 1,
             instances,
         };
-        let at = Some(now);
-        self.changes.push(Change { at, list });
+        let changed_at = Some(now);
+        self.changes.push(Change { changed_at, list });
     }
 
-    /// Changes the state of one instance; it shows when the lag has passed.
+    /// Changes the state of an instance; visible after the lag.
     pub(super) fn set_state(&mut self, id: &str, state: InstanceState, now: Millis) {
         let mut instances = self.newest().instances.clone();
         for instance in instances.iter_mut().filter(|i| i.id == id) {
@@ -104,12 +107,16 @@
         self.set(instances, now);
     }
 
-    /// The list as readers see it now.
+    /// Returns the list visible at `now`.
     pub(super) fn view(&mut self, now: Millis) -> &InstanceList {
         let lag = self.lag;
-        let shows = |change: &Change| change.at.is_none_or(|at| at + lag <= now);
-        let seen = self.changes.iter().rposition(shows).unwrap_or(0);
-        self.changes.drain(..seen);
+        let is_visible = |change: &Change| {
+            change
+                .changed_at
+                .is_none_or(|changed_at| changed_at + lag <= now)
+        };
+        let visible = self.changes.iter().rposition(is_visible).unwrap_or(0);
+        self.changes.drain(..visible);
         &self.changes[0].list
     }
 
--- a/crates/standins/src/port.rs
+++ b/crates/standins/src/port.rs
@@ -1,4 +1,4 @@
-//! A listening port that can be closed, reopened and cut while it is in use.
+//! A listener that can be closed and reopened, and whose connections can be closed, while in use.
 
 use std::collections::HashMap;
 use std::io;
@@ -24,74 +24,77 @@
 use http_types::Request;
 use http_types::Response;
 
-/// Largest request body that a stand-in reads, in bytes.
-const MAX_BODY: u64 = 16 * 1024 * 1024;
+/// Maximum number of bytes read of a request body.
+const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
 
-/// How often, and how many times, a closed port tries to bind its old address again.
-const REBIND_PAUSE: Duration = Duration::from_millis(20);
-const REBIND_TRIES: u32 = 100;
+/// Delay between attempts to bind the previous address again, and after a failed accept.
+const REBIND_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One request as a stand-in sees it: the head, the whole body, and the connection it came on.
+/// Maximum number of attempts to bind the previous address again.
+const MAX_REBIND_ATTEMPTS: u32 = 100;
+
+/// A received request: the head, the complete body, and its connection.
 pub struct Call {
-    /// The head; its body has been taken out.
+    /// The request without its body.
     pub request: Request,
-    /// The whole request body.
+    /// The complete request body.
     pub body: Vec<u8>,
-    /// The caller's connection, for watching it and for answers that break the protocol.
+    /// The client's connection, to detect disconnects and to write responses that violate HTTP.
     pub conn: TcpStream,
     pub(crate) port: Weak<Port>,
 }
 
 impl Call {
-    /// The value of the first header of this name, if any.
+    /// Returns the value of the header with this name, if present.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.request.header(name).map(|values| values.as_str())
     }
 
-    /// Applies an effect to the port that the call came on; after a crash this never returns.
-    pub(crate) async fn apply(&self, effect: Effect) {
+    /// Applies an action to the stand-in's public port. [`PortAction::Crash`] also closes
+    /// the connection of this request if it was received on that port, so it gets no response.
+    pub(crate) async fn apply(&self, action: PortAction) {
         if let Some(port) = self.port.upgrade() {
-            let _ = port.apply(effect).await;
+            let _ = port.apply(action).await;
         }
     }
 }
 
-/// What a command does to the listening port.
+/// An action on the public listener, requested by a command.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
-    /// Nothing.
+pub enum PortAction {
+    /// Leaves the listener as it is.
     #[default]
     None,
-    /// New connections are refused; open ones live on.
+    /// Refuses new connections and keeps open ones.
     Refuse,
-    /// New connections are refused and open ones are closed, as when a process dies.
+    /// Refuses new connections and closes open ones, as when a process is killed.
     Crash,
-    /// The port listens again, at the same address.
+    /// Listens again on the same address.
     Reopen,
 }
 
-pub(crate) type Answer = BoxFuture<'static, http_types::Result<Response>>;
-pub(crate) type Endpoint = Arc<dyn Fn(Call) -> Answer + Send + Sync>;
+pub(crate) type ResponseFuture = BoxFuture<'static, http_types::Result<Response>>;
+pub(crate) type Endpoint = Arc<dyn Fn(Call) -> ResponseFuture + Send + Sync>;
 
-/// A listening port of one stand-in.
+/// A listener of a stand-in and its connections.
 pub(crate) struct Port {
     addr: SocketAddr,
     endpoint: Endpoint,
-    accepting: Mutex<Option<Accepting>>,
-    conns: Arc<Conns>,
+    acceptor: Mutex<Option<Acceptor>>,
+    conns: Arc<Connections>,
 }
 
-/// A listener in use: the task that accepts, and a second descriptor to stop it by.
+/// The accept task and a duplicate descriptor of its listener, used to stop it.
 ///
-/// Closing the listener isn't enough: a process that is being forked elsewhere holds a copy of the
-/// descriptor until it has executed its program, and for so long the kernel would go on taking
-/// connections. Shutting the socket down ends that for every copy.
-struct Accepting {
+/// Closing the listener isn't sufficient: a concurrently forked process holds a copy of the
+/// descriptor until `exec`, and the kernel keeps accepting connections until then. Shutting the
+/// socket down stops this for every copy.
+struct Acceptor {
     task: JoinHandle<()>,
     socket: std::net::TcpStream,
 }
 
-impl Accepting {
+impl Acceptor {
     fn stop(self) -> JoinHandle<()> {
         let _ = self.socket.shutdown(Shutdown::Both);
         self.task
@@ -99,16 +102,16 @@
 }
 
 impl Port {
-    /// Binds `addr` and starts to accept.
+    /// Binds `addr` and starts accepting connections.
     pub(crate) async fn open(addr: SocketAddr, endpoint: Endpoint) -> io::Result<Port> {
         let listener = std::net::TcpListener::bind(addr)?;
         let port = Port {
             addr: listener.local_addr()?,
             endpoint,
-            accepting: Mutex::new(None),
-            conns: Arc::new(Conns::default()),
+            acceptor: Mutex::new(None),
+            conns: Arc::new(Connections::default()),
         };
-        port.accept(listener)?;
+        port.start_accepting(listener)?;
         Ok(port)
     }
 
@@ -116,101 +119,101 @@
         self.addr
     }
 
-    /// Applies the effect of a command.
-    pub(crate) async fn apply(&self, effect: Effect) -> io::Result<()> {
-        match effect {
-            Effect::None => Ok(()),
-            Effect::Refuse => {
+    /// Applies an action and waits until it has taken effect.
+    pub(crate) async fn apply(&self, action: PortAction) -> io::Result<()> {
+        match action {
+            PortAction::None => Ok(()),
+            PortAction::Refuse => {
                 self.close().await;
                 Ok(())
             }
-            Effect::Crash => {
+            PortAction::Crash => {
                 self.close().await;
-                self.conns.cut();
+                self.conns.close_all();
                 Ok(())
             }
-            Effect::Reopen => self.reopen().await,
+            PortAction::Reopen => self.reopen().await,
         }
     }
 
-    /// Stops listening and closes each connection without waiting for it.
-    pub(crate) fn abandon(&self) {
-        if let Some(accepting) = lock(&self.accepting).take() {
-            task::spawn(accepting.stop().cancel());
+    /// Stops listening and closes all connections without waiting.
+    pub(crate) fn shut_down(&self) {
+        if let Some(acceptor) = lock(&self.acceptor).take() {
+            task::spawn(acceptor.stop().cancel());
         }
-        self.conns.cut();
+        self.conns.close_all();
     }
 
     async fn close(&self) {
-        let accepting = lock(&self.accepting).take();
-        if let Some(accepting) = accepting {
-            // A task of its own: a command that came over this very port may be aborted half-way.
-            task::spawn(accepting.stop().cancel()).await;
+        let acceptor = lock(&self.acceptor).take();
+        if let Some(acceptor) = acceptor {
+            // A separate task, because a command received on this port may itself be aborted.
+            task::spawn(acceptor.stop().cancel()).await;
         }
     }
 
     async fn reopen(&self) -> io::Result<()> {
-        if lock(&self.accepting).is_some() {
+        if lock(&self.acceptor).is_some() {
             return Ok(());
         }
-        for _ in 1..REBIND_TRIES {
+        for _ in 1..MAX_REBIND_ATTEMPTS {
             if let Ok(listener) = std::net::TcpListener::bind(self.addr) {
-                return self.accept(listener);
+                return self.start_accepting(listener);
             }
-            task::sleep(REBIND_PAUSE).await;
+            task::sleep(REBIND_INTERVAL).await;
         }
-        self.accept(std::net::TcpListener::bind(self.addr)?)
+        self.start_accepting(std::net::TcpListener::bind(self.addr)?)
     }
 
-    fn accept(&self, listener: std::net::TcpListener) -> io::Result<()> {
+    fn start_accepting(&self, listener: std::net::TcpListener) -> io::Result<()> {
         let socket = std::net::TcpStream::from(OwnedFd::from(listener.try_clone()?));
         let listener = TcpListener::from(listener);
         let endpoint = Arc::clone(&self.endpoint);
         let conns = Arc::clone(&self.conns);
-        let task = task::spawn(accept_all(listener, endpoint, conns));
-        *lock(&self.accepting) = Some(Accepting { task, socket });
+        let task = task::spawn(accept_connections(listener, endpoint, conns));
+        *lock(&self.acceptor) = Some(Acceptor { task, socket });
         Ok(())
     }
 }
 
 impl Drop for Port {
     fn drop(&mut self) {
-        self.abandon();
+        self.shut_down();
     }
 }
 
-async fn accept_all(listener: TcpListener, endpoint: Endpoint, conns: Arc<Conns>) {
+async fn accept_connections(listener: TcpListener, endpoint: Endpoint, conns: Arc<Connections>) {
     let mut incoming = listener.incoming();
     while let Some(accepted) = incoming.next().await {
         let Ok(conn) = accepted else {
-            // Out of descriptors, most likely: without a pause this loop would spin.
-            task::sleep(REBIND_PAUSE).await;
+            // Most likely out of descriptors; the delay keeps this from being a busy loop.
+            task::sleep(REBIND_INTERVAL).await;
             continue;
         };
         conns.spawn(conn, Arc::clone(&endpoint));
     }
 }
 
-/// The open connections of one port.
+/// The open connections of a port.
 #[derive(Default)]
-struct Conns {
-    open: Mutex<OpenConns>,
+struct Connections {
+    open: Mutex<OpenConnections>,
 }
 
 #[derive(Default)]
-struct OpenConns {
-    last: u64,
-    live: HashMap<u64, OpenConn>,
+struct OpenConnections {
+    last_id: u64,
+    live: HashMap<u64, OpenConnection>,
 }
 
-struct OpenConn {
+struct OpenConnection {
     conn: TcpStream,
     abort: AbortHandle,
 }
 
-impl Conns {
-    fn spawn(self: &Arc<Conns>, conn: TcpStream, endpoint: Endpoint) {
-        // Without it a token waits for the acknowledgement of the one before.
+impl Connections {
+    fn spawn(self: &Arc<Connections>, conn: TcpStream, endpoint: Endpoint) {
+        // With Nagle's algorithm, each token would wait until the previous one is acknowledged.
         let _ = conn.set_nodelay(true);
         let (abort, registration) = AbortHandle::new_pair();
         let id = self.insert(conn.clone(), abort);
@@ -224,13 +227,13 @@
 
     fn insert(&self, conn: TcpStream, abort: AbortHandle) -> u64 {
         let mut open = lock(&self.open);
-        open.last += 1;
-        let id = open.last;
-        open.live.insert(id, OpenConn { conn, abort });
+        open.last_id += 1;
+        let id = open.last_id;
+        open.live.insert(id, OpenConnection { conn, abort });
         id
     }
 
-    fn cut(&self) {
+    fn close_all(&self) {
         for (_, open) in lock(&self.open).live.drain() {
             open.abort.abort();
             let _ = open.conn.shutdown(Shutdown::Both);
@@ -255,7 +258,7 @@
 async fn read_call(mut request: Request, conn: TcpStream) -> http_types::Result<Call> {
     let mut body = Vec::new();
     let reader = request.take_body();
-    reader.take(MAX_BODY).read_to_end(&mut body).await?;
+    reader.take(MAX_BODY_BYTES).read_to_end(&mut body).await?;
     Ok(Call {
         request,
         body,
@@ -264,16 +267,16 @@
     })
 }
 
-/// The error of a call that ends without an answer.
-pub(crate) fn aborted() -> io::Error {
+/// Returns the error of a request that ends without a response.
+pub(crate) fn connection_aborted() -> io::Error {
     io::Error::from(io::ErrorKind::ConnectionAborted)
 }
 
-/// Waits until the caller closes its side of the connection, or the connection breaks.
+/// Waits until the client closes its side of the connection or the connection fails.
 ///
-/// A caller that only stops sending counts as one that left, as with the usual engines. Bytes of a
-/// further request that arrive early end the watch: it then waits for ever.
-pub(crate) async fn hang_up(conn: TcpStream) {
+/// A half-closed connection counts as a disconnect, as in common engines. If bytes of a pipelined
+/// request arrive, the disconnect can't be detected any more and the future never completes.
+pub(crate) async fn client_disconnected(conn: TcpStream) {
     let mut byte = [0];
     match conn.peek(&mut byte).await {
         Ok(0) | Err(_) => {}
@@ -281,7 +284,7 @@
     }
 }
 
-/// Locks a mutex whose data stays usable when another thread panicked.
+/// Locks a mutex and ignores poisoning: the data stays usable when another thread panicked.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
