--- a/examples/quickstart/caller.rs
+++ b/examples/quickstart/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that prints what it gets.
+//! A caller that prints the answers it receives.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Asks a model for a short answer in a class.
+    /// Requests a short chat completion in a class.
     pub(crate) async fn chat(&self, key: &str, class: &str, stream: bool) -> Outcome<()> {
         let body = format!(
             r#"{{"model":"demo-8b","stream":{stream},"max_tokens":8,
@@ -64,10 +64,10 @@
         self.send(request, false).await
     }
 
-    /// A call that must not run twice, named by an idempotency key.
-    pub(crate) async fn post(&self, key: &str, path: &str, name: &str) -> Outcome<()> {
+    /// Makes a non-idempotent call, identified by an idempotency key.
+    pub(crate) async fn post(&self, key: &str, path: &str, idempotency_key: &str) -> Outcome<()> {
         let mut request = self.request(Method::Post, path, key)?;
-        request.insert_header("idempotency-key", name);
+        request.insert_header("idempotency-key", idempotency_key);
         request.set_body("{}");
         self.send(request, false).await
     }
@@ -143,6 +143,6 @@
             print!("{}", choice.delta.content);
         }
     }
-    // So that each token shows as it comes; nothing depends on it.
+    // Shows each token as it arrives; a failure to flush is harmless.
     let _ = std::io::stdout().flush();
 }
--- a/examples/quickstart/main.rs
+++ b/examples/quickstart/main.rs
@@ -1,5 +1,5 @@
-//! The whole product in one process: stand-ins for the platform, two engines and a plain service,
-//! two entry instances between them and a caller. Ends by itself.
+//! The whole system in one process: stand-ins for the platform, two engines and a plain service,
+//! two entry instances, and a caller. The example runs to completion by itself.
 //!
 //! ```text
 //! cargo run --release --example quickstart
@@ -37,17 +37,17 @@
         );
     }
     let caller = Caller::new(site.instances[0].listen);
-    let other = Caller::new(site.instances[1].listen);
+    let other_caller = Caller::new(site.instances[1].listen);
 
     println!("\n== a live chat, streamed as it comes");
     caller.chat("demo.parents", "chat", true).await?;
     println!("\n== a draft, whole, through the other instance");
-    other.chat("demo.parents", "drafts", false).await?;
+    other_caller.chat("demo.parents", "drafts", false).await?;
     println!("\n== the nightly batch, which waits behind both");
     caller.chat("demo.nightly", "nightly", false).await?;
     println!("\n== a slot lookup and a confirmation at the plain service");
     caller.get("demo.parents", "/booking/slots").await?;
-    other
+    other_caller
         .post("demo.parents", "/booking/confirmations", "parent-7")
         .await?;
 
@@ -66,11 +66,11 @@
 }
 
 async fn burn(site: &Site) -> BurnReport {
-    let via = HttpFetch::default();
+    let client = HttpFetch::default();
     let mut scrapes = Vec::new();
     for instance in &site.instances {
         let address = instance.operator.to_string();
-        let text = fetch(&via, &address, "/metrics").await;
+        let text = fetch(&client, &address, "/metrics").await;
         scrapes.push(Scrape {
             address,
             text: text.map_err(|error| error.to_string()),
--- a/examples/quickstart/site.rs
+++ b/examples/quickstart/site.rs
@@ -1,4 +1,4 @@
-//! The stand-ins, the configuration text, and the entry instances.
+//! The stand-ins, the configuration and the entry instances.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,10 +26,10 @@
 
 use crate::Outcome;
 
-/// The text that the two instances work by; addresses and digests are filled in.
-const TEXT: &str = include_str!("demo.ini");
+/// The configuration of both instances. Its placeholders are replaced by addresses and key digests.
+const CONFIG_TEMPLATE: &str = include_str!("demo.ini");
 
-/// Everything that runs.
+/// All running components.
 pub(crate) struct Site {
     pub(crate) instances: Vec<InstanceHandle>,
     _platform: Handle<Platform>,
@@ -38,22 +38,22 @@
 }
 
 impl Site {
-    /// Starts the stand-ins, publishes the text, and starts two instances.
+    /// Starts the stand-ins, publishes the configuration, and starts two instances.
     pub(crate) async fn start() -> Outcome<Site> {
         let engines = vec![start_engine().await?, start_engine().await?];
-        let service = PlainService::start(any(), ServiceSettings::default()).await?;
+        let service = PlainService::start(any_address(), ServiceSettings::default()).await?;
         let addresses = [engines[0].addr(), engines[1].addr(), service.addr()];
         let settings = PlatformSettings {
-            parts: BTreeMap::from([("demo".to_owned(), text(&addresses))]),
+            parts: BTreeMap::from([("demo".to_owned(), config_text(&addresses))]),
             ..PlatformSettings::default()
         };
-        let platform = Platform::start(any(), settings).await?;
+        let platform = Platform::start(any_address(), settings).await?;
         let mut instances = Vec::new();
         for id in ["entry-1", "entry-2"] {
             let settings = instance_settings(id, platform.addr());
             instances.push(Instance::start(settings).await?);
         }
-        list(&platform, &instances).await?;
+        publish_instances(&platform, &instances).await?;
         Ok(Site {
             instances,
             _platform: platform,
@@ -62,27 +62,27 @@
         })
     }
 
-    /// Waits until both instances have the configuration.
+    /// Waits until both instances are ready, which requires a configuration.
     pub(crate) async fn wait_serving(&self) {
-        let via = HttpFetch::default();
+        let client = HttpFetch::default();
         for instance in &self.instances {
             let address = instance.operator.to_string();
-            while fetch(&via, &address, "/ready").await.is_err() {
+            while fetch(&client, &address, "/ready").await.is_err() {
                 task::sleep(Duration::from_millis(20)).await;
             }
         }
     }
 
-    /// Stops the instances as planned.
+    /// Shuts the instances down gracefully.
     pub(crate) async fn stop(self) {
         for instance in self.instances {
-            let open = instance.stop().await;
-            println!("stopped; connections cut: {open}");
+            let cut = instance.stop().await;
+            println!("stopped; connections cut: {cut}");
         }
     }
 }
 
-fn any() -> SocketAddr {
+fn any_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -91,18 +91,18 @@
         models: vec!["demo-8b".to_owned()],
         ..EngineSettings::default()
     };
-    Engine::start(any(), settings).await
+    Engine::start(any_address(), settings).await
 }
 
-fn text(addresses: &[SocketAddr; 3]) -> String {
-    let names = ["ENGINE-1", "ENGINE-2", "SERVICE"];
-    let mut text = TEXT.to_owned();
-    for (name, address) in names.iter().zip(addresses) {
-        text = text.replace(name, &address.to_string());
+fn config_text(addresses: &[SocketAddr; 3]) -> String {
+    let placeholders = ["ENGINE-1", "ENGINE-2", "SERVICE"];
+    let mut text = CONFIG_TEMPLATE.to_owned();
+    for (placeholder, address) in placeholders.iter().zip(addresses) {
+        text = text.replace(placeholder, &address.to_string());
     }
     for key in ["demo.parents", "demo.nightly", "demo.limited"] {
-        let mark = format!("DIGEST OF {key}");
-        text = text.replace(&mark, &KeyDigest::of(key).to_string());
+        let placeholder = format!("DIGEST OF {key}");
+        text = text.replace(&placeholder, &KeyDigest::of(key).to_string());
     }
     text
 }
@@ -111,9 +111,9 @@
     Settings {
         id: id.to_owned(),
         zone: "zone-a".to_owned(),
-        listen: any(),
-        operator: any(),
-        peer: any(),
+        listen: any_address(),
+        operator: any_address(),
+        peer: any_address(),
         platform: vec![platform],
         peer_key: Secret::new("a secret that all instances share"),
         first_start: true,
@@ -122,8 +122,11 @@
     }
 }
 
-/// Tells the platform's instance list about the instances.
-async fn list(platform: &Handle<Platform>, instances: &[InstanceHandle]) -> std::io::Result<()> {
+/// Publishes the instances in the platform's instance list.
+async fn publish_instances(
+    platform: &Handle<Platform>,
+    instances: &[InstanceHandle],
+) -> std::io::Result<()> {
     let listed = instances
         .iter()
         .enumerate()
--- a/src/bin/crocushold.rs
+++ b/src/bin/crocushold.rs
@@ -16,7 +16,6 @@
 use crocushold::commands::trace;
 use crocushold::commands::usage;
 
-/// The subcommands.
 enum Command {
     Serve(serve::Args),
     Gateway(gateway::Args),
@@ -44,8 +43,8 @@
     .version(env!("CARGO_PKG_VERSION"))
     .descr("A router for language-model traffic with service levels and priorities")
     .footer(
-        "Exit status: 0 done; 1 and 2 as the command's own --help says; 64 a usage error. \
-             Completion for a shell: crocushold --bpaf-complete-style-bash (or zsh, fish)",
+        "Exit status: 0 success; 1 and 2 as described in the command's own --help; 64 a usage error. \
+             Shell completion: crocushold --bpaf-complete-style-bash (or zsh, fish)",
     )
 }
 
@@ -59,6 +58,6 @@
         Ok(Command::Status(args)) => status::run(&args),
         Ok(Command::Trace(args)) => trace::run(&args),
         Ok(Command::Latencies(args)) => latencies::run(&args),
-        Err(failure) => usage::answer(failure),
+        Err(failure) => usage::report(failure),
     }
 }
--- a/src/commands/burn.rs
+++ b/src/commands/burn.rs
@@ -1,4 +1,4 @@
-//! `crocushold burn`: burn of the error budgets, read from running instances.
+//! `crocushold burn`: burn rates of the error budgets, read from running instances.
 
 use std::process::ExitCode;
 
@@ -21,11 +21,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Every instance was read and no class burns.
-const FINE: u8 = 0;
-/// A class burns, whether or not every instance was read.
+/// Exit status when every instance was read and no class burns.
+const NOT_BURNING: u8 = 0;
+/// Exit status when a class burns, whether or not every instance was read.
 const BURNING: u8 = 1;
-/// No class is seen to burn, but some instance could not be read.
+/// Exit status when no class is known to burn but some instance could not be read.
 const INCOMPLETE: u8 = 2;
 
 /// The arguments of `burn`.
@@ -39,7 +39,7 @@
 /// The parser of `burn`.
 pub fn args() -> impl Parser<Args> {
     let instances = long("instance")
-        .help("Operator address of an instance; give it once for each")
+        .help("Operator address of an instance; repeat for each instance")
         .argument::<String>("ADDR")
         .some("give at least one --instance ADDR");
     let json = long("json").help("Print JSON instead of a table").switch();
@@ -50,7 +50,7 @@
         json
     })
     .to_options()
-    .descr("Shows how fast each class spends its error budget")
+    .descr("Shows how fast each class burns its error budget")
     .footer(
         "Exit status: 0 no class burns; 1 a class burns; 2 no class is seen to burn, but an \
          instance could not be read; 64 a usage error.",
@@ -66,32 +66,32 @@
     bpaf::construct!(BurnRules { page, ticket })
 }
 
-/// Parser of one rule, from the names of its options.
-fn rule(names: [&'static str; 3], preset: BurnRule, effect: &str) -> impl Parser<BurnRule> {
+/// Parser of one burn rate rule, given the names of its three options.
+fn rule(names: [&'static str; 3], defaults: BurnRule, effect: &str) -> impl Parser<BurnRule> {
     let [short_name, long_name, factor_name] = names;
     let short_window = window(
         short_name,
-        preset.short,
+        defaults.short,
         &format!("Short window {effect}: 5m, 30m, 1h or 6h"),
     );
     let long_window = window(
         long_name,
-        preset.long,
+        defaults.long,
         &format!("Long window {effect}: 5m, 30m, 1h or 6h"),
     );
     let help = format!("Burn rate {effect} when both windows reach it");
     let factor = long(factor_name)
         .help(&*help)
         .argument::<f64>("RATE")
-        .guard(is_rate, "a burn rate is a positive number")
-        .fallback(preset.factor)
+        .guard(is_valid_rate, "a burn rate is a positive number")
+        .fallback(defaults.factor)
         .display_fallback();
     bpaf::construct!(short_window, long_window, factor)
         .map(move |(short, long, factor)| BurnRule {
             short,
             long,
             factor,
-            ..preset
+            ..defaults
         })
         .guard(
             |rule| rule.short < rule.long,
@@ -99,27 +99,27 @@
         )
 }
 
-fn window(name: &'static str, preset: Window, help: &str) -> impl Parser<Window> + use<> {
+fn window(name: &'static str, defaults: Window, help: &str) -> impl Parser<Window> + use<> {
     long(name)
         .help(help)
         .argument::<Window>("WINDOW")
-        .fallback(preset)
+        .fallback(defaults)
         .display_fallback()
 }
 
-fn is_rate(rate: &f64) -> bool {
+fn is_valid_rate(rate: &f64) -> bool {
     rate.is_finite() && *rate > 0.0
 }
 
-/// Reads the instances and prints the report.
+/// Reads the metrics of the instances and prints the report.
 pub fn run(args: &Args) -> ExitCode {
     let report = task::block_on(report(&HttpFetch::default(), args));
-    print::out(text(&report, args.json));
-    ExitCode::from(status(&report))
+    print::out(render(&report, args.json));
+    ExitCode::from(exit_status(&report))
 }
 
-async fn report(via: &impl Fetch, args: &Args) -> BurnReport {
-    let documents = fetch_all(via, &args.instances, "/metrics").await;
+async fn report(client: &impl Fetch, args: &Args) -> BurnReport {
+    let documents = fetch_all(client, &args.instances, "/metrics").await;
     let scrapes: Vec<Scrape> = documents.into_iter().map(scrape).collect();
     BurnReport::from_scrapes(&args.rules, &scrapes)
 }
@@ -131,7 +131,7 @@
     }
 }
 
-fn text(report: &BurnReport, json: bool) -> String {
+fn render(report: &BurnReport, json: bool) -> String {
     if !json {
         return report.to_string();
     }
@@ -140,12 +140,12 @@
     format!("{text}\n")
 }
 
-fn status(report: &BurnReport) -> u8 {
+fn exit_status(report: &BurnReport) -> u8 {
     if report.severity() > Severity::Fine {
         return BURNING;
     }
     if report.is_complete() {
-        FINE
+        NOT_BURNING
     } else {
         INCOMPLETE
     }
--- a/src/commands/burn/tests.rs
+++ b/src/commands/burn/tests.rs
@@ -1,4 +1,4 @@
-//! The command against fake instances.
+//! Tests of the command against fake instances.
 
 use async_std::task;
 use bpaf::Parser;
@@ -15,7 +15,7 @@
 
 use super::*;
 
-/// Instances by address: `fine`, `burning`, or no answer.
+/// Fake instances, selected by address: `fine`, `burning`, or any other address, which times out.
 struct Instances;
 
 impl Fetch for Instances {
@@ -54,22 +54,28 @@
     args().to_options().run_inner(line)
 }
 
-#[test_case(&["fine"], FINE)]
+#[test_case(&["fine"], NOT_BURNING)]
 #[test_case(&["fine", "burning"], BURNING)]
 #[test_case(&["fine", "gone"], INCOMPLETE)]
 #[test_case(&["gone", "burning"], BURNING; "burning goes first")]
 #[test_case(&["gone"], INCOMPLETE; "none read")]
-fn the_exit_status_tells(instances: &[&str], expected: u8) {
+fn the_exit_status_reflects_the_report(instances: &[&str], expected: u8) {
     let mut line = vec!["burn"];
     for instance in instances {
         line.extend(["--instance", instance]);
     }
     let args = parse(&line).expect("accepted");
     let report = task::block_on(report(&Instances, &args));
-    assert_eq!(status(&report), expected, "{report}");
+    assert_eq!(exit_status(&report), expected, "{report}");
     for gone in instances.iter().filter(|i| **i == "gone") {
-        assert!(text(&report, false).contains(gone), "never left out");
-        assert!(text(&report, true).contains(gone), "never left out");
+        assert!(
+            render(&report, false).contains(gone),
+            "an unreadable instance is always reported"
+        );
+        assert!(
+            render(&report, true).contains(gone),
+            "an unreadable instance is always reported"
+        );
     }
 }
 
@@ -94,7 +100,7 @@
 #[test_case("burn --instance a --short 1h --long 5m"; "windows swapped")]
 #[test_case("burn --instance a --page 0"; "no rate")]
 #[test_case("burn --instance a --page NaN"; "no number")]
-fn a_mistaken_line_is_refused(line: &str) {
+fn invalid_arguments_are_rejected(line: &str) {
     let line: Vec<&str> = line.split(' ').collect();
     let failure = parse(&line).expect_err("refused");
     assert!(matches!(failure, bpaf::ParseFailure::Stderr(_)));
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `crocushold check`: checks a configuration text before it is published.
+//! `crocushold check`: validates a configuration before it is published.
 
 use std::fs;
 use std::path::PathBuf;
@@ -18,9 +18,9 @@
 
 use super::print;
 
-/// The text would be rejected, in whole or in part.
+/// Exit status when a configuration would be rejected, in whole or in part.
 const REJECTED: u8 = 1;
-/// The text can't be read.
+/// Exit status when a file can't be read.
 const UNREADABLE: u8 = 2;
 
 /// The arguments of `check`.
@@ -35,16 +35,16 @@
 /// The parser of `check`.
 pub fn args() -> impl Parser<Args> {
     let settings = long("settings")
-        .help("The files are settings of instances, not parts of the shared text")
+        .help("The files are settings of instances, not parts of the shared configuration")
         .switch();
     let platform = long("platform")
         .help("The files are settings of gateways, or configurations as the platform's store holds them")
         .switch();
     let strict = long("strict")
-        .help("Warnings too make the exit status 1")
+        .help("Exit with status 1 on warnings too")
         .switch();
     let files = positional::<PathBuf>("FILE")
-        .help("Parts of the shared text; several are checked together, as they are published")
+        .help("Parts of the shared configuration; several files are checked together, as they are published")
         .complete_shell(bpaf::ShellComp::File { mask: None })
         .some("give at least one FILE");
     construct!(Args {
@@ -54,12 +54,12 @@
         files
     })
     .to_options()
-    .descr("Checks a configuration text before it is published")
+    .descr("Checks a configuration before it is published")
     .footer("Exit status: 0 accepted, 1 rejected in whole or in part, 2 a file can't be read, 64 a usage error")
     .command("check")
 }
 
-/// Prints every finding, one a line, and returns the exit status.
+/// Prints every finding on a line of its own and returns the exit status.
 pub fn run(args: &Args) -> ExitCode {
     let texts = match read(&args.files) {
         Ok(texts) => texts,
@@ -90,7 +90,7 @@
     ExitCode::SUCCESS
 }
 
-/// Checks each file by itself and prints every finding with its place.
+/// Checks each file separately and prints every finding with its file name.
 fn check_platform(files: &[PathBuf], texts: &[String]) -> ExitCode {
     let mut count = 0;
     for (file, text) in files.iter().zip(texts) {
@@ -106,7 +106,7 @@
     ExitCode::SUCCESS
 }
 
-/// A configuration is an object of JSON; all else is read as settings.
+/// Text that begins with `{` is a JSON configuration; anything else is read as settings.
 fn platform_findings(text: &str) -> Vec<String> {
     if !text.trim_start().starts_with('{') {
         let findings = read_settings(text).err().unwrap_or_default();
@@ -123,13 +123,14 @@
 }
 
 fn count(findings: &[Finding], severity: Severity) -> usize {
-    let same = findings
+    let matching = findings
         .iter()
         .filter(|finding| finding.severity == severity);
-    same.count()
+    matching.count()
 }
 
-/// Reads the files, each ended by a line break so that the next one starts on a line of its own.
+/// Reads the files. A line break is appended where one is missing, so that the next file starts on
+/// a new line.
 pub(super) fn read(files: &[PathBuf]) -> Result<Vec<String>, String> {
     let texts = files.iter().map(|file| {
         let text = fs::read_to_string(file);
--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `crocushold explain`: which class, servers and limits a request would get, and why.
+//! `crocushold explain`: shows which class, servers and limits a request would get, and why.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -17,17 +17,17 @@
 use super::check;
 use super::print;
 
-/// The request would be refused.
+/// Exit status when the request would be refused.
 const REFUSED: u8 = 1;
-/// The text can't be read.
+/// Exit status when a file can't be read.
 const UNREADABLE: u8 = 2;
 
 /// The arguments of `explain`.
 #[derive(Clone, Debug)]
 pub struct Args {
     key: Key,
-    wanted: Option<String>,
-    request: Asked,
+    class: Option<String>,
+    request: Request,
     files: Vec<PathBuf>,
 }
 
@@ -38,7 +38,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Asked {
+enum Request {
     Model(String),
     Path(String, String),
 }
@@ -50,27 +50,27 @@
         .argument::<String>("KEY")
         .map(Key::Plain);
     let digest = long("key-sha256")
-        .help("The digest of the caller's key, as the text holds it")
+        .help("The SHA-256 digest of the caller's key, as the configuration holds it")
         .argument::<String>("DIGEST")
         .parse(|text| KeyDigest::from_hex(&text).ok_or("write 64 hexadecimal digits"))
         .map(Key::Digest);
     let key = construct!([plain, digest]);
-    let wanted = long("class")
-        .help("The class that the caller asks for by x-class")
+    let class = long("class")
+        .help("The class that the caller requests in x-class")
         .argument::<String>("CLASS")
         .optional();
     let model = long("model")
         .help("The model that the request names")
         .argument::<String>("MODEL")
-        .map(Asked::Model);
+        .map(Request::Model);
     let request = construct!([model, path()]);
     let files = positional::<PathBuf>("FILE")
-        .help("Parts of the shared text")
+        .help("Parts of the shared configuration")
         .complete_shell(bpaf::ShellComp::File { mask: None })
         .some("give at least one FILE");
     construct!(Args {
         key,
-        wanted,
+        class,
         request,
         files
     })
@@ -80,16 +80,16 @@
     .command("explain")
 }
 
-fn path() -> impl Parser<Asked> {
+fn path() -> impl Parser<Request> {
     let path = long("path")
         .help("The path of a call to a plain service")
         .argument::<String>("PATH");
     let method = long("method")
-        .help("Its method")
+        .help("The HTTP method of the call")
         .argument::<String>("METHOD")
         .fallback("GET".to_owned())
         .display_fallback();
-    construct!(method, path).map(|(method, path)| Asked::Path(method, path))
+    construct!(method, path).map(|(method, path)| Request::Path(method, path))
 }
 
 /// Prints the explanation and returns the exit status.
@@ -107,10 +107,10 @@
         Key::Digest(digest) => Credential::from_digest(*digest),
     };
     let target = match &args.request {
-        Asked::Model(id) => Target::Model(id),
-        Asked::Path(method, path) => Target::Path { method, path },
+        Request::Model(id) => Target::Model(id),
+        Request::Path(method, path) => Target::Path { method, path },
     };
-    match explain(&catalog, &credential, target, args.wanted.as_deref()) {
+    match explain(&catalog, &credential, target, args.class.as_deref()) {
         Ok(explanation) => {
             print::out(explanation);
             ExitCode::SUCCESS
--- a/src/commands/gateway.rs
+++ b/src/commands/gateway.rs
@@ -32,10 +32,10 @@
 use signal_hook::consts::SIGTERM;
 use signal_hook::iterator::Signals;
 
-use super::log_line::Nonblocking;
+use super::log_line::NonBlockingWriter;
 use super::print;
 
-/// Exit status when the settings have findings or can't be read.
+/// Exit status when the settings are invalid or can't be read.
 const BAD_SETTINGS: u8 = 2;
 
 /// The arguments of `gateway`.
@@ -53,28 +53,29 @@
         .fallback("info".to_owned())
         .display_fallback();
     let file = positional::<PathBuf>("FILE")
-        .help("The settings file; else the one that the environment names")
+        .help("The settings file; by default the one that the environment names")
         .complete_shell(bpaf::ShellComp::File { mask: None })
         .optional();
     construct!(Args { log, file })
         .to_options()
         .descr("Runs a gateway that follows the platform's store")
-        .footer("Exit status: 0 stopped as planned, 1 could not start, 2 bad settings, 64 a usage error")
+        .footer("Exit status: 0 stopped gracefully, 1 could not start, 2 bad settings, 64 a usage error")
         .command("gateway")
 }
 
-/// What a signal asks for.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Request {
+enum SignalAction {
     Stop,
     Reload,
 }
 
-/// Runs a gateway until a signal asks for a graceful stop.
+/// Runs a gateway until a signal requests a graceful shutdown.
 pub fn run(args: &Args) -> ExitCode {
-    // First of all: until then a signal for a reload or a planned stop ends the process.
-    let requests = match signals() {
-        Ok(requests) => requests,
+    // Done first: until the handlers are installed, a signal for a reload or a graceful shutdown
+    // kills the process.
+    let actions = match signal_actions() {
+        Ok(actions) => actions,
         Err(error) => {
             print::error(format!("error: can't wait for signals: {error}"));
             return ExitCode::FAILURE;
@@ -102,7 +103,7 @@
             return ExitCode::from(BAD_SETTINGS);
         }
     };
-    let status = match serve(&file, settings, &requests) {
+    let status = match serve(&file, settings, &actions) {
         Ok(()) => ExitCode::SUCCESS,
         Err(cause) => {
             error!("{}", Event::new("start-failed").with("cause", cause));
@@ -113,12 +114,12 @@
     status
 }
 
-/// Reads the settings; the error lists every finding, one a line.
+/// Reads the settings. The error lists every finding on a line of its own.
 fn load(file: &Path) -> Result<BootSettings, String> {
-    let place = file.display();
-    let text = fs::read_to_string(file).map_err(|error| format!("{place}: {error}"))?;
+    let path = file.display();
+    let text = fs::read_to_string(file).map_err(|error| format!("{path}: {error}"))?;
     read_settings(&text).map_err(|findings| {
-        let lines = findings.iter().map(|finding| format!("{place}: {finding}"));
+        let lines = findings.iter().map(|finding| format!("{path}: {finding}"));
         lines.collect::<Vec<_>>().join("\n")
     })
 }
@@ -126,13 +127,13 @@
 fn serve(
     file: &Path,
     mut settings: BootSettings,
-    requests: &Receiver<Request>,
+    actions: &Receiver<SignalAction>,
 ) -> Result<(), Box<dyn std::error::Error>> {
     task::block_on(async {
         let store = Store::new(settings.store);
         let gateway = Gateway::start(settings.gateway.clone(), Arc::new(Headers), store).await?;
         // The channel closes only with the signal thread, which lives as long as the process.
-        while let Ok(Request::Reload) = requests.recv().await {
+        while let Ok(SignalAction::Reload) = actions.recv().await {
             reload(file, &mut settings);
         }
         gateway.stop().await;
@@ -140,8 +141,8 @@
     })
 }
 
-/// Reads the settings again. They name addresses, which change only with a new start, and bounds; what
-/// can't be read changes nothing.
+/// Reloads the settings. They hold bounds, and addresses, which change only with a restart.
+/// Settings that can't be read or are invalid change nothing.
 fn reload(file: &Path, settings: &mut BootSettings) {
     match load(file) {
         Ok(next) => {
@@ -159,25 +160,25 @@
     }
 }
 
-/// A message for each signal.
-fn signals() -> std::io::Result<Receiver<Request>> {
+/// Returns a channel that receives an action for each signal.
+fn signal_actions() -> std::io::Result<Receiver<SignalAction>> {
     let mut signals = Signals::new([SIGINT, SIGTERM, SIGHUP])?;
     let (sender, receiver) = bounded(4);
     std::thread::spawn(move || {
         for signal in signals.forever() {
-            let request = if signal == SIGHUP {
-                Request::Reload
+            let action = if signal == SIGHUP {
+                SignalAction::Reload
             } else {
-                Request::Stop
+                SignalAction::Stop
             };
-            let _ = sender.try_send(request);
+            let _ = sender.try_send(action);
         }
     });
     Ok(receiver)
 }
 
 fn start_log(levels: &str) -> Result<LoggerHandle, FlexiLoggerError> {
-    let writer = Nonblocking::start().map_err(FlexiLoggerError::OutputIo)?;
+    let writer = NonBlockingWriter::start().map_err(FlexiLoggerError::OutputIo)?;
     Logger::try_with_str(levels)?
         .log_to_writer(Box::new(writer))
         .start()
--- a/src/commands/latencies.rs
+++ b/src/commands/latencies.rs
@@ -1,5 +1,5 @@
-//! `crocushold latencies`: how the classes of requests fared over time, and whether the waits that were expected
-//! were met, out of the logs of gateways.
+//! `crocushold latencies`: latencies of the request classes over time, and how well expected waits
+//! predicted the first byte, from the logs of gateways.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -18,32 +18,33 @@
 use super::logs;
 use super::print;
 
-/// The length of a span, in milliseconds, where none is asked for: a rush lasts some of them.
-const SPAN_MS: u64 = 2000;
+/// Default length of an interval in milliseconds. A burst of requests lasts several intervals of
+/// this length.
+const DEFAULT_INTERVAL_MS: u64 = 2000;
 
 /// The arguments of `latencies`.
 #[derive(Clone, Debug)]
 pub struct Args {
-    span: u64,
+    interval_ms: u64,
     files: Vec<PathBuf>,
 }
 
 /// The parser of `latencies`.
 pub fn args() -> impl Parser<Args> {
-    let span = long("span")
-        .help("Length of a span in milliseconds (2000)")
+    let interval_ms = long("span")
+        .help("Length of an interval in milliseconds (2000)")
         .argument::<u64>("MS")
-        .guard(|span| *span > 0, "must be above zero")
-        .fallback(SPAN_MS);
+        .guard(|interval_ms| *interval_ms > 0, "must be above zero")
+        .fallback(DEFAULT_INTERVAL_MS);
     let files = logs::files();
-    construct!(Args { span, files })
+    construct!(Args { interval_ms, files })
         .to_options()
-        .descr("Tells how the classes of requests fared over time, out of the logs of gateways")
-        .footer("Exit status: 0 told, 2 a file can't be read, 64 a usage error")
+        .descr("Shows the latencies of the request classes over time, from the logs of gateways")
+        .footer("Exit status: 0 success, 2 a file can't be read, 64 a usage error")
         .command("latencies")
 }
 
-/// Prints the table.
+/// Prints the latency table and the predictions of waits.
 pub fn run(args: &Args) -> ExitCode {
     let logs = match logs::read(&args.files) {
         Ok(logs) => logs,
@@ -55,8 +56,8 @@
          pause 50/90/99 ms  expected 50/90/99 ms\n"
             .to_owned(),
     );
-    for span in latencies(lines, Millis(args.span)) {
-        print::out(row(&span));
+    for interval in latencies(lines, Millis(args.interval_ms)) {
+        print::out(row(&interval));
     }
     let lines = logs.iter().flat_map(|log| log.lines());
     let predictions = wait_predictions(lines);
@@ -69,22 +70,22 @@
     ExitCode::SUCCESS
 }
 
-fn row(span: &ClassInterval) -> String {
-    let three = |values: [Millis; 3]| {
-        let [half, most, all] = values.map(|value| value.0);
-        format!("{half}/{most}/{all}")
+fn row(interval: &ClassInterval) -> String {
+    let quantiles = |values: [Millis; 3]| {
+        let [p50, p90, p99] = values.map(|value| value.0);
+        format!("{p50}/{p90}/{p99}")
     };
     format!(
         "{:<16} {:>6.1} {:>6} {:>8} {:>10} {:>5} {:>20} {:>20} {:>21}\n",
-        span.route,
-        span.start.as_secs_f64(),
-        span.ended,
-        span.unserved,
-        span.unanswered,
-        span.transferred,
-        three(span.first_byte),
-        three(span.longest_pause),
-        three(span.expected_wait),
+        interval.route,
+        interval.start.as_secs_f64(),
+        interval.ended,
+        interval.unserved,
+        interval.unanswered,
+        interval.transferred,
+        quantiles(interval.first_byte),
+        quantiles(interval.longest_pause),
+        quantiles(interval.expected_wait),
     )
 }
 
@@ -95,16 +96,16 @@
         Chooser::Placer => " chosen by a placer",
     };
     let route = prediction.route.as_deref().unwrap_or("all");
-    let relation = prediction.correlation.map(|value| format!("{value:.2}"));
-    let relation = relation.as_deref().unwrap_or("none");
+    let correlation = prediction.correlation.map(|value| format!("{value:.2}"));
+    let correlation = correlation.as_deref().unwrap_or("none");
     let buckets: String = prediction.buckets.iter().map(bucket_row).collect();
-    format!("{route}{chooser}: rank correlation {relation}\n{buckets}")
+    format!("{route}{chooser}: rank correlation {correlation}\n{buckets}")
 }
 
 fn bucket_row(bucket: &WaitBucket) -> String {
-    let [half, most] = bucket.first_byte;
-    let end = bucket.upper_bound.map(|most| format!("to {} ms", most.0));
-    let end = end.as_deref().unwrap_or("beyond");
-    let (half, most) = (half.0, most.0);
-    format!("  {end:<12} {:>6} {half:>6}/{most}\n", bucket.requests)
+    let [p50, p90] = bucket.first_byte;
+    let range = bucket.upper_bound.map(|bound| format!("to {} ms", bound.0));
+    let range = range.as_deref().unwrap_or("beyond");
+    let (p50, p90) = (p50.0, p90.0);
+    format!("  {range:<12} {:>6} {p50:>6}/{p90}\n", bucket.requests)
 }
--- a/src/commands/log_line.rs
+++ b/src/commands/log_line.rs
@@ -1,4 +1,4 @@
-//! How a log record is written, and a writer that never blocks.
+//! The format of log lines, and a log writer that never blocks.
 
 use std::io;
 use std::io::Write;
@@ -22,29 +22,30 @@
 #[cfg(test)]
 mod tests;
 
-/// Lines that wait for a reader of standard output, and that may come at once.
-const WAITING_LINES: usize = 1024;
+/// Lines that may be buffered while standard output isn't read, and the largest burst of lines.
+const BUFFERED_LINES: usize = 1024;
 
-/// Lines a second at most over a longer time. An instance of the largest fleet answers 40 requests a second,
-/// with a line or two each; a flood of requests that are refused must not become a flood of lines.
-const LINES_A_SECOND: NonZeroU32 = NonZeroU32::new(500).expect("more than none");
+/// Sustained limit of lines per second. An instance of the largest fleet answers 40 requests per
+/// second with one or two lines each; a flood of refused requests must not turn into a flood of log
+/// lines.
+const MAX_LINES_PER_SECOND: NonZeroU32 = NonZeroU32::new(500).expect("nonzero");
 
-/// How long the end of the process waits for its last lines.
+/// How long a flush at the end of the process waits for the last lines to be written.
 const FLUSH_TIMEOUT: Millis = Millis(100);
 
-/// What the writing thread is sent.
+/// A message to the writer thread.
 enum Message {
-    /// A line.
+    /// A line to write.
     Line(Vec<u8>),
-    /// Asks to be told when the lines before were written.
+    /// A request to be notified once all earlier lines have been written.
     Flush(SyncSender<()>),
 }
 
-/// Lines that are written together at most.
+/// Maximum number of messages that are handled in one write.
 const BATCH_LINES: usize = 64;
 
-/// Writes one record as one line of pairs.
-pub(super) fn line(
+/// Writes a record as one line of `key=value` pairs.
+pub(super) fn write_record(
     out: &mut dyn Write,
     now: &mut DeferredNow,
     record: &Record<'_>,
@@ -59,99 +60,100 @@
     )
 }
 
-/// Writes records to standard output from a thread of its own.
+/// Writes records to standard output from a dedicated thread.
 ///
-/// Standard output may be a pipe that nobody reads for a while. A request that waits for it would be
-/// late for a line of log, so what doesn't fit in the buffer or comes faster than the pace is dropped,
-/// counted, and the count told.
-pub(super) struct Nonblocking {
+/// Standard output may be a pipe that isn't read for a while, and a request must not be delayed by
+/// a log line. Lines that don't fit into the buffer or exceed the rate limit are dropped and
+/// counted, and the count is logged.
+pub(super) struct NonBlockingWriter {
     lines: SyncSender<Message>,
-    pace: DefaultDirectRateLimiter,
+    rate_limiter: DefaultDirectRateLimiter,
     dropped: AtomicU64,
 }
 
-impl Nonblocking {
-    /// Starts the thread.
+impl NonBlockingWriter {
+    /// Starts the writer thread.
     ///
     /// # Errors
     ///
     /// Fails when the thread can't be started.
-    pub(super) fn start() -> io::Result<Nonblocking> {
-        let (lines, waiting) = sync_channel(WAITING_LINES);
+    pub(super) fn start() -> io::Result<NonBlockingWriter> {
+        let (lines, receiver) = sync_channel(BUFFERED_LINES);
         thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_all(&waiting))?;
-        Ok(Nonblocking::on(lines, LINES_A_SECOND))
+            .spawn(move || write_messages(&receiver))?;
+        Ok(NonBlockingWriter::with_channel(lines, MAX_LINES_PER_SECOND))
     }
 
-    /// Writes to a channel, so many lines a second.
-    fn on(lines: SyncSender<Message>, pace: NonZeroU32) -> Nonblocking {
-        let burst = NonZeroU32::new(WAITING_LINES as u32).expect("more than none");
-        Nonblocking {
+    /// Writes to a channel at no more than `rate` lines per second.
+    fn with_channel(lines: SyncSender<Message>, rate: NonZeroU32) -> NonBlockingWriter {
+        let burst = NonZeroU32::new(BUFFERED_LINES as u32).expect("nonzero");
+        NonBlockingWriter {
             lines,
-            pace: RateLimiter::direct(Quota::per_second(pace).allow_burst(burst)),
+            rate_limiter: RateLimiter::direct(Quota::per_second(rate).allow_burst(burst)),
             dropped: AtomicU64::new(0),
         }
     }
 
-    fn offer(&self, line: Vec<u8>) -> bool {
-        self.pace.check().is_ok() && self.lines.try_send(Message::Line(line)).is_ok()
+    fn try_write(&self, line: Vec<u8>) -> bool {
+        self.rate_limiter.check().is_ok() && self.lines.try_send(Message::Line(line)).is_ok()
     }
 
-    /// Tells how many lines were dropped, once there is room again.
-    fn tell_dropped(&self) {
+    /// Logs the number of dropped lines once there is room again.
+    fn report_dropped(&self) {
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         if dropped == 0 {
             return;
         }
         let event = Event::new("log-lines-dropped").with("count", dropped);
-        if !self.offer(format!("{event}\n").into_bytes()) {
+        if !self.try_write(format!("{event}\n").into_bytes()) {
             self.dropped.fetch_add(dropped, Ordering::Relaxed);
         }
     }
 }
 
-impl LogWriter for Nonblocking {
+impl LogWriter for NonBlockingWriter {
     fn write(&self, now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
         let mut text = Vec::with_capacity(256);
-        line(&mut text, now, record)?;
+        write_record(&mut text, now, record)?;
         text.push(b'\n');
-        self.tell_dropped();
-        if !self.offer(text) {
+        self.report_dropped();
+        if !self.try_write(text) {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
     }
 
-    /// Waits until the lines before were written, but not for a reader that is gone.
+    /// Waits until earlier lines have been written, but no longer than [`FLUSH_TIMEOUT`] for a
+    /// reader that is gone.
     ///
-    /// The process ends with its main thread; the lines that tell how a planned stop went are the last ones,
-    /// and were lost with the thread that had yet to write them.
+    /// The process ends with its main thread. Without a flush, the last lines, which describe the
+    /// graceful shutdown, would be lost with the writer thread.
     fn flush(&self) -> io::Result<()> {
         let (done, written) = sync_channel(1);
         if self.lines.try_send(Message::Flush(done)).is_ok() {
-            // The lines are lost if they can't be written in time; there is nobody left to tell.
+            // Lines that can't be written in time are lost; there is nowhere left to report it.
             let _ = written.recv_timeout(FLUSH_TIMEOUT.into());
         }
         Ok(())
     }
 }
 
-/// Whoever reads may close the pipe; that is no reason to stop serving, so failed writes end nothing.
-fn write_all(waiting: &Receiver<Message>) {
-    while let Ok(first) = waiting.recv() {
+/// Write errors are ignored: a reader that closes the pipe is no reason to stop serving.
+fn write_messages(receiver: &Receiver<Message>) {
+    while let Ok(first) = receiver.recv() {
         let mut batch = Vec::new();
-        let mut flushed = Vec::new();
-        let more = waiting.try_iter().take(BATCH_LINES);
-        for message in std::iter::once(first).chain(more) {
+        let mut waiting = Vec::new();
+        let queued = receiver.try_iter().take(BATCH_LINES);
+        for message in std::iter::once(first).chain(queued) {
             match message {
                 Message::Line(line) => batch.extend_from_slice(&line),
-                Message::Flush(done) => flushed.push(done),
+                Message::Flush(done) => waiting.push(done),
             }
         }
         let _ = io::stdout().write_all(&batch);
-        for done in flushed {
-            // Whoever asked may have given up waiting.
+        for done in waiting {
+            // The flush may have timed out.
             let _ = done.try_send(());
         }
     }
--- a/src/commands/log_line/tests.rs
+++ b/src/commands/log_line/tests.rs
@@ -1,4 +1,4 @@
-//! The volume of the log under a flood.
+//! Tests of the limits on log volume and of flushing.
 
 use std::sync::Arc;
 use std::sync::mpsc::Receiver;
@@ -9,7 +9,7 @@
 
 use super::*;
 
-fn write(writer: &Nonblocking, count: u32) {
+fn write(writer: &NonBlockingWriter, count: u32) {
     for number in 0..count {
         let args = format_args!("event=x number={number}");
         let record = Record::builder().args(args).build();
@@ -17,19 +17,19 @@
     }
 }
 
-fn texts(lines: &Receiver<Message>) -> Vec<String> {
-    let texts = lines.try_iter().filter_map(|message| match message {
+fn lines_of(lines: &Receiver<Message>) -> Vec<String> {
+    let written = lines.try_iter().filter_map(|message| match message {
         Message::Line(line) => Some(String::from_utf8(line).unwrap()),
         Message::Flush(_) => None,
     });
-    texts.collect()
+    written.collect()
 }
 
-/// How many lines there are, and how many others they tell were dropped.
+/// Returns the number of lines written, and the number of dropped lines that they report.
 fn counts(lines: &Receiver<Message>) -> (usize, usize) {
     let mut written = 0;
     let mut dropped = 0;
-    for text in texts(lines) {
+    for text in lines_of(lines) {
         match text.split_once("event=log-lines-dropped count=") {
             Some((_, count)) => dropped += count.trim().parse::<usize>().unwrap(),
             None => written += 1,
@@ -38,41 +38,42 @@
     (written, dropped)
 }
 
-/// A flood of refused requests writes ten thousand lines at once. Those that fit in a burst are written,
-/// the rest are dropped; the next line that comes when there is room again tells how many.
+/// A flood of refused requests writes ten thousand lines at once. The lines that fit into a burst
+/// are written and the rest are dropped; the next line written once there is room reports their
+/// number.
 #[test]
-fn what_is_beyond_the_pace_is_dropped_and_told() {
-    let (sender, lines) = sync_channel(4 * WAITING_LINES);
-    let pace = NonZeroU32::new(20).unwrap();
-    let writer = Nonblocking::on(sender, pace);
+fn lines_above_the_rate_limit_are_dropped_and_counted() {
+    let (sender, lines) = sync_channel(4 * BUFFERED_LINES);
+    let rate = NonZeroU32::new(20).unwrap();
+    let writer = NonBlockingWriter::with_channel(sender, rate);
     write(&writer, 10_000);
     thread::sleep(Duration::from_millis(300));
     write(&writer, 1);
     let (written, dropped) = counts(&lines);
     assert_eq!(written + dropped, 10_001);
-    // The burst, and 20 a second of a slow machine's minute.
+    // The burst, plus 20 lines per second for up to a minute on a slow machine.
     assert!((1000..2300).contains(&written), "{written} lines");
 }
 
-/// Nobody reads standard output. The writer returns at once all the same, and counts.
+/// When standard output isn't read, the writer still returns at once and counts the dropped lines.
 #[test]
-fn a_reader_that_is_gone_holds_nobody_up() {
+fn a_missing_reader_does_not_block_the_writer() {
     let (sender, lines) = sync_channel(2);
-    let writer = Nonblocking::on(sender, LINES_A_SECOND);
+    let writer = NonBlockingWriter::with_channel(sender, MAX_LINES_PER_SECOND);
     write(&writer, 100);
     let start = Instant::now();
     writer.flush().unwrap();
     assert!(start.elapsed() < Duration::from_secs(5));
-    assert_eq!(texts(&lines).len(), 2);
+    assert_eq!(lines_of(&lines).len(), 2);
     assert_eq!(writer.dropped.load(Ordering::Relaxed), 98);
 }
 
-/// A planned stop ends, its last line says how, and the process ends. The thread that writes hasn't had a
-/// turn since; without waiting for it the line would be lost.
+/// The last line of a graceful shutdown is logged just before the process ends. The writer thread
+/// may not have run since, so without waiting for it the line would be lost.
 #[test]
-fn the_last_lines_are_written_before_the_end() {
+fn flush_waits_for_the_last_lines() {
     let (sender, lines) = sync_channel(8);
-    let writer = Nonblocking::on(sender, LINES_A_SECOND);
+    let writer = NonBlockingWriter::with_channel(sender, MAX_LINES_PER_SECOND);
     let written = Arc::new(AtomicU64::new(0));
     let counted = written.clone();
     thread::spawn(move || {
--- a/src/commands/logs.rs
+++ b/src/commands/logs.rs
@@ -1,4 +1,4 @@
-//! The logs that commands explain: their argument, and reading them.
+//! Reading the log files that `trace` and `latencies` analyze.
 
 use std::fs;
 use std::io;
@@ -10,22 +10,22 @@
 
 use super::print;
 
-/// A file can't be read.
+/// Exit status when a file can't be read.
 const UNREADABLE: u8 = 2;
 
-/// The parser of the files that hold logs.
+/// Parser of the log files' paths.
 pub(super) fn files() -> impl Parser<Vec<PathBuf>> {
     positional::<PathBuf>("FILE")
-        .help("Logs, one of each instance; without any, the standard input")
+        .help("Log files, one per instance; standard input if none is given")
         .complete_shell(bpaf::ShellComp::File { mask: None })
         .many()
 }
 
-/// The text of each file; without files, of the standard input.
+/// Returns the text of each file, or of standard input if there are no files.
 ///
 /// # Errors
 ///
-/// The exit status, after printing the file that can't be read, and why.
+/// Returns the exit status after printing which file can't be read and why.
 pub(super) fn read(files: &[PathBuf]) -> Result<Vec<String>, ExitCode> {
     read_all(files).map_err(|message| {
         print::error(message);
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One module a subcommand, and what they share.
+//! One module per subcommand, and the helpers that they share.
 
 pub mod burn;
 pub mod check;
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -28,7 +28,7 @@
 use super::log_line;
 use super::print;
 
-/// Exit status when the settings have findings or can't be read.
+/// Exit status when the settings are invalid or can't be read.
 const BAD_SETTINGS: u8 = 2;
 
 /// The arguments of `serve`.
@@ -51,11 +51,11 @@
     construct!(Args { log, file })
         .to_options()
         .descr("Runs an entry instance")
-        .footer("Exit status: 0 stopped as planned, 1 could not start, 2 bad settings, 64 a usage error")
+        .footer("Exit status: 0 stopped gracefully, 1 could not start, 2 bad settings, 64 a usage error")
         .command("serve")
 }
 
-/// Runs an instance until a signal asks for a graceful stop.
+/// Runs an instance until a signal requests a graceful shutdown.
 pub fn run(args: &Args) -> ExitCode {
     let _logger = match start_log(&args.log) {
         Ok(logger) => logger,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Reads the settings; the error lists every finding, one a line.
+/// Reads the settings. The error lists every finding on a line of its own.
 fn read_settings(file: &Path) -> Result<Settings, String> {
     let text = fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
     Settings::parse(&text).map_err(|findings| {
@@ -96,22 +96,22 @@
         print_addresses(&instance);
         // The channel closes only with the signal thread, which lives as long as the process.
         let _ = stop.recv().await;
-        let open = instance.stop().await;
-        info!("{}", Event::new("stopped").with("cut", open));
+        let cut = instance.stop().await;
+        info!("{}", Event::new("stopped").with("cut", cut));
         Ok(())
     })
 }
 
-/// Tells whoever started the process where it listens.
+/// Prints the addresses on which the instance listens, for the parent process.
 fn print_addresses(instance: &InstanceHandle) {
     let mut out = std::io::stdout();
-    // Whoever reads may close the pipe after the first line; that is no reason to stop serving.
+    // The reader may close the pipe after the first line; that is no reason to stop serving.
     let _ = writeln!(out, "listening={}", instance.listen);
     let _ = writeln!(out, "operator={}", instance.operator);
     let _ = writeln!(out, "peer={}", instance.peer());
 }
 
-/// A message for each signal that asks for a stop.
+/// Returns a channel that receives a message for each signal that requests a shutdown.
 fn stop_signals() -> std::io::Result<Receiver<()>> {
     let mut signals = Signals::new([SIGINT, SIGTERM])?;
     let (sender, receiver) = bounded(1);
@@ -126,6 +126,6 @@
 fn start_log(levels: &str) -> Result<LoggerHandle, flexi_logger::FlexiLoggerError> {
     Logger::try_with_str(levels)?
         .log_to_stderr()
-        .format(log_line::line)
+        .format(log_line::write_record)
         .start()
 }
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `crocushold status`: what running instances say about themselves.
+//! `crocushold status`: shows the status documents of running instances.
 
 use std::fmt::Write;
 use std::process::ExitCode;
@@ -18,9 +18,9 @@
 #[cfg(test)]
 mod tests;
 
-/// Every instance was read.
+/// Exit status when every instance was read.
 const COMPLETE: u8 = 0;
-/// Some instance could not be read.
+/// Exit status when some instance could not be read.
 const INCOMPLETE: u8 = 2;
 
 /// The arguments of `status`.
@@ -30,7 +30,7 @@
     json: bool,
 }
 
-/// What one address answered.
+/// The result of reading one address.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 struct Reading {
     address: String,
@@ -38,7 +38,7 @@
     outcome: Outcome,
 }
 
-/// A status, or why there is none.
+/// A status document, or why there is none.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 enum Outcome {
@@ -49,7 +49,7 @@
 /// The parser of `status`.
 pub fn args() -> impl Parser<Args> {
     let instances = long("instance")
-        .help("Operator address of an instance; give it once for each")
+        .help("Operator address of an instance; repeat for each instance")
         .argument::<String>("ADDR")
         .some("give at least one --instance ADDR");
     let json = long("json").help("Print JSON instead of tables").switch();
@@ -63,15 +63,15 @@
         .command("status")
 }
 
-/// Reads the instances and prints what they say.
+/// Reads the status of the instances and prints it.
 pub fn run(args: &Args) -> ExitCode {
     let readings = task::block_on(read(&HttpFetch::default(), &args.instances));
-    print::out(text(&readings, args.json));
-    ExitCode::from(status(&readings))
+    print::out(render(&readings, args.json));
+    ExitCode::from(exit_status(&readings))
 }
 
-async fn read(via: &impl Fetch, instances: &[String]) -> Vec<Reading> {
-    let documents = fetch_all(via, instances, "/status").await;
+async fn read(client: &impl Fetch, instances: &[String]) -> Vec<Reading> {
+    let documents = fetch_all(client, instances, "/status").await;
     documents.into_iter().map(reading).collect()
 }
 
@@ -92,7 +92,7 @@
     }
 }
 
-fn text(readings: &[Reading], json: bool) -> String {
+fn render(readings: &[Reading], json: bool) -> String {
     if json {
         let text = serde_json::to_string_pretty(readings);
         let text = text.expect("the document has only text keys");
@@ -113,7 +113,7 @@
     }
 }
 
-/// Names the revisions when the instances don't agree on one.
+/// Lists the revisions in force if the instances don't all have the same one.
 fn differing_revisions(readings: &[Reading]) -> String {
     let revisions = readings.iter().filter_map(|r| match &r.outcome {
         Outcome::Status(status) => Some(status.config.revision),
@@ -128,9 +128,9 @@
     format!("finding: instances have different revisions in force: {revisions:?}\n")
 }
 
-fn status(readings: &[Reading]) -> u8 {
-    let unread = |r: &Reading| matches!(r.outcome, Outcome::Error(_));
-    if readings.iter().any(unread) {
+fn exit_status(readings: &[Reading]) -> u8 {
+    let failed = |r: &Reading| matches!(r.outcome, Outcome::Error(_));
+    if readings.iter().any(failed) {
         INCOMPLETE
     } else {
         COMPLETE
--- a/src/commands/status/tests.rs
+++ b/src/commands/status/tests.rs
@@ -1,4 +1,4 @@
-//! The command against fake instances.
+//! Tests of the command against fake instances.
 
 use async_std::task;
 use crocushold_platform::FetchError;
@@ -8,7 +8,7 @@
 
 use super::*;
 
-/// Answers the address as the body; `gone` doesn't answer.
+/// Fake instances that return their address as the body; `gone` times out.
 struct Instances;
 
 impl Fetch for Instances {
@@ -36,24 +36,25 @@
 #[test_case(&[ONE], COMPLETE)]
 #[test_case(&[ONE, "gone"], INCOMPLETE; "no answer")]
 #[test_case(&["<html>", ONE], INCOMPLETE; "another program")]
-fn the_exit_status_tells(instances: &[&str], expected: u8) {
+fn the_exit_status_reflects_the_readings(instances: &[&str], expected: u8) {
     let readings = readings(instances);
-    assert_eq!(status(&readings), expected);
-    let shown = text(&readings, false);
+    assert_eq!(exit_status(&readings), expected);
+    let shown = render(&readings, false);
     assert!(shown.contains("instance entry-1"), "{shown}");
     assert_eq!(shown.contains("not read"), expected == INCOMPLETE);
-    let json = text(&readings, true);
+    let json = render(&readings, true);
     assert_eq!(json.contains("\"error\""), expected == INCOMPLETE);
 }
 
-/// An instance missed a change. Nobody would compare eight tables by eye.
+/// An instance that missed a configuration change must be pointed out; an operator wouldn't notice
+/// it by comparing the tables of eight instances.
 #[test]
 fn differing_revisions_are_named() {
-    let shown = text(&readings(&[ONE, OTHER]), false);
+    let shown = render(&readings(&[ONE, OTHER]), false);
     assert!(
         shown.contains("different revisions in force: [7, 8]"),
         "{shown}"
     );
-    let shown = text(&readings(&[ONE, ONE]), false);
+    let shown = render(&readings(&[ONE, ONE]), false);
     assert!(!shown.contains("finding"), "{shown}");
 }
--- a/src/commands/trace.rs
+++ b/src/commands/trace.rs
@@ -1,4 +1,4 @@
-//! `crocushold trace`: explains a request out of an instance's log.
+//! `crocushold trace`: explains a request from the logs of gateways.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -11,7 +11,7 @@
 use super::logs;
 use super::print;
 
-/// No line tells of the request.
+/// Exit status when no log line mentions the request.
 const NOT_FOUND: u8 = 1;
 
 /// The arguments of `trace`.
@@ -23,16 +23,16 @@
 
 /// The parser of `trace`.
 pub fn args() -> impl Parser<Args> {
-    let id = positional::<String>("ID").help("The request's identity, as its caller sent it");
+    let id = positional::<String>("ID").help("The request's identifier, as its caller sent it");
     let files = logs::files();
     construct!(Args { id, files })
         .to_options()
-        .descr("Explains a request out of the logs of gateways")
-        .footer("Exit status: 0 explained, 1 no line tells of it, 2 a file can't be read, 64 a usage error")
+        .descr("Explains a request from the logs of gateways")
+        .footer("Exit status: 0 explained, 1 no line mentions it, 2 a file can't be read, 64 a usage error")
         .command("trace")
 }
 
-/// Prints the lines that explain the request.
+/// Prints the log lines that explain the request.
 pub fn run(args: &Args) -> ExitCode {
     let logs = match logs::read(&args.files) {
         Ok(logs) => logs,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! The commands of the `crocushold` program.
 //!
-//! Each command is a thin module: its arguments, and a function that runs it and returns the exit
-//! status. The work is done by the crates below `crates/`.
+//! Each module parses the arguments of one command and runs it; the work is done by the crates in
+//! `crates/`.
 
 pub mod commands;
