--- a/tests/all/answer_faults.rs
+++ b/tests/all/answer_faults.rs
@@ -9,7 +9,7 @@
 use test_case::test_case;
 
 use crate::support::Call;
-use crate::support::Raw;
+use crate::support::RawCaller;
 use crate::support::Site;
 use crate::support::SiteSettings;
 use crate::support::call;
@@ -29,11 +29,11 @@
 fn a_crash_in_a_stream_is_a_visible_cut(tokens: u32, after: u32) {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
-    site.all_engines(&EngineCommand::Stall { after: Some(after) });
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, tokens).marked("crash"));
+    site.command_all_engines(&EngineCommand::Stall { after: Some(after) });
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, tokens).marked("crash"));
     let last = format!("crash {} ", after - 1);
     assert!(caller.read_until(&last));
-    site.engine(site.runner("crash"), EngineCommand::Crash);
+    site.command_engine(site.runner("crash"), EngineCommand::Crash);
     caller.read_to_end();
     assert!(!caller.is_whole(), "{}", caller.text());
     assert!(!caller.text().contains("[DONE]"));
@@ -57,7 +57,7 @@
         form,
         times: None,
     });
-    site.all_engines(&EngineCommand::Cut { cut });
+    site.command_all_engines(&EngineCommand::Cut { cut });
     let answer = call(entry.listen, &Call::chat(stream, 8).marked("cut")).unwrap();
     assert_eq!(answer.status, 200);
     assert!(!answer.whole, "{}", answer.body);
@@ -77,7 +77,7 @@
         form: CutForm::Close,
         times: None,
     });
-    site.engine(0, EngineCommand::Cut { cut });
+    site.command_engine(0, EngineCommand::Cut { cut });
     let answer = call(entry.listen, &Call::chat(stream, 8)).unwrap();
     assert_eq!(answer.status, 502, "{}", answer.body);
     assert_eq!(answer.header("x-request-ran"), "unknown");
@@ -90,8 +90,8 @@
 fn a_stream_that_stalls_is_cut_and_cancelled() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
-    site.all_engines(&EngineCommand::Stall { after: Some(2) });
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 5000).marked("stall"));
+    site.command_all_engines(&EngineCommand::Stall { after: Some(2) });
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 5000).marked("stall"));
     caller.read_to_end();
     assert!(caller.text().contains("stall 1 "));
     assert!(!caller.is_whole());
@@ -111,7 +111,7 @@
         form: CutForm::Chunked,
         times: Some(6),
     });
-    site.all_engines(&EngineCommand::Cut { cut });
+    site.command_all_engines(&EngineCommand::Cut { cut });
     let listen = entry.listen;
     let callers: Vec<_> = (0..60)
         .map(|number| thread::spawn(move || ask(listen, number)))
@@ -133,7 +133,7 @@
 /// Sends a request; every third caller leaves early. The answer, if it looks whole.
 fn ask(listen: SocketAddr, number: u32) -> Option<(u32, String)> {
     let marker = format!("m{number}x");
-    let mut caller = Raw::send(listen, &Call::chat(true, 20).marked(&marker));
+    let mut caller = RawCaller::send(listen, &Call::chat(true, 20).marked(&marker));
     if number.is_multiple_of(3) {
         caller.read_until(&format!("{marker} 1 "));
         return None;
--- a/tests/all/caller_faults.rs
+++ b/tests/all/caller_faults.rs
@@ -11,7 +11,7 @@
 use test_case::test_case;
 
 use crate::support::Call;
-use crate::support::Raw;
+use crate::support::RawCaller;
 use crate::support::Site;
 use crate::support::SiteSettings;
 use crate::support::call;
@@ -38,8 +38,8 @@
 }
 
 /// Drops the caller's connection and returns how long the engine took to cancel.
-fn hang_up(site: &Site, caller: Raw, marker: &str) -> Duration {
-    site.all_engines(&EngineCommand::HangUp {
+fn hang_up(site: &Site, caller: RawCaller, marker: &str) -> Duration {
+    site.command_all_engines(&EngineCommand::HangUp {
         marker: marker.to_owned(),
     });
     drop(caller);
@@ -60,7 +60,7 @@
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
     let request = Call::chat(true, 3).marked("gone");
-    let mut caller = Raw::connect(entry.listen);
+    let mut caller = RawCaller::connect(entry.listen);
     let longer = Call {
         body: format!("{}  ", request.body),
         ..request.clone()
@@ -80,9 +80,9 @@
 fn a_caller_gone_from_the_queue_never_runs() {
     let site = Site::start(&with_slots(1));
     let entry = site.entry("entry-1");
-    let first = Raw::send(entry.listen, &Call::batch(2000).marked("first"));
+    let first = RawCaller::send(entry.listen, &Call::batch(2000).marked("first"));
     wait("the only slot is taken", || site.runs("first") == 1);
-    let gone = Raw::send(entry.listen, &Call::batch(2).marked("gone"));
+    let gone = RawCaller::send(entry.listen, &Call::batch(2).marked("gone"));
     wait("it is queued", || entry.queued("batch") == 1);
     drop(gone);
     wait("it left the queue", || entry.queued("batch") == 0);
@@ -101,21 +101,21 @@
     let site = Site::start(&with_slots(1));
     let entry = site.entry("entry-1");
     if until.is_none() {
-        site.all_engines(&slow_engine());
+        site.command_all_engines(&slow_engine());
     }
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 5000).marked("gone"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 5000).marked("gone"));
     wait("the engine runs it", || site.runs("gone") == 1);
     assert_eq!(entry.running("chat"), 1);
     if let Some(text) = until {
         assert!(caller.read_until(text));
-        site.all_engines(&EngineCommand::Slow { factor: 1000.0 });
+        site.command_all_engines(&EngineCommand::Slow { factor: 1000.0 });
     }
     let took = hang_up(&site, caller, "gone");
     assert!(took <= CANCEL_BOUND, "{took:?}");
     assert_eq!(site.held(), 0);
     entry.wait_idle();
-    site.all_engines(&EngineCommand::Clear);
-    site.all_engines(&EngineCommand::Batch {
+    site.command_all_engines(&EngineCommand::Clear);
+    site.command_all_engines(&EngineCommand::Batch {
         settings: BatchSettings::default(),
     });
     assert!(call(entry.listen, &Call::chat(true, 3)).unwrap().whole);
@@ -127,12 +127,12 @@
 fn a_caller_gone_before_the_last_byte_gives_its_slot_back() {
     let site = Site::start(&with_slots(1));
     let entry = site.entry("entry-1");
-    site.all_engines(&EngineCommand::Stall { after: Some(4) });
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 4).marked("gone"));
+    site.command_all_engines(&EngineCommand::Stall { after: Some(4) });
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 4).marked("gone"));
     assert!(caller.read_until("gone 3 "));
     drop(caller);
     entry.wait_idle();
-    site.all_engines(&EngineCommand::Clear);
+    site.command_all_engines(&EngineCommand::Clear);
     assert!(call(entry.listen, &Call::chat(true, 3)).unwrap().whole);
 }
 
@@ -142,9 +142,9 @@
 fn a_caller_gone_while_idle_cancels_nobody() {
     let site = Site::start(&with_slots(8));
     let entry = site.entry("entry-1");
-    let mut idle = Raw::send(entry.listen, &Call::chat(true, 2).marked("idle"));
+    let mut idle = RawCaller::send(entry.listen, &Call::chat(true, 2).marked("idle"));
     assert!(idle.read_until("\r\n0\r\n\r\n"));
-    let mut other = Raw::send(entry.listen, &Call::chat(true, 30).marked("other"));
+    let mut other = RawCaller::send(entry.listen, &Call::chat(true, 30).marked("other"));
     assert!(other.read_until("other 1 "));
     drop(idle);
     assert!(other.read_until("\r\n0\r\n\r\n"));
@@ -162,16 +162,16 @@
         ..SiteSettings::default()
     });
     let entry = site.entry("entry-1");
-    site.booking(ServiceCommand::Fault {
+    site.command_services(ServiceCommand::Fault {
         fault: ServiceFault::HangAfter,
         times: Some(1),
     });
-    let caller = Raw::send(entry.listen, &Call::booking("left"));
+    let caller = RawCaller::send(entry.listen, &Call::booking("left"));
     wait("the effect is there", || site.effects("left") == 1);
     drop(caller);
     entry.wait_idle();
     assert_eq!(site.effects("left"), 1);
-    site.booking(ServiceCommand::Clear);
+    site.command_services(ServiceCommand::Clear);
     let answer = call(entry.listen, &Call::booking("next")).unwrap();
     assert_eq!(answer.status, 200);
 }
@@ -182,15 +182,15 @@
 fn a_caller_that_reads_on_late_gets_the_whole_answer() {
     let site = Site::start(&with_slots(2));
     let entry = site.entry("entry-1");
-    site.all_engines(&EngineCommand::Batch {
+    site.command_all_engines(&EngineCommand::Batch {
         settings: BatchSettings {
             base_ms: 0.2,
             sequence_ms: 0.0,
             ..BatchSettings::default()
         },
     });
-    let request = Call::chat(true, 1500).bulky(20_000);
-    let mut slow = Raw::send(entry.listen, &request);
+    let request = Call::chat(true, 1500).padded(20_000);
+    let mut slow = RawCaller::send(entry.listen, &request);
     assert!(slow.read_until("data: "));
     wait("the engine has said it all", || site.held() == 0);
     assert_eq!(entry.in_flight(), 1, "the buffers took the whole answer");
@@ -210,14 +210,14 @@
 fn a_caller_that_never_reads_is_cut() {
     let site = Site::start(&with_slots(2));
     let entry = site.entry("entry-1");
-    site.all_engines(&EngineCommand::Batch {
+    site.command_all_engines(&EngineCommand::Batch {
         settings: BatchSettings {
             base_ms: 0.2,
             sequence_ms: 0.0,
             ..BatchSettings::default()
         },
     });
-    let stuck = Raw::send(entry.listen, &Call::chat(true, 4000).bulky(20_000));
+    let stuck = RawCaller::send(entry.listen, &Call::chat(true, 4000).padded(20_000));
     let start = Instant::now();
     while entry.in_flight() > 0 || start.elapsed() < Duration::from_secs(1) {
         assert!(
@@ -239,7 +239,7 @@
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
     let request = Call::chat(true, 3).marked("stuck");
-    let mut stuck = Raw::connect(entry.listen);
+    let mut stuck = RawCaller::connect(entry.listen);
     stuck.write(request.head().as_bytes());
     stuck.write(&request.body.as_bytes()[..10]);
     let text = stuck.read_to_end();
@@ -256,7 +256,7 @@
 fn a_caller_too_slow_on_a_kept_connection_is_refused() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 2).marked("one"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 2).marked("one"));
     assert!(caller.read_until("[DONE]\n\n\r\n0\r\n\r\n"));
     let second = Call::chat(true, 3).marked("two");
     caller.write(second.head().as_bytes());
--- a/tests/all/commands.rs
+++ b/tests/all/commands.rs
@@ -8,7 +8,7 @@
 
 use test_case::test_case;
 
-use crate::support::Folder;
+use crate::support::TempDir;
 
 /// A text with ten mistakes, each on the line that its comment-free neighbours make obvious.
 const TEN_MISTAKES: &str = "\
@@ -48,7 +48,7 @@
 }
 
 fn run(args: &[&str], text: &str) -> (i32, String) {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let file = folder.path().join("text.ini");
     fs::write(&file, text).unwrap();
     let output = crocushold(args, &file);
@@ -85,7 +85,7 @@
 #[test_case(&["explain", "--key=nobody", "--model=m"], 1; "explain")]
 #[test_case(&["--help"], 0; "help")]
 fn a_closed_pipe_changes_no_status(args: &[&str], expected: i32) {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let file = folder.path().join("text.ini");
     fs::write(&file, TEN_MISTAKES).unwrap();
     let (reader, writer) = pipe().unwrap();
--- a/tests/all/config_faults.rs
+++ b/tests/all/config_faults.rs
@@ -13,11 +13,11 @@
 use crate::support::Call;
 use crate::support::Entry;
 use crate::support::Fleet;
-use crate::support::Raw;
+use crate::support::RawCaller;
 use crate::support::Site;
 use crate::support::SiteSettings;
 use crate::support::call;
-use crate::support::call_beside;
+use crate::support::spawn_call;
 use crate::support::wait;
 use crate::support::wait_long;
 
@@ -49,7 +49,7 @@
 fn put_in_force(site: &Site, entry: &Entry, class: &str) {
     site.publish(|text| with_class(text, class));
     let start = Instant::now();
-    entry.wait_in_force(site.platform.stats().revision);
+    entry.wait_active(site.platform.stats().revision);
     assert!(start.elapsed() < SECONDS, "{:?}", start.elapsed());
     assert!(serves(entry, class));
 }
@@ -71,12 +71,12 @@
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
     put_in_force(&site, &entry, "extra");
-    site.platform(fault(true));
+    site.command_platform(fault(true));
     assert_stays(&entry, "extra");
-    site.platform(fault(false));
+    site.command_platform(fault(false));
     let start = Instant::now();
     site.publish(|text| with_class(text, "later"));
-    entry.wait_in_force(site.platform.stats().revision);
+    entry.wait_active(site.platform.stats().revision);
     assert!(
         start.elapsed() < Duration::from_secs(10),
         "{:?}",
@@ -94,7 +94,7 @@
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
     put_in_force(&site, &entry, "extra");
-    site.platform(fault);
+    site.command_platform(fault);
     // A watch asks for what is newer, so the older index shows only when the watch has waited in
     // vain for its half minute.
     let before = site.platform.stats().watches;
@@ -115,10 +115,10 @@
     let request = Call::chat(true, 300)
         .marked("mine")
         .header("x-class", "extra");
-    let mut caller = Raw::send(entry.listen, &request);
+    let mut caller = RawCaller::send(entry.listen, &request);
     assert!(caller.read_until("mine 1 "));
     site.publish(str::to_owned);
-    entry.wait_in_force(3);
+    entry.wait_active(3);
     assert!(caller.read_until("[DONE]\n\n\r\n0\r\n\r\n"), "cut");
     assert!(caller.text().contains("mine 299 "));
     assert!(!serves(&entry, "extra"));
@@ -131,15 +131,15 @@
 fn a_removed_server_finishes_and_gets_nothing_new() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 300).marked("mine"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 300).marked("mine"));
     assert!(caller.read_until("mine 1 "));
     let runner = site.runner("mine");
     site.publish(|text| without_server(text, runner));
-    entry.wait_in_force(2);
+    entry.wait_active(2);
     let before = site.engines[runner].stats().started;
     // More than the other server has slots for.
     let calls: Vec<_> = (0..12)
-        .map(|_| call_beside(entry.listen, &Call::chat(true, 10)))
+        .map(|_| spawn_call(entry.listen, &Call::chat(true, 10)))
         .collect();
     for answer in calls {
         assert!(answer.join().unwrap().unwrap().whole);
@@ -170,12 +170,12 @@
     });
     let entry = site.entry("entry-1");
     put_in_force(&site, &entry, "extra");
-    let first = Raw::send(entry.listen, &Call::batch(5000).marked("first"));
+    let first = RawCaller::send(entry.listen, &Call::batch(5000).marked("first"));
     wait("the slot is taken", || site.runs("first") == 1);
     let request = Call::chat(true, 2)
         .marked("late")
         .header("x-class", "extra");
-    let queued = call_beside(entry.listen, &request);
+    let queued = spawn_call(entry.listen, &request);
     wait("it is queued", || entry.queued("extra") == 1);
     site.publish(str::to_owned);
     let answer = queued.join().unwrap().unwrap();
@@ -241,7 +241,7 @@
     put_in_force(&site, &entry, "extra");
     let age = || entry.status().config.confirmed_ms.unwrap();
     assert!(age() < OLD && confirmed_age(&entry) < 8.0);
-    site.platform(begin);
+    site.command_platform(begin);
     wait_long("the confirmation grows old", || age() > OLD);
     assert!(confirmed_age(&entry) > 8.0);
     let line = shown(&entry, &[]);
@@ -250,7 +250,7 @@
     let old = &json[0]["status"]["config"]["confirmed-ms"];
     assert!(old.as_u64().unwrap() > OLD, "{json}");
     assert!(serves(&entry, "extra"));
-    site.platform(end);
+    site.command_platform(end);
     wait_long("it is confirmed anew", || age() < OLD);
     assert!(confirmed_age(&entry) < 8.0);
 }
@@ -260,13 +260,13 @@
 #[test]
 fn what_was_never_confirmed_is_shown_as_such() {
     let site = Site::start(&SiteSettings::default());
-    site.platform(PlatformCommand::Down { on: true });
+    site.command_platform(PlatformCommand::Down { on: true });
     let entry = Entry::start(&site.args("entry-1"));
     assert_eq!(entry.status().config.confirmed_ms, None);
     assert!(confirmed_age(&entry).is_infinite());
     let line = shown(&entry, &[]);
     assert!(line.contains("never confirmed by the platform"), "{line}");
-    site.platform(PlatformCommand::Down { on: false });
+    site.command_platform(PlatformCommand::Down { on: false });
     entry.wait_ready();
     assert!(entry.status().config.confirmed_ms.is_some());
     assert!(confirmed_age(&entry).is_finite());
@@ -288,26 +288,26 @@
     site.publish(|text| {
         with_class(text, "extra").replace("first-token = 2 s", "first-token = 60 s")
     });
-    fleet.wait_in_force(2);
+    fleet.wait_active(2);
     fleet.kill(1);
     let entry = fleet.entry(0);
     let request = Call::chat(true, 20).header("x-class", "extra");
     let mut callers: Vec<_> = (0..6)
-        .map(|n| Raw::send(entry.listen, &request.clone().marked(&format!("m{n}"))))
+        .map(|n| RawCaller::send(entry.listen, &request.clone().marked(&format!("m{n}"))))
         .collect();
     wait("some stream and some are queued", || {
         site.held() >= 1 && entry.queued("extra") >= 1
     });
-    site.engine(0, EngineCommand::Slow { factor: 100.0 });
+    site.command_engine(0, EngineCommand::Slow { factor: 100.0 });
     let before = site.platform.stats().indexes;
-    site.platform(fault);
+    site.command_platform(fault);
     fleet.spawn(1);
     fleet.entry(1).wait_ready();
     assert!(site.platform.stats().indexes > before, "it wasn't read");
     assert_eq!(fleet.entry(1).status().config.revision, 2);
     let entry = fleet.entry(0);
     assert!(site.held() >= 1 && entry.queued("extra") >= 1);
-    site.engine(0, EngineCommand::Slow { factor: 1.0 });
+    site.command_engine(0, EngineCommand::Slow { factor: 1.0 });
     for (number, caller) in callers.iter_mut().enumerate() {
         assert!(caller.read_until("[DONE]\n\n\r\n0\r\n\r\n"), "cut");
         assert!(caller.text().contains(&format!("m{number} 19 ")));
@@ -327,11 +327,11 @@
         ..SiteSettings::default()
     });
     let entry = site.entry("entry-1");
-    let mut stream = Raw::send(entry.listen, &Call::chat(true, 100).marked("mine"));
+    let mut stream = RawCaller::send(entry.listen, &Call::chat(true, 100).marked("mine"));
     assert!(stream.read_until("mine 1 "));
-    let queued = call_beside(entry.listen, &Call::batch(2));
+    let queued = spawn_call(entry.listen, &Call::batch(2));
     wait("it is queued", || entry.queued("batch") == 1);
-    site.platform(fault);
+    site.command_platform(fault);
     assert!(stream.read_until("[DONE]\n\n\r\n0\r\n\r\n"), "cut");
     assert!(stream.text().contains("mine 99 "));
     let answer = queued.join().unwrap().unwrap();
--- a/tests/all/ended_servers.rs
+++ b/tests/all/ended_servers.rs
@@ -8,11 +8,11 @@
 use crate::support::Call;
 use crate::support::Entry;
 use crate::support::Fleet;
-use crate::support::Raw;
+use crate::support::RawCaller;
 use crate::support::Site;
 use crate::support::SiteSettings;
 use crate::support::call;
-use crate::support::call_beside;
+use crate::support::spawn_call;
 
 /// Engines that may end under one request before that is noticed.
 const ENDS_ALLOWED: usize = 3;
@@ -34,7 +34,7 @@
         engines: 12,
         ..SiteSettings::default()
     });
-    site.all_engines(&EngineCommand::Stall { after: Some(2) });
+    site.command_all_engines(&EngineCommand::Stall { after: Some(2) });
     site
 }
 
@@ -51,12 +51,12 @@
             thread::sleep(STABLE_WINDOW);
         }
         let entry = entries[number % entries.len()];
-        let mut caller = Raw::send(entry.listen, &deadly());
+        let mut caller = RawCaller::send(entry.listen, &deadly());
         let Some(runner) = new_runner(site, &ended) else {
             break;
         };
         assert!(caller.read_until("deadly 1 "));
-        site.engine(runner, EngineCommand::Crash);
+        site.command_engine(runner, EngineCommand::Crash);
         caller.read_to_end();
         ended.push(runner);
         thread::sleep(RETURN);
@@ -101,7 +101,7 @@
 fn instances_of_serve_tell_each_other_of_a_request_that_ends_engines() {
     let site = site();
     let fleet = Fleet::start(&site, 3);
-    fleet.wait_agreed();
+    fleet.wait_converged();
     let entries: Vec<&Entry> = fleet.running().collect();
     assert_few(&send_on(&site, &entries[..2]));
     assert_held(&site, entries[2]);
@@ -113,10 +113,10 @@
 fn a_request_that_waits_while_engines_end_under_its_like_is_not_sent() {
     let site = site();
     let fleet = Fleet::start(&site, 2);
-    fleet.wait_agreed();
+    fleet.wait_converged();
     let [first, second] = [fleet.entry(0), fleet.entry(1)];
     second.hold("claimed");
-    let waiting = call_beside(second.listen, &deadly());
+    let waiting = spawn_call(second.listen, &deadly());
     second.wait_held("claimed");
     let ended = send_on(&site, &[first]);
     thread::sleep(STABLE_WINDOW);
@@ -135,12 +135,12 @@
 fn serve_sends_a_request_again_after_one_engine_has_ended_under_it() {
     let site = site();
     let entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &deadly());
+    let mut caller = RawCaller::send(entry.listen, &deadly());
     let runner = new_runner(&site, &[]).expect("an engine runs it");
     assert!(caller.read_until("deadly 1 "));
-    site.engine(runner, EngineCommand::Crash);
+    site.command_engine(runner, EngineCommand::Crash);
     caller.read_to_end();
-    site.all_engines(&EngineCommand::Stall { after: None });
+    site.command_all_engines(&EngineCommand::Stall { after: None });
     thread::sleep(RETURN);
     let answer = call(entry.listen, &deadly()).unwrap();
     assert_eq!(answer.status, 200);
--- a/tests/all/fleet.rs
+++ b/tests/all/fleet.rs
@@ -12,7 +12,7 @@
 use crate::support::call;
 
 /// Within this time a change is in force on every instance.
-const IN_FORCE: Duration = Duration::from_secs(5);
+const PROPAGATION_BOUND: Duration = Duration::from_secs(5);
 
 /// Publishes a text in which the class named `chat` has another floor, and returns once every
 /// running member shows the revision.
@@ -20,7 +20,7 @@
     let start = Instant::now();
     let comment = format!("# revision {revision}");
     site.publish(|text| text.replace("format = 1", &format!("format = 1\n{comment}")));
-    fleet.wait_in_force(revision);
+    fleet.wait_active(revision);
     start.elapsed()
 }
 
@@ -29,7 +29,7 @@
     let site = Site::start(&SiteSettings::default());
     let fleet = Fleet::start(&site, 8);
     let took = change_config(&site, &fleet, 2);
-    assert!(took < IN_FORCE, "{took:?}");
+    assert!(took < PROPAGATION_BOUND, "{took:?}");
 }
 
 /// The platform goes back to an older revision, as after a restore of its own store. A caller whose
@@ -40,11 +40,11 @@
     let site = Site::start(&SiteSettings::default());
     let mut fleet = Fleet::start(&site, 3);
     change_config(&site, &fleet, 2);
-    site.platform(PlatformCommand::Stale { revision: Some(1) });
+    site.command_platform(PlatformCommand::Stale { revision: Some(1) });
     fleet.members[2].entry.take();
     fleet.spawn(2);
     fleet.wait_ready();
-    fleet.wait_in_force(2);
+    fleet.wait_active(2);
 }
 
 /// The platform hangs while an instance is replaced at its old address. The new process can read
@@ -55,12 +55,12 @@
     let site = Site::start(&SiteSettings::default());
     let mut fleet = Fleet::start(&site, 3);
     // Ready isn't enough: nobody may have read the list yet, so that nobody knows the address.
-    fleet.wait_agreed();
+    fleet.wait_converged();
     change_config(&site, &fleet, 2);
-    site.platform(PlatformCommand::Frozen { on: true });
+    site.command_platform(PlatformCommand::Frozen { on: true });
     fleet.members[2].entry.take();
     fleet.spawn(2);
-    fleet.wait_in_force(2);
+    fleet.wait_active(2);
     let answer = call(fleet.entry(2).listen, &Call::chat(true, 2)).unwrap();
     assert_eq!(answer.status, 200);
 }
--- a/tests/all/fleet_losses.rs
+++ b/tests/all/fleet_losses.rs
@@ -15,11 +15,11 @@
 use crate::support::Site;
 use crate::support::SiteSettings;
 use crate::support::call;
-use crate::support::call_beside;
+use crate::support::spawn_call;
 use crate::support::wait;
 
 /// Within this time all have noticed a loss, or take one back that was away.
-const AGREED: Duration = Duration::from_secs(15);
+const CONVERGENCE_BOUND: Duration = Duration::from_secs(15);
 
 /// How long a frozen instance sleeps.
 const FREEZE: Duration = Duration::from_secs(3);
@@ -43,7 +43,7 @@
 fn a_killed_instance_cuts_only_its_own_requests() {
     let site = site();
     let mut fleet = Fleet::start(&site, 8);
-    fleet.wait_agreed();
+    fleet.wait_converged();
     let balancer = Balancer::start();
     let backends: Vec<_> = fleet.running().map(|entry| balancer.add(entry)).collect();
     let load = Load::start(&site, balancer.address);
@@ -51,11 +51,11 @@
         fleet.entry(3).in_flight() > 0
     });
     fleet.kill(3);
-    let took = fleet.wait_agreed();
+    let took = fleet.wait_converged();
     let totals = load.stop();
     totals.print("kill one");
     println!("kill one: agreed in {took:?}");
-    totals.assert_sound();
+    totals.assert_invariants();
     for (number, backend) in backends.iter().enumerate() {
         assert!(
             number == 3 || backend.cut() == 0,
@@ -63,7 +63,7 @@
         );
     }
     assert!(totals.cut() <= backends[3].cut(), "{}", totals.cut());
-    assert!(took < AGREED, "{took:?}");
+    assert!(took < CONVERGENCE_BOUND, "{took:?}");
 }
 
 /// One of eight instances is stopped for three seconds, as by its hypervisor, while requests wait in
@@ -74,7 +74,7 @@
 fn a_frozen_instance_slows_nobody_and_reverts_nothing() {
     let site = site();
     let fleet = Fleet::start(&site, 8);
-    fleet.wait_agreed();
+    fleet.wait_converged();
     let balancer = Balancer::start();
     for number in (0..8).filter(|&number| number != 5) {
         balancer.add(fleet.entry(number));
@@ -103,8 +103,8 @@
             );
         }
     }
-    fleet.wait_in_force(2);
-    fleet.wait_agreed();
+    fleet.wait_active(2);
+    fleet.wait_converged();
     let took = woken.elapsed();
     let totals = load.stop();
     totals.print("freeze one");
@@ -115,10 +115,10 @@
     for answer in busy {
         assert!(answer.join().unwrap().unwrap().whole);
     }
-    totals.assert_sound();
+    totals.assert_invariants();
     assert_eq!(totals.cut(), 0);
     assert!(slowest < PROMPT, "{slowest:?}");
-    assert!(took < AGREED, "{took:?}");
+    assert!(took < CONVERGENCE_BOUND, "{took:?}");
 }
 
 /// Calls the others for as long as one is frozen, and returns the longest that an answer took.
@@ -159,7 +159,7 @@
         let call = Call::batch(2)
             .marked(&marker)
             .header("x-timeout-ms", "2000");
-        let caller = call_beside(entry.listen, &call);
+        let caller = spawn_call(entry.listen, &call);
         wait("it is queued, or answered", || {
             entry.queued("batch") == 2 || caller.is_finished()
         });
@@ -173,7 +173,7 @@
 fn fill_queue(entry: &Entry, busy: &mut Vec<JoinHandle<Option<Answer>>>) {
     while entry.queued("batch") == 0 {
         assert!(busy.len() < 100, "nothing has to wait");
-        busy.push(call_beside(entry.listen, &Call::batch(200)));
+        busy.push(spawn_call(entry.listen, &Call::batch(200)));
         wait("it is taken", || {
             let ended = busy.iter().filter(|caller| caller.is_finished()).count();
             entry.in_flight() + entry.queued("batch") + ended as u64 >= busy.len() as u64
@@ -188,12 +188,12 @@
 fn a_stranger_with_a_wrong_key_gets_nothing_in_or_out() {
     let site = site();
     let mut fleet = Fleet::start(&site, 4);
-    fleet.wait_agreed();
+    fleet.wait_converged();
     fleet.kill(3);
-    fleet.wait_agreed();
+    fleet.wait_converged();
     site.publish(|text| text.replace("format = 1", "format = 1\n# changed\n"));
-    fleet.wait_in_force(2);
-    site.platform(PlatformCommand::Stale { revision: Some(1) });
+    fleet.wait_active(2);
+    site.command_platform(PlatformCommand::Stale { revision: Some(1) });
     fleet.spawn_with_key(3, "another-key-that-nobody-else-holds");
     let stranger = fleet.members[3].entry.take().unwrap();
     stranger.wait_ready();
--- a/tests/all/fleet_outages.rs
+++ b/tests/all/fleet_outages.rs
@@ -29,20 +29,20 @@
         ..SiteSettings::default()
     });
     let mut fleet = Fleet::start(&site, COUNT);
-    fleet.wait_agreed();
+    fleet.wait_converged();
     let balancer = Balancer::start();
     for number in 0..6 {
         balancer.add(fleet.entry(number));
     }
     let load = Load::start(&site, balancer.address);
-    site.platform(begin);
+    site.command_platform(begin);
     fleet.kill(6);
     fleet.kill(7);
-    let noticed = fleet.wait_agreed();
-    fleet.spawn_elsewhere(7);
+    let noticed = fleet.wait_converged();
+    fleet.spawn_at_new_address(7);
     let newcomer = fleet.members[7].entry.take().unwrap();
     // All six have probed a member each since then, and none may have found the newcomer.
-    let unseen = fleet.wait_agreed();
+    let unseen = fleet.wait_converged();
     let refused = call(newcomer.listen, &Call::chat(false, 2)).unwrap();
     assert_eq!(refused.status, 503, "{}", refused.body);
     assert_eq!(refused.header("x-request-ran"), "no");
@@ -50,13 +50,13 @@
     assert_eq!(newcomer.status().state, InstanceState::Starting);
     assert_eq!(newcomer.page("/ready").unwrap().status, 503);
     fleet.members[7].entry = Some(newcomer);
-    site.platform(end);
+    site.command_platform(end);
     fleet.publish();
     fleet.wait_ready();
-    let joined = fleet.wait_agreed();
+    let joined = fleet.wait_converged();
     let totals = load.stop();
     totals.print("outage");
     println!("outage: losses noticed in {noticed:?}, {unseen:?}, joined in {joined:?}");
-    totals.assert_sound();
+    totals.assert_invariants();
     assert_eq!(totals.cut(), 0);
 }
--- a/tests/all/fleet_replacement.rs
+++ b/tests/all/fleet_replacement.rs
@@ -20,7 +20,7 @@
 use crate::support::wait;
 
 /// Within this time all agree again after the last replacement.
-const AGREED: Duration = Duration::from_secs(15);
+const CONVERGENCE_BOUND: Duration = Duration::from_secs(15);
 
 const COUNT: usize = 8;
 
@@ -60,7 +60,7 @@
             Ending::Killed => fleet.kill(number),
         }
         balancer.remove(old);
-        fleet.spawn_again(number);
+        fleet.respawn(number);
         balancer.add(fleet.entry(number));
         fleet.entry(number).wait_ready();
     }
@@ -90,8 +90,8 @@
 /// Replaces all under load. Confirmations that were made before are sent again after it, each through
 /// another instance, none of which was there when they ran.
 fn replace_all_under_load(site: &Site, ending: Ending) -> Totals {
-    let mut fleet = Fleet::start_with_notice(site, COUNT, NOTICE);
-    fleet.wait_agreed();
+    let mut fleet = Fleet::start_with_notice_period(site, COUNT, NOTICE);
+    fleet.wait_converged();
     let balancer = Balancer::start();
     for entry in fleet.running() {
         balancer.add(entry);
@@ -105,7 +105,7 @@
     let start = Instant::now();
     replace_all(&mut fleet, &balancer, ending);
     let replaced = start.elapsed();
-    let took = fleet.wait_agreed();
+    let took = fleet.wait_converged();
     let totals = load.stop();
     for number in 0..KEYS {
         let answer = book(&fleet, number + 1, &key(number));
@@ -116,7 +116,7 @@
     let test = format!("replace all, {ending:?}");
     totals.print(&test);
     println!("{test}: replaced in {replaced:?}, agreed in {took:?}");
-    assert!(took < AGREED, "{took:?}");
+    assert!(took < CONVERGENCE_BOUND, "{took:?}");
     totals
 }
 
@@ -126,7 +126,7 @@
 fn a_planned_replacement_of_all_cuts_and_refuses_nobody() {
     let site = site();
     let totals = replace_all_under_load(&site, Ending::Planned);
-    totals.assert_sound();
+    totals.assert_invariants();
     assert_eq!(totals.cut(), 0);
     assert_eq!(totals.class("chat").refused, 0);
     assert_eq!(totals.class("batch").refused, 0);
@@ -141,11 +141,11 @@
 fn new_confirmations_are_served_through_each_planned_replacement() {
     let site = site();
     let mut fleet = Fleet::start(&site, COUNT);
-    fleet.wait_agreed();
+    fleet.wait_converged();
     (0..COUNT).for_each(|number| wait_bookable(&fleet, number));
     for number in 0..COUNT {
         fleet.stop(number);
-        fleet.spawn_again(number);
+        fleet.respawn(number);
         fleet.entry(number).wait_ready();
         let start = Instant::now();
         wait_bookable(&fleet, number);
@@ -160,7 +160,7 @@
 fn replacing_all_by_kills_doubles_nothing() {
     let site = site();
     let totals = replace_all_under_load(&site, Ending::Killed);
-    totals.assert_sound();
+    totals.assert_invariants();
     assert_eq!(totals.class("chat").refused, 0);
     assert_eq!(totals.class("batch").refused, 0);
     assert_eq!(totals.class("confirm").without_hint, 0);
@@ -174,10 +174,10 @@
 fn a_replacement_of_all_on_a_platform_behind_reverts_nothing(fault: PlatformCommand) {
     let site = site();
     let mut fleet = Fleet::start(&site, 4);
-    fleet.wait_agreed();
+    fleet.wait_converged();
     site.publish(|text| text.replace("format = 1", "format = 1\n# changed\n"));
-    fleet.wait_in_force(2);
-    site.platform(fault);
+    fleet.wait_active(2);
+    site.command_platform(fault);
     for number in 0..4 {
         fleet.stop(number);
         fleet.spawn(number);
@@ -187,11 +187,11 @@
         loop {
             let revision = fleet.entry(number).status().config.revision;
             assert_ne!(revision, 1, "reverted");
-            assert!(start.elapsed() < AGREED, "never in force");
+            assert!(start.elapsed() < CONVERGENCE_BOUND, "never in force");
             if revision == 2 {
                 break;
             }
         }
     }
-    fleet.wait_in_force(2);
+    fleet.wait_active(2);
 }
--- a/tests/all/fleet_splits.rs
+++ b/tests/all/fleet_splits.rs
@@ -13,10 +13,10 @@
 use crate::support::call;
 
 /// Within this time a change is in force on every instance that the platform reaches.
-const IN_FORCE: Duration = Duration::from_secs(5);
+const PROPAGATION_BOUND: Duration = Duration::from_secs(5);
 
 /// Within this time all agree again after links are healed.
-const AGREED: Duration = Duration::from_secs(15);
+const CONVERGENCE_BOUND: Duration = Duration::from_secs(15);
 
 const COUNT: usize = 8;
 const SMALLER: [usize; 3] = [0, 1, 2];
@@ -62,7 +62,7 @@
     for from in 0..COUNT {
         for to in 0..COUNT {
             if cut.has(from, to) {
-                fleet.links.cut_way(from, to);
+                fleet.links.cut(from, to);
             }
         }
     }
@@ -72,21 +72,21 @@
 /// all serve, and that they agree once the links are healed.
 fn change_in_a_split(links: Cut) {
     let site = site();
-    let fleet = Fleet::start_linked(&site, COUNT);
+    let fleet = Fleet::start_with_links(&site, COUNT);
     cut(&fleet, links);
     let start = Instant::now();
     site.publish(|text| text.replace("format = 1", "format = 1\n# changed\n"));
-    fleet.wait_in_force(2);
+    fleet.wait_active(2);
     let took = start.elapsed();
     for entry in fleet.running() {
         let answer = call(entry.listen, &Call::chat(true, 2)).unwrap();
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
     fleet.links.heal();
-    let agreed = fleet.wait_agreed();
+    let agreed = fleet.wait_converged();
     println!("cut {links:?}: in force in {took:?}, agreed in {agreed:?}");
-    assert!(took < IN_FORCE, "{took:?}");
-    assert!(agreed < AGREED, "{agreed:?}");
+    assert!(took < PROPAGATION_BOUND, "{took:?}");
+    assert!(agreed < CONVERGENCE_BOUND, "{agreed:?}");
 }
 
 /// The fleet falls into two groups, and a change is published before anybody has noticed. Both groups
@@ -131,8 +131,8 @@
 #[test]
 fn a_split_runs_no_confirmation_twice() {
     let site = site();
-    let fleet = Fleet::start_linked(&site, COUNT);
-    fleet.links.split(&SMALLER, &LARGER);
+    let fleet = Fleet::start_with_links(&site, COUNT);
+    fleet.links.partition(&SMALLER, &LARGER);
     let mut served = [0; 2];
     for number in 0..24 {
         let key = format!("k-{number}");
@@ -152,7 +152,7 @@
         assert!(site.effects(&key) <= 1, "{key} ran twice");
     }
     fleet.links.heal();
-    let agreed = fleet.wait_agreed();
+    let agreed = fleet.wait_converged();
     for number in 0..24 {
         let key = format!("k-{number}");
         let before = site.effects(&key);
@@ -163,5 +163,5 @@
     }
     println!("split: {served:?} of 24 confirmations served by each side, agreed in {agreed:?}");
     assert!(served[0] > 0 && served[1] > 0);
-    assert!(agreed < AGREED, "{agreed:?}");
+    assert!(agreed < CONVERGENCE_BOUND, "{agreed:?}");
 }
--- a/tests/all/flood_faults.rs
+++ b/tests/all/flood_faults.rs
@@ -9,7 +9,7 @@
 
 use crate::support::Call;
 use crate::support::Entry;
-use crate::support::Raw;
+use crate::support::RawCaller;
 use crate::support::Site;
 use crate::support::SiteSettings;
 use crate::support::call;
@@ -26,8 +26,8 @@
 }
 
 /// A connection that was served once and is kept open.
-fn kept(entry: &Entry, key: &str) -> Raw {
-    let mut raw = Raw::send(entry.listen, &Call::chat(true, 2).key(key));
+fn kept(entry: &Entry, key: &str) -> RawCaller {
+    let mut raw = RawCaller::send(entry.listen, &Call::chat(true, 2).key(key));
     assert!(raw.read_until(LAST_CHUNK), "{}", raw.text());
     raw
 }
@@ -39,9 +39,9 @@
 fn one_account_holds_a_bounded_number_of_connections() {
     let site = site("connections = 8\nconnections-per-account = 3\n");
     let entry = site.entry("entry-1");
-    let mut held: Vec<Raw> = (0..3).map(|_| kept(&entry, "team.chat")).collect();
+    let mut held: Vec<RawCaller> = (0..3).map(|_| kept(&entry, "team.chat")).collect();
     let over = Call::chat(true, 2).marked("over");
-    let mut refused = Raw::connect(entry.listen);
+    let mut refused = RawCaller::connect(entry.listen);
     refused.write(over.head().as_bytes());
     let text = refused.read_to_end();
     assert!(text.starts_with("HTTP/1.1 429 "), "{text}");
@@ -85,9 +85,9 @@
 fn wrong_keys_take_no_places() {
     let site = site("connections-per-account = 1\n");
     let entry = site.entry("entry-1");
-    let strangers: Vec<Raw> = (0..4)
+    let strangers: Vec<RawCaller> = (0..4)
         .map(|_| {
-            let mut raw = Raw::send(entry.listen, &Call::chat(true, 2).key("team.nobody"));
+            let mut raw = RawCaller::send(entry.listen, &Call::chat(true, 2).key("team.nobody"));
             assert!(raw.read_until("unauthorized"));
             raw
         })
@@ -107,9 +107,9 @@
         ..SiteSettings::default()
     });
     let entry = site.entry("entry-1");
-    let running = Raw::send(entry.listen, &Call::batch(5000).marked("running"));
+    let running = RawCaller::send(entry.listen, &Call::batch(5000).marked("running"));
     wait("the only slot is taken", || site.runs("running") == 1);
-    let queued = [0; 2].map(|_| Raw::send(entry.listen, &Call::batch(2)));
+    let queued = [0; 2].map(|_| RawCaller::send(entry.listen, &Call::batch(2)));
     wait("two wait", || entry.queued("batch") == 2);
     let refused = call(entry.listen, &Call::batch(2).marked("over")).unwrap();
     assert_eq!(refused.status, 429, "{}", refused.body);
@@ -132,7 +132,7 @@
     let site = site("connections = 1\nconnections-per-account = 1\n");
     let entry = site.entry("entry-1");
     let held = text.is_empty().then(|| kept(&entry, "team.chat"));
-    let mut refused = Raw::connect(entry.listen);
+    let mut refused = RawCaller::connect(entry.listen);
     refused.write(text.as_bytes());
     let answer = refused.read_to_end();
     assert!(
@@ -197,8 +197,8 @@
 }
 
 /// Takes a connection of the flood; none when its request was refused, for want of memory alone.
-fn flood(entry: &Entry, kind: Kind) -> Option<Raw> {
-    let mut raw = Raw::connect(entry.listen);
+fn flood(entry: &Entry, kind: Kind) -> Option<RawCaller> {
+    let mut raw = RawCaller::connect(entry.listen);
     match kind {
         Kind::HalfHead => raw.write(&heavy(&Call::chat(true, 1)).as_bytes()[..7000]),
         Kind::Streaming => {
@@ -212,8 +212,8 @@
             raw.write(&behind());
         }
         Kind::Waiting => {
-            let bulky = Call::chat(false, 50).bulky(200 * 1024);
-            raw.write(heavy(&bulky).as_bytes());
+            let padded = Call::chat(false, 50).padded(200 * 1024);
+            raw.write(heavy(&padded).as_bytes());
             raw.write(&behind());
         }
     }
@@ -247,8 +247,8 @@
     let entry = site.entry("entry-1");
     drop(kept(&entry, "team.chat"));
     let before = resident(&entry);
-    site.all_engines(&EngineCommand::Stall { after: Some(2) });
-    site.all_engines(&EngineCommand::Batch {
+    site.command_all_engines(&EngineCommand::Stall { after: Some(2) });
+    site.command_all_engines(&EngineCommand::Batch {
         settings: BatchSettings {
             batch_limit: count,
             kv_tokens: u64::MAX,
@@ -262,8 +262,8 @@
         .take(count)
         .map(|&kind| (kind, flood(&entry, kind)))
         .collect();
-    let over = Call::chat(false, 50).bulky(4 * 1024 * 1024 - 1024);
-    let mut last = Raw::connect(entry.listen);
+    let over = Call::chat(false, 50).padded(4 * 1024 * 1024 - 1024);
+    let mut last = RawCaller::connect(entry.listen);
     last.write(over.head().as_bytes());
     assert_refused(&last.read_to_end());
     let after = resident(&entry);
--- a/tests/all/instance_list.rs
+++ b/tests/all/instance_list.rs
@@ -46,7 +46,7 @@
         .engines
         .iter()
         .map(|engine| listed(engine.addr(), InstanceState::Live));
-    site.platform(PlatformCommand::Instances {
+    site.command_platform(PlatformCommand::Instances {
         instances: instances.collect(),
     });
     thread::sleep(QUIET);
@@ -68,7 +68,7 @@
     let site = Site::start(&SiteSettings::default());
     let states = [InstanceState::Leaving, InstanceState::Live];
     let engines = site.engines.iter().zip(states);
-    site.platform(PlatformCommand::Instances {
+    site.command_platform(PlatformCommand::Instances {
         instances: engines
             .map(|(engine, state)| listed(engine.addr(), state))
             .collect(),
--- a/tests/all/limits.rs
+++ b/tests/all/limits.rs
@@ -98,7 +98,7 @@
 fn an_account_at_one_instance_gets_more_than_a_third_and_never_more_than_its_rate() {
     let site = site();
     let fleet = Fleet::start(&site, 3);
-    fleet.wait_in_force(2);
+    fleet.wait_active(2);
     let one = flood_at(&fleet, &[0]);
     assert!((0.5..=OVER).contains(&one), "{one}");
     let all = flood_at(&fleet, &[0, 1, 2]);
@@ -111,7 +111,7 @@
 fn the_share_of_a_killed_instance_moves_to_the_rest() {
     let site = site();
     let mut fleet = Fleet::start(&site, 3);
-    fleet.wait_in_force(2);
+    fleet.wait_active(2);
     let before = flood_at(&fleet, &[0, 1]);
     fleet.members[2].entry.take().unwrap().kill();
     fleet.members.truncate(2);
@@ -130,7 +130,7 @@
 fn a_frozen_instance_that_wakes_does_not_add_to_the_rate() {
     let site = site();
     let fleet = Fleet::start(&site, 3);
-    fleet.wait_in_force(2);
+    fleet.wait_active(2);
     fleet.entry(2).signal("STOP");
     let frozen = flood_at(&fleet, &[0, 1]);
     assert!(frozen <= OVER, "{frozen}");
@@ -145,7 +145,7 @@
 fn the_rate_holds_over_all_services() {
     let site = site();
     let entry = site.entry("entry-0");
-    entry.wait_in_force(2);
+    entry.wait_active(2);
     // An engine takes its time, so that few callers would not reach the rate.
     let share = flood(&[entry.listen; 4], &[lookup(), Call::chat(false, 1)]);
     assert!((0.5..=OVER).contains(&share), "{share}");
@@ -165,7 +165,7 @@
     };
     let site = start_site(&settings, "concurrency = 1000", "concurrency = 12");
     let fleet = Fleet::start(&site, 3);
-    fleet.wait_in_force(2);
+    fleet.wait_active(2);
     let addresses: Vec<_> = fleet.running().map(|entry| entry.listen).collect();
     let mut peak = 0;
     thread::scope(|scope| {
--- a/tests/all/list_faults.rs
+++ b/tests/all/list_faults.rs
@@ -12,11 +12,11 @@
 
 use crate::support::Call;
 use crate::support::Entry;
-use crate::support::Raw;
+use crate::support::RawCaller;
 use crate::support::Site;
 use crate::support::SiteSettings;
 use crate::support::call;
-use crate::support::call_beside;
+use crate::support::spawn_call;
 use crate::support::wait;
 
 /// Within this time a leaving server gets no more work.
@@ -51,13 +51,13 @@
 #[test]
 fn a_leaving_server_finishes_and_gets_nothing_new() {
     let site = Site::start(&SiteSettings::default());
-    site.platform(listed(&site, |_| InstanceState::Live));
+    site.command_platform(listed(&site, |_| InstanceState::Live));
     let entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 600).marked("mine"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 600).marked("mine"));
     assert!(caller.read_until("mine 1 "));
     let runner = site.engines.iter().position(|e| e.runs("mine") == 1);
     let runner = runner.unwrap();
-    site.platform(listed(&site, |number| {
+    site.command_platform(listed(&site, |number| {
         if number == runner {
             InstanceState::Leaving
         } else {
@@ -87,7 +87,7 @@
         engines: 3,
         ..SiteSettings::default()
     });
-    site.platform(listed(&site, |_| InstanceState::Live));
+    site.command_platform(listed(&site, |_| InstanceState::Live));
     let entry = site.entry("entry-1");
     let PlatformCommand::Instances { mut instances } = listed(&site, |_| InstanceState::Live)
     else {
@@ -95,7 +95,7 @@
     };
     instances.truncate(kept);
     let lists = site.platform.stats().lists;
-    site.platform(PlatformCommand::Instances { instances });
+    site.command_platform(PlatformCommand::Instances { instances });
     wait("the list was read twice", || {
         site.platform.stats().lists >= lists + 2
     });
@@ -115,9 +115,9 @@
 #[test]
 fn a_lagging_list_is_made_up_for_by_refused_connections() {
     let site = Site::start(&SiteSettings::default());
-    site.platform(listed(&site, |_| InstanceState::Live));
+    site.command_platform(listed(&site, |_| InstanceState::Live));
     let entry = site.entry("entry-1");
-    site.engine(0, EngineCommand::Crash);
+    site.command_engine(0, EngineCommand::Crash);
     for _ in 0..20 {
         let answer = call(entry.listen, &Call::chat(true, 2)).unwrap();
         assert!(answer.status == 200 && answer.whole, "{}", answer.body);
@@ -132,15 +132,15 @@
         concurrency: 2,
         ..SiteSettings::default()
     });
-    site.platform(listed(&site, |_| InstanceState::Live));
+    site.command_platform(listed(&site, |_| InstanceState::Live));
     let entry = site.entry("entry-1");
-    let mut stream = Raw::send(entry.listen, &Call::chat(true, 150).marked("mine"));
+    let mut stream = RawCaller::send(entry.listen, &Call::chat(true, 150).marked("mine"));
     let runner = site.runner("mine");
     let queue: Vec<_> = (0..8)
-        .map(|_| call_beside(entry.listen, &Call::batch(10)))
+        .map(|_| spawn_call(entry.listen, &Call::batch(10)))
         .collect();
     wait("a queue waits", || entry.queued("batch") >= 4);
-    site.engine(1 - runner, EngineCommand::Crash);
+    site.command_engine(1 - runner, EngineCommand::Crash);
     for answer in queue {
         let answer = answer.join().unwrap().unwrap();
         assert!(answer.status == 200 && answer.whole, "{}", answer.body);
--- a/tests/all/load_faults.rs
+++ b/tests/all/load_faults.rs
@@ -9,11 +9,11 @@
 use crate::support::Answer;
 use crate::support::Call;
 use crate::support::Entry;
-use crate::support::Raw;
+use crate::support::RawCaller;
 use crate::support::Site;
 use crate::support::SiteSettings;
 use crate::support::call;
-use crate::support::call_beside;
+use crate::support::spawn_call;
 use crate::support::wait;
 
 /// One engine with a few slots, on which a batch request lasts a fraction of a second.
@@ -32,7 +32,7 @@
     request: &Call,
 ) -> Vec<thread::JoinHandle<Option<Answer>>> {
     (0..count)
-        .map(|_| call_beside(entry.listen, request))
+        .map(|_| spawn_call(entry.listen, request))
         .collect()
 }
 
@@ -99,9 +99,9 @@
     let site = Site::start(&small());
     site.publish(|text| text.replace("queue = 5000", "queue = 10"));
     let entry = site.entry("entry-1");
-    entry.wait_in_force(2);
+    entry.wait_active(2);
     let answers: Vec<_> = (0..40)
-        .map(|n| call_beside(entry.listen, &Call::batch(100).marked(&format!("b-{n}"))))
+        .map(|n| spawn_call(entry.listen, &Call::batch(100).marked(&format!("b-{n}"))))
         .collect();
     let mut refused = 0;
     for (number, answer) in answers.into_iter().enumerate() {
@@ -129,7 +129,7 @@
         ..SiteSettings::default()
     });
     let entry = site.entry("entry-1");
-    site.engine(0, EngineCommand::Slow { factor: 10.0 });
+    site.command_engine(0, EngineCommand::Slow { factor: 10.0 });
     send_rounds(&entry, 6, 4);
     let before = site.engines[0].stats().started;
     send_rounds(&entry, 6, 6);
@@ -165,10 +165,10 @@
         },
         ..SiteSettings::default()
     });
-    site.all_engines(fault);
+    site.command_all_engines(fault);
     let entry = site.entry("entry-1");
     // So slow that no answer ends before all requests were seen together, however late they come.
-    site.all_engines(&EngineCommand::Slow { factor: 10_000.0 });
+    site.command_all_engines(&EngineCommand::Slow { factor: 10_000.0 });
     let long = "one shared prefix ".repeat(40);
     let mut request = Call::chat(true, 20);
     request.body = request.body.replace("hello", &long);
@@ -182,7 +182,7 @@
         let held = engine.stats().running + engine.stats().waiting;
         assert!(held <= 8, "{held} of 12 on one engine of 8 slots");
     }
-    site.all_engines(&EngineCommand::Slow { factor: 1.0 });
+    site.command_all_engines(&EngineCommand::Slow { factor: 1.0 });
     assert!(calls.into_iter().all(|c| served(&c.join().unwrap())));
     entry.wait_idle();
 }
@@ -193,16 +193,16 @@
 fn callers_that_leave_a_hanging_engine_free_its_slots() {
     let site = Site::start(&small());
     let entry = site.entry("entry-1");
-    site.engine(0, EngineCommand::Hang { on: true });
+    site.command_engine(0, EngineCommand::Hang { on: true });
     let callers: Vec<_> = (0..12)
-        .map(|_| Raw::send(entry.listen, &Call::batch(5)))
+        .map(|_| RawCaller::send(entry.listen, &Call::batch(5)))
         .collect();
     wait("slots and queue are full", || {
         entry.in_flight() >= 3 && entry.in_flight() + entry.queued("batch") == 12
     });
     drop(callers);
     entry.wait_idle();
-    site.engine(0, EngineCommand::Hang { on: false });
+    site.command_engine(0, EngineCommand::Hang { on: false });
     assert!(served(&call(entry.listen, &Call::chat(true, 2))));
 }
 
@@ -214,7 +214,7 @@
     let site = Site::start(&small());
     let entry = site.entry("entry-1");
     let batch: Vec<_> = (0..12)
-        .map(|_| Raw::send(entry.listen, &Call::batch(1000)))
+        .map(|_| RawCaller::send(entry.listen, &Call::batch(1000)))
         .collect();
     wait("the batch waits for slots", || entry.queued("batch") >= 8);
     for number in 0..4 {
@@ -249,7 +249,7 @@
     wait("the batch fills both engines", || {
         entry.queued("batch") > 20 && site.engines.iter().all(|e| e.stats().running >= 3)
     });
-    site.engine(0, fault.clone());
+    site.command_engine(0, fault.clone());
     for number in 0..8 {
         let answer = call(entry.listen, &Call::chat(true, 2));
         assert!(served(&answer), "live request {number}: {answer:?}");
--- a/tests/all/logs.rs
+++ b/tests/all/logs.rs
@@ -7,19 +7,19 @@
 
 use crate::support::Call;
 use crate::support::Entry;
-use crate::support::Folder;
 use crate::support::Site;
 use crate::support::SiteSettings;
+use crate::support::TempDir;
 use crate::support::call;
 
 /// The log of an instance that serves a caller and refuses a stranger.
 fn logged(levels: &str) -> String {
     let site = Site::start(&SiteSettings::default());
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let file = folder.path().join("log");
     let levels = [format!("--log={levels}")];
     let args = [&levels[..], &site.args("entry-1")].concat();
-    let entry = Entry::start_logging(&args, File::create(&file).unwrap());
+    let entry = Entry::start_with_log(&args, File::create(&file).unwrap());
     entry.wait_ready();
     let served = Call::chat(true, 3).marked("the-answer");
     let served = Call {
--- a/tests/all/orders.rs
+++ b/tests/all/orders.rs
@@ -133,10 +133,10 @@
 /// that the second text wants has to stand all the while.
 fn wake_a_former_owner(checks: bool, change: &Change, stands: impl Fn(&Site) -> bool) {
     let site = start_site(checks);
-    let fleet = Fleet::start_linked(&site, 3);
+    let fleet = Fleet::start_with_links(&site, 3);
     (change.first)(&site, checks);
     let stated = Instant::now();
-    fleet.wait_in_force(2);
+    fleet.wait_active(2);
     let old = owner(&fleet);
     fleet.entry(old).signal("STOP");
     (change.second)(&site, checks);
@@ -152,8 +152,8 @@
     }
     // Until the frozen one is due, were it still the owner.
     thread::sleep(DAMPING.saturating_sub(stated.elapsed()));
-    fleet.links.split(&[old], &others);
-    site.platform(PlatformCommand::Frozen { on: true });
+    fleet.links.partition(&[old], &others);
+    site.command_platform(PlatformCommand::Frozen { on: true });
     fleet.entry(old).signal("CONT");
     let woken = Instant::now();
     while woken.elapsed() < WATCH {
@@ -161,9 +161,9 @@
         thread::sleep(Duration::from_millis(20));
     }
     assert_eq!(fleet.entry(old).status().config.revision, 2);
-    site.platform(PlatformCommand::Frozen { on: false });
+    site.command_platform(PlatformCommand::Frozen { on: false });
     fleet.links.heal();
-    fleet.wait_in_force(3);
+    fleet.wait_active(3);
     assert!(stands(&site));
 }
 
@@ -212,7 +212,7 @@
     let site = start_site(true);
     let entry = site.entry("entry-0");
     publish_role(&site, true, "decode");
-    entry.wait_in_force(2);
+    entry.wait_active(2);
     wait_long("the engine took the role", || {
         let answer = call(entry.listen, &Call::chat(false, 1)).unwrap();
         assert_eq!(answer.status, 200, "{}", answer.body);
@@ -233,7 +233,7 @@
     let site = start_site(false);
     let mut fleet = Fleet::start(&site, 3);
     publish(&site, false, &[("m", 2)]);
-    fleet.wait_in_force(2);
+    fleet.wait_active(2);
     let old = owner(&fleet);
     fleet.members[old].entry.take().unwrap().kill();
     publish(&site, false, &[("m", 2), ("n", 2)]);
@@ -255,7 +255,7 @@
     let site = start_site(true);
     let entry = site.entry("entry-0");
     publish(&site, true, &[("m", 1)]);
-    entry.wait_in_force(2);
+    entry.wait_active(2);
     wait_long("one engine gave the model up", || {
         let answer = call(entry.listen, &Call::chat(false, 1)).unwrap();
         assert_eq!(answer.status, 200, "{}", answer.body);
--- a/tests/all/pair_faults.rs
+++ b/tests/all/pair_faults.rs
@@ -8,11 +8,11 @@
 use crocushold_standins::PlatformCommand;
 
 use crate::support::Call;
-use crate::support::Raw;
+use crate::support::RawCaller;
 use crate::support::Site;
 use crate::support::SiteSettings;
 use crate::support::call;
-use crate::support::call_beside;
+use crate::support::spawn_call;
 use crate::support::wait;
 
 fn one_slot() -> SiteSettings {
@@ -29,11 +29,11 @@
 fn a_crash_during_a_planned_stop_is_a_visible_cut() {
     let site = Site::start(&one_slot());
     let mut entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 5000).marked("cut"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 5000).marked("cut"));
     assert!(caller.read_until("cut 0 "));
     entry.signal("TERM");
     entry.wait_closed();
-    site.engine(0, EngineCommand::Crash);
+    site.command_engine(0, EngineCommand::Crash);
     caller.read_to_end();
     assert!(!caller.is_whole());
     assert!(entry.wait_exit());
@@ -46,8 +46,8 @@
 fn a_planned_stop_does_not_wait_for_callers_that_left() {
     let site = Site::start(&one_slot());
     let mut entry = site.entry("entry-1");
-    site.engine(0, EngineCommand::Hang { on: true });
-    let caller = Raw::send(entry.listen, &Call::batch(5));
+    site.command_engine(0, EngineCommand::Hang { on: true });
+    let caller = RawCaller::send(entry.listen, &Call::batch(5));
     wait("it is in flight", || entry.in_flight() == 1);
     entry.signal("TERM");
     entry.wait_closed();
@@ -74,7 +74,7 @@
     site.publish(|text| text.replace("[account chat]", "[account renamed]"));
     site.publish(|text| text.replace("classes = chat, lookup, confirm", "classes = batch"));
     entry.signal("CONT");
-    entry.wait_in_force(site.platform.stats().revision);
+    entry.wait_active(site.platform.stats().revision);
     let answer = call(entry.listen, &Call::chat(true, 1).header("x-class", "chat")).unwrap();
     assert_ne!(answer.status, 200);
 }
@@ -87,7 +87,7 @@
     let entry = site.entry("entry-1");
     assert!(call(entry.listen, &Call::chat(true, 1)).unwrap().whole);
     entry.signal("STOP");
-    site.platform(PlatformCommand::Down { on: true });
+    site.command_platform(PlatformCommand::Down { on: true });
     entry.signal("CONT");
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(3) {
@@ -103,11 +103,11 @@
 fn a_frozen_instance_relays_the_cut_of_its_engine() {
     let site = Site::start(&one_slot());
     let entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 5000).marked("cut"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 5000).marked("cut"));
     assert!(caller.read_until("cut 1 "));
     entry.signal("STOP");
-    site.engine(0, EngineCommand::Crash);
-    site.engine(0, EngineCommand::Restart);
+    site.command_engine(0, EngineCommand::Crash);
+    site.command_engine(0, EngineCommand::Restart);
     entry.signal("CONT");
     caller.read_to_end();
     assert!(!caller.is_whole());
@@ -121,9 +121,9 @@
 fn a_frozen_instance_notices_who_left_meanwhile() {
     let site = Site::start(&one_slot());
     let entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 5000).marked("gone"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 5000).marked("gone"));
     assert!(caller.read_until("gone 1 "));
-    site.all_engines(&EngineCommand::Slow { factor: 10_000.0 });
+    site.command_all_engines(&EngineCommand::Slow { factor: 10_000.0 });
     entry.signal("STOP");
     drop(caller);
     assert_eq!(site.held(), 1);
@@ -140,9 +140,9 @@
     let entry = site.entry("entry-1");
     assert!(call(entry.listen, &Call::chat(true, 1)).unwrap().whole);
     entry.signal("STOP");
-    site.engine(0, EngineCommand::Crash);
+    site.command_engine(0, EngineCommand::Crash);
     let calls: Vec<_> = (0..6)
-        .map(|_| call_beside(entry.listen, &Call::chat(true, 3)))
+        .map(|_| spawn_call(entry.listen, &Call::chat(true, 3)))
         .collect();
     entry.signal("CONT");
     for answer in calls {
@@ -158,7 +158,7 @@
 fn a_frozen_instance_stops_as_planned_when_it_wakes() {
     let site = Site::start(&one_slot());
     let mut entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 100).marked("last"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 100).marked("last"));
     assert!(caller.read_until("last 1 "));
     entry.signal("STOP");
     entry.signal("TERM");
@@ -175,9 +175,9 @@
 fn a_planned_stop_needs_no_platform() {
     let site = Site::start(&one_slot());
     let mut entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 100).marked("last"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 100).marked("last"));
     assert!(caller.read_until("last 1 "));
-    site.platform(PlatformCommand::Frozen { on: true });
+    site.command_platform(PlatformCommand::Frozen { on: true });
     entry.signal("TERM");
     entry.wait_closed();
     assert!(caller.read_until("[DONE]\n\n\r\n0\r\n\r\n"), "cut");
@@ -194,13 +194,13 @@
     });
     let mut entry = site.entry("entry-1");
     let calls: Vec<_> = (0..10)
-        .map(|_| call_beside(entry.listen, &Call::batch(30)))
+        .map(|_| spawn_call(entry.listen, &Call::batch(30)))
         .collect();
     wait("a queue waits behind both engines", || {
         entry.queued("batch") >= 4 && site.engines.iter().all(|e| e.stats().running > 0)
     });
     entry.signal("TERM");
-    site.engine(0, EngineCommand::Crash);
+    site.command_engine(0, EngineCommand::Crash);
     for answer in calls {
         let answer = answer.join().unwrap().unwrap();
         assert!(answer.status == 200 && answer.whole, "{}", answer.body);
@@ -214,18 +214,18 @@
 fn a_frozen_instance_repeats_what_its_dead_engine_had() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
-    site.all_engines(&EngineCommand::Batch {
+    site.command_all_engines(&EngineCommand::Batch {
         settings: BatchSettings {
             base_ms: 5_000.0,
             ..BatchSettings::default()
         },
     });
-    let waiting = call_beside(entry.listen, &Call::chat(true, 3).marked("crash"));
+    let waiting = spawn_call(entry.listen, &Call::chat(true, 3).marked("crash"));
     let runner = site.runner("crash");
     entry.signal("STOP");
-    site.engine(runner, EngineCommand::Crash);
+    site.command_engine(runner, EngineCommand::Crash);
     let settings = BatchSettings::default();
-    site.engine(1 - runner, EngineCommand::Batch { settings });
+    site.command_engine(1 - runner, EngineCommand::Batch { settings });
     entry.signal("CONT");
     let answer = waiting.join().unwrap().unwrap();
     assert!(answer.status == 200 && answer.whole, "{}", answer.body);
@@ -239,11 +239,11 @@
 fn a_frozen_instance_starts_nothing_for_who_left_its_queue() {
     let site = Site::start(&one_slot());
     let entry = site.entry("entry-1");
-    let first = Raw::send(entry.listen, &Call::batch(5000).marked("first"));
+    let first = RawCaller::send(entry.listen, &Call::batch(5000).marked("first"));
     wait("the slot is taken", || site.runs("first") == 1);
-    let gone = Raw::send(entry.listen, &Call::batch(2).marked("gone"));
+    let gone = RawCaller::send(entry.listen, &Call::batch(2).marked("gone"));
     wait("one is queued", || entry.queued("batch") == 1);
-    let stays = call_beside(entry.listen, &Call::batch(2).marked("stays"));
+    let stays = spawn_call(entry.listen, &Call::batch(2).marked("stays"));
     wait("two are queued", || entry.queued("batch") == 2);
     entry.signal("STOP");
     drop(gone);
--- a/tests/all/process_faults.rs
+++ b/tests/all/process_faults.rs
@@ -13,12 +13,12 @@
 
 use crate::support::Call;
 use crate::support::Entry;
-use crate::support::Raw;
+use crate::support::RawCaller;
 use crate::support::RawServer;
 use crate::support::Site;
 use crate::support::SiteSettings;
 use crate::support::call;
-use crate::support::call_beside;
+use crate::support::spawn_call;
 use crate::support::wait;
 
 /// Notice and drain of the site's settings, with room for a busy machine.
@@ -56,7 +56,7 @@
 fn a_planned_stop_cuts_no_stream() {
     let site = Site::start(&SiteSettings::default());
     let mut entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 150).marked("last"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 150).marked("last"));
     assert!(caller.read_until("last 0 "));
     entry.signal("TERM");
     wait_draining(&entry);
@@ -77,14 +77,14 @@
 fn a_planned_stop_answers_what_is_in_progress(step: &str) {
     let site = Site::start(&one_slot());
     let mut entry = site.entry("entry-1");
-    site.all_engines(&slow(150.0));
+    site.command_all_engines(&slow(150.0));
     let request = Call::batch(12).marked("mine");
-    let mut first = Raw::send(
+    let mut first = RawCaller::send(
         entry.listen,
         &Call::batch(if step == "queued" { 12 } else { 1 }),
     );
     wait("the slot is taken", || site.runs("") == 1);
-    let mut mine = Raw::connect(entry.listen);
+    let mut mine = RawCaller::connect(entry.listen);
     mine.write(request.head().as_bytes());
     mine.write(&request.body.as_bytes()[..10]);
     if step != "body" {
@@ -116,7 +116,7 @@
 fn a_planned_stop_ends_idle_connections() {
     let site = Site::start(&SiteSettings::default());
     let mut entry = site.entry("entry-1");
-    let mut idle = Raw::send(entry.listen, &Call::chat(true, 2).marked("one"));
+    let mut idle = RawCaller::send(entry.listen, &Call::chat(true, 2).marked("one"));
     assert!(idle.read_until("\r\n0\r\n\r\n"));
     entry.signal("TERM");
     let start = Instant::now();
@@ -139,8 +139,8 @@
 fn a_planned_stop_ends_at_its_bound() {
     let site = Site::start(&one_slot());
     let mut entry = site.entry("entry-1");
-    site.engine(0, slow(500.0));
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 5000).marked("long"));
+    site.command_engine(0, slow(500.0));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 5000).marked("long"));
     assert!(caller.read_until("long 0 "));
     entry.signal("TERM");
     let start = Instant::now();
@@ -165,13 +165,13 @@
         ..SiteSettings::default()
     });
     let mut entry = site.entry("entry-1");
-    site.booking(ServiceCommand::Fault {
+    site.command_services(ServiceCommand::Fault {
         fault: ServiceFault::HangAfter,
         times: Some(1),
     });
-    let mut stream = Raw::send(entry.listen, &Call::chat(true, 5000).marked("killed"));
+    let mut stream = RawCaller::send(entry.listen, &Call::chat(true, 5000).marked("killed"));
     assert!(stream.read_until("killed 1 "));
-    let mut booking = Raw::send(entry.listen, &Call::booking("killed"));
+    let mut booking = RawCaller::send(entry.listen, &Call::booking("killed"));
     wait("the effect is there", || site.effects("killed") == 1);
     entry.kill();
     stream.read_to_end();
@@ -189,9 +189,9 @@
     let site = Site::start(&one_slot());
     let mut entry = site.entry("entry-1");
     let other = site.entry("entry-2");
-    let first = Raw::send(entry.listen, &Call::batch(5000).marked("first"));
+    let first = RawCaller::send(entry.listen, &Call::batch(5000).marked("first"));
     wait("the slot is taken", || site.runs("first") == 1);
-    let mut queued = Raw::send(entry.listen, &Call::batch(2).marked("queued"));
+    let mut queued = RawCaller::send(entry.listen, &Call::batch(2).marked("queued"));
     wait("it is queued", || entry.queued("batch") == 1);
     entry.kill();
     assert_eq!(queued.read_to_end(), "");
@@ -207,7 +207,7 @@
 fn a_frozen_instance_goes_on_with_its_streams() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 60).marked("thaw"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 60).marked("thaw"));
     assert!(caller.read_until("thaw 1 "));
     entry.signal("STOP");
     wait("the engine is done", || site.held() == 0);
@@ -227,9 +227,9 @@
     for _ in 0..32 {
         call(entry.listen, &Call::chat(true, 1)).unwrap();
     }
-    site.all_engines(&slow(300.0));
+    site.command_all_engines(&slow(300.0));
     let request = Call::chat(true, 5).marked("thaw");
-    let waiting = call_beside(entry.listen, &request);
+    let waiting = spawn_call(entry.listen, &request);
     wait("the engine runs it", || site.runs("thaw") == 1);
     entry.signal("STOP");
     wait("the engine is done", || site.held() == 0);
@@ -246,10 +246,10 @@
 fn a_frozen_instance_starts_nothing_that_is_overdue() {
     let site = Site::start(&one_slot());
     let entry = site.entry("entry-1");
-    let first = Raw::send(entry.listen, &Call::batch(100).marked("first"));
+    let first = RawCaller::send(entry.listen, &Call::batch(100).marked("first"));
     wait("the slot is taken", || site.runs("first") == 1);
     let late = Call::batch(2).marked("late").header("x-timeout-ms", "900");
-    let waiting = call_beside(entry.listen, &late);
+    let waiting = spawn_call(entry.listen, &late);
     wait("it is queued", || entry.queued("batch") == 1);
     entry.signal("STOP");
     wait("the slot is free", || site.held() == 0);
@@ -268,7 +268,7 @@
 fn a_killed_instance_adds_nothing_to_an_idle_connection() {
     let site = Site::start(&SiteSettings::default());
     let mut entry = site.entry("entry-1");
-    let mut idle = Raw::send(entry.listen, &Call::chat(true, 2).marked("one"));
+    let mut idle = RawCaller::send(entry.listen, &Call::chat(true, 2).marked("one"));
     assert!(idle.read_until("\r\n0\r\n\r\n"));
     let before = idle.text();
     entry.kill();
@@ -282,7 +282,7 @@
 fn a_frozen_instance_answers_what_came_on_an_idle_connection() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
-    let mut idle = Raw::send(entry.listen, &Call::chat(true, 2).marked("one"));
+    let mut idle = RawCaller::send(entry.listen, &Call::chat(true, 2).marked("one"));
     assert!(idle.read_until("\r\n0\r\n\r\n"));
     entry.signal("STOP");
     let second = Call::chat(true, 3).marked("two");
@@ -301,8 +301,8 @@
 fn a_killed_instance_cuts_before_the_last_byte() {
     let site = Site::start(&SiteSettings::default());
     let mut entry = site.entry("entry-1");
-    site.all_engines(&EngineCommand::Stall { after: Some(4) });
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 4).marked("cut"));
+    site.command_all_engines(&EngineCommand::Stall { after: Some(4) });
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 4).marked("cut"));
     assert!(caller.read_until("cut 3 "));
     entry.kill();
     caller.read_to_end();
@@ -321,8 +321,8 @@
     let engine = site.engines[0].addr().to_string();
     site.publish(|text| text.replace(&engine, &server.addr().to_string()));
     let mut entry = site.entry("entry-1");
-    entry.wait_in_force(2);
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 4));
+    entry.wait_active(2);
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 4));
     let mut stream = server.accept();
     let head =
         "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
@@ -354,11 +354,11 @@
     });
     let mut entry = site.entry("entry-1");
     let batch: Vec<_> = (0..24)
-        .map(|_| call_beside(entry.listen, &Call::batch(20)))
+        .map(|_| spawn_call(entry.listen, &Call::batch(20)))
         .collect();
     wait("the batch waits", || entry.queued("batch") >= 16);
     entry.signal("TERM");
-    let live = (0..4).map(|_| call_beside(entry.listen, &Call::chat(true, 2)));
+    let live = (0..4).map(|_| spawn_call(entry.listen, &Call::chat(true, 2)));
     for answer in live.collect::<Vec<_>>() {
         let answer = answer.join().unwrap().unwrap();
         assert!(answer.status == 200 && answer.whole, "{}", answer.body);
@@ -384,7 +384,7 @@
     let entry = site.entry("entry-1");
     entry.hold("claimed");
     let calls: Vec<_> = (0..16)
-        .map(|_| call_beside(entry.listen, &Call::batch(2)))
+        .map(|_| spawn_call(entry.listen, &Call::batch(2)))
         .collect();
     wait("all are about to connect", || entry.held("claimed") == 16);
     entry.release("claimed");
--- a/tests/all/sending_faults.rs
+++ b/tests/all/sending_faults.rs
@@ -8,14 +8,14 @@
 
 use crate::support::Call;
 use crate::support::Entry;
-use crate::support::Raw;
+use crate::support::RawCaller;
 use crate::support::RawServer;
 use crate::support::Relay;
 use crate::support::Site;
 use crate::support::SiteSettings;
 use crate::support::answer_rest;
 use crate::support::call;
-use crate::support::call_beside;
+use crate::support::spawn_call;
 use crate::support::wait;
 use crate::support::wait_cut;
 
@@ -35,7 +35,7 @@
 fn entry_with(site: &Site, old: SocketAddr, address: SocketAddr) -> Entry {
     site.publish(|text| text.replace(&old.to_string(), &address.to_string()));
     let entry = site.entry("entry-1");
-    entry.wait_in_force(2);
+    entry.wait_active(2);
     entry
 }
 
@@ -54,9 +54,9 @@
         text.replace("[class chat]", &both)
     });
     let entry = site.entry("entry-1");
-    entry.wait_in_force(2);
+    entry.wait_active(2);
     let calls: Vec<_> = (0..2)
-        .map(|_| call_beside(entry.listen, &large_booking("cut")))
+        .map(|_| spawn_call(entry.listen, &large_booking("cut")))
         .collect();
     drop(server.accept());
     drop(second.accept());
@@ -97,7 +97,7 @@
     let site = Site::start(&SiteSettings::default());
     let server = RawServer::start();
     let entry = entry_with(&site, site.service.addr(), server.addr());
-    let caller = Raw::send(entry.listen, &large_booking("gone"));
+    let caller = RawCaller::send(entry.listen, &large_booking("gone"));
     let stream = server.accept();
     assert_eq!(entry.running("confirm"), 1);
     drop(caller);
@@ -112,7 +112,7 @@
     let site = Site::start(&SiteSettings::default());
     let server = RawServer::start();
     let mut entry = entry_with(&site, site.service.addr(), server.addr());
-    let caller = call_beside(entry.listen, &large_booking("stop"));
+    let caller = spawn_call(entry.listen, &large_booking("stop"));
     let stream = server.accept();
     entry.signal("TERM");
     entry.wait_closed();
@@ -129,7 +129,7 @@
     let site = Site::start(&SiteSettings::default());
     let server = RawServer::start();
     let entry = entry_with(&site, site.service.addr(), server.addr());
-    let caller = call_beside(entry.listen, &large_booking("thaw"));
+    let caller = spawn_call(entry.listen, &large_booking("thaw"));
     let stream = server.accept();
     entry.signal("STOP");
     entry.signal("CONT");
@@ -150,7 +150,7 @@
     });
     let server = RawServer::start();
     let entry = entry_with(&site, site.service.addr(), server.addr());
-    let waiting = server.fill();
+    let waiting = server.fill_backlog();
     for number in 0..6 {
         let marker = format!("split-{number}");
         let start = Instant::now();
@@ -170,7 +170,7 @@
     let site = Site::start(&SiteSettings::default());
     let server = RawServer::start();
     let entry = entry_with(&site, site.service.addr(), server.addr());
-    let waiting = server.fill();
+    let waiting = server.fill_backlog();
     let answer = call(entry.listen, &Call::booking("split")).unwrap();
     assert!(answer.status >= 500);
     assert_eq!(answer.header("x-request-ran"), "no", "{}", answer.body);
@@ -185,8 +185,8 @@
     let site = Site::start(&SiteSettings::default());
     let server = RawServer::start();
     let entry = entry_with(&site, site.service.addr(), server.addr());
-    let waiting = server.fill();
-    let caller = Raw::send(entry.listen, &Call::booking("gone"));
+    let waiting = server.fill_backlog();
+    let caller = RawCaller::send(entry.listen, &Call::booking("gone"));
     wait("it is in flight", || entry.running("confirm") == 1);
     drop(caller);
     entry.wait_idle();
@@ -201,7 +201,7 @@
     let site = Site::start(&SiteSettings::default());
     let server = RawServer::start();
     let entry = entry_with(&site, site.service.addr(), server.addr());
-    let caller = call_beside(entry.listen, &large_booking("crash"));
+    let caller = spawn_call(entry.listen, &large_booking("crash"));
     let stream = server.accept();
     drop(server);
     drop(stream);
@@ -220,7 +220,7 @@
     let site = Site::start(&SiteSettings::default());
     let server = RawServer::start();
     let entry = entry_with(&site, site.service.addr(), server.addr());
-    let caller = call_beside(entry.listen, &large_booking("busy"));
+    let caller = spawn_call(entry.listen, &large_booking("busy"));
     let mut stream = server.accept();
     let busy = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
     stream.write_all(busy).unwrap();
@@ -249,8 +249,8 @@
 #[test]
 fn a_partition_towards_the_engine_cuts_no_stream() {
     let (site, relay, entry) = relayed_engine();
-    let mut stays = Raw::send(entry.listen, &Call::chat(true, 100).marked("stays"));
-    let mut leaves = Raw::send(entry.listen, &Call::chat(true, 100).marked("leaves"));
+    let mut stays = RawCaller::send(entry.listen, &Call::chat(true, 100).marked("stays"));
+    let mut leaves = RawCaller::send(entry.listen, &Call::chat(true, 100).marked("leaves"));
     assert!(stays.read_until("stays 1 ") && leaves.read_until("leaves 1 "));
     relay.cut_to_server();
     drop(leaves);
--- a/tests/all/server_faults.rs
+++ b/tests/all/server_faults.rs
@@ -8,11 +8,11 @@
 
 use crate::support::Answer;
 use crate::support::Call;
-use crate::support::Raw;
+use crate::support::RawCaller;
 use crate::support::Site;
 use crate::support::SiteSettings;
 use crate::support::call;
-use crate::support::call_beside;
+use crate::support::spawn_call;
 use crate::support::wait;
 
 /// Requests that teach an instance how soon a first byte comes.
@@ -58,7 +58,7 @@
 fn a_refused_connection_is_followed_by_another_server() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
-    site.engine(0, EngineCommand::Refuse { on: true });
+    site.command_engine(0, EngineCommand::Refuse { on: true });
     for number in 0..8 {
         let marker = format!("refused-{number}");
         let answer = call(entry.listen, &Call::chat(true, 3).marked(&marker)).unwrap();
@@ -75,14 +75,14 @@
 fn without_a_server_the_request_is_told_not_run(request: Call) {
     let site = Site::start(&one_engine());
     let entry = site.entry("entry-1");
-    site.engine(0, EngineCommand::Refuse { on: true });
-    site.booking(ServiceCommand::Refuse { on: true });
+    site.command_engine(0, EngineCommand::Refuse { on: true });
+    site.command_services(ServiceCommand::Refuse { on: true });
     let request = request.marked("refused").header("x-timeout-ms", "2000");
     let answer = call(entry.listen, &request).unwrap();
     assert!(answer.status >= 500, "{}", answer.status);
     assert_eq!(answer.header("x-request-ran"), "no", "{}", answer.body);
     assert_ne!(answer.header("retry-after"), "");
-    site.booking(ServiceCommand::Clear);
+    site.command_services(ServiceCommand::Clear);
     site.assert_recovers(&entry);
     assert_eq!(site.runs("refused") + site.effects("refused"), 0);
 }
@@ -93,11 +93,11 @@
 fn a_crash_before_the_first_byte_is_followed_by_another_server() {
     let site = Site::start(&slow());
     let entry = site.entry("entry-1");
-    let waiting = call_beside(entry.listen, &Call::chat(true, 3).marked("crash"));
+    let waiting = spawn_call(entry.listen, &Call::chat(true, 3).marked("crash"));
     let first = site.runner("crash");
     let quick = crocushold_standins::BatchSettings::default();
-    site.engine(1 - first, EngineCommand::Batch { settings: quick });
-    site.engine(first, EngineCommand::Crash);
+    site.command_engine(1 - first, EngineCommand::Batch { settings: quick });
+    site.command_engine(first, EngineCommand::Crash);
     assert_whole(&waiting.join().unwrap().unwrap(), "crash");
     assert_eq!(site.engines[1 - first].runs("crash"), 1);
     entry.wait_idle();
@@ -112,10 +112,10 @@
     for _ in 0..LESSONS {
         call(entry.listen, &Call::chat(true, 1)).unwrap();
     }
-    site.engine(0, EngineCommand::Hang { on: true });
+    site.command_engine(0, EngineCommand::Hang { on: true });
     let calls: Vec<_> = (0..4)
         .map(|n| {
-            call_beside(
+            spawn_call(
                 entry.listen,
                 &Call::chat(true, 3).marked(&format!("hang-{n}")),
             )
@@ -135,7 +135,7 @@
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
     for number in 0..engines {
-        site.engine(number, EngineCommand::Unavailable { on: true });
+        site.command_engine(number, EngineCommand::Unavailable { on: true });
     }
     for _ in 0..4 {
         let answer = call(entry.listen, &Call::chat(true, 3)).unwrap();
@@ -157,8 +157,8 @@
         let answer = call(entry.listen, &Call::chat(true, 3).marked(&marker)).unwrap();
         assert_whole(&answer, &marker);
         assert_eq!(site.runs(&marker), 1);
-        site.all_engines(&EngineCommand::Crash);
-        site.all_engines(&EngineCommand::Restart);
+        site.command_all_engines(&EngineCommand::Crash);
+        site.command_all_engines(&EngineCommand::Restart);
     }
     entry.wait_idle();
 }
@@ -171,7 +171,7 @@
 fn a_booking_that_may_have_run_is_not_repeated(fault: ServiceFault) {
     let site = Site::start(&two_services());
     let entry = site.entry("entry-1");
-    site.booking(ServiceCommand::Fault {
+    site.command_services(ServiceCommand::Fault {
         fault,
         times: Some(1),
     });
@@ -190,7 +190,7 @@
 fn a_booking_answered_unavailable_is_sent_once() {
     let site = Site::start(&two_services());
     let entry = site.entry("entry-1");
-    site.booking(ServiceCommand::Fault {
+    site.command_services(ServiceCommand::Fault {
         fault: ServiceFault::Unavailable,
         times: Some(1),
     });
@@ -214,13 +214,13 @@
     let calls: Vec<_> = (0..10)
         .map(|n| {
             let request = Call::batch(15).marked(&format!("queued-{n}"));
-            call_beside(entry.listen, &request)
+            spawn_call(entry.listen, &request)
         })
         .collect();
     wait("some wait behind both engines", || {
         entry.queued("batch") >= 4 && site.engines.iter().all(|e| e.stats().running > 0)
     });
-    site.engine(0, EngineCommand::Crash);
+    site.command_engine(0, EngineCommand::Crash);
     for (number, answer) in calls.into_iter().enumerate() {
         assert_whole(
             &answer.join().unwrap().unwrap(),
@@ -240,14 +240,14 @@
     });
     let entry = site.entry("entry-1");
     let calls: Vec<_> = (0..12)
-        .map(|_| call_beside(entry.listen, &Call::batch(15)))
+        .map(|_| spawn_call(entry.listen, &Call::batch(15)))
         .collect();
     wait("some are queued", || entry.queued("batch") >= 6);
-    site.all_engines(&EngineCommand::Unavailable { on: true });
+    site.command_all_engines(&EngineCommand::Unavailable { on: true });
     wait("some are refused", || {
         site.engines.iter().any(|e| e.stats().refused > 0)
     });
-    site.all_engines(&EngineCommand::Unavailable { on: false });
+    site.command_all_engines(&EngineCommand::Unavailable { on: false });
     for answer in calls {
         let answer = answer.join().unwrap().unwrap();
         let unknown = answer.status == 502 && answer.header("x-request-ran") == "unknown";
@@ -267,11 +267,11 @@
     let site = Site::start(&settings);
     let entry = site.entry("entry-1");
     let request = Call::batch(3).marked("mine").header("x-timeout-ms", "2000");
-    let waiting = call_beside(entry.listen, &request);
+    let waiting = spawn_call(entry.listen, &request);
     let runner = site.runner("mine");
-    let filler = Raw::send(entry.listen, &Call::chat(true, 3).marked("filler"));
+    let filler = RawCaller::send(entry.listen, &Call::chat(true, 3).marked("filler"));
     assert_ne!(site.runner("filler"), runner);
-    site.engine(runner, EngineCommand::Crash);
+    site.command_engine(runner, EngineCommand::Crash);
     wait("it waits for a second turn", || entry.queued("batch") == 1);
     let answer = waiting.join().unwrap().unwrap();
     assert!(answer.status >= 500, "{}", answer.status);
--- a/tests/all/step_faults.rs
+++ b/tests/all/step_faults.rs
@@ -11,11 +11,11 @@
 use crate::support::Call;
 use crate::support::Entry;
 use crate::support::Fleet;
-use crate::support::Raw;
+use crate::support::RawCaller;
 use crate::support::Site;
 use crate::support::SiteSettings;
 use crate::support::call;
-use crate::support::call_beside;
+use crate::support::spawn_call;
 use crate::support::wait;
 use crate::support::wait_long;
 
@@ -49,17 +49,17 @@
 }
 
 /// Sends a booking that stays at a fail point of the instance.
-fn held_booking(entry: &Entry, point: &str, key: &str) -> Raw {
+fn held_booking(entry: &Entry, point: &str, key: &str) -> RawCaller {
     held(entry, point, &booking(key))
 }
 
-fn held(entry: &Entry, point: &str, booking: &Call) -> Raw {
+fn held(entry: &Entry, point: &str, booking: &Call) -> RawCaller {
     entry.hold(point);
-    let mut caller = Raw::send(entry.listen, booking);
+    let mut caller = RawCaller::send(entry.listen, booking);
     wait("a booking is held", || {
         // A member that has just started, or woke late on a busy machine, refuses keys for a moment.
         if caller.has_bytes() {
-            caller = Raw::send(entry.listen, booking);
+            caller = RawCaller::send(entry.listen, booking);
         }
         entry.held(point) > 0
     });
@@ -78,8 +78,8 @@
     let site = Site::start(&one_slot());
     let mut entry = site.entry("entry-1");
     for number in 0..3 {
-        entry.set_point(point, "1*panic");
-        let mut caller = Raw::send(entry.listen, &Call::chat(true, 2).marked("panic"));
+        entry.set_fail_point(point, "1*panic");
+        let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 2).marked("panic"));
         caller.read_to_end();
         assert!(!caller.is_whole(), "{}", caller.text());
         entry.wait_idle();
@@ -100,7 +100,7 @@
 fn a_claim_whose_task_panicked_is_unknown() {
     let site = Site::start(&SiteSettings::default());
     let fleet = Fleet::start(&site, 3);
-    fleet.entry(0).set_point("claimed", "1*panic");
+    fleet.entry(0).set_fail_point("claimed", "1*panic");
     wait("the task panicked", || {
         call(fleet.entry(0).listen, &booking("k-1")).is_none()
     });
@@ -184,11 +184,11 @@
     let site = Site::start(&one_slot());
     let entry = site.entry("entry-1");
     entry.hold("answered");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 5000).marked("mine"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 5000).marked("mine"));
     entry.wait_held("answered");
     if crash {
-        site.engine(0, EngineCommand::Crash);
-        site.engine(0, EngineCommand::Restart);
+        site.command_engine(0, EngineCommand::Crash);
+        site.command_engine(0, EngineCommand::Restart);
         entry.release("answered");
         caller.read_to_end();
         assert!(!caller.is_whole());
@@ -214,7 +214,7 @@
 fn a_planned_stop_while_applying_cuts_nothing() {
     let site = Site::start(&one_slot());
     let mut entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 60).marked("last"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 60).marked("last"));
     assert!(caller.read_until("last 1 "));
     hold_change(&site, &entry);
     entry.signal("TERM");
@@ -232,10 +232,10 @@
     let mut fleet = Fleet::start(&site, 3);
     hold_change(&site, fleet.entry(0));
     for number in [1, 2] {
-        fleet.entry(number).wait_in_force(2);
+        fleet.entry(number).wait_active(2);
     }
     fleet.kill(0);
-    site.platform(PlatformCommand::Stale { revision: Some(1) });
+    site.command_platform(PlatformCommand::Stale { revision: Some(1) });
     fleet.spawn(0);
     fleet.wait_ready();
     assert_eq!(fleet.entry(0).status().config.revision, 2);
@@ -272,11 +272,11 @@
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
     hold_change(&site, &entry);
-    site.platform(fault);
+    site.command_platform(fault);
     assert_eq!(entry.status().config.revision, 1);
     assert!(call(entry.listen, &Call::chat(true, 1)).unwrap().whole);
     entry.release("applying");
-    entry.wait_in_force(2);
+    entry.wait_active(2);
     assert!(call(entry.listen, &Call::chat(true, 1)).unwrap().whole);
     assert_eq!(entry.status().config.revision, 2);
 }
@@ -323,14 +323,14 @@
     let mut entry = site.entry("entry-1");
     hold_order(&site, &entry, "n");
     site.publish(|text| with_models(text, &["o"]));
-    entry.wait_in_force(3);
+    entry.wait_active(3);
     entry.release("ordering");
     wait("an order of the later text is done", || {
         loaded(&site, "o") == 2
     });
     assert_eq!(loaded(&site, "n"), 0, "loaded for nobody");
     hold_order(&site, &entry, "p");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 60).marked("last"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 60).marked("last"));
     assert!(caller.read_until("last 1 "));
     entry.signal("TERM");
     entry.wait_closed();
@@ -347,7 +347,7 @@
     let site = Site::start(&SiteSettings::default());
     let fleet = Fleet::start(&site, 3);
     let mut caller = held_booking(fleet.entry(0), "claimed", "k-1");
-    let repeat = call_beside(fleet.entry(1).listen, &booking("k-1"));
+    let repeat = spawn_call(fleet.entry(1).listen, &booking("k-1"));
     let repeat = repeat.join().unwrap().unwrap();
     assert_eq!(repeat.status, 409, "{}", repeat.body);
     assert_ne!(repeat.header("x-request-ran"), "no", "{}", repeat.body);
@@ -412,11 +412,11 @@
 fn a_panic_while_applying_delays_one_change() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
-    entry.set_point("applying", "1*panic");
+    entry.set_fail_point("applying", "1*panic");
     site.publish(str::to_owned);
     assert!(call(entry.listen, &Call::chat(true, 1)).unwrap().whole);
-    entry.wait_in_force(2);
+    entry.wait_active(2);
     site.publish(str::to_owned);
-    entry.wait_in_force(3);
+    entry.wait_active(3);
     assert!(call(entry.listen, &Call::chat(true, 1)).unwrap().whole);
 }
--- a/tests/all/subsets.rs
+++ b/tests/all/subsets.rs
@@ -39,7 +39,7 @@
 }
 
 fn servers(site: &Site) -> impl Iterator<Item = &Handle<PlainService>> {
-    [&site.service].into_iter().chain(&site.more)
+    [&site.service].into_iter().chain(&site.other_services)
 }
 
 /// A server by its name in the status.
@@ -81,7 +81,7 @@
 fn a_lost_instance_leaves_no_server_without_work() {
     let site = site();
     let mut fleet = Fleet::start(&site, INSTANCES);
-    fleet.wait_agreed();
+    fleet.wait_converged();
     wait("each server has one sender", || is_covered_once(&fleet));
     let balancer = Balancer::start();
     let backends: Vec<_> = fleet.running().map(|entry| balancer.add(entry)).collect();
@@ -92,7 +92,7 @@
     let victim = used(fleet.entry(2));
     fleet.kill(2);
     let killed = Instant::now();
-    fleet.wait_agreed();
+    fleet.wait_converged();
     wait("each server has one sender again", || {
         is_covered_once(&fleet)
     });
@@ -105,7 +105,7 @@
     let totals = load.stop();
     totals.print("subsets");
     println!("subsets: {} servers taken over in {took:?}", victim.len());
-    totals.assert_sound();
+    totals.assert_invariants();
     assert!(took < COVERED, "{took:?}");
     assert!(totals.cut() <= backends[2].cut(), "{}", totals.cut());
     for class in &totals.classes {
@@ -119,7 +119,7 @@
 fn a_server_is_polled_by_its_senders_only() {
     let site = site();
     let fleet = Fleet::start(&site, INSTANCES);
-    fleet.wait_agreed();
+    fleet.wait_converged();
     wait("each server has one sender", || is_covered_once(&fleet));
     let polls = || servers(&site).map(|server| server.stats().polls);
     let before: Vec<u64> = polls().collect();
@@ -144,7 +144,7 @@
 fn a_dead_subset_refuses_no_caller() {
     let site = site();
     let fleet = Fleet::start(&site, INSTANCES);
-    fleet.wait_agreed();
+    fleet.wait_converged();
     wait("each server has one sender", || is_covered_once(&fleet));
     let own = used(fleet.entry(1));
     for name in &own {
--- a/tests/all/support/balancer.rs
+++ b/tests/all/support/balancer.rs
@@ -1,4 +1,5 @@
-//! The platform's balancer: spreads connections over the instances whose `/health` answers 200.
+//! The platform's load balancer: spreads connections over the instances whose `/health` returns
+//! 200.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,23 +25,23 @@
 use super::any_address;
 use super::entry::Entry;
 
-/// How long an instance may take to answer the health check.
-const CHECK: Duration = Duration::from_millis(500);
+/// Timeout of a health check.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long an instance that failed the check is passed over.
-const SKIP: Duration = Duration::from_millis(200);
+/// How long an instance is skipped after a failed health check.
+const UNHEALTHY_PERIOD: Duration = Duration::from_millis(200);
 
-/// How long a connection waits for any healthy instance.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// How long a connection waits for a healthy instance.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Between two rounds without a healthy instance.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Interval between rounds in which no instance was healthy.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One instance as the balancer knows it.
+/// An instance as seen by the balancer.
 pub struct Backend {
     listen: SocketAddr,
     operator: SocketAddr,
-    failed: Mutex<Option<Instant>>,
+    unhealthy_since: Mutex<Option<Instant>>,
     cut: AtomicU64,
 }
 
@@ -49,28 +50,28 @@
         Backend {
             listen: entry.listen,
             operator: entry.operator,
-            failed: Mutex::new(None),
+            unhealthy_since: Mutex::new(None),
             cut: AtomicU64::new(0),
         }
     }
 
-    /// Connections that the instance ended before the caller did.
+    /// Returns the number of connections that the instance closed before the caller did.
     pub fn cut(&self) -> u64 {
         self.cut.load(Ordering::Relaxed)
     }
 
-    fn is_skipped(&self) -> bool {
-        let failed = *self.failed.lock().unwrap();
-        failed.is_some_and(|at| at.elapsed() < SKIP)
+    fn is_unhealthy(&self) -> bool {
+        let unhealthy_since = *self.unhealthy_since.lock().unwrap();
+        unhealthy_since.is_some_and(|at| at.elapsed() < UNHEALTHY_PERIOD)
     }
 
     async fn connect(&self) -> Option<TcpStream> {
-        if self.is_skipped() {
+        if self.is_unhealthy() {
             return None;
         }
-        let healthy = timeout(CHECK, is_healthy(self.operator)).await;
+        let healthy = timeout(HEALTH_CHECK_TIMEOUT, is_healthy(self.operator)).await;
         if !matches!(healthy, Ok(Ok(true))) {
-            *self.failed.lock().unwrap() = Some(Instant::now());
+            *self.unhealthy_since.lock().unwrap() = Some(Instant::now());
             return None;
         }
         TcpStream::connect(self.listen).await.ok()
@@ -89,23 +90,23 @@
 #[derive(Default)]
 struct Table {
     backends: Mutex<Vec<Arc<Backend>>>,
-    turn: AtomicUsize,
+    next: AtomicUsize,
 }
 
 impl Table {
     /// Connects to the next healthy instance.
     async fn connect(&self) -> Option<(Arc<Backend>, TcpStream)> {
         let start = Instant::now();
-        while start.elapsed() < PATIENCE {
+        while start.elapsed() < CONNECT_TIMEOUT {
             let backends = self.backends.lock().unwrap().clone();
             for _ in 0..backends.len() {
-                let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-                let backend = &backends[turn % backends.len()];
+                let next = self.next.fetch_add(1, Ordering::Relaxed);
+                let backend = &backends[next % backends.len()];
                 if let Some(stream) = backend.connect().await {
                     return Some((backend.clone(), stream));
                 }
             }
-            task::sleep(PAUSE).await;
+            task::sleep(RETRY_INTERVAL).await;
         }
         None
     }
@@ -114,7 +115,7 @@
         let (backend, entry) = self.connect().await?;
         let up = io::copy(caller.clone(), entry.clone()).boxed();
         let down = io::copy(entry, caller).boxed();
-        // The caller sends one request on a connection and hangs up after the whole answer.
+        // A caller sends one request per connection and closes it after the complete answer.
         if let Either::Right(_) = select(up, down).await {
             backend.cut.fetch_add(1, Ordering::Relaxed);
         }
@@ -122,22 +123,22 @@
     }
 }
 
-/// The balancer's listener; closed when dropped.
+/// The balancer. Its listener is closed on drop.
 pub struct Balancer {
     pub address: SocketAddr,
     table: Arc<Table>,
-    _listening: Cancelled,
+    _accept_task: CancelOnDrop,
 }
 
 impl Balancer {
-    /// Starts without any instance.
+    /// Starts the balancer with an empty table.
     pub fn start() -> Balancer {
         let table = Arc::new(Table::default());
         let listener = task::block_on(TcpListener::bind(any_address())).unwrap();
         Balancer {
             address: listener.local_addr().unwrap(),
             table: table.clone(),
-            _listening: Cancelled::spawn(async move {
+            _accept_task: CancelOnDrop::spawn(async move {
                 while let Ok((caller, _)) = listener.accept().await {
                     let _ = caller.set_nodelay(true);
                     let table = table.clone();
@@ -147,31 +148,31 @@
         }
     }
 
-    /// Adds an instance; its counter can be read as long as the result is held.
+    /// Adds an instance. The returned handle gives access to its counter.
     pub fn add(&self, entry: &Entry) -> Arc<Backend> {
         let backend = Arc::new(Backend::new(entry));
         self.table.backends.lock().unwrap().push(backend.clone());
         backend
     }
 
-    /// Takes an instance out of the table, as one whose machine is gone.
+    /// Removes an instance from the table, as after the loss of its machine.
     pub fn remove(&self, listen: SocketAddr) {
         let mut backends = self.table.backends.lock().unwrap();
         backends.retain(|backend| backend.listen != listen);
     }
 }
 
-/// A task that ends when this is dropped.
-pub struct Cancelled(Option<JoinHandle<()>>);
+/// A task that is cancelled on drop.
+pub struct CancelOnDrop(Option<JoinHandle<()>>);
 
-impl Cancelled {
-    /// Starts a task.
-    pub fn spawn(future: impl Future<Output = ()> + Send + 'static) -> Cancelled {
-        Cancelled(Some(task::spawn(future)))
+impl CancelOnDrop {
+    /// Spawns a task.
+    pub fn spawn(future: impl Future<Output = ()> + Send + 'static) -> CancelOnDrop {
+        CancelOnDrop(Some(task::spawn(future)))
     }
 }
 
-impl Drop for Cancelled {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
         if let Some(handle) = self.0.take() {
             task::block_on(handle.cancel());
--- a/tests/all/support/caller.rs
+++ b/tests/all/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends one request and reads the whole answer.
+//! A caller that sends one request and reads the complete answer.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -15,7 +15,7 @@
 use http_types::Url;
 use http_types::headers::Headers;
 
-/// One request of a caller.
+/// A request of a caller.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub method: Method,
@@ -26,7 +26,7 @@
 }
 
 impl Call {
-    /// A chat request for the site's model.
+    /// A chat completion request for the site's model.
     pub fn chat(stream: bool, tokens: u32) -> Call {
         Call {
             method: Method::Post,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// A call of the plain service that must not run twice.
+    /// A non-idempotent call of the plain service.
     pub fn booking(marker: &str) -> Call {
         Call {
             method: Method::Post,
@@ -51,24 +51,25 @@
         }
     }
 
-    /// A request of the nightly batch.
+    /// A request of the batch class.
     pub fn batch(tokens: u32) -> Call {
         Call::chat(false, tokens).key("team.batch")
     }
 
-    /// Names the request, so that a stand-in counts its runs and repeats the name in each token.
+    /// Sets a marker, by which the stand-ins count the request's runs and which they repeat in each
+    /// token.
     pub fn marked(self, marker: &str) -> Call {
         self.header("x-marker", marker)
     }
 
-    /// Makes each token of a streamed answer this many bytes longer.
-    pub fn bulky(mut self, bytes: usize) -> Call {
+    /// Makes each token of a streamed answer `bytes` bytes longer.
+    pub fn padded(mut self, bytes: usize) -> Call {
         let user = format!("{{\"user\":\"{}\",", "x".repeat(bytes));
         self.body = self.body.replacen('{', &user, 1);
         self
     }
 
-    /// The request's head as it goes over the wire, for the whole body.
+    /// Returns the request's head in HTTP/1.1, with the length of the complete body.
     pub fn head(&self) -> String {
         let mut head = format!("{} {} HTTP/1.1\r\nhost: entry\r\n", self.method, self.path);
         head.push_str(&format!("authorization: Bearer {}\r\n", self.key));
@@ -85,32 +86,33 @@
         self
     }
 
-    /// Sends it with another key.
+    /// Replaces the caller's key.
     pub fn key(mut self, key: &str) -> Call {
         self.key = key.to_owned();
         self
     }
 }
 
-/// What the caller got.
+/// The answer that a caller received.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
     pub headers: Headers,
     pub body: String,
-    /// Whether the body ended as its framing announced.
+    /// Whether the body was complete according to its framing.
     pub whole: bool,
 }
 
 impl Answer {
-    /// A header's value, or an empty string.
+    /// Returns a header's value, or an empty string.
     pub fn header(&self, name: &str) -> &str {
         let values = self.headers.get(name);
         values.map_or("", |values| values.as_str())
     }
 }
 
-/// Sends a request and reads the answer; `None` when the connection ended before one began.
+/// Sends a request and reads the answer. Returns `None` if the connection ended before an answer
+/// began.
 pub fn call(address: SocketAddr, call: &Call) -> Option<Answer> {
     task::block_on(async {
         let url = Url::parse(&format!("http://{address}{}", call.path)).unwrap();
@@ -137,8 +139,8 @@
     })
 }
 
-/// Sends a request beside the test; the answer is what the thread returns.
-pub fn call_beside(address: SocketAddr, request: &Call) -> JoinHandle<Option<Answer>> {
+/// Sends a request from a new thread, which returns the answer.
+pub fn spawn_call(address: SocketAddr, request: &Call) -> JoinHandle<Option<Answer>> {
     let request = request.clone();
     thread::spawn(move || call(address, &request))
 }
--- a/tests/all/support/entry.rs
+++ b/tests/all/support/entry.rs
@@ -1,4 +1,4 @@
-//! An entry instance as a process of its own.
+//! An entry instance in a process of its own.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -18,10 +18,10 @@
 use super::caller::call;
 use super::wait::wait;
 
-/// How long an instance may take to reach a state before the test gives up.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long an instance may take to reach a state before the test fails.
+const STATE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A running `crocushold serve`; ended when dropped.
+/// A running `crocushold serve` process, killed on drop.
 pub struct Entry {
     child: Child,
     pub listen: SocketAddr,
@@ -31,11 +31,11 @@
 impl Entry {
     /// Starts an instance and waits until it listens.
     pub fn start(args: &[String]) -> Entry {
-        Entry::start_logging(args, Stdio::inherit())
+        Entry::start_with_log(args, Stdio::inherit())
     }
 
     /// Starts an instance whose log goes to `log`, and waits until it listens.
-    pub fn start_logging(args: &[String], log: impl Into<Stdio>) -> Entry {
+    pub fn start_with_log(args: &[String], log: impl Into<Stdio>) -> Entry {
         let mut child = Command::new(env!("CARGO_BIN_EXE_crocushold"))
             .arg("serve")
             .args(args)
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Reads a page of the operator's interface.
+    /// Requests a page of the operator interface.
     pub fn page(&self, path: &str) -> Option<Answer> {
         let page = Call {
             method: Method::Get,
@@ -69,36 +69,36 @@
         call(self.operator, &page)
     }
 
-    /// Waits until the instance says that it serves.
+    /// Waits until the instance reports that it is ready.
     pub fn wait_ready(&self) {
         self.wait_for("/ready", |answer| answer.status == 200);
     }
 
-    /// Waits until a page of the operator's interface satisfies a condition.
+    /// Waits until a page of the operator interface satisfies a condition.
     ///
     /// # Panics
     ///
-    /// When it doesn't within 20 s.
+    /// Panics if it doesn't within 20 s.
     pub fn wait_for(&self, path: &str, condition: impl Fn(&Answer) -> bool) {
         let start = Instant::now();
-        while start.elapsed() < PATIENCE {
+        while start.elapsed() < STATE_TIMEOUT {
             if self.page(path).is_some_and(|answer| condition(&answer)) {
                 return;
             }
             std::thread::sleep(Duration::from_millis(20));
         }
-        panic!("{path} did not reach the state in {PATIENCE:?}");
+        panic!("{path} did not reach the state in {STATE_TIMEOUT:?}");
     }
 
-    /// The status page.
+    /// Returns the status document.
     pub fn status(&self) -> Status {
         let page = self
             .page("/status")
-            .expect("the operator's interface answers");
+            .expect("the operator interface responds");
         serde_json::from_str(&page.body).unwrap()
     }
 
-    /// Requests that wait in the queue of a class.
+    /// Returns the number of queued requests of a class.
     pub fn queued(&self, class: &str) -> u64 {
         let status = self.status();
         let mut classes = status.classes.iter();
@@ -106,7 +106,7 @@
         classes.find(|c| c.class == name).unwrap().queued
     }
 
-    /// Requests in flight of a class.
+    /// Returns the number of requests in flight of a class.
     pub fn running(&self, class: &str) -> u64 {
         let status = self.status();
         let mut classes = status.classes.iter();
@@ -114,7 +114,8 @@
         classes.find(|c| c.class == name).unwrap().running
     }
 
-    /// Requests of a class that ended in a way, such as `cancelled`, as the metrics count them.
+    /// Returns the number of requests of a class that ended in a given way, such as `cancelled`,
+    /// from the metrics.
     pub fn ended(&self, class: &str, end: &str) -> u64 {
         let page = self.page("/metrics").unwrap();
         let class = format!("class=\"team/{class}\"");
@@ -126,24 +127,24 @@
         counts.sum()
     }
 
-    /// Requests in flight at the backend servers.
+    /// Returns the number of requests in flight at the backend servers.
     pub fn in_flight(&self) -> u64 {
         self.status().servers.iter().map(|s| s.running).sum()
     }
 
-    /// Waits until no request waits or is in flight: every slot was given back.
+    /// Waits until no request is queued or in flight, so that every slot has been released.
     pub fn wait_idle(&self) {
-        wait("every slot was given back", || {
+        wait("every slot was released", || {
             let status = self.status();
-            let held: u64 = status.classes.iter().map(|c| c.queued + c.running).sum();
+            let open: u64 = status.classes.iter().map(|c| c.queued + c.running).sum();
             let running: u64 = status.servers.iter().map(|s| s.running).sum();
-            held == 0 && running == 0
+            open == 0 && running == 0
         });
     }
 
-    /// Waits until a revision of the configuration is in force.
-    pub fn wait_in_force(&self, revision: u64) {
-        wait("the revision is in force", || {
+    /// Waits until a revision of the configuration is active.
+    pub fn wait_active(&self, revision: u64) {
+        wait("the revision is active", || {
             self.status().config.revision == revision
         });
     }
@@ -155,8 +156,8 @@
         });
     }
 
-    /// Sets a fail point of the process, in the language of the crate `fail`.
-    pub fn set_point(&self, point: &str, actions: &str) {
+    /// Configures a fail point of the process, in the syntax of the `fail` crate.
+    pub fn set_fail_point(&self, point: &str, actions: &str) {
         let page = Call {
             method: Method::Post,
             path: format!("/failpoints/{point}/{actions}"),
@@ -164,32 +165,32 @@
             headers: Vec::new(),
             body: String::new(),
         };
-        let answer = call(self.operator, &page).expect("the operator's interface answers");
+        let answer = call(self.operator, &page).expect("the operator interface responds");
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
 
-    /// Holds whatever comes to a fail point, until [`Entry::release`].
+    /// Blocks every task that reaches a fail point until [`Entry::release`].
     pub fn hold(&self, point: &str) {
-        self.set_point(point, "return");
+        self.set_fail_point(point, "return");
     }
 
-    /// Lets go on what is held at a fail point.
+    /// Releases the tasks that are blocked at a fail point.
     pub fn release(&self, point: &str) {
-        self.set_point(point, "off");
+        self.set_fail_point(point, "off");
     }
 
-    /// How much is held at a fail point.
+    /// Returns the number of tasks that are blocked at a fail point.
     pub fn held(&self, point: &str) -> u64 {
         let page = self.page(&format!("/failpoints/{point}")).unwrap();
         page.body.parse().expect("the binary has fail points")
     }
 
-    /// Waits until something is held at a fail point.
+    /// Waits until a task is blocked at a fail point.
     pub fn wait_held(&self, point: &str) {
         wait("something is held at the point", || self.held(point) > 0);
     }
 
-    /// Sends the process a signal, such as `TERM`, `STOP` or `CONT`.
+    /// Sends a signal, such as `TERM`, `STOP` or `CONT`, to the process.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill")
             .arg(format!("-{name}"))
@@ -198,13 +199,13 @@
         assert!(status.unwrap().success());
     }
 
-    /// Ends the process at once, as a failing machine does.
+    /// Kills the process, as a failure of its machine does.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// Waits for the process to end by itself; true when it reported success.
+    /// Waits for the process to exit by itself. Returns whether it reported success.
     pub fn wait_exit(&mut self) -> bool {
         self.child.wait().unwrap().success()
     }
@@ -212,7 +213,7 @@
 
 impl Drop for Entry {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/tests/all/support/fleet.rs
+++ b/tests/all/support/fleet.rs
@@ -23,52 +23,54 @@
 use super::site::Site;
 use super::wait::wait;
 
-/// Ports that the kernel gives to nobody by itself.
-const PORTS: Range<u16> = 10_000..32_768;
+/// Ports outside of the kernel's ephemeral range.
+const FIXED_PORTS: Range<u16> = 10_000..32_768;
 
-/// An instance of a fleet: its process, and its fixed addresses.
+/// A member of a fleet: its process and its fixed addresses.
 pub struct Member {
     pub name: String,
-    /// Where it listens for its peers.
+    /// The address on which it listens for its peers.
     pub peer: SocketAddr,
-    /// Where its peers find it, as the platform lists it.
+    /// The address that the platform lists for its peers.
     pub listed: SocketAddr,
     pub entry: Option<Entry>,
 }
 
-/// Entry instances that know each other.
+/// Entry instances that are peers of each other.
 pub struct Fleet<'a> {
     site: &'a Site,
     pub members: Vec<Member>,
     pub links: Links,
-    /// Lines of the settings of all processes, in place of the site's.
-    lines: Vec<String>,
+    /// Settings lines of all processes that replace those of the site.
+    extra_settings: Vec<String>,
 }
 
 impl<'a> Fleet<'a> {
-    /// Lists `count` instances at the platform and starts them all.
+    /// Lists `count` instances at the platform and starts them.
     pub fn start(site: &'a Site, count: usize) -> Fleet<'a> {
         let mut fleet = Fleet::new(site, count);
         fleet.start_all();
         fleet
     }
 
-    /// Does the same with another time in which the balancer notices a planned stop.
-    pub fn start_with_notice(site: &'a Site, count: usize, notice: &str) -> Fleet<'a> {
+    /// Like [`Fleet::start`], with another period in which the balancer notices a graceful
+    /// shutdown.
+    pub fn start_with_notice_period(site: &'a Site, count: usize, notice: &str) -> Fleet<'a> {
         let mut fleet = Fleet::new(site, count);
-        fleet.lines.push(format!("notice = {notice}"));
+        fleet.extra_settings.push(format!("notice = {notice}"));
         fleet.start_all();
         fleet
     }
 
-    /// Does the same with links that can be cut, and waits until each knows all.
-    pub fn start_linked(site: &'a Site, count: usize) -> Fleet<'a> {
+    /// Like [`Fleet::start`], with links that can be cut. Waits until every instance knows all
+    /// others.
+    pub fn start_with_links(site: &'a Site, count: usize) -> Fleet<'a> {
         let mut fleet = Fleet::new(site, count);
         for (number, member) in fleet.members.iter_mut().enumerate() {
             member.listed = fleet.links.open(number, member.peer);
         }
         fleet.start_all();
-        fleet.wait_agreed();
+        fleet.wait_converged();
         fleet
     }
 
@@ -86,7 +88,7 @@
             site,
             members: members.collect(),
             links: Links::default(),
-            lines: Vec::new(),
+            extra_settings: Vec::new(),
         }
     }
 
@@ -114,14 +116,14 @@
         task::block_on(self.site.platform.command(command)).unwrap();
     }
 
-    /// Starts the process of one member, without waiting.
+    /// Starts the process of a member without waiting until it is ready.
     pub fn spawn(&mut self, number: usize) {
-        self.spawn_edited(number, &[]);
+        self.spawn_with_settings(number, &[]);
     }
 
-    /// Starts a member's process at another address for its peers, which the platform doesn't list
-    /// before [`Fleet::publish`].
-    pub fn spawn_elsewhere(&mut self, number: usize) {
+    /// Starts a member's process at a new peer address, which the platform doesn't list before
+    /// [`Fleet::publish`].
+    pub fn spawn_at_new_address(&mut self, number: usize) {
         let address = free_address();
         let member = &mut self.members[number];
         member.peer = address;
@@ -129,22 +131,22 @@
         self.spawn(number);
     }
 
-    /// Starts a member's process with another key for its peers.
+    /// Starts a member's process with another peer key.
     pub fn spawn_with_key(&mut self, number: usize, key: &str) {
-        self.spawn_edited(number, &[format!("key = {key}")]);
+        self.spawn_with_settings(number, &[format!("key = {key}")]);
     }
 
-    /// Starts a member's process with settings that say that a fleet ran before.
-    pub fn spawn_again(&mut self, number: usize) {
-        self.spawn_edited(number, &["first-start = no".to_owned()]);
+    /// Starts a member's process with settings that say that the fleet has run before.
+    pub fn respawn(&mut self, number: usize) {
+        self.spawn_with_settings(number, &["first-start = no".to_owned()]);
     }
 
-    /// Starts a member's process with these lines in its settings in place of those there.
-    fn spawn_edited(&mut self, number: usize, lines: &[String]) {
+    /// Starts a member's process with these lines in place of the matching lines of its settings.
+    fn spawn_with_settings(&mut self, number: usize, lines: &[String]) {
         let member = &mut self.members[number];
         let args = self.site.args_at(&member.name, member.peer);
         let mut text = fs::read_to_string(&args[0]).unwrap();
-        for line in lines.iter().chain(&self.lines) {
+        for line in lines.iter().chain(&self.extra_settings) {
             let name = line.split('=').next().unwrap();
             let old = text.lines().find(|old| old.starts_with(name)).unwrap();
             text = text.replace(old, line);
@@ -153,28 +155,28 @@
         member.entry = Some(Entry::start(&args));
     }
 
-    /// Ends a member's process at once, as a failing machine does.
+    /// Kills a member's process, as a failure of its machine does.
     pub fn kill(&mut self, number: usize) {
         let mut entry = self.members[number].entry.take().unwrap();
         entry.kill();
     }
 
-    /// Stops a member as planned, and returns once its process has ended.
+    /// Shuts a member down gracefully and waits until its process has exited.
     pub fn stop(&mut self, number: usize) {
         let mut entry = self.members[number].entry.take().unwrap();
         entry.signal("TERM");
         assert!(entry.wait_exit());
     }
 
-    /// Waits until every running member sees all running members live and no others, and all have
-    /// the same revision in force; returns how long that took.
-    pub fn wait_agreed(&self) -> Duration {
+    /// Waits until every running member sees exactly the other running members as peers and all
+    /// have the same active revision. Returns how long that took.
+    pub fn wait_converged(&self) -> Duration {
         let start = Instant::now();
-        wait("all agree", || {
-            let states: Vec<_> = self.running().map(agreed_state).collect();
+        wait("all members converge", || {
+            let states: Vec<_> = self.running().map(converged_state).collect();
             let others = states.len() - 1;
-            let whole = states.iter().all(|state| state.peers == others);
-            whole
+            let all_known = states.iter().all(|state| state.peers == others);
+            all_known
                 && states
                     .iter()
                     .all(|state| state.revision == states[0].revision)
@@ -182,26 +184,26 @@
         start.elapsed()
     }
 
-    /// A member's process.
+    /// Returns a member's process.
     pub fn entry(&self, number: usize) -> &Entry {
         self.members[number].entry.as_ref().unwrap()
     }
 
-    /// Waits until every running member serves.
+    /// Waits until every running member is ready.
     pub fn wait_ready(&self) {
         for entry in self.running() {
             entry.wait_ready();
         }
     }
 
-    /// Waits until every running member has a revision in force.
-    pub fn wait_in_force(&self, revision: u64) {
+    /// Waits until a revision is active on every running member.
+    pub fn wait_active(&self, revision: u64) {
         for entry in self.running() {
-            entry.wait_in_force(revision);
+            entry.wait_active(revision);
         }
     }
 
-    /// The members whose processes run.
+    /// Returns the processes of the running members.
     pub fn running(&self) -> impl Iterator<Item = &Entry> {
         self.members
             .iter()
@@ -209,32 +211,32 @@
     }
 }
 
-/// What the members have to agree on.
-struct AgreedState {
+/// The state in which all members must agree.
+struct ConvergedState {
     peers: usize,
     revision: u64,
 }
 
-fn agreed_state(entry: &Entry) -> AgreedState {
+fn converged_state(entry: &Entry) -> ConvergedState {
     let status = entry.status();
-    AgreedState {
+    ConvergedState {
         peers: status.peers.len(),
         revision: status.config.revision,
     }
 }
 
-/// An address that stays free while its process is away.
+/// Returns an address that stays free while its process isn't running.
 ///
-/// The kernel gives ports above this range to whoever asks for any; an instance that starts at its
-/// fixed address again would find it taken by somebody's connection.
+/// The kernel assigns ports above this range to any socket that asks for a free port. An instance that
+/// restarts at a fixed address with such a port could find it taken by another connection.
 fn free_address() -> SocketAddr {
-    static TAKEN: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
+    static USED_PORTS: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
     loop {
-        let number =
-            RandomState::new().build_hasher().finish() % u64::from(PORTS.end - PORTS.start);
-        let port = PORTS.start + number as u16;
+        let number = RandomState::new().build_hasher().finish()
+            % u64::from(FIXED_PORTS.end - FIXED_PORTS.start);
+        let port = FIXED_PORTS.start + number as u16;
         let address = SocketAddr::from(([127, 0, 0, 1], port));
-        if TAKEN.lock().unwrap().insert(port) && TcpListener::bind(address).is_ok() {
+        if USED_PORTS.lock().unwrap().insert(port) && TcpListener::bind(address).is_ok() {
             return address;
         }
     }
--- a/tests/all/support/links.rs
+++ b/tests/all/support/links.rs
@@ -1,9 +1,9 @@
-//! Links between instances that can be cut, one way or both.
+//! Links between instances that can be cut in one direction or both.
 //!
-//! Each instance is reached through a relay of its own. The relay learns from a connection's
-//! greeting who calls, so that it knows the link. Instances tell each other the addresses they listen
-//! on, and would soon go past the relays; as a translator of addresses does in a network, a relay
-//! puts the relays' addresses in the place of the instances' own in what passes.
+//! Each instance is reached through a relay of its own, which learns from the handshake of a
+//! connection who the caller is and thus which link it belongs to. Instances tell each other the
+//! addresses on which they listen and would soon bypass the relays, so the relays replace these
+//! addresses in the traffic by their own, as a network address translator does.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,39 +21,39 @@
 use futures::future::select;
 
 use super::any_address;
-use super::balancer::Cancelled;
+use super::balancer::CancelOnDrop;
 
-/// Between two looks whether a cut is healed.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Interval at which a cut link is checked for having healed.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What every address begins with.
-const ADDRESS: &[u8] = b"127.0.0.1:";
+/// Prefix of every address.
+const ADDRESS_PREFIX: &[u8] = b"127.0.0.1:";
 
-/// What every instance's name begins with; one digit follows.
-const NAME: &[u8] = b"entry-";
+/// Prefix of every instance name; one digit follows.
+const NAME_PREFIX: &[u8] = b"entry-";
 
-/// Digits of a port.
-const DIGITS: usize = 5;
+/// Number of digits of every port.
+const PORT_DIGITS: usize = 5;
 
-/// One direction between two instances, by their numbers.
+/// One direction of the link between two instances, given by their numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Way {
+struct Direction {
     from: usize,
     to: usize,
 }
 
 #[derive(Default)]
 struct State {
-    cut: BTreeSet<Way>,
-    /// Relay's address by the instance's own, both as text.
-    names: BTreeMap<Vec<u8>, Vec<u8>>,
+    cut: BTreeSet<Direction>,
+    /// Relay addresses by the instances' own addresses, both as text.
+    relay_addresses: BTreeMap<Vec<u8>, Vec<u8>>,
 }
 
-/// All links of a fleet; the relays end when dropped.
+/// All links of a fleet. The relays end on drop.
 #[derive(Default)]
 pub struct Links {
     state: Arc<Mutex<State>>,
-    relays: Vec<Cancelled>,
+    relays: Vec<CancelOnDrop>,
 }
 
 impl Links {
@@ -62,13 +62,15 @@
         let listener = task::block_on(TcpListener::bind(any_address())).unwrap();
         let address = listener.local_addr().unwrap();
         let state = self.state.clone();
-        let (from, by) = (own.to_string(), address.to_string());
-        assert_eq!(from.len(), ADDRESS.len() + DIGITS, "{from}");
-        assert_eq!(by.len(), from.len(), "{by}");
+        let (from, relay_address) = (own.to_string(), address.to_string());
+        assert_eq!(from.len(), ADDRESS_PREFIX.len() + PORT_DIGITS, "{from}");
+        assert_eq!(relay_address.len(), from.len(), "{relay_address}");
         let mut locked = state.lock().unwrap();
-        locked.names.insert(from.into_bytes(), by.into_bytes());
+        locked
+            .relay_addresses
+            .insert(from.into_bytes(), relay_address.into_bytes());
         drop(locked);
-        self.relays.push(Cancelled::spawn(async move {
+        self.relays.push(CancelOnDrop::spawn(async move {
             while let Ok((caller, _)) = listener.accept().await {
                 task::spawn(relay(state.clone(), caller, to, own));
             }
@@ -76,75 +78,79 @@
         address
     }
 
-    /// Lets nothing more through from one instance to another. What was sent arrives once the link
-    /// is healed, as after a loss of packets in a network.
-    pub fn cut_way(&self, from: usize, to: usize) {
-        self.state.lock().unwrap().cut.insert(Way { from, to });
+    /// Stops all traffic from one instance to another. What was sent is delivered once the link is
+    /// healed, as after packet loss in a network.
+    pub fn cut(&self, from: usize, to: usize) {
+        self.state
+            .lock()
+            .unwrap()
+            .cut
+            .insert(Direction { from, to });
     }
 
-    /// Cuts every link between two groups, both ways.
-    pub fn split(&self, some: &[usize], others: &[usize]) {
+    /// Cuts all links between two groups in both directions.
+    pub fn partition(&self, some: &[usize], others: &[usize]) {
         for &one in some {
             for &other in others {
-                self.cut_way(one, other);
-                self.cut_way(other, one);
+                self.cut(one, other);
+                self.cut(other, one);
             }
         }
     }
 
-    /// Heals every link.
+    /// Heals all links.
     pub fn heal(&self) {
         self.state.lock().unwrap().cut.clear();
     }
 }
 
 async fn relay(state: Arc<Mutex<State>>, mut caller: TcpStream, to: usize, own: SocketAddr) {
-    let Some((from, greeting)) = greeting(&mut caller).await else {
+    let Some((from, handshake)) = handshake(&mut caller).await else {
         return;
     };
-    let there = Way { from, to };
-    let back = Way { from: to, to: from };
-    wait_open(&state, there).await;
+    let forth = Direction { from, to };
+    let back = Direction { from: to, to: from };
+    wait_until_open(&state, forth).await;
     let Ok(callee) = TcpStream::connect(own).await else {
         return;
     };
     let _ = caller.set_nodelay(true);
     let _ = callee.set_nodelay(true);
-    let up = pass(&state, there, greeting, caller.clone(), callee.clone()).boxed();
-    let down = pass(&state, back, Vec::new(), callee, caller).boxed();
+    let up = forward(&state, forth, handshake, caller.clone(), callee.clone()).boxed();
+    let down = forward(&state, back, Vec::new(), callee, caller).boxed();
     select(up, down).await;
 }
 
-/// Reads until the caller has named itself.
-async fn greeting(caller: &mut TcpStream) -> Option<(usize, Vec<u8>)> {
+/// Reads until the caller has sent its name.
+async fn handshake(caller: &mut TcpStream) -> Option<(usize, Vec<u8>)> {
     let mut bytes = Vec::new();
     loop {
         read_some(caller, &mut bytes).await?;
-        let after = NAME.len();
+        let after = NAME_PREFIX.len();
         let mut windows = bytes.windows(after + 1);
-        let name = windows.find(|w| w.starts_with(NAME) && w[after].is_ascii_digit());
+        let name = windows.find(|w| w.starts_with(NAME_PREFIX) && w[after].is_ascii_digit());
         if let Some(name) = name {
             return Some((usize::from(name[after] - b'0'), bytes));
         }
     }
 }
 
-/// Carries bytes one way until the connection ends.
-async fn pass(
+/// Forwards bytes in one direction until the connection ends.
+async fn forward(
     state: &Mutex<State>,
-    way: Way,
-    begun: Vec<u8>,
+    direction: Direction,
+    initial: Vec<u8>,
     mut from: TcpStream,
     mut to: TcpStream,
 ) -> Option<()> {
-    let mut bytes = begun;
+    let mut bytes = initial;
     loop {
         if bytes.is_empty() || ends_within_address(&bytes) {
             read_some(&mut from, &mut bytes).await?;
             continue;
         }
         translate(state, &mut bytes);
-        wait_open(state, way).await;
+        wait_until_open(state, direction).await;
         to.write_all(&bytes).await.ok()?;
         bytes.clear();
     }
@@ -157,34 +163,36 @@
     (count > 0).then_some(())
 }
 
-async fn wait_open(state: &Mutex<State>, way: Way) {
-    while state.lock().unwrap().cut.contains(&way) {
-        task::sleep(PAUSE).await;
+async fn wait_until_open(state: &Mutex<State>, direction: Direction) {
+    while state.lock().unwrap().cut.contains(&direction) {
+        task::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Whether the rest of an address is still to come: translated in halves it would be missed.
+/// Returns whether the bytes end within an address: translated in two parts, it would be missed.
 fn ends_within_address(bytes: &[u8]) -> bool {
-    let tail = bytes.len().saturating_sub(ADDRESS.len() + DIGITS - 1);
+    let tail = bytes
+        .len()
+        .saturating_sub(ADDRESS_PREFIX.len() + PORT_DIGITS - 1);
     (tail..bytes.len()).any(|start| {
         let rest = &bytes[start..];
-        let known = rest.len().min(ADDRESS.len());
-        // Shorter beginnings are common in other data, whose rest may never come.
+        let known = rest.len().min(ADDRESS_PREFIX.len());
+        // Shorter prefixes are common in other data, whose rest may never arrive.
         known >= 4
-            && rest[..known] == ADDRESS[..known]
+            && rest[..known] == ADDRESS_PREFIX[..known]
             && rest[known..].iter().all(u8::is_ascii_digit)
     })
 }
 
 fn translate(state: &Mutex<State>, bytes: &mut [u8]) {
     let state = state.lock().unwrap();
-    let length = ADDRESS.len() + DIGITS;
+    let length = ADDRESS_PREFIX.len() + PORT_DIGITS;
     let mut at = 0;
     while at + length <= bytes.len() {
-        let place = &mut bytes[at..at + length];
-        match state.names.get(&*place) {
-            Some(name) => {
-                place.copy_from_slice(name);
+        let candidate = &mut bytes[at..at + length];
+        match state.relay_addresses.get(&*candidate) {
+            Some(relay_address) => {
+                candidate.copy_from_slice(relay_address);
                 at += length;
             }
             None => at += 1,
--- a/tests/all/support/load.rs
+++ b/tests/all/support/load.rs
@@ -1,4 +1,4 @@
-//! A small steady load beside a test, and what its callers saw.
+//! A small constant load beside a test, and the results that its callers saw.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,8 +18,8 @@
 
 use super::site::Site;
 
-/// Length of one round in seconds; the load ends with the round in which it is stopped.
-const ROUND: f64 = 1.0;
+/// Length of a round in seconds. A stopped load ends with its current round.
+const ROUND_SECONDS: f64 = 1.0;
 
 /// A load that runs in rounds until it is stopped.
 pub struct Load {
@@ -28,8 +28,7 @@
 }
 
 impl Load {
-    /// Starts to send to `address`: streamed chats, a nightly batch and confirmations that must not
-    /// run twice.
+    /// Starts sending streamed chats, batch requests and non-idempotent confirmations to `address`.
     pub fn start(site: &Site, address: SocketAddr) -> Load {
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = stop.clone();
@@ -50,7 +49,7 @@
         Load { stop, thread }
     }
 
-    /// Ends the load, and waits for the last answers.
+    /// Stops the load after the current round, and waits for the last answers.
     pub fn stop(self) -> Totals {
         self.stop.store(true, Ordering::Relaxed);
         self.thread.join().unwrap()
@@ -59,7 +58,7 @@
 
 fn plan(site: &Site, address: SocketAddr) -> LoadPlan {
     let engines = site.engines.iter().map(|engine| engine.control_addr());
-    let services = [&site.service].into_iter().chain(&site.more);
+    let services = [&site.service].into_iter().chain(&site.other_services);
     let services = services.map(|service| service.control_addr());
     let chat = LoadClass {
         name: "chat".to_owned(),
@@ -72,8 +71,8 @@
     LoadPlan {
         entries: vec![address],
         standins: engines.chain(services).collect(),
-        seconds: ROUND,
-        // One request a connection, so that the balancer chooses for each.
+        seconds: ROUND_SECONDS,
+        // One request per connection, so that the balancer chooses an instance for each.
         keep_alive: false,
         classes: vec![
             LoadClass {
@@ -96,12 +95,12 @@
     }
 }
 
-/// What all callers of a load saw.
+/// The results of all callers of a load.
 #[derive(Debug, Default)]
 pub struct Totals {
-    /// By class, with the endings summed over the rounds.
+    /// Results by class, summed over the rounds.
     pub classes: Vec<ClassReport>,
-    /// Counters that couldn't be read, so that a doubled request might be missed.
+    /// Stand-in counters that couldn't be read; duplicate runs might go unnoticed.
     unasked: u64,
 }
 
@@ -117,21 +116,22 @@
         }
     }
 
-    /// Requests of all classes that ended early, visibly to their callers.
+    /// Returns the number of requests of all classes whose answers were visibly cut.
     pub fn cut(&self) -> u64 {
         self.classes.iter().map(|class| class.cut).sum()
     }
 
-    /// The report of a class.
+    /// Returns the report of a class.
     pub fn class(&self, name: &str) -> &ClassReport {
         let mut classes = self.classes.iter();
         classes.find(|class| class.name == name).unwrap()
     }
 
-    /// Checks what holds under every fault: each caller got its own answer whole, a refusal or an
-    /// early end that it sees; no confirmation ran twice, and what was called not run didn't run.
-    /// Chats and the batch are idempotent: a try that brings no answer may be followed by another.
-    pub fn assert_sound(&self) {
+    /// Checks the invariants that hold under every fault: each caller received its own complete
+    /// answer, a refusal, or a visible cut; no confirmation ran twice; and no request that was
+    /// reported as not run did run. Chats and the batch are idempotent, so an attempt without an
+    /// answer may be retried.
+    pub fn assert_invariants(&self) {
         assert_eq!(self.unasked, 0, "counters are missing");
         for class in &self.classes {
             let ended = class.completed + class.refused + class.cut;
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Prints a line a class, for those who read the log of a run.
+    /// Prints a line per class for readers of the test log.
     pub fn print(&self, test: &str) {
         for class in &self.classes {
             println!(
--- a/tests/all/support/mod.rs
+++ b/tests/all/support/mod.rs
@@ -1,35 +1,35 @@
-//! What the integration tests share: processes, callers and a site of stand-ins.
+//! Shared by the integration tests: entry processes, callers, and a site of stand-ins.
 
 mod balancer;
 mod caller;
 mod entry;
 mod fleet;
-mod folder;
 mod links;
-mod listener;
 mod load;
-mod raw;
+mod raw_caller;
+mod raw_server;
 mod relay;
 mod site;
+mod temp_dir;
 mod wait;
 
 pub use balancer::Balancer;
 pub use caller::Answer;
 pub use caller::Call;
 pub use caller::call;
-pub use caller::call_beside;
+pub use caller::spawn_call;
 pub use entry::Entry;
 pub use fleet::Fleet;
-pub use folder::Folder;
-pub use listener::RawServer;
-pub use listener::answer_rest;
-pub use listener::wait_cut;
 pub use load::Load;
 pub use load::Totals;
-pub use raw::Raw;
+pub use raw_caller::RawCaller;
+pub use raw_server::RawServer;
+pub use raw_server::answer_rest;
+pub use raw_server::wait_cut;
 pub use relay::Relay;
 pub use site::Site;
 pub use site::SiteSettings;
+pub use temp_dir::TempDir;
 pub use wait::wait;
 pub use wait::wait_long;
 
--- a/tests/all/support/raw.rs
+++ b/tests/all/support/raw_caller.rs
@@ -10,43 +10,42 @@
 use super::caller::Call;
 
 /// How long the caller waits for a byte before the test fails.
-const PATIENCE: Duration = Duration::from_secs(45);
+const READ_TIMEOUT: Duration = Duration::from_secs(45);
 
-/// What ends a chunked body that is whole.
+/// The end of a complete chunked body.
 const LAST_CHUNK: &str = "\r\n0\r\n\r\n";
 
-/// One connection of a caller. It is closed when dropped, as by a caller that hangs up.
-pub struct Raw {
+/// A connection of a caller. Dropping it closes it, as a caller that hangs up does.
+pub struct RawCaller {
     stream: TcpStream,
     received: Vec<u8>,
 }
 
-impl Raw {
-    /// Connects and sends nothing yet.
-    pub fn connect(address: SocketAddr) -> Raw {
+impl RawCaller {
+    /// Connects without sending anything.
+    pub fn connect(address: SocketAddr) -> RawCaller {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
-        Raw {
+        RawCaller {
             stream,
             received: Vec::new(),
         }
     }
 
-    /// Connects and sends a whole request.
-    pub fn send(address: SocketAddr, call: &Call) -> Raw {
-        let mut raw = Raw::connect(address);
+    /// Connects and sends a complete request.
+    pub fn send(address: SocketAddr, call: &Call) -> RawCaller {
+        let mut raw = RawCaller::connect(address);
         raw.write(call.head().as_bytes());
         raw.write(call.body.as_bytes());
         raw
     }
 
-    /// Sends bytes.
     pub fn write(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// Reads until `text` has come; false when the connection ended before.
+    /// Reads until `text` has been received. Returns false if the connection ends first.
     pub fn read_until(&mut self, text: &str) -> bool {
         let mut searched = 0;
         while !String::from_utf8_lossy(&self.received[searched..]).contains(text) {
@@ -64,7 +63,7 @@
         self.text()
     }
 
-    /// Whether a byte came that wasn't read yet.
+    /// Returns whether unread bytes are available.
     pub fn has_bytes(&self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let count = self.stream.peek(&mut [0]).unwrap_or(0);
@@ -72,17 +71,17 @@
         count > 0
     }
 
-    /// What came so far.
+    /// Returns everything received so far.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.received).into_owned()
     }
 
-    /// Whether a chunked answer came to its end.
+    /// Returns whether a chunked answer was received completely.
     pub fn is_whole(&self) -> bool {
         self.text().ends_with(LAST_CHUNK)
     }
 
-    /// Takes what came off the connection; false at its end.
+    /// Reads the available bytes. Returns false at the end of the connection.
     fn read_some(&mut self) -> bool {
         let mut chunk = [0; 64 * 1024];
         match self.stream.read(&mut chunk) {
@@ -92,8 +91,8 @@
                 true
             }
             Err(error) => {
-                let silent = matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
-                assert!(!silent, "the caller was left without a word");
+                let timed_out = matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
+                assert!(!timed_out, "the caller received nothing in time");
                 false
             }
         }
--- a/tests/all/support/listener.rs
+++ b/tests/all/support/raw_server.rs
@@ -1,4 +1,4 @@
-//! A backend server at the level of its socket, for faults that no engine shows.
+//! A backend server at the socket level, for faults that no engine shows.
 
 use std::io::Read;
 use std::io::Write;
@@ -13,41 +13,41 @@
 
 use super::any_address;
 
-/// How long a connection is tried before the listener counts as full.
-const FULL: Duration = Duration::from_millis(200);
+/// How long a connection attempt may take before the listener's backlog counts as full.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// How long the server waits for a byte before the test fails.
-const PATIENCE: Duration = Duration::from_secs(20);
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A listening socket that accepts when told so.
+/// A listening socket that accepts connections only on request.
 pub struct RawServer {
     listener: TcpListener,
 }
 
 impl RawServer {
-    /// Listens and accepts nothing yet.
+    /// Listens without accepting connections.
     pub fn start() -> RawServer {
         let listener = TcpListener::bind(any_address()).unwrap();
         RawServer { listener }
     }
 
-    /// The address.
+    /// Returns the listening address.
     pub fn addr(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
-    /// Fills the queue of connections that wait to be accepted, so that further ones hang, as in a
-    /// partition that swallows packets. They hang as long as the result lives.
-    pub fn fill(&self) -> Vec<TcpStream> {
+    /// Fills the backlog of the listener so that further connection attempts hang, as in a network
+    /// partition that drops packets. They hang for as long as the result is alive.
+    pub fn fill_backlog(&self) -> Vec<TcpStream> {
         let mut waiting = Vec::new();
-        while let Ok(stream) = TcpStream::connect_timeout(&self.addr(), FULL) {
+        while let Ok(stream) = TcpStream::connect_timeout(&self.addr(), CONNECT_TIMEOUT) {
             waiting.push(stream);
         }
         waiting
     }
 
     /// Accepts connections until one carries a request, and reads its head. Polls for load reports
-    /// come too; they are cut.
+    /// are closed.
     pub fn accept(&self) -> TcpStream {
         loop {
             let (stream, _) = self.listener.accept().unwrap();
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Cuts each request after its head as long as the test runs; counts them.
+    /// Closes each connection after its request's head for as long as the test runs. Returns their
+    /// count.
     pub fn cut_all(self) -> Arc<AtomicUsize> {
         let cuts = Arc::new(AtomicUsize::new(0));
         let counted = cuts.clone();
@@ -70,7 +71,7 @@
         cuts
     }
 
-    /// Whether a request waits to be accepted.
+    /// Returns whether a request waits to be accepted.
     pub fn has_request(&self) -> bool {
         self.listener.set_nonblocking(true).unwrap();
         let mut found = false;
@@ -83,9 +84,9 @@
     }
 }
 
-/// Reads the head of a request; nothing when it is a poll, or ends early.
+/// Reads the head of a request. Returns `None` if it is a poll or ends early.
 fn read_head(mut stream: TcpStream) -> Option<TcpStream> {
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
@@ -97,7 +98,8 @@
     (!head.starts_with(b"GET ")).then_some(stream)
 }
 
-/// Reads what is left of a request of `length` body bytes and answers it with an empty `200`.
+/// Reads the remaining `length` body bytes of a request and answers it with status 200 and the body
+/// `ok`.
 pub fn answer_rest(mut stream: TcpStream, length: usize) {
     let mut left = length;
     let mut chunk = vec![0; 64 * 1024];
@@ -111,7 +113,7 @@
         .unwrap();
 }
 
-/// Waits until the other side ended the connection; whatever still comes is dropped.
+/// Waits until the peer closes the connection, and discards what it still sends.
 pub fn wait_cut(mut stream: TcpStream) {
     let mut chunk = vec![0; 64 * 1024];
     while stream.read(&mut chunk).is_ok_and(|count| count > 0) {}
--- a/tests/all/support/relay.rs
+++ b/tests/all/support/relay.rs
@@ -1,4 +1,4 @@
-//! A relay in front of a backend server that loses what goes one way, as a partition does.
+//! A relay in front of a backend server that can drop one direction, as in a network partition.
 
 use std::io::Read;
 use std::io::Write;
@@ -14,21 +14,21 @@
 
 use super::any_address;
 
-/// Which ways are cut.
+/// Which directions are cut.
 #[derive(Default)]
 struct Cuts {
     to_server: AtomicBool,
     to_entry: AtomicBool,
 }
 
-/// A relay; what goes a way that is cut is lost, the end of a connection included.
+/// A relay. Everything sent in a cut direction is dropped, including the end of a connection.
 pub struct Relay {
     address: SocketAddr,
     cuts: Arc<Cuts>,
 }
 
 impl Relay {
-    /// Relays connections to a server as long as the test runs.
+    /// Relays connections to a server for as long as the test runs.
     pub fn start(server: SocketAddr) -> Relay {
         let listener = TcpListener::bind(any_address()).unwrap();
         let address = listener.local_addr().unwrap();
@@ -39,29 +39,29 @@
                 let Ok(server) = TcpStream::connect(server) else {
                     continue;
                 };
-                join(entry, server, &shared);
+                relay(entry, server, &shared);
             }
         });
         Relay { address, cuts }
     }
 
-    /// Where the relay listens.
+    /// Returns the relay's listening address.
     pub fn addr(&self) -> SocketAddr {
         self.address
     }
 
-    /// Loses from now on what the entry instance sends.
+    /// Drops everything that the entry instance sends from now on.
     pub fn cut_to_server(&self) {
         self.cuts.to_server.store(true, Ordering::SeqCst);
     }
 
-    /// Loses from now on what the server sends.
+    /// Drops everything that the server sends from now on.
     pub fn cut_to_entry(&self) {
         self.cuts.to_entry.store(true, Ordering::SeqCst);
     }
 }
 
-fn join(entry: TcpStream, server: TcpStream, cuts: &Arc<Cuts>) {
+fn relay(entry: TcpStream, server: TcpStream, cuts: &Arc<Cuts>) {
     let (from_entry, from_server) = (entry.try_clone().unwrap(), server.try_clone().unwrap());
     let shared = cuts.clone();
     thread::spawn(move || copy(from_entry, server, &shared.to_server));
@@ -69,7 +69,8 @@
     thread::spawn(move || copy(from_server, entry, &shared.to_entry));
 }
 
-/// Copies until the end; keeps the other side open for ever where the end is lost.
+/// Copies until the end. In a cut direction the end is dropped too: the other side stays open
+/// forever.
 fn copy(mut from: TcpStream, mut to: TcpStream, cut: &AtomicBool) {
     let mut chunk = [0; 16 * 1024];
     loop {
--- a/tests/all/support/site.rs
+++ b/tests/all/support/site.rs
@@ -1,4 +1,4 @@
-//! A site: the platform, engines and a plain service as stand-ins, and a configuration text.
+//! A site: stand-ins for the platform, engines and a plain service, and their configuration.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -23,12 +23,12 @@
 use super::caller::Call;
 use super::caller::call;
 use super::entry::Entry;
-use super::folder::Folder;
+use super::temp_dir::TempDir;
 use super::wait::wait;
 
 const PEER_KEY: &str = "0123456789abcdef0123456789abcdef";
 
-/// How a site is laid out.
+/// The layout of a site.
 #[derive(Clone, Debug)]
 pub struct SiteSettings {
     pub engines: usize,
@@ -37,9 +37,9 @@
     pub engine: EngineSettings,
     pub service: ServiceSettings,
     pub first_start: bool,
-    /// What the requests at an entry instance may hold, in MiB.
+    /// Memory limit of the requests at an entry instance, in MiB.
     pub memory: u64,
-    /// Further lines of the entry instances' `[limits]`.
+    /// Further lines of the `[limits]` section of the entry instances.
     pub limits: String,
     pub senders: u32,
 }
@@ -69,9 +69,9 @@
     pub engines: Vec<Handle<Engine>>,
     pub service: Handle<PlainService>,
     /// Further servers of the plain service.
-    pub more: Vec<Handle<PlainService>>,
+    pub other_services: Vec<Handle<PlainService>>,
     pub text: String,
-    folder: Folder,
+    temp_dir: TempDir,
     first_start: bool,
     memory: u64,
     limits: String,
@@ -79,7 +79,7 @@
 }
 
 impl Site {
-    /// Starts the stand-ins and publishes a text that names them.
+    /// Starts the stand-ins and publishes a configuration that lists them.
     pub fn start(settings: &SiteSettings) -> Site {
         task::block_on(async {
             let mut engines = Vec::new();
@@ -89,12 +89,12 @@
             }
             let service = PlainService::start(any_address(), settings.service.clone());
             let service = service.await.unwrap();
-            let mut more = Vec::new();
+            let mut other_services = Vec::new();
             for _ in 1..settings.services {
                 let another = PlainService::start(any_address(), settings.service.clone());
-                more.push(another.await.unwrap());
+                other_services.push(another.await.unwrap());
             }
-            let services: Vec<_> = [&service].into_iter().chain(&more).collect();
+            let services: Vec<_> = [&service].into_iter().chain(&other_services).collect();
             let text = text(settings, &engines, &services);
             let platform = PlatformSettings {
                 parts: BTreeMap::from([("team".to_owned(), text.clone())]),
@@ -105,9 +105,9 @@
                 platform,
                 engines,
                 service,
-                more,
+                other_services,
                 text,
-                folder: Folder::new(),
+                temp_dir: TempDir::new(),
                 first_start: settings.first_start,
                 memory: settings.memory,
                 limits: settings.limits.clone(),
@@ -116,63 +116,63 @@
         })
     }
 
-    /// Starts an entry instance and waits until it serves.
+    /// Starts an entry instance and waits until it is ready.
     pub fn entry(&self, name: &str) -> Entry {
         let entry = Entry::start(&self.args(name));
         entry.wait_ready();
         entry
     }
 
-    /// Commands one engine.
-    pub fn engine(&self, number: usize, command: EngineCommand) {
+    /// Sends a command to one engine.
+    pub fn command_engine(&self, number: usize, command: EngineCommand) {
         task::block_on(self.engines[number].command(command)).unwrap();
     }
 
-    /// Commands all engines.
-    pub fn all_engines(&self, command: &EngineCommand) {
+    /// Sends a command to all engines.
+    pub fn command_all_engines(&self, command: &EngineCommand) {
         for number in 0..self.engines.len() {
-            self.engine(number, command.clone());
+            self.command_engine(number, command.clone());
         }
     }
 
-    /// Commands the servers of the plain service.
-    pub fn booking(&self, command: ServiceCommand) {
-        for service in [&self.service].into_iter().chain(&self.more) {
+    /// Sends a command to all servers of the plain service.
+    pub fn command_services(&self, command: ServiceCommand) {
+        for service in [&self.service].into_iter().chain(&self.other_services) {
             task::block_on(service.command(command)).unwrap();
         }
     }
 
-    /// How often a marked call had its effect, over all servers of the plain service.
+    /// Returns how often a marked call took effect, over all servers of the plain service.
     pub fn effects(&self, marker: &str) -> u64 {
-        let services = [&self.service].into_iter().chain(&self.more);
+        let services = [&self.service].into_iter().chain(&self.other_services);
         services.map(|service| service.effects(marker)).sum()
     }
 
-    /// Calls that the servers of the plain service got, over all.
+    /// Returns the number of calls received by all servers of the plain service.
     pub fn booking_calls(&self) -> u64 {
-        let services = [&self.service].into_iter().chain(&self.more);
+        let services = [&self.service].into_iter().chain(&self.other_services);
         services.map(|service| service.stats().calls).sum()
     }
 
-    /// How often a marked request ran, over all engines.
+    /// Returns how often a marked request ran, over all engines.
     pub fn runs(&self, marker: &str) -> u64 {
         self.engines.iter().map(|engine| engine.runs(marker)).sum()
     }
 
-    /// Requests that the engines hold, running or waiting.
+    /// Returns the number of requests running or waiting at the engines.
     pub fn held(&self) -> u64 {
         let stats = self.engines.iter().map(|engine| engine.stats());
         stats.map(|stats| stats.running + stats.waiting).sum()
     }
 
-    /// How often the engines were told that a marked request's caller is gone.
+    /// Returns how often a marked request was cancelled at the engines.
     pub fn cancelled(&self, marker: &str) -> usize {
         let stats = self.engines.iter().map(|engine| engine.stats());
         let cancellations = stats.flat_map(|stats| stats.cancellations);
         cancellations.filter(|c| c.marker == marker).count()
     }
 
-    /// The number of the engine that runs a marked request, once one does.
+    /// Waits until an engine runs a marked request, and returns the engine's index.
     pub fn runner(&self, marker: &str) -> usize {
         let mut found = None;
         wait("an engine runs the request", || {
@@ -182,22 +182,23 @@
         found.unwrap()
     }
 
-    /// Ends the engines' faults, and waits until all slots are back and a request is served again.
+    /// Clears the engines' faults, and waits until all slots are released and requests are served
+    /// again.
     pub fn assert_recovers(&self, entry: &Entry) {
         entry.wait_idle();
-        self.all_engines(&EngineCommand::Clear);
+        self.command_all_engines(&EngineCommand::Clear);
         wait("a request is served again", || {
             let answer = call(entry.listen, &Call::chat(true, 2));
             answer.is_some_and(|answer| answer.status == 200 && answer.whole)
         });
     }
 
-    /// The arguments of an entry instance at this site.
+    /// Returns the command-line arguments of an entry instance at this site.
     pub fn args(&self, name: &str) -> Vec<String> {
         self.args_at(name, any_address())
     }
 
-    /// The arguments of an entry instance whose peers find it at `peer`.
+    /// Returns the arguments of an entry instance whose peer address is `peer`.
     pub fn args_at(&self, name: &str, peer: SocketAddr) -> Vec<String> {
         let file = self.settings_file(name, peer);
         vec![file.to_string_lossy().into_owned()]
@@ -215,12 +216,12 @@
              senders = {senders}\n\n\
              [limits]\nbody-timeout = 2 s\nwrite-timeout = 5 s\n{limits}"
         );
-        let file = self.folder.path().join(format!("{name}.ini"));
+        let file = self.temp_dir.path().join(format!("{name}.ini"));
         fs::write(&file, text).unwrap();
         file
     }
 
-    /// Publishes the text anew, changed by `edit`.
+    /// Publishes the configuration as changed by `edit`.
     pub fn publish(&self, edit: impl Fn(&str) -> String) {
         let command = PlatformCommand::Part {
             team: "team".to_owned(),
@@ -229,8 +230,8 @@
         task::block_on(self.platform.command(command)).unwrap();
     }
 
-    /// Commands the platform.
-    pub fn platform(&self, command: PlatformCommand) {
+    /// Sends a command to the platform.
+    pub fn command_platform(&self, command: PlatformCommand) {
         task::block_on(self.platform.command(command)).unwrap();
     }
 }
--- a/tests/all/weight_store.rs
+++ b/tests/all/weight_store.rs
@@ -12,7 +12,7 @@
 use crate::support::Fleet;
 use crate::support::Site;
 use crate::support::SiteSettings;
-use crate::support::call_beside;
+use crate::support::spawn_call;
 
 /// Loads a minute that the store gives.
 const RATE: u64 = 20;
@@ -92,7 +92,7 @@
             for (model, mut request) in [(BATCH, Call::batch(1)), (CHAT, Call::chat(false, 1))] {
                 request.body = request.body.replace("\"m\"", &format!("\"{model}\""));
                 // Its answer comes once the model is loaded; that somebody asks is what counts here.
-                drop(call_beside(address, &request));
+                drop(spawn_call(address, &request));
             }
         }
     }
@@ -144,8 +144,8 @@
     });
     let fleet = Fleet::start(&site, 3);
     publish(&site);
-    fleet.wait_in_force(2);
-    fleet.wait_agreed();
+    fleet.wait_active(2);
+    fleet.wait_converged();
     let addresses: Vec<SocketAddr> = fleet.running().map(|entry| entry.listen).collect();
     let mut callers = Callers { asked_at: None };
     callers.ask_until("two loads", &addresses, || loads(&site).len() >= 2);
