--- a/tests/all/answer_faults.rs
+++ b/tests/all/answer_faults.rs
@@ -1,4 +1,4 @@
-//! Answers that end or stop before their end: the caller must be able to tell.
+//! Answers that end or stall early. The caller must be able to detect it.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -22,8 +22,8 @@
     }
 }
 
-// An engine dies in the middle of a stream, or just before the stream's last bytes. What the caller
-// has can't be taken back, so no other engine may continue it: the answer ends visibly cut.
+// An engine crashes in the middle of a stream, or just before its last bytes. What the caller has
+// received can't be taken back, so no other engine may continue the answer: it ends visibly cut.
 #[test_case(200, 2; "streaming")]
 #[test_case(4, 4; "before the last byte")]
 fn a_crash_in_a_stream_is_a_visible_cut(tokens: u32, after: u32) {
@@ -41,8 +41,8 @@
     site.assert_recovers(&entry);
 }
 
-// An answer ends early in each of the three ways that HTTP/1.1 knows. The caller must see an error
-// or a broken connection, never a shorter answer that looks whole.
+// An answer ends early under each kind of HTTP/1.1 framing that can show it. The caller must see an
+// error or a broken connection, never a shorter answer that looks complete.
 #[test_case(CutForm::Chunked, true, 3; "chunked stream")]
 #[test_case(CutForm::Length, true, 3; "stream with a length")]
 #[test_case(CutForm::Chunked, false, 3; "chunked whole answer")]
@@ -65,8 +65,8 @@
     site.assert_recovers(&entry);
 }
 
-// An answer without a length that isn't chunked ends where its connection closes, so a cut one can't
-// be told from a whole one. The caller gets an error that says that the request may have run.
+// An answer with neither a length nor chunked encoding ends when its connection closes, so that a
+// cut can't be told from the end. The caller gets an error that says that the request may have run.
 #[test_case(true; "stream")]
 #[test_case(false; "whole answer")]
 fn an_answer_without_an_end_is_an_error(stream: bool) {
@@ -84,8 +84,8 @@
     site.assert_recovers(&entry);
 }
 
-// An engine stops in the middle of a stream and keeps its connection open. The stream is cut after
-// the bound on silence, the engine's work is cancelled with it, and the caller sees the cut.
+// An engine stalls in the middle of a stream and keeps its connection open. The stream is cut after
+// the idle timeout, the engine's work is cancelled, and the caller sees the cut.
 #[test]
 fn a_stream_that_stalls_is_cut_and_cancelled() {
     let site = Site::start(&SiteSettings::default());
@@ -99,9 +99,9 @@
     site.assert_recovers(&entry);
 }
 
-// Sixty callers share the engines' connections. A third of them leave in the middle, and the engines
-// cut some answers, so that connections are dropped, kept and used again in every order. Each answer
-// that looks whole must hold all tokens of its own request and none of another's.
+// Sixty callers share the engines' connections. A third of them disconnect in the middle, and the
+// engines cut some answers, so that connections are closed, kept and reused in every order. Each
+// answer that looks complete must hold all tokens of its own request and none of another's.
 #[test]
 fn answers_reach_their_own_callers_among_cuts_and_hang_ups() {
     let site = Site::start(&SiteSettings::default());
@@ -114,7 +114,7 @@
     site.command_all_engines(&EngineCommand::Cut { cut });
     let listen = entry.listen;
     let callers: Vec<_> = (0..60)
-        .map(|number| thread::spawn(move || ask(listen, number)))
+        .map(|number| thread::spawn(move || send_numbered(listen, number)))
         .collect();
     let whole = callers
         .into_iter()
@@ -130,14 +130,14 @@
     site.assert_recovers(&entry);
 }
 
-/// Sends a request; every third caller leaves early. The answer, if it looks whole.
-fn ask(listen: SocketAddr, number: u32) -> Option<(u32, String)> {
+/// Sends a request, which every third caller abandons. Returns the answer if it looks complete.
+fn send_numbered(listen: SocketAddr, number: u32) -> Option<(u32, String)> {
     let marker = format!("m{number}x");
     let mut caller = RawCaller::send(listen, &Call::chat(true, 20).marked(&marker));
     if number.is_multiple_of(3) {
         caller.read_until(&format!("{marker} 1 "));
         return None;
     }
-    let came = caller.read_until("\r\n0\r\n\r\n");
-    came.then(|| (number, caller.text()))
+    let complete = caller.read_until("\r\n0\r\n\r\n");
+    complete.then(|| (number, caller.text()))
 }
--- a/tests/all/caller_faults.rs
+++ b/tests/all/caller_faults.rs
@@ -1,4 +1,4 @@
-//! Callers that hang up or stop reading, at each step of a request.
+//! Callers that disconnect or stop reading, at each step of a request.
 
 use std::thread;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use crate::support::call;
 use crate::support::wait;
 
-/// How soon after a hang-up the engine's work is cancelled.
+/// Time after a disconnect within which the engine's work is cancelled.
 const CANCEL_BOUND: Duration = Duration::from_millis(100);
 
 fn with_slots(concurrency: u32) -> SiteSettings {
@@ -37,7 +37,8 @@
     }
 }
 
-/// Drops the caller's connection and returns how long the engine took to cancel.
+/// Closes the caller's connection and returns how long it took until the engine's work was
+/// cancelled.
 fn hang_up(site: &Site, caller: RawCaller, marker: &str) -> Duration {
     site.command_all_engines(&EngineCommand::HangUp {
         marker: marker.to_owned(),
@@ -53,8 +54,9 @@
     Duration::from_micros(cancelled.unwrap().after_us.unwrap())
 }
 
-// A caller announces a body, sends part of it and hangs up. What came reads as a whole request, but
-// nothing was asked for yet: no slot is taken, nothing runs, and the next caller is served.
+// A caller announces a body, sends part of it and disconnects. The part would parse as a complete
+// request, but no request has been made: no slot is taken, nothing runs, and the next caller is
+// served.
 #[test]
 fn a_caller_gone_before_its_body_leaves_nothing() {
     let site = Site::start(&SiteSettings::default());
@@ -74,8 +76,8 @@
     assert_eq!(site.runs("gone"), 0);
 }
 
-// A caller hangs up while its request is queued behind another. The request leaves the queue without
-// having run, and the one behind it moves up.
+// A caller disconnects while its request is queued. The request leaves the queue without having
+// run, and the one behind it moves up.
 #[test]
 fn a_caller_gone_from_the_queue_never_runs() {
     let site = Site::start(&with_slots(1));
@@ -93,8 +95,9 @@
     assert_eq!(site.runs("gone"), 0);
 }
 
-// A caller hangs up while the engine works on its answer, before the first byte or in the stream.
-// The engine would go on for nobody: its work is cancelled within 100 ms and the slot comes back.
+// A caller disconnects while the engine works on its answer, before the first byte or during the
+// stream. The engine would continue in vain: its work is cancelled within 100 ms and the slot is
+// released.
 #[test_case(None; "waiting for the first byte")]
 #[test_case(Some("gone 1 "); "streaming")]
 fn a_caller_gone_cancels_the_engines_work(until: Option<&str>) {
@@ -121,8 +124,8 @@
     assert!(call(entry.listen, &Call::chat(true, 3)).unwrap().whole);
 }
 
-// The engine has said its last token but not the end of the stream when the caller hangs up. The
-// slot must come back although the answer is all but complete.
+// A caller disconnects when the engine has sent its last token but not the end of the stream. The
+// slot must be released although the answer is nearly complete.
 #[test]
 fn a_caller_gone_before_the_last_byte_gives_its_slot_back() {
     let site = Site::start(&with_slots(1));
@@ -136,8 +139,8 @@
     assert!(call(entry.listen, &Call::chat(true, 3)).unwrap().whole);
 }
 
-// A caller keeps its connection after a whole answer and then closes it. Nothing is cancelled: the
-// engine's connection may already carry another caller's request.
+// A caller closes its connection after a complete answer. Nothing is cancelled: the connection to
+// the engine may already carry another caller's request.
 #[test]
 fn a_caller_gone_while_idle_cancels_nobody() {
     let site = Site::start(&with_slots(8));
@@ -153,8 +156,8 @@
     entry.wait_idle();
 }
 
-// A caller of a call that must not run twice hangs up while the server works on it. The call is not
-// sent again by anyone, and the slot comes back.
+// The caller of a non-idempotent call disconnects while the server processes it. The call is not
+// sent again, and the slot is released.
 #[test]
 fn a_booking_whose_caller_left_is_not_repeated() {
     let site = Site::start(&SiteSettings {
@@ -176,8 +179,8 @@
     assert_eq!(answer.status, 200);
 }
 
-// A caller stops reading a long stream. Others at the same engine are served meanwhile, and when it
-// reads on it gets every byte of its own answer.
+// A caller stops reading a long stream. Others at the same engine are served meanwhile, and when
+// the caller resumes reading it gets every byte of its own answer.
 #[test]
 fn a_caller_that_reads_on_late_gets_the_whole_answer() {
     let site = Site::start(&with_slots(2));
@@ -204,8 +207,8 @@
     entry.wait_idle();
 }
 
-// A caller stops reading and never reads on. It is cut after the bound on writing, which cancels the
-// engine's work and gives its slot back; until then it holds one slot and no more.
+// A caller stops reading for good. Its connection is closed at the write timeout, which cancels the
+// engine's work and releases the slot; until then it holds one slot only.
 #[test]
 fn a_caller_that_never_reads_is_cut() {
     let site = Site::start(&with_slots(2));
@@ -225,15 +228,15 @@
             "it still holds its slot"
         );
         let answer = call(entry.listen, &Call::chat(true, 2)).unwrap();
-        assert!(answer.whole, "another caller was hindered");
+        assert!(answer.whole, "another caller was affected");
         thread::sleep(Duration::from_millis(100));
     }
     assert_eq!(site.held(), 0);
     drop(stuck);
 }
 
-// A caller sends a part of its body and then nothing. It is told so after the bound on bodies, and
-// that nothing ran; its connection is closed and no slot was ever taken.
+// A caller sends part of its body and then nothing. After the body timeout it is told that nothing
+// ran, and its connection is closed; no slot was ever taken.
 #[test]
 fn a_caller_that_never_sends_its_body_is_refused() {
     let site = Site::start(&SiteSettings::default());
@@ -249,9 +252,9 @@
     assert_eq!(site.runs("stuck"), 0);
 }
 
-// A caller gets a whole answer, and sends only a part of its next request on the same connection. The
-// answer before stays whole; the second request is refused after the bound on bodies, having run not at
-// all, and the connection is closed.
+// After a complete answer, a caller sends only a part of its next request on the same connection.
+// The earlier answer stays complete; the second request is refused as not run after the body
+// timeout, and the connection is closed.
 #[test]
 fn a_caller_too_slow_on_a_kept_connection_is_refused() {
     let site = Site::start(&SiteSettings::default());
--- a/tests/all/cells.rs
+++ b/tests/all/cells.rs
@@ -1,4 +1,4 @@
-//! Which test fills which cell of the fault matrix.
+//! The tests that fill the cells of the fault matrix.
 
 use crate::matrix::Cell;
 use crate::matrix::Fault;
@@ -6,7 +6,7 @@
 use crate::matrix::Promise;
 use crate::matrix::Step;
 
-/// Every test of a fault, once for each cell that it fills.
+/// The tests of faults, once for each cell that they fill.
 pub(crate) const CELLS: &[Cell] = &[
     // Backend servers.
     Cell {
@@ -164,13 +164,13 @@
         fault: Fault::LoadReports,
         step: Step::Queued,
         promises: &[Promise::Whole, Promise::Slots],
-        test: "load_faults::wrong_hints_pile_nothing_up::test_case_1_lagging_load_reports",
+        test: "load_faults::wrong_hints_overload_no_engine::test_case_1_lagging_load_reports",
     },
     Cell {
         fault: Fault::CacheEvents,
         step: Step::Queued,
         promises: &[Promise::Whole, Promise::Slots],
-        test: "load_faults::wrong_hints_pile_nothing_up::test_case_2_gapped_cache_events",
+        test: "load_faults::wrong_hints_overload_no_engine::test_case_2_gapped_cache_events",
     },
     Cell {
         fault: Fault::Burst,
@@ -304,7 +304,7 @@
         fault: Fault::ListLagging,
         step: Step::Connecting,
         promises: &[Promise::Whole],
-        test: "list_faults::a_lagging_list_is_made_up_for_by_refused_connections",
+        test: "list_faults::a_lagging_list_is_compensated_by_refused_connections",
     },
     // Entry processes.
     Cell {
@@ -422,7 +422,7 @@
         promises: &[Promise::Cancel, Promise::Slots],
         test: "load_faults::callers_that_leave_a_hanging_engine_free_its_slots",
     },
-    // Requests on their way.
+    // Requests that are being sent.
     Cell {
         fault: Fault::Cut,
         step: Step::Sending,
@@ -471,7 +471,7 @@
         promises: &[Promise::NotRun, Promise::Slots],
         test: "sending_faults::behind_a_partition_nothing_ran",
     },
-    // More of callers and the configuration.
+    // Callers and the configuration, continued.
     Cell {
         fault: Fault::CallerSlow,
         step: Step::Body,
@@ -490,7 +490,7 @@
         promises: &[Promise::NotRun, Promise::Slots],
         test: "config_faults::a_queued_request_of_a_removed_class_is_told_not_run",
     },
-    // More pairs.
+    // Pairs, continued.
     Cell {
         fault: Fault::FrozenCrash,
         step: Step::Streaming,
@@ -501,7 +501,7 @@
         fault: Fault::FrozenGone,
         step: Step::Streaming,
         promises: &[Promise::Cancel, Promise::Slots],
-        test: "pair_faults::a_frozen_instance_notices_who_left_meanwhile",
+        test: "pair_faults::a_frozen_instance_cancels_the_work_of_a_caller_that_left",
     },
     Cell {
         fault: Fault::FrozenLeft,
@@ -538,19 +538,19 @@
         fault: Fault::PeersSplit,
         step: Step::Applying,
         promises: &[Promise::Config],
-        test: "fleet_splits::a_change_reaches_instances_without_peers::test_case_1_alone",
+        test: "fleet_splits::a_change_reaches_instances_without_peers::test_case_1_isolated",
     },
     Cell {
         fault: Fault::PeersSplit,
         step: Step::Applying,
         promises: &[Promise::Config],
-        test: "fleet_splits::a_change_reaches_instances_without_peers::test_case_2_mute",
+        test: "fleet_splits::a_change_reaches_instances_without_peers::test_case_2_outbound",
     },
     Cell {
         fault: Fault::PeersSplit,
         step: Step::Applying,
         promises: &[Promise::Config],
-        test: "fleet_splits::a_change_reaches_instances_without_peers::test_case_3_deaf",
+        test: "fleet_splits::a_change_reaches_instances_without_peers::test_case_3_inbound",
     },
     Cell {
         fault: Fault::PeersSplit,
@@ -629,7 +629,7 @@
         promises: &[Promise::Once],
         test: "orders::a_woken_owner_unloads_nothing::test_case_2_engines_that_ignore",
     },
-    // Between two steps of one process.
+    // Faults between two steps of one process.
     Cell {
         fault: Fault::Panic,
         step: Step::Queued,
@@ -724,13 +724,13 @@
         fault: Fault::ConfigChange,
         step: Step::Order,
         promises: &[Promise::Config],
-        test: "step_faults::an_order_that_is_held_is_overtaken_by_a_text_and_by_a_stop",
+        test: "step_faults::a_pending_order_is_dropped_by_a_new_configuration_and_by_a_stop",
     },
     Cell {
         fault: Fault::Stop,
         step: Step::Order,
         promises: &[Promise::Whole, Promise::Stop],
-        test: "step_faults::an_order_that_is_held_is_overtaken_by_a_text_and_by_a_stop",
+        test: "step_faults::a_pending_order_is_dropped_by_a_new_configuration_and_by_a_stop",
     },
     Cell {
         fault: Fault::CallerGone,
@@ -847,7 +847,7 @@
             Promise::Starve,
             Promise::Stop,
         ],
-        test: "process_faults::a_planned_stop_in_a_burst_keeps_its_promises",
+        test: "process_faults::a_planned_stop_in_a_burst_serves_live_requests_first_and_drops_nothing",
     },
     Cell {
         fault: Fault::ConfigStale,
@@ -913,7 +913,7 @@
         fault: Fault::Frozen,
         step: Step::Connecting,
         promises: &[Promise::Whole, Promise::Slots],
-        test: "process_faults::a_frozen_instance_blames_no_server_for_its_pause",
+        test: "process_faults::a_frozen_instance_counts_no_server_as_failed",
     },
     Cell {
         fault: Fault::StopCrash,
@@ -925,13 +925,13 @@
         fault: Fault::FrozenCrash,
         step: Step::FirstByte,
         promises: &[Promise::Whole, Promise::Slots],
-        test: "pair_faults::a_frozen_instance_repeats_what_its_dead_engine_had",
+        test: "pair_faults::a_frozen_instance_retries_the_request_of_a_crashed_engine",
     },
     Cell {
         fault: Fault::FrozenGone,
         step: Step::Queued,
         promises: &[Promise::Slots],
-        test: "pair_faults::a_frozen_instance_starts_nothing_for_who_left_its_queue",
+        test: "pair_faults::a_frozen_instance_does_not_start_the_request_of_a_caller_that_left",
     },
     Cell {
         fault: Fault::Panic,
@@ -1051,11 +1051,11 @@
         fault: Fault::CallerFlood,
         step: Step::Body,
         promises: &[Promise::NotRun],
-        test: "flood_faults::what_never_becomes_a_request_is_refused_readably",
+        test: "flood_faults::a_refusal_before_a_request_is_parsed_is_machine_readable",
     },
 ];
 
-/// Which cells can't be filled, and why.
+/// The cells that can't be filled, and why.
 pub(crate) const NOT_APPLICABLE: &[NotApplicable] = &[
     NotApplicable {
         faults: &[Fault::Straggler],
--- a/tests/all/commands.rs
+++ b/tests/all/commands.rs
@@ -10,7 +10,7 @@
 
 use crate::support::TempDir;
 
-/// A text with ten mistakes, each on the line that its comment-free neighbours make obvious.
+/// A configuration with ten mistakes, each on a line of its own.
 const TEN_MISTAKES: &str = "\
 [team a]
 format = 1
@@ -79,8 +79,8 @@
     assert_eq!(errors.count(), 10, "{printed}");
 }
 
-/// `crocushold check part.ini | head -1`: the reader closes the pipe before all is written. The
-/// program must end with its own status, not with a panic that looks like a fault of the text.
+/// In `crocushold check part.ini | head -1` the reader closes the pipe early. The program must exit
+/// with its own status, not with a panic that looks like a fault of the configuration.
 #[test_case(&["check"], 1; "check")]
 #[test_case(&["explain", "--key=nobody", "--model=m"], 1; "explain")]
 #[test_case(&["--help"], 0; "help")]
@@ -101,7 +101,8 @@
     assert!(!errors.contains("panicked"), "{errors}");
 }
 
-/// A misspelt option in a pipeline must not look like "a class burns" or "rejected", which are 1.
+/// A misspelt option in a pipeline must not look like "a class burns" or "rejected", which are
+/// status 1.
 #[test_case(&["burn", "--instanc=127.0.0.1:1"]; "misspelt option")]
 #[test_case(&["burn"]; "missing option")]
 #[test_case(&["chekc"]; "misspelt command")]
@@ -149,8 +150,7 @@
     }
 }
 
-/// A shell that completes by a script which lacks the program's name, or that asks for words and gets
-/// none, leaves the operator to the manual.
+/// A completion script must name the program, and completion requests must return candidates.
 #[test_case("bash")]
 #[test_case("zsh")]
 #[test_case("fish")]
@@ -207,7 +207,8 @@
     assert!(printed.contains("status 401"), "{printed}");
 }
 
-/// An operator checks what the platform will hand to gateways: each mistake is told with its place.
+/// An operator checks the files that the platform will pass to gateways: each mistake is reported
+/// with its location.
 #[test_case("node-name=a\nzone=z\nlisten.http=here\n", "line 3: listen.http"; "settings")]
 #[test_case("{\"version\": 1,\n \"route-table\": 7}", "line 2"; "a configuration that can't be read")]
 #[test_case("{\"version\": 1, \"route-table\": [{\"name\": \"r\", \"host\": \"h\", \"prefix\": \"/a\", \"kind\": \"safe\", \"timeout-ms\": 1, \"service\": \"s\"}]}", "route r: the prefix"; "a configuration with a mistake")]
@@ -223,8 +224,8 @@
     assert_eq!(status, 2);
 }
 
-/// A caller gives the identity of a request that failed; one line of the log tells of it, another of the
-/// configuration that it was judged by.
+/// A caller reports the identifier of a failed request. `trace` prints the log line of the request
+/// and the line of the configuration under which it was handled.
 #[test]
 fn trace_explains_a_request() {
     let log = "event=config-in-force version=3\nevent=request-ended request=r1 outcome=late\n\
@@ -236,10 +237,10 @@
     assert_eq!((status, printed.as_str()), (1, ""));
 }
 
-/// An operator asks which class was late, and when. A log without requests is told as an empty table, and a
-/// span of nothing is a usage error.
+/// `latencies` shows which class was late, and when. A log without requests gives an empty table,
+/// and an interval of zero is a usage error.
 #[test]
-fn latencies_tells_how_classes_fared() {
+fn latencies_prints_a_row_for_each_class() {
     let log = "time=2026-02-12T10:00:00.500+0000 event=request-ended route=r outcome=answered first=30ms\n";
     let (status, printed) = run(&["latencies"], log);
     let rows: Vec<&str> = printed.lines().skip(1).collect();
--- a/tests/all/config_faults.rs
+++ b/tests/all/config_faults.rs
@@ -1,4 +1,4 @@
-//! A configuration that is down, stale, goes back, is rejected, or changes under a request.
+//! A configuration that is unavailable, stale, goes back, is rejected, or changes during a request.
 
 use std::process::Command;
 use std::thread;
@@ -21,13 +21,13 @@
 use crate::support::wait;
 use crate::support::wait_long;
 
-/// Within this time a change is in force.
-const SECONDS: Duration = Duration::from_secs(5);
+/// Time within which a change is active.
+const PROPAGATION_BOUND: Duration = Duration::from_secs(5);
 
-/// How long a wrong change is given to come into force.
-const SETTLE: Duration = Duration::from_secs(3);
+/// How long the instance is observed for an unwanted change of its configuration.
+const OBSERVATION: Duration = Duration::from_secs(3);
 
-/// Adds a model call's class that only a newer revision knows.
+/// Adds a class of model calls that only a newer revision has.
 fn with_class(text: &str, name: &str) -> String {
     let class = format!(
         "\n[class {name}]\nservice = fleet\npriority = 3\nfirst-token = 2 s\nidempotent = yes\n"
@@ -39,38 +39,38 @@
     accounts + &class
 }
 
-/// Whether requests of a class are served.
+/// Returns whether requests of a class are served.
 fn serves(entry: &Entry, class: &str) -> bool {
     let request = Call::chat(true, 1).header("x-class", class);
     call(entry.listen, &request).is_some_and(|answer| answer.status == 200)
 }
 
 /// Publishes a class and waits until it is served.
-fn put_in_force(site: &Site, entry: &Entry, class: &str) {
+fn activate(site: &Site, entry: &Entry, class: &str) {
     site.publish(|text| with_class(text, class));
     let start = Instant::now();
     entry.wait_active(site.platform.stats().revision);
-    assert!(start.elapsed() < SECONDS, "{:?}", start.elapsed());
+    assert!(start.elapsed() < PROPAGATION_BOUND, "{:?}", start.elapsed());
     assert!(serves(entry, class));
 }
 
-/// Watches for a while that a class stays in force.
+/// Checks for a while that a class stays active.
 fn assert_stays(entry: &Entry, class: &str) {
     let start = Instant::now();
-    while start.elapsed() < SETTLE {
+    while start.elapsed() < OBSERVATION {
         assert!(serves(entry, class), "the change was reverted");
         thread::sleep(Duration::from_millis(50));
     }
 }
 
-// The platform is down or hangs while traffic goes on. Requests are served with the configuration
-// that is held, and a change that is published after the outage is in force within seconds.
+// The platform is down or hangs under traffic. Requests are served with the current configuration,
+// and a change that is published after the outage is active within seconds.
 #[test_case(|on| PlatformCommand::Down { on }; "down")]
 #[test_case(|on| PlatformCommand::Frozen { on }; "frozen")]
 fn an_outage_of_the_platform_stops_nothing(fault: fn(bool) -> PlatformCommand) {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
-    put_in_force(&site, &entry, "extra");
+    activate(&site, &entry, "extra");
     site.command_platform(fault(true));
     assert_stays(&entry, "extra");
     site.command_platform(fault(false));
@@ -85,18 +85,19 @@
     assert!(serves(&entry, "later"));
 }
 
-// A replica of the platform answers with an older revision, or the platform goes back to one. What
-// was accepted stays in force: a caller that the newer text admits is never refused again.
+// A replica of the platform returns an older revision, or the platform goes back to one. The
+// accepted revision stays active: a caller that the newer configuration admits is not refused
+// again.
 #[test_case(PlatformCommand::Stale { revision: Some(1) }; "stale")]
 #[test_case(PlatformCommand::GoBack { revision: 1, reuse: false }; "going back")]
 #[test_case(PlatformCommand::GoBack { revision: 1, reuse: true }; "going back with its numbers")]
 fn an_older_revision_reverts_nothing(fault: PlatformCommand) {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
-    put_in_force(&site, &entry, "extra");
+    activate(&site, &entry, "extra");
     site.command_platform(fault);
-    // A watch asks for what is newer, so the older index shows only when the watch has waited in
-    // vain for its half minute.
+    // A watch asks for newer revisions, so it returns the older index only when its timeout of half
+    // a minute expires.
     let before = site.platform.stats().watches;
     wait_long("the older revision was read", || {
         site.platform.stats().watches > before
@@ -105,13 +106,13 @@
     assert_eq!(entry.status().config.revision, 2);
 }
 
-// The configuration changes while an answer streams under the class that it removes. The answer in
-// progress goes on to its end, and only then is the class gone for good.
+// The configuration removes a class while an answer of that class streams. The answer completes,
+// and new requests of the class are refused.
 #[test]
 fn a_change_cuts_no_stream() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
-    put_in_force(&site, &entry, "extra");
+    activate(&site, &entry, "extra");
     let request = Call::chat(true, 300)
         .marked("mine")
         .header("x-class", "extra");
@@ -125,8 +126,8 @@
     entry.wait_idle();
 }
 
-// The configuration removes a server while it streams an answer. The answer goes on to its end, and
-// what comes after goes to the servers that are left.
+// The configuration removes a server while it streams an answer. The answer completes, and later
+// requests go to the remaining servers.
 #[test]
 fn a_removed_server_finishes_and_gets_nothing_new() {
     let site = Site::start(&SiteSettings::default());
@@ -150,7 +151,7 @@
     entry.wait_idle();
 }
 
-/// The text without one of the engines.
+/// Returns the configuration without one of the engines.
 fn without_server(text: &str, number: usize) -> String {
     let head = format!("[server fleet/runner-{number}]\n");
     let start = text.find(&head).unwrap();
@@ -159,8 +160,8 @@
     text.replace("servers = 2", "servers = 1")
 }
 
-// The configuration removes a class while a request of it is queued. The request never runs, and its
-// caller is told so at once, instead of waiting for a turn that doesn't come.
+// The configuration removes a class while a request of it is queued. The request never runs, and
+// its caller is told so at once instead of waiting in vain.
 #[test]
 fn a_queued_request_of_a_removed_class_is_told_not_run() {
     let site = Site::start(&SiteSettings {
@@ -169,7 +170,7 @@
         ..SiteSettings::default()
     });
     let entry = site.entry("entry-1");
-    put_in_force(&site, &entry, "extra");
+    activate(&site, &entry, "extra");
     let first = RawCaller::send(entry.listen, &Call::batch(5000).marked("first"));
     wait("the slot is taken", || site.runs("first") == 1);
     let request = Call::chat(true, 2)
@@ -186,13 +187,14 @@
     assert_eq!(site.runs("late"), 0);
 }
 
-// A text that can't be accepted is published with the one before behind it. The one before stays in
-// force, callers see nothing of it, and the next good text is taken.
+// A configuration that can't be accepted is published, followed by the previous one as its
+// fallback. The previous one stays active, callers notice nothing, and the next valid configuration
+// is accepted.
 #[test]
 fn a_rejected_text_changes_nothing() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
-    put_in_force(&site, &entry, "extra");
+    activate(&site, &entry, "extra");
     site.publish(|text| {
         let before = with_class(text, "extra");
         let wrong = before.replace("kind = model", "kind = nonsense");
@@ -207,10 +209,10 @@
             .any(|part| part.findings > 0)
     });
     assert!(serves(&entry, "extra"));
-    put_in_force(&site, &entry, "later");
+    activate(&site, &entry, "later");
 }
 
-/// The age of the last confirmation that the metrics show, in seconds.
+/// Returns the age in seconds of the last confirmation, from the metrics.
 fn confirmed_age(entry: &Entry) -> f64 {
     let page = entry.page("/metrics").unwrap();
     let mut lines = page.body.lines();
@@ -218,7 +220,7 @@
     line.expect("the metric is there").parse().unwrap()
 }
 
-/// What `crocushold status` prints.
+/// Returns the output of `crocushold status`.
 fn shown(entry: &Entry, json: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_crocushold"))
         .arg("status")
@@ -228,9 +230,9 @@
     String::from_utf8(output.unwrap().stdout).unwrap()
 }
 
-// The platform hangs, is gone, or answers what was before the last change, and all requests are served
-// as before. Only the age of the last confirmation tells the operator: it grows on the status page, in
-// the command and in the metrics, and falls once the platform answers again.
+// The platform hangs, is down, or returns the previous revision, while all requests are served as
+// usual. Only the age of the last confirmation tells the operator: it grows in the status document,
+// in the command's output and in the metrics, and falls once the platform responds again.
 #[test_case(PlatformCommand::Frozen { on: true }, PlatformCommand::Frozen { on: false }; "frozen")]
 #[test_case(PlatformCommand::Down { on: true }, PlatformCommand::Down { on: false }; "down")]
 #[test_case(PlatformCommand::Stale { revision: Some(1) }, PlatformCommand::Stale { revision: None }; "stale")]
@@ -238,7 +240,7 @@
     const OLD: u64 = 8_000;
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
-    put_in_force(&site, &entry, "extra");
+    activate(&site, &entry, "extra");
     let age = || entry.status().config.confirmed_ms.unwrap();
     assert!(age() < OLD && confirmed_age(&entry) < 8.0);
     site.command_platform(begin);
@@ -255,8 +257,8 @@
     assert!(confirmed_age(&entry) < 8.0);
 }
 
-// An instance starts while the platform is down and has nobody to learn from. It says that nothing was
-// ever confirmed, rather than "0 s ago"; a rule that alerts on old confirmations must fire, too.
+// An instance starts while the platform is down and has no peers. It reports that its configuration
+// was never confirmed rather than "0 s ago"; an alert on old confirmations must fire too.
 #[test]
 fn what_was_never_confirmed_is_shown_as_such() {
     let site = Site::start(&SiteSettings::default());
@@ -272,10 +274,11 @@
     assert!(confirmed_age(&entry).is_finite());
 }
 
-// The platform's replica falls behind, or the platform goes back, while a request of a class that only
-// the newer text knows streams and another one is queued. An instance that starts now reads the older
-// text and tells its peer of it. Both requests belong to what was accepted: the stream is whole, and the
-// queued one is served instead of being told that its class is gone.
+// The platform's replica falls behind, or the platform goes back, while one request of a class that
+// only the newer configuration has streams and another one is queued. An instance that starts now
+// reads the older configuration and tells its peer of it. Both requests belong to the accepted
+// revision: the stream completes, and the queued request is served instead of being refused for an
+// unknown class.
 #[test_case(PlatformCommand::Stale { revision: Some(1) }; "stale")]
 #[test_case(PlatformCommand::GoBack { revision: 1, reuse: false }; "going back")]
 fn an_older_revision_cuts_and_refuses_nobody(fault: PlatformCommand) {
@@ -316,8 +319,8 @@
     entry.wait_idle();
 }
 
-// The platform is down or hangs while one request streams and another is queued. Neither needs it: the
-// stream is whole, and the queued request gets its turn.
+// The platform is down or hangs while one request streams and another is queued. Neither depends on
+// it: the stream completes, and the queued request is served.
 #[test_case(PlatformCommand::Down { on: true }; "down")]
 #[test_case(PlatformCommand::Frozen { on: true }; "frozen")]
 fn an_outage_of_the_platform_cuts_and_refuses_nobody(fault: PlatformCommand) {
--- a/tests/all/fleet.rs
+++ b/tests/all/fleet.rs
@@ -1,4 +1,4 @@
-//! Several entry instances that act as one.
+//! Several entry instances that share a configuration.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,11 +11,11 @@
 use crate::support::SiteSettings;
 use crate::support::call;
 
-/// Within this time a change is in force on every instance.
+/// Time within which a change is active on every instance.
 const PROPAGATION_BOUND: Duration = Duration::from_secs(5);
 
-/// Publishes a text in which the class named `chat` has another floor, and returns once every
-/// running member shows the revision.
+/// Publishes a configuration with another comment, and returns how long it took until the revision
+/// was active on every running member.
 fn change_config(site: &Site, fleet: &Fleet<'_>, revision: u64) -> Duration {
     let start = Instant::now();
     let comment = format!("# revision {revision}");
@@ -32,9 +32,10 @@
     assert!(took < PROPAGATION_BOUND, "{took:?}");
 }
 
-/// The platform goes back to an older revision, as after a restore of its own store. A caller whose
-/// key was withdrawn by the newer one would be served again if any instance followed. No instance
-/// does, and one that starts meanwhile hears of the newer revision from its peers.
+/// The platform goes back to an older revision, as after restoring its store from a backup. A
+/// caller whose key was revoked by the newer revision would be served again if any instance
+/// followed. None does, and an instance that starts meanwhile learns of the newer revision from its
+/// peers.
 #[test]
 fn a_platform_that_goes_back_reverts_nothing() {
     let site = Site::start(&SiteSettings::default());
@@ -48,13 +49,14 @@
 }
 
 /// The platform hangs while an instance is replaced at its old address. The new process can read
-/// neither the configuration nor the list of its peers, and would serve nobody. The peers still
-/// probe the address; the new one answers, learns who they are, and takes the configuration over.
+/// neither the configuration nor the instance list and couldn't serve anyone. The peers still probe
+/// the address; the new process answers, learns who they are, and takes over their configuration.
 #[test]
 fn an_instance_replaced_in_an_outage_learns_from_its_peers() {
     let site = Site::start(&SiteSettings::default());
     let mut fleet = Fleet::start(&site, 3);
-    // Ready isn't enough: nobody may have read the list yet, so that nobody knows the address.
+    // Readiness isn't enough: the members may not have read the list yet, so that none would know
+    // the address.
     fleet.wait_converged();
     change_config(&site, &fleet, 2);
     site.command_platform(PlatformCommand::Frozen { on: true });
--- a/tests/all/fleet_losses.rs
+++ b/tests/all/fleet_losses.rs
@@ -1,4 +1,4 @@
-//! Eight instances under load that lose one of them, for good or for a while.
+//! Eight instances under load that lose one of them, permanently or for a while.
 
 use std::thread::JoinHandle;
 use std::time::Duration;
@@ -18,17 +18,18 @@
 use crate::support::spawn_call;
 use crate::support::wait;
 
-/// Within this time all have noticed a loss, or take one back that was away.
+/// Time within which all instances notice a loss or accept a returning instance.
 const CONVERGENCE_BOUND: Duration = Duration::from_secs(15);
 
-/// How long a frozen instance sleeps.
-const FREEZE: Duration = Duration::from_secs(3);
+/// How long an instance stays frozen.
+const FREEZE_DURATION: Duration = Duration::from_secs(3);
 
-/// A caller that is answered later than this beside a frozen instance was held up by it.
-const PROMPT: Duration = Duration::from_millis(1500);
+/// A caller that waits longer for its answer was delayed by the frozen instance.
+const ANSWER_BOUND: Duration = Duration::from_millis(1500);
 
-/// How long nothing may be seen of a stranger: each member has tried the address by then.
-const WATCHED: Duration = Duration::from_secs(7);
+/// How long an instance with a wrong key must stay unnoticed; each member has tried its address by
+/// then.
+const OBSERVATION: Duration = Duration::from_secs(7);
 
 fn site() -> Site {
     Site::start(&SiteSettings {
@@ -37,8 +38,8 @@
     })
 }
 
-/// The machine of one of eight instances fails while it relays answers. Its callers see their answers
-/// end; nobody else is cut, nothing runs twice, and the others soon agree on who is left.
+/// The machine of one of eight instances fails while it relays answers. Its callers see their
+/// answers end; nobody else is cut, nothing runs twice, and the others soon agree on who is left.
 #[test]
 fn a_killed_instance_cuts_only_its_own_requests() {
     let site = site();
@@ -66,10 +67,10 @@
     assert!(took < CONVERGENCE_BOUND, "{took:?}");
 }
 
-/// One of eight instances is stopped for three seconds, as by its hypervisor, while requests wait in
-/// it and a change is published. The balancer has turned away from it, and its peers go on as if it
-/// weren't there. Awake, it must not send on what has long expired, nor bring back the revision that it
-/// knows.
+/// One of eight instances is paused for three seconds, as by its hypervisor, while requests are
+/// queued in it and a change is published. The balancer avoids it, and its peers continue without
+/// it. After it resumes, it must neither send requests that have expired nor bring back its old
+/// revision.
 #[test]
 fn a_frozen_instance_slows_nobody_and_reverts_nothing() {
     let site = site();
@@ -80,10 +81,10 @@
         balancer.add(fleet.entry(number));
     }
     let load = Load::start(&site, balancer.address);
-    let sleeper = fleet.entry(5);
+    let frozen_entry = fleet.entry(5);
     let mut busy = Vec::new();
-    let late = queue_late(sleeper, &mut busy);
-    sleeper.signal("STOP");
+    let late = queue_late(frozen_entry, &mut busy);
+    frozen_entry.signal("STOP");
     let frozen = Instant::now();
     site.publish(|text| text.replace("format = 1", "format = 1\n# changed\n"));
     let slowest = slowest_answer(&fleet, 5, frozen);
@@ -92,9 +93,9 @@
             assert_eq!(entry.status().config.revision, 2, "{number}");
         }
     }
-    sleeper.signal("CONT");
-    let woken = Instant::now();
-    while woken.elapsed() < Duration::from_secs(1) {
+    frozen_entry.signal("CONT");
+    let resumed = Instant::now();
+    while resumed.elapsed() < Duration::from_secs(1) {
         for (number, entry) in fleet.running().enumerate() {
             let revision = entry.status().config.revision;
             assert!(
@@ -105,7 +106,7 @@
     }
     fleet.wait_active(2);
     fleet.wait_converged();
-    let took = woken.elapsed();
+    let took = resumed.elapsed();
     let totals = load.stop();
     totals.print("freeze one");
     println!("freeze one: slowest beside it {slowest:?}, agreed in {took:?}");
@@ -117,25 +118,25 @@
     }
     totals.assert_invariants();
     assert_eq!(totals.cut(), 0);
-    assert!(slowest < PROMPT, "{slowest:?}");
+    assert!(slowest < ANSWER_BOUND, "{slowest:?}");
     assert!(took < CONVERGENCE_BOUND, "{took:?}");
 }
 
-/// Calls the others for as long as one is frozen, and returns the longest that an answer took.
+/// Calls the other instances while one is frozen, and returns the longest time that an answer took.
 fn slowest_answer(fleet: &Fleet<'_>, frozen: usize, since: Instant) -> Duration {
     let mut slowest = Duration::ZERO;
     let others = (0..fleet.members.len()).filter(|&number| number != frozen);
     for (round, number) in others.cycle().enumerate() {
-        if since.elapsed() >= FREEZE {
+        if since.elapsed() >= FREEZE_DURATION {
             break;
         }
         let key = format!("beside-{round}");
-        // The frozen instance is one of three that are asked about a key.
+        // The frozen instance is one of the three owners that are asked about a key.
         let booking = Call::booking(&key).header("idempotency-key", &key);
         for request in [Call::chat(true, 2), booking] {
             let start = Instant::now();
             let answer = call(fleet.entry(number).listen, &request).unwrap();
-            // With one holder of a key frozen, another that is late leaves a booking undecided.
+            // With one owner of a key frozen, a late answer of another leaves a booking undecided.
             let is_told =
                 !answer.header("retry-after").is_empty() && request.path.starts_with("/booking");
             assert!(answer.status == 200 || is_told, "{}", answer.body);
@@ -145,13 +146,13 @@
     slowest
 }
 
-/// A request that waits in an instance, and its caller.
+/// A request that is queued in an instance, and its caller.
 struct Late {
     marker: String,
     caller: JoinHandle<Option<Answer>>,
 }
 
-/// Sends a request with a short bound through an instance, in which it has to wait.
+/// Sends a request with a short deadline through an instance in which it has to wait.
 fn queue_late(entry: &Entry, busy: &mut Vec<JoinHandle<Option<Answer>>>) -> Late {
     loop {
         fill_queue(entry, busy);
@@ -169,7 +170,7 @@
     }
 }
 
-/// Sends long answers through an instance until one has to wait.
+/// Sends requests with long answers through an instance until one is queued.
 fn fill_queue(entry: &Entry, busy: &mut Vec<JoinHandle<Option<Answer>>>) {
     while entry.queued("batch") == 0 {
         assert!(busy.len() < 100, "nothing has to wait");
@@ -181,11 +182,11 @@
     }
 }
 
-/// A process that knows everything but the key runs at the address of a member. The platform answers
-/// with an older revision, so that what it holds shows whether a member told it anything. It must
-/// learn nothing, be counted by nobody, and change nothing for callers.
+/// A process that has everything but the peer key runs at the address of a member. The platform
+/// returns an older revision, so that the process's revision shows whether a member told it
+/// anything. It must learn nothing, be counted by no member, and change nothing for callers.
 #[test]
-fn a_stranger_with_a_wrong_key_gets_nothing_in_or_out() {
+fn an_instance_with_a_wrong_key_exchanges_nothing_with_the_fleet() {
     let site = site();
     let mut fleet = Fleet::start(&site, 4);
     fleet.wait_converged();
@@ -195,20 +196,23 @@
     fleet.wait_active(2);
     site.command_platform(PlatformCommand::Stale { revision: Some(1) });
     fleet.spawn_with_key(3, "another-key-that-nobody-else-holds");
-    let stranger = fleet.members[3].entry.take().unwrap();
-    stranger.wait_ready();
+    let outsider = fleet.members[3].entry.take().unwrap();
+    outsider.wait_ready();
     let start = Instant::now();
-    while start.elapsed() < WATCHED {
-        let status = stranger.status();
+    while start.elapsed() < OBSERVATION {
+        let status = outsider.status();
         assert_eq!(
             status.config.revision, 1,
-            "the stranger was told a revision"
+            "the outsider was told a revision"
         );
-        assert!(status.peers.is_empty(), "the stranger was taken in");
+        assert!(status.peers.is_empty(), "the outsider joined the fleet");
         for entry in fleet.running() {
             let status = entry.status();
-            assert_eq!(status.config.revision, 2, "the stranger was believed");
-            assert_eq!(status.peers.len(), 2, "a member counts the stranger");
+            assert_eq!(
+                status.config.revision, 2,
+                "the outsider's revision was taken over"
+            );
+            assert_eq!(status.peers.len(), 2, "a member counts the outsider");
             let answer = call(entry.listen, &Call::chat(false, 2)).unwrap();
             assert_eq!(answer.status, 200);
         }
--- a/tests/all/fleet_outages.rs
+++ b/tests/all/fleet_outages.rs
@@ -1,4 +1,4 @@
-//! Instances that are lost and replaced while the platform can't be read.
+//! Instances that are lost and replaced while the platform is unavailable.
 
 use crocushold_metrics::status::InstanceState;
 use crocushold_standins::PlatformCommand;
@@ -14,10 +14,10 @@
 
 const COUNT: usize = 8;
 
-/// The platform hangs or is gone. One instance is killed, and another is replaced by a process at an
-/// address that nobody was told of. The remaining six serve on. The newcomer knows nobody and is known
-/// to nobody: it refuses callers truthfully, and shows its operator that it has no configuration.
-/// Once the platform lists it, it joins.
+/// The platform hangs or is down. One instance is killed, and another is replaced by a process at
+/// an unlisted address. The remaining six keep serving. The new process and the others don't know
+/// each other: it refuses callers as not run, and reports to the operator that it has no
+/// configuration. Once the platform lists it, it joins.
 #[test_case(PlatformCommand::Frozen { on: true }, PlatformCommand::Frozen { on: false }; "frozen")]
 #[test_case(PlatformCommand::Down { on: true }, PlatformCommand::Down { on: false }; "down")]
 fn an_unlisted_newcomer_in_an_outage_waits_and_says_so(
@@ -40,23 +40,23 @@
     fleet.kill(7);
     let noticed = fleet.wait_converged();
     fleet.spawn_at_new_address(7);
-    let newcomer = fleet.members[7].entry.take().unwrap();
-    // All six have probed a member each since then, and none may have found the newcomer.
-    let unseen = fleet.wait_converged();
-    let refused = call(newcomer.listen, &Call::chat(false, 2)).unwrap();
+    let new_instance = fleet.members[7].entry.take().unwrap();
+    // Each of the six has probed a member since then, and none may have found the new instance.
+    let unnoticed = fleet.wait_converged();
+    let refused = call(new_instance.listen, &Call::chat(false, 2)).unwrap();
     assert_eq!(refused.status, 503, "{}", refused.body);
     assert_eq!(refused.header("x-request-ran"), "no");
     assert_ne!(refused.header("retry-after"), "");
-    assert_eq!(newcomer.status().state, InstanceState::Starting);
-    assert_eq!(newcomer.page("/ready").unwrap().status, 503);
-    fleet.members[7].entry = Some(newcomer);
+    assert_eq!(new_instance.status().state, InstanceState::Starting);
+    assert_eq!(new_instance.page("/ready").unwrap().status, 503);
+    fleet.members[7].entry = Some(new_instance);
     site.command_platform(end);
     fleet.publish();
     fleet.wait_ready();
     let joined = fleet.wait_converged();
     let totals = load.stop();
     totals.print("outage");
-    println!("outage: losses noticed in {noticed:?}, {unseen:?}, joined in {joined:?}");
+    println!("outage: losses noticed in {noticed:?}, {unnoticed:?}, joined in {joined:?}");
     totals.assert_invariants();
     assert_eq!(totals.cut(), 0);
 }
--- a/tests/all/fleet_replacement.rs
+++ b/tests/all/fleet_replacement.rs
@@ -1,4 +1,4 @@
-//! All eight instances replaced in turn under load.
+//! All instances replaced in turn under load.
 
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::Ordering;
@@ -19,22 +19,22 @@
 use crate::support::call;
 use crate::support::wait;
 
-/// Within this time all agree again after the last replacement.
+/// Time within which all instances agree again after the last replacement.
 const CONVERGENCE_BOUND: Duration = Duration::from_secs(15);
 
 const COUNT: usize = 8;
 
-/// How long an instance that stops still takes connections. On a busy machine one that the balancer
-/// began before may take long to come.
-const NOTICE: &str = "2 s";
+/// How long an instance still accepts connections during a graceful shutdown. On a busy machine, a
+/// connection that the balancer opened before may arrive late.
+const NOTICE_PERIOD: &str = "2 s";
 
-/// Confirmations in a row that show that an instance serves them whichever peers a key belongs to.
-const BATCH: usize = 8;
+/// Confirmations in a row that show that an instance serves them, whichever peers own their keys.
+const CONFIRMATIONS_PER_ROUND: usize = 8;
 
 /// Confirmations that are made before the replacement.
 const KEYS: usize = 16;
 
-/// Tells the keys of one try from those of all others.
+/// Makes the keys of each round distinct.
 static NEXT_ROUND: AtomicU32 = AtomicU32::new(0);
 
 /// How instances end.
@@ -51,7 +51,7 @@
     })
 }
 
-/// Replaces each instance by a new process at its address, one at a time.
+/// Replaces each instance by a new process at its peer address, one at a time.
 fn replace_all(fleet: &mut Fleet<'_>, balancer: &Balancer, ending: Ending) {
     for number in 0..COUNT {
         let old = fleet.entry(number).listen;
@@ -66,11 +66,11 @@
     }
 }
 
-/// Waits until confirmations that are new are served through an instance.
+/// Waits until new confirmations are served through an instance.
 fn wait_bookable(fleet: &Fleet<'_>, instance: usize) {
     wait("new confirmations are served", || {
         let round = NEXT_ROUND.fetch_add(1, Ordering::Relaxed);
-        (0..BATCH).all(|number| {
+        (0..CONFIRMATIONS_PER_ROUND).all(|number| {
             let key = format!("new-{round}-{number}");
             book(fleet, instance, &key).status == 200
         })
@@ -81,22 +81,22 @@
     format!("before-{number}")
 }
 
-/// Sends a confirmation through an instance; the same for the same key, whichever it is.
+/// Sends a confirmation through an instance. Requests with the same key are identical.
 fn book(fleet: &Fleet<'_>, instance: usize, key: &str) -> Answer {
     let booking = Call::booking(key).header("idempotency-key", key);
     call(fleet.entry(instance % COUNT).listen, &booking).unwrap()
 }
 
-/// Replaces all under load. Confirmations that were made before are sent again after it, each through
-/// another instance, none of which was there when they ran.
+/// Replaces all instances under load. Confirmations that were made before are then repeated, each
+/// through another instance, none of which existed when they ran.
 fn replace_all_under_load(site: &Site, ending: Ending) -> Totals {
-    let mut fleet = Fleet::start_with_notice_period(site, COUNT, NOTICE);
+    let mut fleet = Fleet::start_with_notice_period(site, COUNT, NOTICE_PERIOD);
     fleet.wait_converged();
     let balancer = Balancer::start();
     for entry in fleet.running() {
         balancer.add(entry);
     }
-    // Members that agree may still be passing on their records.
+    // Members that have converged may still be transferring records.
     (0..COUNT).for_each(|number| wait_bookable(&fleet, number));
     for number in 0..KEYS {
         assert_eq!(book(&fleet, number, &key(number)).status, 200);
@@ -120,8 +120,8 @@
     totals
 }
 
-/// A new version is rolled out. Each instance is stopped as planned: its health answer fails, the
-/// balancer turns away, and what it holds is finished. No caller notices anything.
+/// A rolling update. Each instance is shut down gracefully: its health check fails, the balancer
+/// avoids it, and its work is finished. No caller notices anything.
 #[test]
 fn a_planned_replacement_of_all_cuts_and_refuses_nobody() {
     let site = site();
@@ -130,13 +130,13 @@
     assert_eq!(totals.cut(), 0);
     assert_eq!(totals.class("chat").refused, 0);
     assert_eq!(totals.class("batch").refused, 0);
-    // While a key's holders change, its callers are told to come back.
+    // While the owners of a key change, its callers are told to retry.
     assert_eq!(totals.class("confirm").without_hint, 0);
 }
 
-/// The operator goes on with a planned replacement only when new confirmations are served through the
-/// newcomer. Each gets the records of those before it; if it didn't, callers would be told to come back
-/// until all that an earlier fleet may have run is forgotten.
+/// A rolling update proceeds only when new confirmations are served through the new instance. Each
+/// new instance receives the existing records; otherwise callers would be told to retry until
+/// everything that the earlier fleet may have run has expired.
 #[test]
 fn new_confirmations_are_served_through_each_planned_replacement() {
     let site = site();
@@ -153,9 +153,9 @@
     }
 }
 
-/// All machines fail one after another, so fast that each is gone before its successor has taken all
-/// records over. What each held is cut, and its callers see it. At the end nobody knows what ran; what
-/// may have run is never called unrun, nor run again.
+/// All machines fail one after another, so fast that each is gone before its replacement has
+/// received all records. What each held is cut visibly. At the end no instance knows what ran; what
+/// may have run is never reported as not run, nor run again.
 #[test]
 fn replacing_all_by_kills_doubles_nothing() {
     let site = site();
@@ -166,9 +166,9 @@
     assert_eq!(totals.class("confirm").without_hint, 0);
 }
 
-/// While a new version is rolled out, the platform answers with an older revision, or has lost the
-/// newer one for good. No instance that follows it is ever in force with the old text: each newcomer
-/// takes the newer one over from a peer that remembers it.
+/// During a rolling update the platform returns an older revision, or has lost the newer one for
+/// good. No instance ever has the old configuration active: each new one takes over the newer
+/// revision from a peer.
 #[test_case(PlatformCommand::Stale { revision: Some(1) }; "stale")]
 #[test_case(PlatformCommand::GoBack { revision: 1, reuse: false }; "gone back")]
 fn a_replacement_of_all_on_a_platform_behind_reverts_nothing(fault: PlatformCommand) {
@@ -181,8 +181,8 @@
     for number in 0..4 {
         fleet.stop(number);
         fleet.spawn(number);
-        // Without a pause between two looks: a revision that is in force for a moment only reverts
-        // what it decides in that moment.
+        // Polled without a pause: a revision that is active for only a moment still affects what is
+        // decided in that moment.
         let start = Instant::now();
         loop {
             let revision = fleet.entry(number).status().config.revision;
--- a/tests/all/fleet_splits.rs
+++ b/tests/all/fleet_splits.rs
@@ -1,4 +1,4 @@
-//! Links between instances that are cut, one way and both, and healed.
+//! Links between instances that are cut, in one direction or both, and healed.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,10 +12,10 @@
 use crate::support::SiteSettings;
 use crate::support::call;
 
-/// Within this time a change is in force on every instance that the platform reaches.
+/// Time within which a change is active on every instance that can reach the platform.
 const PROPAGATION_BOUND: Duration = Duration::from_secs(5);
 
-/// Within this time all agree again after links are healed.
+/// Time within which all instances agree again after the links are healed.
 const CONVERGENCE_BOUND: Duration = Duration::from_secs(15);
 
 const COUNT: usize = 8;
@@ -25,16 +25,16 @@
 /// Which links are cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Cut {
-    /// Between three and five instances, both ways.
+    /// Both directions between a group of three and a group of five instances.
     Groups,
-    /// The same, only from the three to the five.
+    /// Only the direction from the group of three to the group of five.
     OneWay,
-    /// Three instances are alone.
-    Alone,
-    /// Three instances hear everybody, and nobody hears them.
-    Mute,
-    /// Three instances hear nobody, and everybody hears them.
-    Deaf,
+    /// All links of three instances, in both directions.
+    Isolated,
+    /// All links from three instances, which still receive.
+    Outbound,
+    /// All links to three instances, which can still send.
+    Inbound,
 }
 
 impl Cut {
@@ -44,9 +44,9 @@
         match self {
             Cut::Groups => leaves != enters,
             Cut::OneWay => leaves && !enters,
-            Cut::Alone => leaves || enters,
-            Cut::Mute => leaves,
-            Cut::Deaf => enters,
+            Cut::Isolated => leaves || enters,
+            Cut::Outbound => leaves,
+            Cut::Inbound => enters,
         }
     }
 }
@@ -68,8 +68,8 @@
     }
 }
 
-/// Cuts links, publishes a change at once, and returns once it is in force everywhere; then checks that
-/// all serve, and that they agree once the links are healed.
+/// Cuts links, publishes a change immediately, and waits until it is active everywhere. Then checks
+/// that all instances serve requests and agree again once the links are healed.
 fn change_in_a_split(links: Cut) {
     let site = site();
     let fleet = Fleet::start_with_links(&site, COUNT);
@@ -77,33 +77,34 @@
     let start = Instant::now();
     site.publish(|text| text.replace("format = 1", "format = 1\n# changed\n"));
     fleet.wait_active(2);
-    let took = start.elapsed();
+    let propagated = start.elapsed();
     for entry in fleet.running() {
         let answer = call(entry.listen, &Call::chat(true, 2)).unwrap();
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
     fleet.links.heal();
-    let agreed = fleet.wait_converged();
-    println!("cut {links:?}: in force in {took:?}, agreed in {agreed:?}");
-    assert!(took < PROPAGATION_BOUND, "{took:?}");
-    assert!(agreed < CONVERGENCE_BOUND, "{agreed:?}");
+    let converged = fleet.wait_converged();
+    println!("cut {links:?}: in force in {propagated:?}, agreed in {converged:?}");
+    assert!(propagated < PROPAGATION_BOUND, "{propagated:?}");
+    assert!(converged < CONVERGENCE_BOUND, "{converged:?}");
 }
 
-/// The fleet falls into two groups, and a change is published before anybody has noticed. Both groups
-/// read the platform, put the change in force and serve; healed, they agree again.
+/// The fleet splits into two groups, and a change is published before anyone has detected the
+/// split. Both groups read the platform, activate the change and serve requests; once healed, they
+/// agree again.
 #[test_case(Cut::Groups; "both ways")]
 #[test_case(Cut::OneWay; "one way")]
 fn a_change_reaches_both_groups_of_a_split(links: Cut) {
     change_in_a_split(links);
 }
 
-/// Instances lose the links to all others, one way or both, and a change is published before anybody
-/// has noticed. Only some instances watch the platform for all; at least one that doesn't is among the
-/// lonely ones. It must not go on with the old text, and serve a key that was withdrawn, for longer
-/// than the others.
-#[test_case(Cut::Alone; "alone")]
-#[test_case(Cut::Mute; "mute")]
-#[test_case(Cut::Deaf; "deaf")]
+/// Instances lose the links to all others, in one direction or both, and a change is published
+/// before anyone has detected it. Only some instances watch the platform on behalf of all, and at
+/// least one of the isolated instances doesn't. It must not keep the old configuration, and serve a
+/// revoked key, for longer than the others.
+#[test_case(Cut::Isolated; "isolated")]
+#[test_case(Cut::Outbound; "outbound")]
+#[test_case(Cut::Inbound; "inbound")]
 fn a_change_reaches_instances_without_peers(links: Cut) {
     change_in_a_split(links);
 }
@@ -113,7 +114,7 @@
     call(fleet.entry(number).listen, &booking).unwrap()
 }
 
-/// What a caller may be told of a key, before or after it ran.
+/// Checks that an answer is consistent with whether the booking ran.
 fn assert_truthful(answer: &Answer, effects: u64) {
     let ran = answer.header("x-request-ran");
     if answer.status == 200 {
@@ -125,9 +126,9 @@
     }
 }
 
-/// The fleet is split while callers send confirmations to both sides, each first to one side and then,
-/// as if it had got no answer, to the other. A side that kept its own records only would run them
-/// again. The smaller side can't know most keys; it says so at once, and never runs one twice.
+/// The fleet is split while callers send each confirmation to one side and then, as if it had not
+/// been answered, to the other. A side that relied on its own records only would run them again.
+/// The smaller side can't know most keys; it must say so at once and run none twice.
 #[test]
 fn a_split_runs_no_confirmation_twice() {
     let site = site();
@@ -152,7 +153,7 @@
         assert!(site.effects(&key) <= 1, "{key} ran twice");
     }
     fleet.links.heal();
-    let agreed = fleet.wait_converged();
+    let converged = fleet.wait_converged();
     for number in 0..24 {
         let key = format!("k-{number}");
         let before = site.effects(&key);
@@ -161,7 +162,7 @@
         assert!(before == 0 || answer.status != 200, "{}", answer.body);
         assert!(site.effects(&key) <= 1, "{key} ran twice");
     }
-    println!("split: {served:?} of 24 confirmations served by each side, agreed in {agreed:?}");
+    println!("split: {served:?} of 24 confirmations served by each side, agreed in {converged:?}");
     assert!(served[0] > 0 && served[1] > 0);
-    assert!(agreed < CONVERGENCE_BOUND, "{agreed:?}");
+    assert!(converged < CONVERGENCE_BOUND, "{converged:?}");
 }
--- a/tests/all/flood_faults.rs
+++ b/tests/all/flood_faults.rs
@@ -1,4 +1,4 @@
-//! Callers that take all they can get: connections of one account, and memory.
+//! Callers that exhaust resources: the connections of one account, and memory.
 
 use std::env;
 
@@ -25,21 +25,23 @@
     })
 }
 
-/// A connection that was served once and is kept open.
-fn kept(entry: &Entry, key: &str) -> RawCaller {
+/// A connection that has been served once and is kept open.
+fn served_connection(entry: &Entry, key: &str) -> RawCaller {
     let mut raw = RawCaller::send(entry.listen, &Call::chat(true, 2).key(key));
     assert!(raw.read_until(LAST_CHUNK), "{}", raw.text());
     raw
 }
 
-// One client account opens connections without end and keeps them idle after a first answer. It gets
-// as many as one account may hold: the next one is refused at once, before its body is sent, and
-// closed. Others are served meanwhile, and a closed connection makes room for the next.
+// A client account opens connections without limit and keeps them idle after the first answer. It
+// gets as many as one account may hold: the next one is refused before its body is sent, and
+// closed. Others are served meanwhile, and closing a connection frees its place.
 #[test]
 fn one_account_holds_a_bounded_number_of_connections() {
     let site = site("connections = 8\nconnections-per-account = 3\n");
     let entry = site.entry("entry-1");
-    let mut held: Vec<RawCaller> = (0..3).map(|_| kept(&entry, "team.chat")).collect();
+    let mut held: Vec<RawCaller> = (0..3)
+        .map(|_| served_connection(&entry, "team.chat"))
+        .collect();
     let over = Call::chat(true, 2).marked("over");
     let mut refused = RawCaller::connect(entry.listen);
     refused.write(over.head().as_bytes());
@@ -53,51 +55,54 @@
     assert!(text.contains("retry-after: 1\r\n"), "{text}");
     assert!(text.contains("connection: close"), "{text}");
     assert_eq!(site.runs("over"), 0);
-    kept(&entry, "team.batch");
+    served_connection(&entry, "team.batch");
     let again = Call::chat(true, 2).marked("again");
     held[0].write(format!("{}{}", again.head(), again.body).as_bytes());
-    assert!(held[0].read_until("again 1 "), "a counted one is served on");
+    assert!(
+        held[0].read_until("again 1 "),
+        "a counted connection stays usable"
+    );
     held.pop();
     wait("the place is free", || {
         call(entry.listen, &over).is_some_and(|answer| answer.status == 200)
     });
 }
 
-// A balancer sends requests of several accounts over one connection. It counts for the account of its
-// latest request alone: were it counted for all of them, a few connections of the balancer would use
-// up the places of every account.
+// A balancer sends requests of several accounts over one connection. The connection counts for the
+// account of its latest request only: if it counted for all of them, a few connections of the
+// balancer would use up the limits of every account.
 #[test]
 fn a_shared_connection_counts_for_its_latest_account_only() {
     let site = site("connections-per-account = 1\n");
     let entry = site.entry("entry-1");
-    let mut shared = kept(&entry, "team.chat");
+    let mut shared = served_connection(&entry, "team.chat");
     let batch = Call::chat(true, 2).key("team.batch").marked("moved");
     shared.write(format!("{}{}", batch.head(), batch.body).as_bytes());
     assert!(shared.read_until("moved 1 "));
-    drop(kept(&entry, "team.chat"));
+    drop(served_connection(&entry, "team.chat"));
     let refused = call(entry.listen, &batch).unwrap();
     assert_eq!(refused.header("x-refusal-reason"), "connections_limited");
 }
 
-// A flood of wrong keys must not take an account's places, and a key that no account has counts for
-// none.
+// A flood of unknown keys must not use up an account's connections; such connections count for no
+// account.
 #[test]
 fn wrong_keys_take_no_places() {
     let site = site("connections-per-account = 1\n");
     let entry = site.entry("entry-1");
-    let strangers: Vec<RawCaller> = (0..4)
+    let unknown_callers: Vec<RawCaller> = (0..4)
         .map(|_| {
             let mut raw = RawCaller::send(entry.listen, &Call::chat(true, 2).key("team.nobody"));
             assert!(raw.read_until("unauthorized"));
             raw
         })
         .collect();
-    kept(&entry, "team.chat");
-    drop(strangers);
+    served_connection(&entry, "team.chat");
+    drop(unknown_callers);
 }
 
-// An account's requests wait for the only slot. As many as it may have in the queue wait on; the next
-// one is told at once that nothing ran and when to come back, and keeps its connection.
+// An account's requests wait for the only slot. Up to its limit they stay in the queue; the next
+// one is told at once that nothing ran and when to retry, and keeps its connection.
 #[test]
 fn one_account_has_a_bounded_number_of_requests_in_a_queue() {
     let site = Site::start(&SiteSettings {
@@ -122,16 +127,18 @@
     entry.wait_idle();
 }
 
-// What a caller sends never becomes a request, or all connections are taken. A program must be able to
-// read off the answer that nothing ran and whether to come back, as off any other refusal.
+// The caller's input never becomes a request, or all connections are in use. The answer must tell a
+// program that nothing ran and whether to retry, like any other refusal.
 #[test_case("GET /v1/models HTTP/1.0\r\n\r\n", 505, "bad_request"; "old version")]
 #[test_case("GET\r\n\r\n", 400, "bad_request"; "no head")]
 #[test_case("POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 99999999\r\n\r\n", 413, "body_too_large"; "announced body")]
 #[test_case("", 503, "overloaded"; "connections of all")]
-fn what_never_becomes_a_request_is_refused_readably(text: &str, status: u16, reason: &str) {
+fn a_refusal_before_a_request_is_parsed_is_machine_readable(text: &str, status: u16, reason: &str) {
     let site = site("connections = 1\nconnections-per-account = 1\n");
     let entry = site.entry("entry-1");
-    let held = text.is_empty().then(|| kept(&entry, "team.chat"));
+    let held = text
+        .is_empty()
+        .then(|| served_connection(&entry, "team.chat"));
     let mut refused = RawCaller::connect(entry.listen);
     refused.write(text.as_bytes());
     let answer = refused.read_to_end();
@@ -152,14 +159,15 @@
     );
 }
 
-/// Connections of the flood; set to measure with more of them.
-const FLOOD: &str = "CROCUSHOLD_FLOOD";
+/// Environment variable with the number of connections of the flood, for measurements with more of
+/// them.
+const FLOOD_VARIABLE: &str = "CROCUSHOLD_FLOOD";
 
-/// Headers of each request of the flood: as many as are parsed, in the longest head.
+/// Headers of each request of the flood: as many as are parsed, in a head of the maximum length.
 const HEADERS: usize = 120;
 
-/// A request with the longest head that is taken.
-fn heavy(call: &Call) -> String {
+/// A request with the longest head that is accepted.
+fn with_longest_head(call: &Call) -> String {
     let mut lines = String::new();
     for number in 0..HEADERS {
         lines.push_str(&format!("x-h{number}: {}\r\n", "v".repeat(50)));
@@ -171,13 +179,13 @@
     head + &call.body
 }
 
-/// Bytes behind a request that are kept while a hang-up is watched for. Behind more than 16 KiB of them
-/// it is noticed by writing only.
-fn behind() -> Vec<u8> {
+/// Bytes pipelined after a request, which are buffered while the connection is watched for a
+/// hang-up. With more than 16 KiB buffered, a hang-up is noticed only when writing.
+fn pipelined_bytes() -> Vec<u8> {
     vec![b'G'; 15 * 1024]
 }
 
-/// Resident memory of an instance, in bytes.
+/// Returns the resident memory of an instance in bytes.
 fn resident(entry: &Entry) -> u64 {
     let page = entry.page("/metrics").unwrap();
     let mut lines = page.body.lines();
@@ -185,36 +193,37 @@
     line.unwrap().parse().unwrap()
 }
 
-/// What one connection of the flood does.
+/// The behavior of a connection of the flood.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
-    /// Sends most of a longest head and then nothing.
+    /// Sends most of a head of the maximum length, and then nothing.
     HalfHead,
-    /// Streams an answer, and sends bytes behind its request that are kept meanwhile.
+    /// Streams an answer, with bytes pipelined after its request.
     Streaming,
-    /// Waits for an answer to a longest head and a body.
+    /// Waits for the answer to a request with a head of the maximum length and a body.
     Waiting,
 }
 
-/// Takes a connection of the flood; none when its request was refused, for want of memory alone.
+/// Opens a connection of the flood. Returns `None` if its request was refused, which is allowed for
+/// lack of memory only.
 fn flood(entry: &Entry, kind: Kind) -> Option<RawCaller> {
     let mut raw = RawCaller::connect(entry.listen);
     match kind {
-        Kind::HalfHead => raw.write(&heavy(&Call::chat(true, 1)).as_bytes()[..7000]),
+        Kind::HalfHead => raw.write(&with_longest_head(&Call::chat(true, 1)).as_bytes()[..7000]),
         Kind::Streaming => {
-            raw.write(heavy(&Call::chat(true, 50).marked("s")).as_bytes());
+            raw.write(with_longest_head(&Call::chat(true, 50).marked("s")).as_bytes());
             assert!(raw.read_until("\r\n\r\n"));
             if !raw.text().starts_with("HTTP/1.1 200 ") {
                 assert_refused(&raw.text());
                 return None;
             }
             assert!(raw.read_until("s 1 "));
-            raw.write(&behind());
+            raw.write(&pipelined_bytes());
         }
         Kind::Waiting => {
             let padded = Call::chat(false, 50).padded(200 * 1024);
-            raw.write(heavy(&padded).as_bytes());
-            raw.write(&behind());
+            raw.write(with_longest_head(&padded).as_bytes());
+            raw.write(&pipelined_bytes());
         }
     }
     Some(raw)
@@ -227,14 +236,14 @@
     assert!(text.contains("retry-after: 1\r\n"), "{text}");
 }
 
-// Callers take all they can: heads that never end, streams that stand still with bytes behind their
-// requests, and bodies until the memory for requests is used up, on as many connections as there are.
-// The instance refuses what has no room and says that it didn't run, grows by no more than the sum of
-// its bounds, and serves on once they are gone.
+// Callers exhaust the instance on as many connections as it allows: heads that never end, stalled
+// streams with pipelined bytes, and bodies until the memory for requests is used up. The instance
+// refuses what doesn't fit and reports it as not run, grows by no more than the sum of its limits,
+// and keeps serving once the callers are gone.
 #[test]
 fn memory_is_bounded_whatever_callers_hold() {
     const MEMORY: u64 = 16 << 20;
-    let count: usize = env::var(FLOOD).map_or(300, |count| count.parse().unwrap());
+    let count: usize = env::var(FLOOD_VARIABLE).map_or(300, |count| count.parse().unwrap());
     let most = count + 1;
     let limits = format!("connections = {most}\nconnections-per-account = {most}\n");
     let site = Site::start(&SiteSettings {
@@ -245,7 +254,7 @@
     });
     site.publish(|text| text.replace("concurrency = 1000", "concurrency = 10000"));
     let entry = site.entry("entry-1");
-    drop(kept(&entry, "team.chat"));
+    drop(served_connection(&entry, "team.chat"));
     let before = resident(&entry);
     site.command_all_engines(&EngineCommand::Stall { after: Some(2) });
     site.command_all_engines(&EngineCommand::Batch {
--- a/tests/all/instance_list.rs
+++ b/tests/all/instance_list.rs
@@ -1,4 +1,4 @@
-//! What the routers make of the platform's instance list.
+//! How the routers use the platform's instance list.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -16,12 +16,12 @@
 use crate::support::call;
 
 /// Longer than the lease on the instance list.
-const QUIET: Duration = Duration::from_secs(7);
+const IDLE_PERIOD: Duration = Duration::from_secs(7);
 
-/// More than one short answer takes.
-const PROMPT: Duration = Duration::from_millis(800);
+/// Longer than a short answer takes.
+const ANSWER_BOUND: Duration = Duration::from_millis(800);
 
-/// A backend server as the platform lists it.
+/// A backend server's entry in the instance list.
 fn listed(address: SocketAddr, state: InstanceState) -> Instance {
     Instance {
         id: address.to_string(),
@@ -34,10 +34,10 @@
     }
 }
 
-/// Nothing changes at the platform for longer than the lease on the instance list. The list is read
-/// every second all the same; if those readings didn't reach the routers, they would take the
-/// silence for a pause of the process, hold requests for a second, and then trust each server with
-/// no more than one request at a time.
+/// The platform's state doesn't change for longer than the lease on the instance list, which is
+/// still read every second. If these unchanged reads didn't reach the routers, they would take the
+/// silence for a pause of the process, delay requests by a second, and then send at most one
+/// request at a time to each server.
 #[test]
 fn a_request_after_a_quiet_time_is_served_at_once() {
     let site = Site::start(&SiteSettings::default());
@@ -49,20 +49,20 @@
     site.command_platform(PlatformCommand::Instances {
         instances: instances.collect(),
     });
-    thread::sleep(QUIET);
+    thread::sleep(IDLE_PERIOD);
     let status = entry.page("/status").unwrap().body;
     assert!(!status.contains("recovering"), "{status}");
     for _ in 0..3 {
         let start = Instant::now();
         let answer = call(entry.listen, &Call::chat(true, 2)).unwrap();
         assert_eq!(answer.status, 200, "{}", answer.body);
-        assert!(start.elapsed() < PROMPT, "{:?}", start.elapsed());
+        assert!(start.elapsed() < ANSWER_BOUND, "{:?}", start.elapsed());
     }
 }
 
-/// A server was already leaving when the instance started: the list is read before the configuration
-/// is in force, and doesn't change afterwards. If it were handed to the routers only when it changes,
-/// the leaving server would get new work for as long as it lives.
+/// A server was already leaving when the instance started: the list is read before the
+/// configuration is active, and doesn't change afterwards. If the list were passed to the routers
+/// only on a change, the leaving server would get new work for as long as it lives.
 #[test]
 fn a_server_that_was_leaving_before_the_start_gets_no_work() {
     let site = Site::start(&SiteSettings::default());
--- a/tests/all/limits.rs
+++ b/tests/all/limits.rs
@@ -1,4 +1,4 @@
-//! The limits of accounts over several instances and services.
+//! Limits of accounts across several instances and services.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -15,24 +15,25 @@
 use crate::support::call;
 use crate::support::wait;
 
-/// The account's requests a second.
+/// Rate limit of the account in requests per second.
 const RATE: f64 = 120.0;
 
-/// Callers at each instance.
-const CALLERS: usize = 4;
+/// Number of callers at each instance.
+const CALLERS_PER_INSTANCE: usize = 4;
 
-/// Until the saved-up burst is used, and the first loans have come.
+/// Time until the accumulated burst is spent and the first loans have arrived.
 const WARM_UP: Duration = Duration::from_millis(2_500);
 
-/// For which admissions are counted.
-const SPAN: Duration = Duration::from_secs(4);
+/// Length of the period in which admissions are counted.
+const MEASUREMENT: Duration = Duration::from_secs(4);
 
-/// What the note allows above the rate: measured over [`SPAN`], with a machine that is busy.
-const OVER: f64 = 1.1;
+/// Largest admissible share of the rate, measured over [`MEASUREMENT`], with tolerance for a busy
+/// machine.
+const MAX_SHARE: f64 = 1.1;
 
-/// What the note allows more where an account's owner changes while units that it lent are unspent:
-/// half a second of the rate, over [`SPAN`].
-const OWNER_CHANGED: f64 = 0.5 / 4.0;
+/// Additional share while an account's owner changes and units that the former owner lent are
+/// unspent: half a second of the rate, over [`MEASUREMENT`].
+const OWNER_CHANGE_SHARE: f64 = 0.5 / 4.0;
 
 fn lookup() -> Call {
     Call {
@@ -43,7 +44,7 @@
     }
 }
 
-/// A site whose accounts have `limits` in place of wide ones.
+/// Starts a site and replaces the line `from` of its accounts by `limits`.
 fn start_site(settings: &SiteSettings, from: &str, limits: &str) -> Site {
     let site = Site::start(settings);
     site.publish(|text| text.replace(from, limits));
@@ -55,12 +56,12 @@
     start_site(&SiteSettings::default(), "requests = 10000/s", &limits)
 }
 
-/// Sends the requests in turn until the time is up; returns how many of those that were begun in the
-/// last [`SPAN`] were served.
+/// Sends the requests in turn until the time is up. Returns the number of served requests that were
+/// sent within the last [`MEASUREMENT`].
 fn send_for(address: SocketAddr, requests: &[Call], start: Instant) -> usize {
     let mut served = 0;
     let mut turn = requests.iter().cycle();
-    while start.elapsed() < WARM_UP + SPAN {
+    while start.elapsed() < WARM_UP + MEASUREMENT {
         let counted = start.elapsed() >= WARM_UP;
         let answer = call(address, turn.next().unwrap());
         match answer.map_or(0, |answer| answer.status) {
@@ -71,17 +72,19 @@
     served
 }
 
-/// What the callers at these instances together get, as a share of the account's rate.
+/// Returns the throughput of the callers at all given instances, as a share of the account's rate.
 fn flood(addresses: &[SocketAddr], requests: &[Call]) -> f64 {
     let start = Instant::now();
     let served: usize = thread::scope(|scope| {
-        let callers = addresses.iter().flat_map(|address| [*address; CALLERS]);
+        let callers = addresses
+            .iter()
+            .flat_map(|address| [*address; CALLERS_PER_INSTANCE]);
         let callers: Vec<_> = callers
             .map(|address| scope.spawn(move || send_for(address, requests, start)))
             .collect();
         callers.into_iter().map(|c| c.join().unwrap()).sum()
     });
-    let share = served as f64 / SPAN.as_secs_f64() / RATE;
+    let share = served as f64 / MEASUREMENT.as_secs_f64() / RATE;
     println!("{} instances: {share:.3} of the rate", addresses.len());
     share
 }
@@ -91,22 +94,22 @@
     flood(&addresses, &[lookup()])
 }
 
-/// The balancer sends every call of the account to one of three instances. With equal shares its
-/// callers would be refused at a third of the rate that they pay for; the instance borrows the rest
-/// of the pool. Spread over all three they must not get more than the rate.
+/// The balancer sends all calls of the account to one of three instances. With equal shares, the
+/// callers would be refused at a third of the account's rate; instead the instance borrows the
+/// rest. Spread over all three instances, the callers must not exceed the rate.
 #[test]
 fn an_account_at_one_instance_gets_more_than_a_third_and_never_more_than_its_rate() {
     let site = site();
     let fleet = Fleet::start(&site, 3);
     fleet.wait_active(2);
     let one = flood_at(&fleet, &[0]);
-    assert!((0.5..=OVER).contains(&one), "{one}");
+    assert!((0.5..=MAX_SHARE).contains(&one), "{one}");
     let all = flood_at(&fleet, &[0, 1, 2]);
-    assert!((0.75..=OVER).contains(&all), "{all}");
+    assert!((0.75..=MAX_SHARE).contains(&all), "{all}");
 }
 
-/// One of three instances is killed, and the platform's list stops naming it. What it held must not
-/// lie idle for ever: the two that are left get the whole rate.
+/// One of three instances is killed and removed from the platform's instance list. Its share must
+/// not stay unused: the two remaining instances get the full rate.
 #[test]
 fn the_share_of_a_killed_instance_moves_to_the_rest() {
     let site = site();
@@ -121,11 +124,12 @@
     }
     let after = flood_at(&fleet, &[0, 1]);
     assert!((0.7..=0.9).contains(&before), "{before}");
-    assert!((0.93..=OVER).contains(&after), "{after}");
+    assert!((0.93..=MAX_SHARE).contains(&after), "{after}");
 }
 
-/// An instance is frozen and wakes. Until it is known to have ended it may be admitting, so its even
-/// share stays its own; as it wakes with what it held, all three together stay within the rate.
+/// An instance is frozen and resumes. Until it is known to have ended it may be admitting requests,
+/// so its equal share stays reserved. It resumes with the units that it held, and all three
+/// instances together stay within the rate.
 #[test]
 fn a_frozen_instance_that_wakes_does_not_add_to_the_rate() {
     let site = site();
@@ -133,26 +137,30 @@
     fleet.wait_active(2);
     fleet.entry(2).signal("STOP");
     let frozen = flood_at(&fleet, &[0, 1]);
-    assert!(frozen <= OVER, "{frozen}");
+    assert!(frozen <= MAX_SHARE, "{frozen}");
     fleet.entry(2).signal("CONT");
-    let woken = flood_at(&fleet, &[0, 1, 2]);
-    assert!((0.75..=OVER + OWNER_CHANGED).contains(&woken), "{woken}");
+    let resumed = flood_at(&fleet, &[0, 1, 2]);
+    assert!(
+        (0.75..=MAX_SHARE + OWNER_CHANGE_SHARE).contains(&resumed),
+        "{resumed}"
+    );
 }
 
-/// An account calls the engines and the booking service by turns. Each service has a scheduler of its
-/// own; did each give out the account's rate, it would get twice what it may use.
+/// An account alternates between the engines and the booking service. Each service has its own
+/// scheduler; if each gave out the account's full rate, the account would get twice its limit.
 #[test]
 fn the_rate_holds_over_all_services() {
     let site = site();
     let entry = site.entry("entry-0");
     entry.wait_active(2);
-    // An engine takes its time, so that few callers would not reach the rate.
+    // Engines are slow, so that too few callers wouldn't reach the rate.
     let share = flood(&[entry.listen; 4], &[lookup(), Call::chat(false, 1)]);
-    assert!((0.5..=OVER).contains(&share), "{share}");
+    assert!((0.5..=MAX_SHARE).contains(&share), "{share}");
 }
 
-/// Calls take a while, and many callers at all instances want to be in progress at once. The service
-/// must never see more of them together than the account may have, and most of that many.
+/// Calls are slow, and many callers at all instances compete for the account's concurrency. The
+/// service must never see more concurrent calls than the account may have, and must see most of
+/// that number.
 #[test]
 fn concurrency_holds_over_all_instances() {
     let settings = SiteSettings {
--- a/tests/all/list_faults.rs
+++ b/tests/all/list_faults.rs
@@ -1,4 +1,4 @@
-//! An instance list that is empty, lags, or says that a server leaves.
+//! An instance list that is empty, stale, or marks a server as leaving.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,10 +19,10 @@
 use crate::support::spawn_call;
 use crate::support::wait;
 
-/// Within this time a leaving server gets no more work.
-const SECONDS: Duration = Duration::from_secs(5);
+/// Time within which a leaving server gets no more work.
+const PROPAGATION_BOUND: Duration = Duration::from_secs(5);
 
-/// The site's servers as an instance list tells of them.
+/// The site's servers as an instance list.
 fn listed(site: &Site, state: impl Fn(usize) -> InstanceState) -> PlatformCommand {
     let engines = site.engines.iter().enumerate();
     let instances = engines.map(|(number, engine)| Instance {
@@ -39,15 +39,15 @@
     }
 }
 
-/// The servers that the status page calls leaving.
+/// Returns the servers that the status document shows as leaving.
 fn leaving(entry: &Entry) -> Vec<String> {
     let servers = entry.status().servers.into_iter();
     let leaving = servers.filter(|server| server.standing == "leaving");
     leaving.map(|server| server.server).collect()
 }
 
-// The list says that a server leaves while it streams an answer. It gets no new work within a few
-// seconds, and the answer in progress goes on to its end.
+// The list marks a server as leaving while it streams an answer. Within seconds it gets no new
+// work, and the answer in progress completes.
 #[test]
 fn a_leaving_server_finishes_and_gets_nothing_new() {
     let site = Site::start(&SiteSettings::default());
@@ -68,7 +68,7 @@
     wait("the server counts as leaving", || {
         leaving(&entry).len() == 1
     });
-    assert!(start.elapsed() < SECONDS, "{:?}", start.elapsed());
+    assert!(start.elapsed() < PROPAGATION_BOUND, "{:?}", start.elapsed());
     let before = site.engines[runner].stats().started;
     for _ in 0..20 {
         assert!(call(entry.listen, &Call::chat(true, 1)).unwrap().whole);
@@ -78,8 +78,8 @@
     entry.wait_idle();
 }
 
-// The list is empty, or lacks most of the servers: it lags, or is wrong. A service that stopped at
-// such a list would have no other fault, so the servers are used on as before.
+// The list is empty or lacks most of the servers, because it lags or is wrong. Acting on it would
+// stop a service that has no other fault, so the servers stay in use.
 #[test_case(0; "empty")]
 #[test_case(1; "lacking most servers")]
 fn a_list_without_servers_stops_nothing(kept: usize) {
@@ -107,13 +107,13 @@
         assert!(answer.unwrap().whole);
     }
     let used = site.engines.iter().filter(|e| e.stats().started > 0);
-    assert_eq!(used.count(), 3, "servers that live were dropped");
+    assert_eq!(used.count(), 3, "live servers were dropped");
 }
 
-// The list lags: it says for a while that a server lives which has shut down already. Its refused
-// connections say so themselves, and no caller notices.
+// The list lags and shows a server as live that has already shut down. Its refused connections show
+// that it is gone, and no caller notices.
 #[test]
-fn a_lagging_list_is_made_up_for_by_refused_connections() {
+fn a_lagging_list_is_compensated_by_refused_connections() {
     let site = Site::start(&SiteSettings::default());
     site.command_platform(listed(&site, |_| InstanceState::Live));
     let entry = site.entry("entry-1");
@@ -124,8 +124,9 @@
     }
 }
 
-// The list says that an engine lives which has shut down, while another one streams an answer and a
-// queue waits. The stream is whole, and everybody in the queue is served by the engine that is left.
+// The list shows an engine as live that has shut down, while another one streams an answer and
+// requests are queued. The stream completes, and all queued requests are served by the remaining
+// engine.
 #[test]
 fn a_lagging_list_costs_neither_queue_nor_stream() {
     let site = Site::start(&SiteSettings {
--- a/tests/all/load_faults.rs
+++ b/tests/all/load_faults.rs
@@ -16,7 +16,7 @@
 use crate::support::spawn_call;
 use crate::support::wait;
 
-/// One engine with a few slots, on which a batch request lasts a fraction of a second.
+/// A site with one engine and few slots, on which a batch request takes a fraction of a second.
 fn small() -> SiteSettings {
     SiteSettings {
         engines: 1,
@@ -25,7 +25,7 @@
     }
 }
 
-/// Sends requests that all go on at once.
+/// Sends all requests at once.
 fn send_all(
     entry: &Entry,
     count: usize,
@@ -42,8 +42,8 @@
         .is_some_and(|answer| answer.status == 200 && answer.whole)
 }
 
-// A burst of the nightly batch fills every slot and the queue behind them. Live requests that come
-// then take the next slots: none is refused, and each starts before the batch that was there first.
+// A batch burst fills every slot and the queue. Interactive requests that arrive then take the next
+// free slots: none is refused, and each starts before the batch requests that were queued first.
 #[test]
 fn a_burst_of_batch_refuses_and_delays_no_live_request() {
     let site = Site::start(&small());
@@ -56,7 +56,7 @@
     }
     assert!(
         entry.queued("batch") > 0,
-        "the live requests waited for the batch"
+        "the interactive requests waited for the batch"
     );
     for answer in batch {
         assert!(served(&answer.join().unwrap()), "the batch must finish");
@@ -64,14 +64,14 @@
     entry.wait_idle();
 }
 
-// A flood of live requests goes on for as long as the batch needs. The batch has a floor, so it
-// finishes while the flood lasts, and no live request is refused for it.
+// A flood of interactive requests lasts for as long as the batch needs. The batch has a guaranteed
+// share (`floor`), so it finishes during the flood, and no interactive request is refused for it.
 #[test]
 fn a_flood_of_live_requests_starves_no_batch() {
     let site = Site::start(&small());
     let entry = site.entry("entry-1");
     let listen = entry.listen;
-    let live: Vec<_> = (0..10)
+    let interactive: Vec<_> = (0..10)
         .map(|_| {
             thread::spawn(move || {
                 let request = Call::chat(true, 10);
@@ -84,16 +84,19 @@
     for answer in batch {
         assert!(served(&answer.join().unwrap()));
     }
-    let lasting = live.iter().filter(|flood| !flood.is_finished()).count();
+    let lasting = interactive
+        .iter()
+        .filter(|flood| !flood.is_finished())
+        .count();
     assert!(lasting > 0, "the batch finished only after the flood");
-    for flood in live {
-        assert!(flood.join().unwrap(), "a live request was refused");
+    for flood in interactive {
+        assert!(flood.join().unwrap(), "an interactive request was refused");
     }
     entry.wait_idle();
 }
 
-// More batch requests come than the queue takes, all slots being in use. Each caller has its final
-// answer: served, or refused at once with when to come back, having run not at all.
+// More batch requests arrive than the queue holds while all slots are in use. Each caller gets a
+// final answer: it is served, or refused at once as not run, with a time to retry.
 #[test]
 fn a_burst_beyond_the_queue_is_refused_at_once() {
     let site = Site::start(&small());
@@ -120,8 +123,8 @@
     entry.wait_idle();
 }
 
-// One engine of three becomes many times slower than its peers. It is noticed by its answers alone,
-// and most of what follows goes elsewhere; no caller loses an answer.
+// One of three engines becomes many times slower than the others. It is detected by its answers
+// alone, and most later requests go to the other engines; no caller loses an answer.
 #[test]
 fn a_straggler_gets_little_new_work() {
     let site = Site::start(&SiteSettings {
@@ -138,7 +141,8 @@
     entry.wait_idle();
 }
 
-/// Sends requests from several callers, each of which sends the next after the answer.
+/// Sends requests from several callers, each of which sends its next request after the previous
+/// answer.
 fn send_rounds(entry: &Entry, callers: usize, rounds: usize) {
     let listen = entry.listen;
     let all: Vec<_> = (0..callers)
@@ -152,11 +156,12 @@
     assert!(all.into_iter().all(|caller| caller.join().unwrap()));
 }
 
-// Load reports lag by many seconds and say that a full engine is free, or cache events come late and
-// with gaps. Both are hints: the requests still spread by what is in flight, and all are answered.
+// Load reports lag by many seconds and show a full engine as free, or cache events arrive late and
+// with gaps. Both are only hints: requests are still spread by what is in flight, and all are
+// answered.
 #[test_case(&EngineCommand::ReportLag { ms: 20_000 }; "lagging load reports")]
 #[test_case(&EngineCommand::Events { delay_ms: 3_000, gaps: 0.9 }; "gapped cache events")]
-fn wrong_hints_pile_nothing_up(fault: &EngineCommand) {
+fn wrong_hints_overload_no_engine(fault: &EngineCommand) {
     let site = Site::start(&SiteSettings {
         engines: 2,
         engine: EngineSettings {
@@ -167,7 +172,7 @@
     });
     site.command_all_engines(fault);
     let entry = site.entry("entry-1");
-    // So slow that no answer ends before all requests were seen together, however late they come.
+    // So slow that no answer ends before all requests are in flight, however late they arrive.
     site.command_all_engines(&EngineCommand::Slow { factor: 10_000.0 });
     let long = "one shared prefix ".repeat(40);
     let mut request = Call::chat(true, 20);
@@ -187,8 +192,8 @@
     entry.wait_idle();
 }
 
-// Callers leave in the middle of a burst, from the queue and from streams, and one engine hangs all
-// the while. Every slot must come back, and the requests that wait must move up.
+// Callers disconnect in the middle of a burst, from the queue and from the engine, while the engine
+// hangs. Every slot must be released, and the queued requests must move up.
 #[test]
 fn callers_that_leave_a_hanging_engine_free_its_slots() {
     let site = Site::start(&small());
@@ -206,9 +211,9 @@
     assert!(served(&call(entry.listen, &Call::chat(true, 2))));
 }
 
-// The nightly batch holds every slot with answers that take many seconds; started work is never
-// preempted. A live request that comes then is refused as overdue after its patience, although only
-// a lower tier stands in its way: some slot has to be left for it.
+// The batch takes slots with answers that last many seconds, and started work is never preempted.
+// If it took every slot, an interactive request that arrives then would be refused at its deadline
+// although only a lower tier is in its way: some slot has to be reserved for it.
 #[test]
 fn a_batch_of_long_answers_refuses_no_live_request() {
     let site = Site::start(&small());
@@ -223,13 +228,13 @@
     }
     assert!(
         entry.running("batch") > 0,
-        "the batch was held up altogether"
+        "the batch was blocked completely"
     );
     drop(batch);
     entry.wait_idle();
 }
 
-/// Two engines of four slots each.
+/// A site with two engines of four slots each.
 fn pair() -> SiteSettings {
     SiteSettings {
         concurrency: 4,
@@ -237,9 +242,9 @@
     }
 }
 
-// One of two engines dies, or becomes many times slower, in the middle of a burst of the nightly batch.
-// Live requests that come then are all served before the batch that waits, and the batch is served too:
-// neither is dropped for the loss.
+// One of two engines crashes, or becomes many times slower, in the middle of a batch burst.
+// Interactive requests that arrive then are all served before the queued batch, and the batch is
+// served too: neither is dropped because of the loss.
 #[test_case(&EngineCommand::Crash; "crash")]
 #[test_case(&EngineCommand::Slow { factor: 10.0 }; "straggler")]
 fn a_burst_on_a_failing_engine_refuses_no_live_request(fault: &EngineCommand) {
@@ -256,7 +261,7 @@
     }
     assert!(
         entry.queued("batch") > 0,
-        "the live requests waited for the batch"
+        "the interactive requests waited for the batch"
     );
     for answer in batch {
         assert!(served(&answer.join().unwrap()), "the batch must finish");
--- a/tests/all/logs.rs
+++ b/tests/all/logs.rs
@@ -1,4 +1,4 @@
-//! What a running instance logs, and at which levels.
+//! The lines that a running instance logs, and their levels.
 
 use std::fs;
 use std::fs::File;
@@ -12,7 +12,7 @@
 use crate::support::TempDir;
 use crate::support::call;
 
-/// The log of an instance that serves a caller and refuses a stranger.
+/// Returns the log of an instance that serves one caller and refuses an unknown one.
 fn logged(levels: &str) -> String {
     let site = Site::start(&SiteSettings::default());
     let folder = TempDir::new();
@@ -28,14 +28,14 @@
     };
     let answer = call(entry.listen, &served).unwrap();
     assert!(answer.whole && answer.body.contains("the-answer 2 "));
-    let stranger = served.key("team.the-wrong-key");
-    assert_eq!(call(entry.listen, &stranger).unwrap().status, 401);
+    let unknown_caller = served.key("team.the-wrong-key");
+    assert_eq!(call(entry.listen, &unknown_caller).unwrap().status, 401);
     drop(entry);
     fs::read_to_string(file).unwrap()
 }
 
-/// An operator looks into one module and doesn't want the lines of all others. Each line is made of
-/// pairs, so that a program can read it.
+/// An operator debugs one module without the lines of all others. Each line consists of `key=value`
+/// pairs, so that programs can parse it.
 #[test]
 fn levels_are_set_module_by_module() {
     let log = logged("warn, crocushold_entry::callers=debug");
@@ -49,8 +49,8 @@
     }
 }
 
-/// A prompt, an answer or a key in a log outlives its owner's wish to have it forgotten, and whoever
-/// reads logs could use the key. Not even the most detailed level of any module shows one.
+/// A prompt, answer or key in a log would outlive its deletion elsewhere, and readers of the log
+/// could use the key. None may appear, even at the most detailed level of any module.
 #[test_case("info")]
 #[test_case("trace")]
 fn no_prompt_answer_or_key_is_logged(levels: &str) {
--- a/tests/all/main.rs
+++ b/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Integration tests: real `crocushold` processes between stand-ins, one binary of modules.
+//! Integration tests: real `crocushold` processes between stand-ins, in one binary.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
--- a/tests/all/matrix.rs
+++ b/tests/all/matrix.rs
@@ -1,4 +1,4 @@
-//! The fault matrix: which fault is tested at which step, as a page that the tests themselves make.
+//! The fault matrix: which fault is tested at which step. The tests generate a page from it.
 
 use std::collections::BTreeSet;
 use std::env;
@@ -10,10 +10,10 @@
 use crate::cells::CELLS;
 use crate::cells::NOT_APPLICABLE;
 
-/// Set to rewrite the page instead of comparing it.
+/// Environment variable that makes the test rewrite the page instead of comparing it.
 const REWRITE: &str = "CROCUSHOLD_WRITE_MATRIX";
 
-/// The modules whose tests all have to stand in the table.
+/// The modules whose tests must all be listed in the table.
 const MODULES: [&str; 11] = [
     "answer_faults::",
     "caller_faults::",
@@ -28,7 +28,7 @@
     "step_faults::",
 ];
 
-/// Defines an enum with the text that the page shows for each variant, in the page's order.
+/// Defines an enum with the text of each variant on the page, in the order of the page.
 macro_rules! named {
     ($(#[$doc:meta])* $name:ident { $($variant:ident = $text:literal,)* }) => {
         $(#[$doc])*
@@ -51,7 +51,7 @@
 }
 
 named! {
-    /// What goes wrong; pairs come last.
+    /// The injected fault. Pairs of faults come last.
     Fault {
         Burst = "burst of one class",
         Straggler = "straggler",
@@ -96,7 +96,7 @@
 }
 
 named! {
-    /// Where a request, or the instance, is at that moment.
+    /// The step at which a request, or the instance, is when the fault occurs.
     Step {
         Body = "before reading the body",
         Queued = "queued",
@@ -112,7 +112,7 @@
 }
 
 named! {
-    /// What has to hold whatever goes wrong.
+    /// A guarantee that must hold under every fault.
     Promise {
         Whole = "an answer is whole and the caller's own, or visibly cut",
         NotRun = "told \"not run\", truly not run",
@@ -127,30 +127,31 @@
     }
 }
 
-/// One entry of the matrix.
+/// An entry of the matrix.
 pub(crate) struct Cell {
     pub(crate) fault: Fault,
     pub(crate) step: Step,
-    /// The promises that the test checks.
+    /// The guarantees that the test checks.
     pub(crate) promises: &'static [Promise],
-    /// The path of the test, or of a test with cases, all of which count.
+    /// The path of a test. If the test has cases, all of them count.
     pub(crate) test: &'static str,
 }
 
 impl Cell {
-    /// Whether a test of the binary is this one, or a case of it.
+    /// Returns whether `test` is the test of this cell, or one of its cases.
     fn is_filled_by(&self, test: &str) -> bool {
         let rest = test.strip_prefix(self.test);
         rest.is_some_and(|rest| rest.is_empty() || rest.starts_with("::"))
     }
 }
 
-/// Cells that no test can fill, since fault and step, or fault and promise, never meet.
+/// Cells that no test can fill, since the fault can't occur at the step or can't affect the
+/// guarantee.
 pub(crate) struct NotApplicable {
     pub(crate) faults: &'static [Fault],
     pub(crate) steps: &'static [Step],
     pub(crate) promises: &'static [Promise],
-    /// Why they never meet.
+    /// Why they can't.
     pub(crate) reason: &'static str,
 }
 
@@ -159,7 +160,7 @@
     cells.any(|cell| cell.fault == fault && cell.step == step)
 }
 
-fn is_filled_of(fault: Fault, promise: Promise) -> bool {
+fn is_filled_for(fault: Fault, promise: Promise) -> bool {
     let mut cells = CELLS.iter();
     cells.any(|cell| cell.fault == fault && cell.promises.contains(&promise))
 }
@@ -169,12 +170,12 @@
     all.any(|n| n.faults.contains(&fault) && n.steps.contains(&step))
 }
 
-fn is_excluded_of(fault: Fault, promise: Promise) -> bool {
+fn is_excluded_for(fault: Fault, promise: Promise) -> bool {
     let mut all = NOT_APPLICABLE.iter();
     all.any(|n| n.faults.contains(&fault) && n.promises.contains(&promise))
 }
 
-/// The tests of this binary.
+/// Lists the tests of this binary.
 fn tests() -> BTreeSet<String> {
     let list = Command::new(env::current_exe().unwrap())
         .arg("--list")
@@ -207,7 +208,7 @@
         Promise::ALL,
         Promise::text,
         |cell, promise| cell.promises.contains(&promise),
-        is_excluded_of,
+        is_excluded_for,
     );
     push_not_applicable(&mut page);
     push_tests(&mut page);
@@ -273,7 +274,7 @@
             steps.filter(|&step| !is_filled_at(fault, step) && !is_excluded_at(fault, step));
         let promises = Promise::ALL.iter().copied();
         let promises = promises
-            .filter(|&promise| !is_filled_of(fault, promise) && !is_excluded_of(fault, promise));
+            .filter(|&promise| !is_filled_for(fault, promise) && !is_excluded_for(fault, promise));
         writeln!(page, "* **{}**", fault.text()).unwrap();
         writeln!(page, "  * no test at: {}", join(steps.map(Step::text))).unwrap();
         writeln!(
@@ -297,8 +298,8 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("docs/fault-matrix.md")
 }
 
-// A reader of the page takes a filled cell for a proof. A test that is renamed or deleted would leave
-// its cell standing, and a test without a cell would not be found: both fail here.
+// Readers of the page take a filled cell as proof. A renamed or deleted test would leave its cell
+// in place, and a test without a cell would go unnoticed.
 #[test]
 fn every_cell_has_its_test_and_every_test_its_cell() {
     let tests = tests();
@@ -307,28 +308,28 @@
         .filter(|cell| !tests.iter().any(|test| cell.is_filled_by(test)));
     let empty: Vec<&str> = empty.map(|cell| cell.test).collect();
     assert!(empty.is_empty(), "cells without a test: {empty:#?}");
-    let of_faults = tests
+    let fault_tests = tests
         .iter()
         .filter(|test| MODULES.iter().any(|module| test.starts_with(module)));
-    let homeless: Vec<&String> = of_faults
+    let unlisted: Vec<&String> = fault_tests
         .filter(|test| !CELLS.iter().any(|cell| cell.is_filled_by(test)))
         .collect();
-    assert!(homeless.is_empty(), "tests without a cell: {homeless:#?}");
+    assert!(unlisted.is_empty(), "tests without a cell: {unlisted:#?}");
 }
 
-// A cell that is called impossible and has a test would be one mistake or the other.
+// A cell that is marked as not applicable but has a test is wrong in one of the two.
 #[test]
 fn no_cell_is_both_filled_and_not_applicable() {
     for cell in CELLS {
         let (fault, step) = (cell.fault, cell.step);
         assert!(!is_excluded_at(fault, step), "{fault:?} at {step:?}");
         for &promise in cell.promises {
-            assert!(!is_excluded_of(fault, promise), "{fault:?} of {promise:?}");
+            assert!(!is_excluded_for(fault, promise), "{fault:?} of {promise:?}");
         }
     }
 }
 
-// The page in the repository is what readers see, so it must be what the table gives.
+// The page in the repository is what readers see, so it must match the table.
 #[test]
 fn the_page_is_what_the_table_gives() {
     let page = page();
--- a/tests/all/once.rs
+++ b/tests/all/once.rs
@@ -1,4 +1,4 @@
-//! Requests that must not run twice, repeated through several instances.
+//! Non-idempotent requests that are repeated through several instances.
 
 use std::thread;
 
@@ -13,7 +13,7 @@
 use crate::support::SiteSettings;
 use crate::support::call;
 
-/// A booking under an idempotency key. The marker is the key too, so that effects can be counted.
+/// A booking with an idempotency key. The marker is the same, so that effects can be counted.
 fn booking(key: &str) -> Call {
     Call::booking(key).header("idempotency-key", key)
 }
@@ -26,12 +26,12 @@
     task::block_on(site.service.command(command)).unwrap();
 }
 
-/// Sends a booking from a thread of its own, and returns once the service has begun it.
-fn send_slowly(site: &Site, fleet: &Fleet<'_>, number: usize, key: &str) -> thread::JoinHandle<()> {
+/// Sends a booking from a new thread, and returns once the service has started it.
+fn spawn_send(site: &Site, fleet: &Fleet<'_>, number: usize, key: &str) -> thread::JoinHandle<()> {
     let address = fleet.entry(number).listen;
     let booking = booking(key);
     let sender = thread::spawn(move || {
-        // What this caller gets is not what the test is about; it may be cut.
+        // The answer to this caller isn't under test; it may be cut.
         let _ = call(address, &booking);
     });
     while site.service.effects(key) == 0 {
@@ -40,8 +40,8 @@
     sender
 }
 
-/// A caller gives up on its confirmation, though it was made, and sends it again; the balancer picks
-/// another instance. Without the claim that instance would send it to the service a second time.
+/// A caller times out on a confirmation that was made and repeats it, and the balancer picks
+/// another instance. Without the claim, that instance would send it to the service a second time.
 #[test]
 fn a_repeat_through_another_instance_does_not_run_again() {
     let site = Site::start(&SiteSettings::default());
@@ -54,15 +54,15 @@
     assert_eq!(site.service.effects("k-1"), 1);
 }
 
-/// The repeat comes while the first try is still running. It must be neither run nor held, and be
-/// told when to ask again.
+/// A request is repeated while the first attempt is still running. The repeat must neither run nor
+/// block, and the caller must be told when to retry.
 #[test]
 fn a_repeat_of_a_running_request_is_answered_at_once() {
     let site = Site::start(&SiteSettings::default());
     let fleet = Fleet::start(&site, 3);
     let fault = ServiceFault::HangAfter;
     command(&site, ServiceCommand::Fault { fault, times: None });
-    let _sender = send_slowly(&site, &fleet, 0, "k-2");
+    let _sender = spawn_send(&site, &fleet, 0, "k-2");
     let repeat = send(&fleet, 1, "k-2");
     assert_eq!(repeat.status, 409);
     assert_eq!(repeat.header("x-request-ran"), "unknown");
@@ -71,8 +71,9 @@
     command(&site, ServiceCommand::Crash);
 }
 
-/// The service books and dies before it answers. Nobody can tell the caller that it ran, and nobody
-/// may say that it didn't: the repeat is answered "unknown", and the booking stays single.
+/// The service makes the booking and closes the connection before it answers. The instance can't
+/// know that the booking ran and must not say that it didn't: the repeat is answered with
+/// "unknown", and the booking is made once.
 #[test]
 fn a_request_whose_answer_was_lost_stays_unknown() {
     let site = Site::start(&SiteSettings::default());
@@ -93,9 +94,9 @@
     assert_eq!(site.service.effects("k-3"), 1);
 }
 
-/// The entry instance is killed while the service works on the booking. The caller sees its
-/// connection close and repeats through another instance, which finds the claim at the other
-/// members: not run again, and not called "not run".
+/// The entry instance is killed while the service processes the booking. The caller sees its
+/// connection close and repeats the request through another instance, which finds the claim at the
+/// other members: the request is neither run again nor reported as not run.
 #[test]
 fn a_request_whose_instance_was_killed_does_not_run_again() {
     let site = Site::start(&SiteSettings::default());
@@ -108,7 +109,7 @@
             times: Some(1),
         },
     );
-    let sender = send_slowly(&site, &fleet, 0, "k-4");
+    let sender = spawn_send(&site, &fleet, 0, "k-4");
     fleet.members[0].entry.as_mut().unwrap().kill();
     sender.join().unwrap();
     for number in [1, 2, 3] {
@@ -119,8 +120,8 @@
     assert_eq!(site.service.effects("k-4"), 1);
 }
 
-/// No server listens: not a byte left, so the caller is told "not run", and the key is free for the
-/// repeat once the service is back.
+/// No server listens, so that no byte of the request was sent. The caller is told that it did not
+/// run, and the key is free for a repeat once the service is back.
 #[test]
 fn a_request_that_truly_did_not_run_may_be_repeated() {
     let site = Site::start(&SiteSettings::default());
@@ -136,7 +137,7 @@
     assert_eq!(site.service.effects("k-5"), 1);
 }
 
-/// Repeats as a caller would, until something other than "come back later" is answered.
+/// Repeats the request as a caller would, until it isn't asked to retry later.
 fn repeat_until_served(fleet: &Fleet<'_>, key: &str) -> Answer {
     loop {
         let answer = send(fleet, 1, key);
@@ -147,8 +148,9 @@
     }
 }
 
-/// All instances are replaced in turn by a planned stop each, so that at the end none is left that
-/// saw the booking. The records move to each newcomer before it votes; else the repeat would be run.
+/// All instances are replaced in turn by graceful shutdowns, so that no instance is left that saw
+/// the booking. Its record moves to each new instance before that instance votes; otherwise the
+/// repeat would run.
 #[test]
 fn records_outlive_the_planned_replacement_of_all_instances() {
     let site = Site::start(&SiteSettings::default());
--- a/tests/all/orders.rs
+++ b/tests/all/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines by several instances, of which one owns the engines.
+//! Orders to engines by several instances, one of which owns the engines.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -19,24 +19,25 @@
 use crate::support::SiteSettings;
 use crate::support::call;
 
-/// Longer than a new owner waits, and a destructive order.
-const PATIENCE: Duration = Duration::from_secs(90);
+/// Longer than the wait of a new owner plus a destructive order.
+const TIMEOUT: Duration = Duration::from_secs(90);
 
-/// How long a text must stand before an instance unloads what it doesn't want, with some room.
-const DAMPING: Duration = Duration::from_secs(33);
+/// How long a configuration must be active before an instance unloads what it doesn't want, with
+/// some margin.
+const UNLOAD_DELAY: Duration = Duration::from_secs(33);
 
-/// How long a woken instance is watched.
-const WATCH: Duration = Duration::from_secs(10);
+/// How long a resumed instance is observed.
+const OBSERVATION: Duration = Duration::from_secs(10);
 
 fn wait_long(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < PATIENCE, "never happened: {what}");
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(100));
     }
 }
 
-/// A site whose engines check fencing numbers or ignore them.
+/// Starts a site whose engines check fencing numbers or ignore them.
 fn start_site(checks: bool) -> Site {
     Site::start(&SiteSettings {
         engine: EngineSettings {
@@ -48,12 +49,12 @@
     })
 }
 
-/// Publishes a text in which the engines may be ordered, and models are wanted on some of them.
+/// Publishes a configuration that enables orders and wants models on some of the engines.
 fn publish(site: &Site, checks: bool, models: &[(&str, usize)]) {
     site.publish(|text| ordered_text(text, checks, models));
 }
 
-/// Publishes a text that wants the model on both engines, and a role of the first one.
+/// Publishes a configuration that wants the model on both engines, and the first engine in a role.
 fn publish_role(site: &Site, checks: bool, role: &str) {
     let first = "[server fleet/runner-0]\n";
     let with_role = format!("{first}role = {role}\n");
@@ -102,7 +103,7 @@
     limits.any(|limit| limit.limit == "orders/engines-owned" && limit.used > 0)
 }
 
-/// The one running member that owns the engines.
+/// Returns the one running member that owns the engines.
 fn owner(fleet: &Fleet<'_>) -> usize {
     let mut found = Vec::new();
     wait_long("one instance owns the engines", || {
@@ -120,22 +121,22 @@
         .status
 }
 
-/// A text, a newer one that takes it back, and an order that carries the first one out.
+/// A configuration, a newer one that reverts it, and an order that implements the first one.
 struct Change {
     first: fn(&Site, bool),
     second: fn(&Site, bool),
     order: &'static str,
 }
 
-/// Freezes the owner just before it would carry the first text out, lets another instance take over
-/// with the second one, and wakes the first where neither its peers nor the platform can tell it
-/// better. Engines that check numbers have been given the newer one by then. The state of the engines
-/// that the second text wants has to stand all the while.
-fn wake_a_former_owner(checks: bool, change: &Change, stands: impl Fn(&Site) -> bool) {
+/// Freezes the owner just before it would implement the first configuration, lets another instance
+/// take over with the second one, and resumes the first where neither its peers nor the platform
+/// can tell it of the change. Engines that check fencing numbers have seen the newer number by
+/// then. The state of the engines must match the second configuration throughout.
+fn resume_former_owner(checks: bool, change: &Change, is_unchanged: impl Fn(&Site) -> bool) {
     let site = start_site(checks);
     let fleet = Fleet::start_with_links(&site, 3);
     (change.first)(&site, checks);
-    let stated = Instant::now();
+    let published = Instant::now();
     fleet.wait_active(2);
     let old = owner(&fleet);
     fleet.entry(old).signal("STOP");
@@ -150,27 +151,28 @@
         });
         assert_eq!(order(site.engines[0].addr(), change.order), 409);
     }
-    // Until the frozen one is due, were it still the owner.
-    thread::sleep(DAMPING.saturating_sub(stated.elapsed()));
+    // Until the frozen instance's order would be due if it were still the owner.
+    thread::sleep(UNLOAD_DELAY.saturating_sub(published.elapsed()));
     fleet.links.partition(&[old], &others);
     site.command_platform(PlatformCommand::Frozen { on: true });
     fleet.entry(old).signal("CONT");
-    let woken = Instant::now();
-    while woken.elapsed() < WATCH {
-        assert!(stands(&site));
+    let resumed = Instant::now();
+    while resumed.elapsed() < OBSERVATION {
+        assert!(is_unchanged(&site));
         thread::sleep(Duration::from_millis(20));
     }
     assert_eq!(fleet.entry(old).status().config.revision, 2);
     site.command_platform(PlatformCommand::Frozen { on: false });
     fleet.links.heal();
     fleet.wait_active(3);
-    assert!(stands(&site));
+    assert!(is_unchanged(&site));
 }
 
-/// The owner is frozen just before it would unload a model that its text wants on one engine only.
-/// Meanwhile a newer text wants the model on both, and another instance owns the engines. The first
-/// one wakes with the old text, sure that it is the owner and that the unload is due. Engines that
-/// check numbers refuse it; from those that don't, it must keep away by itself.
+/// The owner is frozen just before it would unload a model that its configuration wants on one
+/// engine only. Meanwhile a newer configuration wants the model on both, and another instance owns
+/// the engines. The former owner resumes with the old configuration, assuming that it is the owner
+/// and that the unload is due. Engines that check fencing numbers refuse it; with the others, the
+/// instance itself must not send it.
 #[test_case(true; "engines that check")]
 #[test_case(false; "engines that ignore")]
 fn a_woken_owner_unloads_nothing(checks: bool) {
@@ -179,10 +181,10 @@
         second: |site, checks| publish(site, checks, &[("m", 2)]),
         order: r#"{"fence": 2, "kind": "unload", "model": "m"}"#,
     };
-    wake_a_former_owner(checks, &change, |site| holders(site, "m") == 2);
+    resume_former_owner(checks, &change, |site| holders(site, "m") == 2);
 }
 
-/// Orders to take another role that the engines obeyed.
+/// Returns the number of role orders that the engines obeyed.
 fn role_changes(site: &Site) -> usize {
     let stats = site.engines.iter().map(|engine| engine.stats());
     let orders = stats.flat_map(|stats| stats.orders);
@@ -190,10 +192,11 @@
     roles.count()
 }
 
-/// The owner is frozen just before it would give an engine a role without whole requests. Meanwhile a
-/// newer text wants the former role, and another instance owns the engines. The first one wakes with
-/// the old text, sure that it is the owner and that the change is due; obeyed, it would end what the
-/// engine does for its callers. Engines that check numbers refuse it; from the others it must keep away.
+/// The owner is frozen just before it would give an engine a role in which it serves no complete
+/// requests. Meanwhile a newer configuration wants the former role, and another instance owns the
+/// engines. The former owner resumes with the old configuration, assuming that it is the owner and
+/// that the change is due; if obeyed, it would end the engine's work for its callers. Engines that
+/// check fencing numbers refuse it; with the others, the instance itself must not send it.
 #[test_case(true; "engines that check")]
 #[test_case(false; "engines that ignore")]
 fn a_woken_owner_changes_no_role(checks: bool) {
@@ -202,11 +205,12 @@
         second: |site, checks| publish_role(site, checks, "both"),
         order: r#"{"fence": 2, "kind": "role", "role": "prefill"}"#,
     };
-    wake_a_former_owner(checks, &change, |site| role_changes(site) == 0);
+    resume_former_owner(checks, &change, |site| role_changes(site) == 0);
 }
 
-/// Two engines serve a model, and a text gives the first one another role. It is ordered once, and
-/// callers notice nothing: requests go to the other engine, before the change already.
+/// Two engines serve a model, and a configuration gives the first one another role. The role is
+/// ordered once, and callers notice nothing: requests go to the other engine even before the
+/// change.
 #[test]
 fn an_engine_takes_the_role_that_the_text_wants() {
     let site = start_site(true);
@@ -226,10 +230,11 @@
     assert_eq!(reports(&site)[1].role, EngineRole::Both);
 }
 
-/// The owner is killed, and a new text wants another model on both engines. A new owner waits until
-/// the former one's orders can't come any more, then loads it; the model's callers are served.
+/// The owner is killed, and a new configuration wants another model on both engines. A new owner
+/// waits until orders of the former owner can no longer arrive, then loads the model; its callers
+/// are served.
 #[test]
-fn a_new_owner_carries_the_text_out() {
+fn a_new_owner_applies_the_configuration() {
     let site = start_site(false);
     let mut fleet = Fleet::start(&site, 3);
     publish(&site, false, &[("m", 2)]);
@@ -247,8 +252,8 @@
     });
 }
 
-/// Two engines hold a model that the text wants on one. The spare replica goes, the other stays, and
-/// callers notice nothing: a request that was sent to the engine just after its unload would be
+/// Two engines hold a model that the configuration wants on one. One replica is unloaded, the other
+/// stays, and callers notice nothing: a request sent to the engine just after its unload would be
 /// answered that the model is unknown.
 #[test]
 fn a_spare_replica_is_unloaded() {
--- a/tests/all/pair_faults.rs
+++ b/tests/all/pair_faults.rs
@@ -1,4 +1,4 @@
-//! Two faults at once: entry processes that are frozen or stopped while something else fails.
+//! Two faults at once: entry processes that are frozen or shut down while something else fails.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -23,8 +23,9 @@
     }
 }
 
-// A stop is asked for and the engine dies in the middle of a stream. The stop must not hide the cut:
-// the caller sees that its answer isn't whole, and the process still ends by itself.
+// The engine crashes in the middle of a stream during a graceful shutdown. The shutdown must not
+// hide the cut: the caller sees that its answer is incomplete, and the process still exits by
+// itself.
 #[test]
 fn a_crash_during_a_planned_stop_is_a_visible_cut() {
     let site = Site::start(&one_slot());
@@ -40,8 +41,8 @@
     assert_eq!(site.runs("cut"), 1);
 }
 
-// A stop is asked for, the engine hangs, and then the caller leaves. Nobody waits for the answer any
-// more, so the process must end now rather than at the bound of the drain.
+// During a graceful shutdown the engine hangs, and then the caller disconnects. The process must
+// exit at once rather than at the drain timeout.
 #[test]
 fn a_planned_stop_does_not_wait_for_callers_that_left() {
     let site = Site::start(&one_slot());
@@ -56,12 +57,12 @@
     assert!(entry.wait_exit());
     assert!(
         start.elapsed() < Duration::from_secs(10),
-        "waited for nobody"
+        "waited for a caller that had left"
     );
 }
 
-// A process is stopped, the configuration changes, and it wakes. It must not serve a withdrawn key
-// for more than a few seconds: what it knows is older than it believes.
+// The configuration changes while a process is frozen. After it resumes, it must not serve a
+// revoked key for more than a few seconds, although its state is older than it believes.
 #[test]
 fn a_frozen_instance_takes_the_change_it_missed() {
     let site = Site::start(&SiteSettings::default());
@@ -79,8 +80,8 @@
     assert_ne!(answer.status, 200);
 }
 
-// A process is stopped while the platform goes down, and it wakes to a platform that doesn't answer.
-// It keeps the configuration that it holds and serves on.
+// The platform goes down while a process is frozen. After it resumes, the process keeps its
+// configuration and serves requests.
 #[test]
 fn a_frozen_instance_that_wakes_to_an_outage_serves_on() {
     let site = Site::start(&SiteSettings::default());
@@ -97,8 +98,9 @@
     assert_eq!(entry.status().config.revision, 1);
 }
 
-// A process is stopped in the middle of a stream, its engine dies, and it wakes. It must not take the
-// bytes that it finds for a whole answer, nor run the request again: the caller sees a cut.
+// The engine crashes while a process is frozen in the middle of a stream. After it resumes, the
+// process must neither take the received bytes for a complete answer nor run the request again: the
+// caller sees a cut.
 #[test]
 fn a_frozen_instance_relays_the_cut_of_its_engine() {
     let site = Site::start(&one_slot());
@@ -115,10 +117,10 @@
     assert_eq!(site.runs("cut"), 1);
 }
 
-// A process is stopped, its caller leaves, and it wakes. The engine's work for nobody is cancelled
-// soon after, and the slot comes back.
+// The caller disconnects while a process is frozen. Soon after it resumes, the engine's work is
+// cancelled and the slot is released.
 #[test]
-fn a_frozen_instance_notices_who_left_meanwhile() {
+fn a_frozen_instance_cancels_the_work_of_a_caller_that_left() {
     let site = Site::start(&one_slot());
     let entry = site.entry("entry-1");
     let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 5000).marked("gone"));
@@ -132,8 +134,9 @@
     site.assert_recovers(&entry);
 }
 
-// A process is stopped, a server shuts down in the meantime, and it wakes with a list that still
-// calls the server live. No caller notices: the others serve, and the one that is gone gets nothing.
+// A server shuts down while a process is frozen, and the process resumes with a list that still
+// calls the server live. No caller notices: the other servers answer, and the one that is gone gets
+// no work.
 #[test]
 fn a_frozen_instance_wakes_to_a_server_that_left() {
     let site = Site::start(&SiteSettings::default());
@@ -152,8 +155,8 @@
     entry.wait_idle();
 }
 
-// A stop is asked for while the process is frozen, and it wakes. It stops as planned: the stream in
-// progress goes on to its end before the process does.
+// A graceful shutdown is requested while the process is frozen. After it resumes, the stream in
+// progress completes before the process exits.
 #[test]
 fn a_frozen_instance_stops_as_planned_when_it_wakes() {
     let site = Site::start(&one_slot());
@@ -169,8 +172,8 @@
     assert!(entry.wait_exit());
 }
 
-// The platform goes down during a planned stop. The stop needs nothing of it: the stream in progress
-// goes on to its end, and the process ends by itself.
+// The platform goes down during a graceful shutdown, which doesn't depend on it: the stream in
+// progress completes, and the process exits by itself.
 #[test]
 fn a_planned_stop_needs_no_platform() {
     let site = Site::start(&one_slot());
@@ -184,8 +187,8 @@
     assert!(entry.wait_exit());
 }
 
-// A stop is asked for while a queue waits, and then one of two engines dies. Each request that was in
-// progress gets its whole answer from the engine that is left, and the process ends by itself.
+// One of two engines crashes during a graceful shutdown with queued requests. Each request in
+// progress gets its complete answer from the other engine, and the process exits by itself.
 #[test]
 fn a_crash_during_a_planned_stop_loses_no_queue() {
     let site = Site::start(&SiteSettings {
@@ -208,10 +211,11 @@
     assert!(entry.wait_exit());
 }
 
-// A process is stopped while a request waits for its first byte, its engine dies, and it wakes. Nothing
-// was relayed and the request is idempotent, so the other engine gets it and the caller a whole answer.
+// The engine crashes while a process is frozen and a request waits for its first byte. Nothing was
+// relayed and the request is idempotent, so it is retried on the other engine and the caller gets a
+// complete answer.
 #[test]
-fn a_frozen_instance_repeats_what_its_dead_engine_had() {
+fn a_frozen_instance_retries_the_request_of_a_crashed_engine() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
     site.command_all_engines(&EngineCommand::Batch {
@@ -233,10 +237,10 @@
     entry.wait_idle();
 }
 
-// A process is stopped, a caller leaves its queue, and it wakes; then the slot comes free. The request
-// of the caller that left is not started for nobody; the one behind it takes the slot.
+// A caller with a queued request disconnects while the process is frozen; then the slot is
+// released. The request of that caller is not started, and the one behind it takes the slot.
 #[test]
-fn a_frozen_instance_starts_nothing_for_who_left_its_queue() {
+fn a_frozen_instance_does_not_start_the_request_of_a_caller_that_left() {
     let site = Site::start(&one_slot());
     let entry = site.entry("entry-1");
     let first = RawCaller::send(entry.listen, &Call::batch(5000).marked("first"));
--- a/tests/all/path.rs
+++ b/tests/all/path.rs
@@ -1,4 +1,4 @@
-//! The whole path: a caller, an entry instance, a backend server, and the platform beside them.
+//! Requests end to end: a caller, an entry instance, a backend server and the platform.
 
 use http_types::Method;
 use test_case::test_case;
--- a/tests/all/process_faults.rs
+++ b/tests/all/process_faults.rs
@@ -1,4 +1,4 @@
-//! Entry processes that are frozen, killed or stopped as planned.
+//! Entry processes that are frozen, killed or shut down gracefully.
 
 use std::io::Write;
 use std::thread;
@@ -21,14 +21,14 @@
 use crate::support::spawn_call;
 use crate::support::wait;
 
-/// Notice and drain of the site's settings, with room for a busy machine.
-const DRAINED: Duration = Duration::from_secs(30);
+/// The site's notice period and drain timeout, with tolerance for a busy machine.
+const SHUTDOWN_BOUND: Duration = Duration::from_secs(30);
 
-/// Longer than a connection to a server may take to open.
-const CONNECT_BOUND: Duration = Duration::from_millis(1_300);
+/// Longer than the connect timeout to a server.
+const PAUSE: Duration = Duration::from_millis(1_300);
 
-/// Far less than the drain, for a stop that has nothing to wait for.
-const SOON: Duration = Duration::from_secs(10);
+/// Much shorter than the drain timeout, for a shutdown that has nothing to wait for.
+const IDLE_SHUTDOWN_BOUND: Duration = Duration::from_secs(10);
 
 fn one_slot() -> SiteSettings {
     SiteSettings {
@@ -50,8 +50,9 @@
     entry.wait_for("/health", |answer| answer.status == 503);
 }
 
-// A stop is asked for while an answer streams. The health answer fails first, new callers are still
-// served until the balancer noticed, then the listener closes; the stream goes on to its end.
+// A graceful shutdown is requested while an answer streams. The health check fails first, new
+// callers are still served during the notice period, then the listener closes; the stream
+// completes.
 #[test]
 fn a_planned_stop_cuts_no_stream() {
     let site = Site::start(&SiteSettings::default());
@@ -61,7 +62,10 @@
     entry.signal("TERM");
     wait_draining(&entry);
     let during = call(entry.listen, &Call::chat(true, 2));
-    assert!(during.unwrap().whole, "the notice serves on");
+    assert!(
+        during.unwrap().whole,
+        "the instance serves during the notice period"
+    );
     entry.wait_closed();
     assert!(caller.read_until("[DONE]\n\n\r\n0\r\n\r\n"), "cut");
     assert!(caller.text().contains("last 149 "));
@@ -69,8 +73,9 @@
     assert_eq!(site.runs("last"), 1);
 }
 
-// A stop is asked for while requests are queued, are connecting, wait for their first byte, or have
-// sent half a body. Each was in progress when the listener closed, so each gets its whole answer.
+// A graceful shutdown is requested while requests are queued, wait for their first byte, or have
+// sent half of their body. Each was in progress when the listener closed, so each gets its complete
+// answer.
 #[test_case("queued"; "queued")]
 #[test_case("first-byte"; "waiting for the first byte")]
 #[test_case("body"; "before reading the body")]
@@ -110,8 +115,8 @@
     assert_eq!(site.runs("mine"), 1);
 }
 
-// A caller keeps an idle connection while the instance stops. The connection is closed without an
-// answer being lost: a request that comes during the notice is answered, and the process ends.
+// A caller keeps an idle connection while the instance shuts down. A request that arrives on it
+// during the notice period is answered, then the connection is closed and the process exits.
 #[test]
 fn a_planned_stop_ends_idle_connections() {
     let site = Site::start(&SiteSettings::default());
@@ -130,11 +135,14 @@
         "{text}"
     );
     assert!(entry.wait_exit());
-    assert!(start.elapsed() < SOON, "waited for an idle connection");
+    assert!(
+        start.elapsed() < IDLE_SHUTDOWN_BOUND,
+        "waited for an idle connection"
+    );
 }
 
-// A request never ends and the stop has a bound. At the bound the process ends, and what the caller
-// has is visibly cut, never an answer that looks whole.
+// A request doesn't end within the drain timeout. At the timeout the process exits, and the
+// caller's answer is visibly cut, never one that looks complete.
 #[test]
 fn a_planned_stop_ends_at_its_bound() {
     let site = Site::start(&one_slot());
@@ -146,7 +154,7 @@
     let start = Instant::now();
     caller.read_to_end();
     assert!(
-        start.elapsed() < DRAINED,
+        start.elapsed() < SHUTDOWN_BOUND,
         "it drained for {:?}",
         start.elapsed()
     );
@@ -155,9 +163,9 @@
     wait("the engine's work is cancelled", || site.held() == 0);
 }
 
-// An instance is killed while its requests are at an engine or at a plain service. Callers see their
-// connections end without an end of the answer; the engine's work is cancelled with the connection,
-// and the booking that may have run is not run again by anyone.
+// An instance is killed while it has requests at an engine and at a plain service. Callers see
+// their connections end without a complete answer, the engine's work is cancelled with the
+// connection, and the booking, which may have run, isn't run again.
 #[test]
 fn a_killed_instance_leaves_visible_cuts_and_no_work() {
     let site = Site::start(&SiteSettings {
@@ -182,8 +190,8 @@
     assert_eq!(site.effects("killed"), 1);
 }
 
-// An instance is killed while one of its requests is queued. The request never reaches an engine,
-// and another instance serves the caller that comes again.
+// An instance is killed while it has a queued request. The request never reaches an engine, and
+// another instance serves the caller's repeat.
 #[test]
 fn a_killed_instance_never_runs_what_was_queued() {
     let site = Site::start(&one_slot());
@@ -201,8 +209,8 @@
     drop(first);
 }
 
-// A process is stopped in the middle of a stream and woken. The engine went on meanwhile, the bytes
-// lie in the sockets, and the caller gets every one of them in order.
+// A process is frozen in the middle of a stream and resumes. The engine continues meanwhile, the
+// bytes wait in the socket buffers, and the caller gets all of them in order.
 #[test]
 fn a_frozen_instance_goes_on_with_its_streams() {
     let site = Site::start(&SiteSettings::default());
@@ -217,9 +225,9 @@
     entry.wait_idle();
 }
 
-// A process is stopped while a request waits for its first byte, and woken after its engine is done.
-// A time-out that ended in the pause says nothing about the engine: the answer lies unread in the
-// socket. The request must not be sent a second time.
+// A process is frozen while a request waits for its first byte, and resumes after the engine has
+// answered. A timeout that expired during the pause says nothing about the engine, whose answer
+// waits unread in the socket. The request must not be sent again.
 #[test]
 fn a_frozen_instance_repeats_nothing_that_was_answered() {
     let site = Site::start(&SiteSettings::default());
@@ -240,8 +248,8 @@
     entry.wait_idle();
 }
 
-// A process is stopped with requests in its queue and woken after their bound. An answer is of no
-// use to their callers any more: they are told that nothing ran, and nothing does.
+// A process is frozen with queued requests and resumes after their deadline. The callers can no
+// longer use an answer: they are told that nothing ran, and nothing does.
 #[test]
 fn a_frozen_instance_starts_nothing_that_is_overdue() {
     let site = Site::start(&one_slot());
@@ -262,8 +270,8 @@
     assert_eq!(site.runs("late"), 0);
 }
 
-// An instance is killed while a caller keeps an idle connection after its answer. The connection ends
-// without a byte more, so that the answer before can't be taken for cut or continued.
+// An instance is killed while a caller keeps an idle connection after its answer. The connection
+// ends without another byte, so that the earlier answer can't be taken for cut or continued.
 #[test]
 fn a_killed_instance_adds_nothing_to_an_idle_connection() {
     let site = Site::start(&SiteSettings::default());
@@ -276,8 +284,9 @@
     assert!(idle.is_whole());
 }
 
-// A caller sends its next request on an idle connection while the process is frozen. The bytes wait in
-// the socket, and the caller gets the whole answer after the process woke; the request runs once.
+// A caller sends its next request on an idle connection while the process is frozen. The bytes wait
+// in the socket, and the caller gets the complete answer after the process resumes; the request
+// runs once.
 #[test]
 fn a_frozen_instance_answers_what_came_on_an_idle_connection() {
     let site = Site::start(&SiteSettings::default());
@@ -295,8 +304,8 @@
     assert_eq!(site.runs("two"), 1);
 }
 
-// The engine has said its last token but not the end of the stream when the instance is killed. All
-// tokens are there, yet the caller must not take them for a whole answer.
+// The instance is killed when the engine has sent its last token but not the end of the stream. The
+// caller must not take the tokens for a complete answer.
 #[test]
 fn a_killed_instance_cuts_before_the_last_byte() {
     let site = Site::start(&SiteSettings::default());
@@ -311,8 +320,9 @@
     assert_eq!(site.runs("cut"), 1);
 }
 
-// A stop is asked for, or the process is frozen and woken, when the last token is relayed and the end
-// of the stream isn't. The end that comes late is relayed too: the answer is whole.
+// A graceful shutdown is requested, or the process is frozen and resumed, when the last token has
+// been relayed but the end of the stream hasn't. The late end is relayed too: the answer is
+// complete.
 #[test_case("TERM"; "planned stop")]
 #[test_case("STOP"; "frozen and woken")]
 fn the_last_byte_is_relayed_whatever_the_signal(signal: &str) {
@@ -342,11 +352,11 @@
     }
 }
 
-// A stop is asked for in the middle of a burst of the nightly batch. During the notice live requests
-// still come: each is served before the batch that waits. The batch isn't dropped for the stop either;
-// it finishes before the process ends.
+// A graceful shutdown is requested in the middle of a batch burst. Interactive requests that arrive
+// during the notice period are served before the queued batch requests, and the batch still
+// finishes before the process exits.
 #[test]
-fn a_planned_stop_in_a_burst_keeps_its_promises() {
+fn a_planned_stop_in_a_burst_serves_live_requests_first_and_drops_nothing() {
     let site = Site::start(&SiteSettings {
         engines: 1,
         concurrency: 4,
@@ -358,12 +368,15 @@
         .collect();
     wait("the batch waits", || entry.queued("batch") >= 16);
     entry.signal("TERM");
-    let live = (0..4).map(|_| spawn_call(entry.listen, &Call::chat(true, 2)));
-    for answer in live.collect::<Vec<_>>() {
+    let interactive = (0..4).map(|_| spawn_call(entry.listen, &Call::chat(true, 2)));
+    for answer in interactive.collect::<Vec<_>>() {
         let answer = answer.join().unwrap().unwrap();
         assert!(answer.status == 200 && answer.whole, "{}", answer.body);
     }
-    assert!(entry.queued("batch") > 0, "the live ones waited for it");
+    assert!(
+        entry.queued("batch") > 0,
+        "the interactive requests waited for the batch"
+    );
     for answer in batch {
         let answer = answer.join().unwrap().unwrap();
         assert!(answer.status == 200 && answer.whole, "{}", answer.body);
@@ -371,11 +384,12 @@
     assert!(entry.wait_exit());
 }
 
-// A process is stopped when its requests have just come, for longer than a connection may take to open,
-// and woken. Servers accepted within microseconds; the bound passed in the pause alone. It says nothing
-// of the servers: every caller gets its whole answer, and no server counts as failed.
+// A process is frozen just as it connects for new requests, for longer than the connect timeout,
+// and resumes. The servers accepted within microseconds and the timeout expired during the pause
+// only, so it says nothing about them: every caller gets its complete answer, and no server counts
+// as failed.
 #[test]
-fn a_frozen_instance_blames_no_server_for_its_pause() {
+fn a_frozen_instance_counts_no_server_as_failed() {
     let site = Site::start(&SiteSettings {
         engines: 1,
         concurrency: 32,
@@ -389,7 +403,7 @@
     wait("all are about to connect", || entry.held("claimed") == 16);
     entry.release("claimed");
     entry.signal("STOP");
-    thread::sleep(CONNECT_BOUND);
+    thread::sleep(PAUSE);
     entry.signal("CONT");
     for answer in calls {
         let answer = answer.join().unwrap().unwrap();
--- a/tests/all/sending_faults.rs
+++ b/tests/all/sending_faults.rs
@@ -1,4 +1,4 @@
-//! Faults while a connection is opened or a request is on its way to its server.
+//! Faults while a connection is being opened or a request is being sent to its server.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -19,19 +19,18 @@
 use crate::support::wait;
 use crate::support::wait_cut;
 
-/// More than the sockets' buffers hold, so that a server which doesn't read stops the sender.
-const LARGE: usize = 4_000_000;
+/// More bytes than the socket buffers hold, so that a server that doesn't read blocks the sender.
+const LARGE_BODY: usize = 4_000_000;
 
-/// A booking whose body doesn't fit into the sockets' buffers.
+/// A booking whose body doesn't fit into the socket buffers.
 fn large_booking(marker: &str) -> Call {
     Call {
-        body: "x".repeat(LARGE),
+        body: "x".repeat(LARGE_BODY),
         ..Call::booking(marker)
     }
 }
 
-/// An instance for which the first server of the plain service, or the first engine, is at
-/// `address` instead.
+/// Starts an instance whose configuration has `address` in place of the server address `old`.
 fn entry_with(site: &Site, old: SocketAddr, address: SocketAddr) -> Entry {
     site.publish(|text| text.replace(&old.to_string(), &address.to_string()));
     let entry = site.entry("entry-1");
@@ -39,8 +38,8 @@
     entry
 }
 
-// A server doesn't finish taking in a booking and closes its connection. Some of the bytes left, so
-// the booking may have been made: the caller hears "unknown", and the second server gets nothing.
+// A server closes its connection before it has read a whole booking. Some bytes were sent, so the
+// booking may have been made: the caller is told "unknown", and the second server gets nothing.
 #[test]
 fn a_booking_cut_while_it_is_sent_is_not_repeated() {
     let site = Site::start(&SiteSettings::default());
@@ -69,15 +68,16 @@
     assert!(!server.has_request() && !second.has_request(), "sent again");
 }
 
-// An engine takes in half of a request and closes its connection. The request is idempotent and no
-// byte of an answer was relayed, so the other engine gets it and the caller sees a whole answer.
+// An engine reads half of a request and closes its connection. The request is idempotent and no
+// byte of an answer was relayed, so it is retried on the other engine and the caller gets a
+// complete answer.
 #[test]
 fn a_model_call_cut_while_it_is_sent_goes_elsewhere() {
     let site = Site::start(&SiteSettings::default());
     let server = RawServer::start();
     let entry = entry_with(&site, site.engines[0].addr(), server.addr());
     let cuts = server.cut_all();
-    let padding = format!("{{\"metadata\":\"{}\",", "x".repeat(LARGE / 2));
+    let padding = format!("{{\"metadata\":\"{}\",", "x".repeat(LARGE_BODY / 2));
     let mut number = 0;
     wait("the server that cuts got a request", || {
         number += 1;
@@ -90,8 +90,8 @@
     entry.wait_idle();
 }
 
-// A server stops taking in a request, and the caller leaves. The request isn't finished for nobody:
-// the connection is cut and the slot comes back.
+// A server stops reading a request, and the caller disconnects. The request isn't sent any further:
+// the connection is closed and the slot is released.
 #[test]
 fn a_caller_gone_while_its_request_is_sent_cuts_it() {
     let site = Site::start(&SiteSettings::default());
@@ -105,8 +105,8 @@
     wait_cut(stream);
 }
 
-// A stop is asked for while a server is still taking in a request. The rest is sent and the answer
-// relayed before the process ends.
+// A graceful shutdown is requested while a server is still reading a request. The rest is sent and
+// the answer relayed before the process exits.
 #[test]
 fn a_planned_stop_finishes_what_is_being_sent() {
     let site = Site::start(&SiteSettings::default());
@@ -116,14 +116,14 @@
     let stream = server.accept();
     entry.signal("TERM");
     entry.wait_closed();
-    answer_rest(stream, LARGE);
+    answer_rest(stream, LARGE_BODY);
     let answer = caller.join().unwrap().unwrap();
     assert!(answer.status == 200 && answer.whole && answer.body == "ok");
     assert!(entry.wait_exit());
 }
 
-// A process is stopped while a server takes in its request, and woken. The rest is sent as if
-// nothing had been; the server sees one request, and the caller its answer.
+// A process is frozen while a server reads its request, and resumes. The rest is sent as usual; the
+// server sees one request, and the caller gets its answer.
 #[test]
 fn a_frozen_instance_finishes_what_is_being_sent() {
     let site = Site::start(&SiteSettings::default());
@@ -133,15 +133,16 @@
     let stream = server.accept();
     entry.signal("STOP");
     entry.signal("CONT");
-    answer_rest(stream, LARGE);
+    answer_rest(stream, LARGE_BODY);
     let answer = caller.join().unwrap().unwrap();
     assert!(answer.status == 200 && answer.whole && answer.body == "ok");
     entry.wait_idle();
     assert!(!server.has_request(), "sent again");
 }
 
-// Packets to one server vanish, so that connecting to it hangs. The bound on connecting proves that
-// nothing was sent: a booking goes to the other server, runs there once, and its caller waits little.
+// Packets to one server are dropped, so that connecting to it hangs. The connect timeout proves
+// that nothing was sent: a booking goes to the other server, runs there once, and its caller waits
+// only briefly.
 #[test]
 fn a_server_behind_a_partition_is_given_up_while_connecting() {
     let site = Site::start(&SiteSettings {
@@ -163,8 +164,8 @@
     entry.wait_idle();
 }
 
-// Packets to the only server vanish. The caller is told that nothing ran, which the server that
-// nobody reached confirms, and the slot comes back.
+// Packets to the only server are dropped. The caller is told that nothing ran, which the unreached
+// server confirms, and the slot is released.
 #[test]
 fn behind_a_partition_nothing_ran() {
     let site = Site::start(&SiteSettings::default());
@@ -178,8 +179,8 @@
     drop(waiting);
 }
 
-// A caller leaves while its request waits for a connection that hangs. The slot comes back because the
-// caller is gone, and not only when the bound on connecting has passed: it counts as cancelled.
+// A caller disconnects while its request waits for a connection that hangs. The slot is released
+// because the caller left rather than at the connect timeout: the request counts as cancelled.
 #[test]
 fn a_caller_gone_while_connecting_gives_its_slot_back() {
     let site = Site::start(&SiteSettings::default());
@@ -194,8 +195,8 @@
     drop(waiting);
 }
 
-// The only server of a booking dies when it has taken in half of it. Some of the bytes left, so the
-// caller hears "unknown" and no invitation to come back, and the slot comes back.
+// The only server of a booking crashes when it has read half of it. Some bytes were sent, so the
+// caller is told "unknown" without a time to retry, and the slot is released.
 #[test]
 fn a_booking_whose_server_crashes_while_it_is_sent_is_unknown() {
     let site = Site::start(&SiteSettings::default());
@@ -212,9 +213,9 @@
     entry.wait_idle();
 }
 
-// A server answers 503 to a booking whose body it hasn't read, and closes. A status proves nothing, and
-// bytes left: whichever of answer and cut the instance sees, the booking is sent once and nobody is
-// told that it didn't run.
+// A server answers 503 to a booking whose body it hasn't read, and closes the connection. The
+// status proves nothing, and bytes were sent: whether the instance sees the answer or the closed
+// connection, the booking is sent once and nobody is told that it didn't run.
 #[test]
 fn a_booking_answered_unavailable_while_it_is_sent_is_sent_once() {
     let site = Site::start(&SiteSettings::default());
@@ -232,7 +233,8 @@
     assert!(!server.has_request(), "sent again");
 }
 
-/// A site with one engine behind a relay, and an instance that reaches it through the relay alone.
+/// A site with one engine behind a relay, and an instance that reaches the engine through the relay
+/// only.
 fn relayed_engine() -> (Site, Relay, Entry) {
     let site = Site::start(&SiteSettings {
         engines: 1,
@@ -243,9 +245,10 @@
     (site, relay, entry)
 }
 
-// What the instance sends to an engine is lost from the middle of a stream on, while the engine's bytes
-// still come. A caller that stays gets its whole answer. One that leaves is forgotten by the instance,
-// although the engine can't be told: the slot comes back, and the engine's work runs out by itself.
+// What the instance sends to an engine is dropped from the middle of a stream on, while the
+// engine's bytes still arrive. A caller that stays gets its complete answer. For one that
+// disconnects, the slot is released although the engine can't be told; the engine's work ends by
+// itself.
 #[test]
 fn a_partition_towards_the_engine_cuts_no_stream() {
     let (site, relay, entry) = relayed_engine();
@@ -254,7 +257,7 @@
     assert!(stays.read_until("stays 1 ") && leaves.read_until("leaves 1 "));
     relay.cut_to_server();
     drop(leaves);
-    wait("the slot of the one that left is back", || {
+    wait("the slot of the caller that left is released", || {
         entry.running("chat") == 1
     });
     assert!(stays.read_until("[DONE]\n\n\r\n0\r\n\r\n"), "cut");
@@ -263,8 +266,9 @@
     assert_eq!(site.runs("stays") + site.runs("leaves"), 2);
 }
 
-// What a server sends is lost while a booking waits for its answer. The booking was made, nobody can
-// tell: it isn't sent again, the caller hears "unknown" at its bound, and the slot comes back.
+// What a server sends is dropped while a booking waits for its answer. The booking was made, but
+// the instance can't know: it isn't sent again, the caller is told "unknown" at its deadline, and
+// the slot is released.
 #[test]
 fn a_partition_from_the_server_leaves_a_booking_unknown() {
     let site = Site::start(&SiteSettings::default());
@@ -280,9 +284,9 @@
     entry.wait_idle();
 }
 
-// Packets between an instance and an engine are lost both ways while requests wait for their first
-// byte, as a kept connection finds when the partition came while it was idle. The bound of each ends
-// the wait: it may have run, and the slots come back.
+// Packets between an instance and an engine are dropped in both directions while requests wait for
+// their first byte, as when a partition occurs while a kept connection is idle. The deadline of
+// each request ends the wait: it may have run, and the slots are released.
 #[test]
 fn a_partition_found_by_a_kept_connection_ends_at_the_bound() {
     let (_site, relay, entry) = relayed_engine();
--- a/tests/all/server_faults.rs
+++ b/tests/all/server_faults.rs
@@ -1,4 +1,4 @@
-//! Backend servers that refuse, crash, hang or answer 503 before an answer began.
+//! Backend servers that refuse, crash, hang or answer 503 before an answer has begun.
 
 use crocushold_standins::EngineCommand;
 use crocushold_standins::EngineSettings;
@@ -15,8 +15,8 @@
 use crate::support::spawn_call;
 use crate::support::wait;
 
-/// Requests that teach an instance how soon a first byte comes.
-const LESSONS: usize = 32;
+/// Number of requests from which an instance learns the latency of first bytes.
+const WARM_UP_REQUESTS: usize = 32;
 
 fn one_engine() -> SiteSettings {
     SiteSettings {
@@ -25,7 +25,7 @@
     }
 }
 
-/// A plain service with a second server that could take a repeated call.
+/// A site whose plain service has a second server that could take a repeated call.
 fn two_services() -> SiteSettings {
     SiteSettings {
         services: 2,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Engines whose first token takes many seconds.
+/// A site whose engines take many seconds for the first token.
 fn slow() -> SiteSettings {
     let mut settings = SiteSettings::default();
     settings.engine = EngineSettings {
@@ -52,8 +52,9 @@
     assert!(answer.body.contains(marker), "{}", answer.body);
 }
 
-// One of two engines refuses connections. The caller sees a whole answer, whichever engine the
-// request is first sent to: a refused connection proves that it didn't run, so it goes to the other.
+// One of two engines refuses connections. The caller gets a complete answer, whichever engine is
+// tried first: a refused connection proves that the request didn't run, so it goes to the other
+// engine.
 #[test]
 fn a_refused_connection_is_followed_by_another_server() {
     let site = Site::start(&SiteSettings::default());
@@ -68,8 +69,8 @@
     site.assert_recovers(&entry);
 }
 
-// Every server refuses connections. The caller is told at once, or as soon as its patience ends,
-// that the request was not run, and the stand-ins' counts agree: nothing ran, not even later.
+// Every server refuses connections. The caller is told, at the latest at its deadline, that the
+// request was not run, and the counters of the stand-ins agree: nothing ran, not even later.
 #[test_case(Call::chat(true, 3); "a model call")]
 #[test_case(Call::booking("refused"); "a call that must not run twice")]
 fn without_a_server_the_request_is_told_not_run(request: Call) {
@@ -87,29 +88,30 @@
     assert_eq!(site.runs("refused") + site.effects("refused"), 0);
 }
 
-// An engine dies while a request waits for its first byte. The request is idempotent and nothing of
-// an answer was relayed, so it goes to the other engine and the caller sees one whole answer.
+// An engine crashes while a request waits for its first byte. The request is idempotent and nothing
+// was relayed, so it is retried on the other engine and the caller gets one complete answer.
 #[test]
 fn a_crash_before_the_first_byte_is_followed_by_another_server() {
     let site = Site::start(&slow());
     let entry = site.entry("entry-1");
     let waiting = spawn_call(entry.listen, &Call::chat(true, 3).marked("crash"));
     let first = site.runner("crash");
-    let quick = crocushold_standins::BatchSettings::default();
-    site.command_engine(1 - first, EngineCommand::Batch { settings: quick });
+    let fast = crocushold_standins::BatchSettings::default();
+    site.command_engine(1 - first, EngineCommand::Batch { settings: fast });
     site.command_engine(first, EngineCommand::Crash);
     assert_whole(&waiting.join().unwrap().unwrap(), "crash");
     assert_eq!(site.engines[1 - first].runs("crash"), 1);
     entry.wait_idle();
 }
 
-// One engine stands still before its first byte. An instance that knows how soon first bytes come
-// gives up on it after a multiple of that, and the caller gets a whole answer from the other one.
+// One engine hangs before its first byte. An instance that has learned the latency of first bytes
+// gives up on the engine after a multiple of it, and the caller gets a complete answer from the
+// other engine.
 #[test]
 fn a_hang_before_the_first_byte_is_followed_by_another_server() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
-    for _ in 0..LESSONS {
+    for _ in 0..WARM_UP_REQUESTS {
         call(entry.listen, &Call::chat(true, 1)).unwrap();
     }
     site.command_engine(0, EngineCommand::Hang { on: true });
@@ -127,8 +129,9 @@
     site.assert_recovers(&entry);
 }
 
-// A server answers 503. An idempotent request is repeated at the other server; when all answer so,
-// the caller learns that it may have run, since a status proves nothing about the work.
+// A server answers 503. An idempotent request is retried at the other server; if all servers answer
+// 503, the caller is told that the request may have run, since a status proves nothing about the
+// work.
 #[test_case(1, 200, ""; "one server of two")]
 #[test_case(2, 502, "unknown"; "all servers")]
 fn an_unavailable_server_is_followed_by_another(engines: usize, status: u16, ran: &str) {
@@ -146,8 +149,8 @@
     site.assert_recovers(&entry);
 }
 
-// Engines crash and come back while an instance keeps idle connections to them. The next request
-// must not meet a dead connection as a failure: the caller sees a whole answer that ran once.
+// Engines crash and restart while an instance keeps idle connections to them. A stale connection
+// must not fail the next request: the caller gets a complete answer, and the request runs once.
 #[test]
 fn a_crash_of_idle_connections_is_not_seen() {
     let site = Site::start(&SiteSettings::default());
@@ -163,8 +166,8 @@
     entry.wait_idle();
 }
 
-// A call that must not run twice meets a server that fails after the effect, or refuses. It is sent
-// once whatever happens: the caller hears "unknown", and the effect stands exactly once.
+// The server of a non-idempotent call fails after the call's effect. The call is sent once in any
+// case: the caller is told "unknown", and the effect occurs exactly once.
 #[test_case(ServiceFault::DropAfter; "connection closed after the effect")]
 #[test_case(ServiceFault::CrashAfter; "crash after the effect")]
 #[test_case(ServiceFault::HangAfter; "hang after the effect")]
@@ -179,12 +182,12 @@
     let answer = call(entry.listen, &booking).unwrap();
     assert_eq!(answer.status, 502, "{}", answer.body);
     assert_eq!(answer.header("x-request-ran"), "unknown");
-    assert_eq!(answer.header("retry-after"), "", "an invitation to repeat");
+    assert_eq!(answer.header("retry-after"), "", "asked to retry");
     assert_eq!(site.effects("once"), 1);
     entry.wait_idle();
 }
 
-// A server of a call that must not run twice answers 503. Nothing proves that it had no effect, so
+// The server of a non-idempotent call answers 503. Nothing proves that the call had no effect, so
 // the answer is passed on and the call is sent once.
 #[test]
 fn a_booking_answered_unavailable_is_sent_once() {
@@ -201,9 +204,9 @@
     entry.wait_idle();
 }
 
-// An engine dies while it holds some requests and others are queued behind them. The queued ones never
-// reached it: each gets a whole answer from the engine that is left, as do those that were at the dead
-// one, since they are idempotent and nothing of them was relayed.
+// An engine crashes with requests in flight and others queued. The queued requests never reached
+// it, and those in flight are idempotent and nothing of them was relayed: each gets a complete
+// answer from the remaining engine.
 #[test]
 fn a_crash_beside_a_queue_is_not_seen() {
     let site = Site::start(&SiteSettings {
@@ -230,8 +233,9 @@
     site.assert_recovers(&entry);
 }
 
-// Every engine answers 503 while requests are queued. Each caller gets a final answer, at the latest
-// when the engines work again: whole, or that the request may have run. Nobody is left in the queue.
+// Every engine answers 503 while requests are queued. Each caller gets a final answer, at the
+// latest when the engines work again: a complete answer, or that the request may have run. No
+// request stays in the queue.
 #[test]
 fn engines_that_are_unavailable_leave_nobody_in_the_queue() {
     let site = Site::start(&SiteSettings {
@@ -257,9 +261,9 @@
     site.assert_recovers(&entry);
 }
 
-// An engine dies with a request that was sent to it, and the other engine is full until the caller's
-// bound has passed. The request waits in the queue for its second turn, and the queue, for which nothing
-// of it ran, refuses it: its caller must hear "unknown", and no invitation to come back.
+// An engine crashes with a request that was sent to it, and the other engine is full until the
+// request's deadline. The request waits in the queue for its second attempt and is refused there,
+// where nothing of it has run: its caller must be told "unknown" without a time to retry.
 #[test]
 fn a_request_that_was_sent_is_not_told_not_run_by_the_queue() {
     let mut settings = slow();
--- a/tests/all/step_faults.rs
+++ b/tests/all/step_faults.rs
@@ -1,4 +1,4 @@
-//! Faults between two steps of one process, which only its fail points can hit.
+//! Faults between two steps of one process, which can only be injected at fail points.
 
 use std::thread;
 use std::time::Duration;
@@ -19,10 +19,10 @@
 use crate::support::wait;
 use crate::support::wait_long;
 
-/// Longer than a claim may take from the first vote asked for to the first byte.
+/// Longer than a claim may take from the first vote request to the first byte.
 const CLAIM_BOUND: Duration = Duration::from_millis(5_200);
 
-/// An instance whose only slot for requests is the one that is looked at.
+/// A site with a single slot, which the request under test takes.
 fn one_slot() -> SiteSettings {
     SiteSettings {
         engines: 1,
@@ -35,20 +35,20 @@
     Call::booking(key).header("idempotency-key", key)
 }
 
-/// Repeats a booking as a caller would who is told that the repeat itself did not run, until something
-/// is said of the booking.
+/// Repeats a booking, as a caller does when told that the repeat itself didn't run, until the
+/// answer is about the booking itself.
 fn repeat(entry: &Entry, key: &str) -> Answer {
     let mut last = None;
-    wait("something is said of the booking", || {
+    wait("the answer is about the booking", || {
         let answer = call(entry.listen, &booking(key)).unwrap();
-        let said = answer.header("x-request-ran") != "no";
+        let conclusive = answer.header("x-request-ran") != "no";
         last = Some(answer);
-        said
+        conclusive
     });
     last.unwrap()
 }
 
-/// Sends a booking that stays at a fail point of the instance.
+/// Sends a booking that is blocked at a fail point of the instance.
 fn held_booking(entry: &Entry, point: &str, key: &str) -> RawCaller {
     held(entry, point, &booking(key))
 }
@@ -57,7 +57,8 @@
     entry.hold(point);
     let mut caller = RawCaller::send(entry.listen, booking);
     wait("a booking is held", || {
-        // A member that has just started, or woke late on a busy machine, refuses keys for a moment.
+        // A member that has just started, or was delayed on a busy machine, refuses keys for a
+        // moment.
         if caller.has_bytes() {
             caller = RawCaller::send(entry.listen, booking);
         }
@@ -66,10 +67,11 @@
     caller
 }
 
-// The task of a request panics: with its turn but without a claim, with its claim but no connection,
-// with the head of its answer, or with its last byte. Its caller sees a cut and no answer that looks
-// whole. All that it held must come back, or the only slot would be lost to everybody for ever; and a
-// planned stop that counts the connection as open would last until its bound.
+// The task of a request panics: when it is dispatched but holds no claim, with its claim but no
+// connection, with the head of its answer, or with its last byte. The caller sees a cut and no
+// answer that looks complete. Everything that the request held must be released: otherwise the only
+// slot would be lost for good, and a graceful shutdown that counts the connection as open would
+// last until its timeout.
 #[test_case("dispatched"; "with its turn")]
 #[test_case("claimed"; "connecting")]
 #[test_case("answered"; "with the head of its answer")]
@@ -93,9 +95,9 @@
     assert!(entry.wait_exit());
 }
 
-// The task of a booking panics between its claim and the first byte. Nothing ran, but its instance
-// can't know how far the task had come: a repeat through any instance is not run, and ends as one of
-// which nobody knows.
+// The task of a booking panics between its claim and the first byte. Nothing ran, but the instance
+// can't know how far the task got: a repeat through any instance isn't run and is answered with
+// "unknown".
 #[test]
 fn a_claim_whose_task_panicked_is_unknown() {
     let site = Site::start(&SiteSettings::default());
@@ -112,9 +114,9 @@
     assert_eq!(site.effects("k-1"), 0);
 }
 
-// An instance is killed when a booking's key is claimed and no byte of the booking has left. Nothing
-// ran, but the members only know of the claim: a repeat elsewhere isn't run, as the dead one may
-// have sent its bytes, and ends as one of which nobody knows.
+// An instance is killed after it has claimed a booking's key and before any byte of the booking was
+// sent. Nothing ran, but the members only know of the claim: a repeat elsewhere isn't run, as the
+// killed instance may have sent the booking, and is answered with "unknown".
 #[test]
 fn a_claim_of_a_killed_instance_is_unknown() {
     let site = Site::start(&SiteSettings::default());
@@ -130,9 +132,9 @@
     assert_eq!(site.effects("k-1"), 0);
 }
 
-// A caller hangs up when its booking has its turn, or its claim, and no connection yet. The booking
-// is not sent for nobody, the server's slot comes back, and the repeat with the same key is made at
-// most once and answered truly.
+// A caller disconnects when its booking is dispatched, or has its claim, and no connection yet. The
+// booking is not sent, the server's slot is released, and a repeat with the same key is made at
+// most once and answered truthfully.
 #[test_case("dispatched"; "before its claim")]
 #[test_case("voted"; "with a vote not yet counted")]
 #[test_case("claimed"; "after its claim")]
@@ -143,7 +145,7 @@
     drop(caller);
     entry.release(point);
     entry.wait_idle();
-    assert_eq!(site.effects("k-1"), 0, "sent for nobody");
+    assert_eq!(site.effects("k-1"), 0, "sent after its caller left");
     let repeat = repeat(&entry, "k-1");
     let told = repeat.header("x-request-ran").to_owned();
     match repeat.status {
@@ -152,9 +154,9 @@
     }
 }
 
-// A process stands still between a member's vote and the moment at which it counts the vote, for
-// longer than a claim is good for; the key may be another instance's by then. It must not send on
-// the strength of that vote: the caller hears that nothing ran, and nothing does.
+// A process is frozen between a member's vote and counting that vote, for longer than a claim is
+// valid; another instance may own the key by then. It must not send the booking on the strength of
+// that vote: the caller is told that nothing ran, and nothing does.
 #[test]
 fn a_vote_that_is_counted_late_allows_nothing() {
     let site = Site::start(&SiteSettings::default());
@@ -175,9 +177,9 @@
     entry.wait_idle();
 }
 
-// An engine dies, or the caller leaves, when the head of an answer has come and none of it has been
-// relayed. The caller gets a cut that shows, the engine works for nobody no longer, and both slots
-// come back.
+// An engine crashes, or the caller disconnects, when the head of an answer has arrived and none of
+// it has been relayed. The caller gets a visible cut, the engine's work is cancelled, and both
+// slots are released.
 #[test_case(true; "engine crash")]
 #[test_case(false; "caller gone")]
 fn a_fault_between_head_and_first_byte_leaves_nothing(crash: bool) {
@@ -201,15 +203,16 @@
     assert_eq!(site.runs("mine"), 1);
 }
 
-/// Publishes a text, and has the instance stop short of putting it in force.
+/// Publishes a configuration and blocks the instance just before it activates it.
 fn hold_change(site: &Site, entry: &Entry) {
     entry.hold("applying");
     site.publish(|text| text.replace("format = 1", "format = 1\n# changed\n"));
     entry.wait_held("applying");
 }
 
-// A stop is asked for while a change is received and not yet in force. The stop doesn't wait for the
-// change: the stream in progress is whole, the notice serves on, and the process ends by itself.
+// A graceful shutdown is requested when a change has been received but isn't active. The shutdown
+// doesn't wait for the change: the stream in progress completes, callers are served during the
+// notice period, and the process exits by itself.
 #[test]
 fn a_planned_stop_while_applying_cuts_nothing() {
     let site = Site::start(&one_slot());
@@ -223,9 +226,9 @@
     assert!(entry.wait_exit());
 }
 
-// An instance is killed between receiving a change and putting it in force, and its successor starts
-// on a platform that is behind. The others have the change; the successor must not serve the text
-// before it, which nobody uses any more.
+// An instance is killed between receiving and activating a change, and its replacement starts on a
+// stale platform. The other instances have the change; the replacement must not serve the previous
+// configuration, which no other instance uses any more.
 #[test]
 fn a_kill_while_applying_reverts_nothing() {
     let site = Site::start(&SiteSettings::default());
@@ -241,9 +244,9 @@
     assert_eq!(fleet.entry(0).status().config.revision, 2);
 }
 
-// A process is frozen between receiving a change and putting it in force, and the text changes again
-// meanwhile. It wakes with the older change in its hands: the newer one is in force within seconds,
-// and the older one never comes after it.
+// A process is frozen between receiving and activating a change, and the configuration changes
+// again meanwhile. After it resumes, the newer change is active within seconds, and the older one
+// never replaces it.
 #[test]
 fn a_freeze_while_applying_ends_with_the_newest() {
     let site = Site::start(&SiteSettings::default());
@@ -264,8 +267,8 @@
     assert!(call(entry.listen, &Call::chat(true, 1)).unwrap().whole);
 }
 
-// The platform goes back, or goes down, between the moment at which an instance received a change and
-// the one at which it puts it in force. The change was accepted, so it is in force and stays.
+// The platform goes back to an older revision, or goes down, between receiving and activating a
+// change. The change was accepted, so it becomes active and stays.
 #[test_case(PlatformCommand::GoBack { revision: 1, reuse: false }; "going back")]
 #[test_case(PlatformCommand::Down { on: true }; "down")]
 fn a_platform_that_fails_while_applying_reverts_nothing(fault: PlatformCommand) {
@@ -281,8 +284,8 @@
     assert_eq!(entry.status().config.revision, 2);
 }
 
-/// Publishes a text in which the engines may be ordered and one more model is wanted on both, and has
-/// the instance stop short of its order.
+/// Publishes a configuration that enables orders and wants one more model on both engines, and
+/// blocks the instance just before it sends its order.
 fn hold_order(site: &Site, entry: &Entry, model: &str) {
     entry.hold("ordering");
     site.publish(|text| with_models(text, &[model]));
@@ -313,22 +316,23 @@
         .count()
 }
 
-// An order to load a model is decided and not yet sent when the text that wanted it is replaced. The
-// engines ignore fencing numbers and would obey, so the order must not leave any more. Then a stop is
-// asked for beside another such order. The stop doesn't wait for orders: the stream in progress is
-// whole, and the process ends by itself. (A process that starts waits 25 s before its first order.)
+// An order to load a model has been decided but not sent when the configuration that wanted the
+// model is replaced. The engines ignore fencing numbers and would obey, so the order must no longer
+// be sent. Then a graceful shutdown is requested while another such order is pending. The shutdown
+// doesn't wait for orders: the stream in progress completes, and the process exits by itself. (A
+// process waits 25 s after its start before its first order.)
 #[test]
-fn an_order_that_is_held_is_overtaken_by_a_text_and_by_a_stop() {
+fn a_pending_order_is_dropped_by_a_new_configuration_and_by_a_stop() {
     let site = Site::start(&SiteSettings::default());
     let mut entry = site.entry("entry-1");
     hold_order(&site, &entry, "n");
     site.publish(|text| with_models(text, &["o"]));
     entry.wait_active(3);
     entry.release("ordering");
-    wait("an order of the later text is done", || {
+    wait("an order of the newer configuration is done", || {
         loaded(&site, "o") == 2
     });
-    assert_eq!(loaded(&site, "n"), 0, "loaded for nobody");
+    assert_eq!(loaded(&site, "n"), 0, "loaded although no longer wanted");
     hold_order(&site, &entry, "p");
     let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 60).marked("last"));
     assert!(caller.read_until("last 1 "));
@@ -339,9 +343,9 @@
     assert_eq!(loaded(&site, "p"), 0);
 }
 
-// An instance takes long between the claim of a booking's key and its connection. A caller that
-// doesn't wait repeats the booking through another instance: it is answered at once and runs nothing,
-// and the first caller's booking is made once when its instance goes on.
+// An instance is slow between claiming a booking's key and connecting. A caller that doesn't wait
+// repeats the booking through another instance: the repeat is answered at once and runs nothing,
+// and the first caller's booking is made once when its instance continues.
 #[test]
 fn a_repeat_beside_a_held_claim_is_answered_at_once() {
     let site = Site::start(&SiteSettings::default());
@@ -362,8 +366,8 @@
     assert_eq!(site.effects("k-1"), 1);
 }
 
-// A stop is asked for when a booking's key is claimed and its connection isn't open yet. The booking is
-// in progress: it is sent once and its answer relayed before the process ends.
+// A graceful shutdown is requested when a booking's key is claimed and its connection isn't open
+// yet. The booking is in progress: it is sent once and its answer relayed before the process exits.
 #[test]
 fn a_planned_stop_while_connecting_sends_what_was_claimed() {
     let site = Site::start(&SiteSettings::default());
@@ -382,9 +386,9 @@
     assert_eq!(site.effects("k-1"), 1);
 }
 
-// A process stands still when a booking has its claim and no connection, until its caller's bound has
-// passed. Nobody can use the answer any more: the booking isn't sent, and the caller is told that it
-// did not run, which the service confirms.
+// A process is frozen when a booking has its claim and no connection, until its deadline has
+// passed. The caller can no longer use the answer: the booking isn't sent, and the caller is told
+// that it did not run, which the service confirms.
 #[test]
 fn a_booking_that_is_overdue_before_it_is_sent_is_not_sent() {
     let site = Site::start(&SiteSettings::default());
@@ -405,9 +409,9 @@
     assert_eq!(site.effects("k-1"), 0);
 }
 
-// The task that applies configurations panics with a change in its hands. Callers are served on under
-// the text before, and the change is in force within seconds: an instance that stayed with its text for
-// good would look healthy to everybody.
+// The task that applies configurations panics with a change. Callers are served under the previous
+// configuration, and the change is active within seconds. An instance that kept its old
+// configuration for good would look healthy.
 #[test]
 fn a_panic_while_applying_delays_one_change() {
     let site = Site::start(&SiteSettings::default());
--- a/tests/all/weight_store.rs
+++ b/tests/all/weight_store.rs
@@ -1,4 +1,4 @@
-//! Loads from a rate-limited weight store, ordered by several instances.
+//! Model loads from a rate-limited weight store, ordered by several instances.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -14,29 +14,29 @@
 use crate::support::SiteSettings;
 use crate::support::spawn_call;
 
-/// Loads a minute that the store gives.
-const RATE: u64 = 20;
+/// Rate limit of the store in loads per minute.
+const LOADS_PER_MINUTE: u64 = 20;
 
-/// What the store gives in a minute of microseconds.
+/// A minute in microseconds.
 const MINUTE_US: u64 = 60_000_000;
 
-/// A permit may be used for so long after it was given (docs/design/weight-store.md), so that loads
-/// begin closer together than their permits were given.
-const PERMIT_US: u64 = 5_000_000;
+/// How long a permit stays valid after it was granted (docs/design/weight-store.md). Loads may
+/// therefore begin closer together than their permits were granted.
+const PERMIT_VALIDITY_US: u64 = 5_000_000;
 
 const ENGINES: usize = 4;
 
-/// The model that the live chat waits for. The text names the other one first.
-const CHAT: &str = "z-chat";
-const BATCH: &str = "a-batch";
+/// The model for which interactive chats wait. The configuration lists the batch model first.
+const CHAT_MODEL: &str = "z-chat";
+const BATCH_MODEL: &str = "a-batch";
 
-/// Longer than two owners wait one after the other, and all loads take.
-const PATIENCE: Duration = Duration::from_secs(150);
+/// Longer than the wait of two owners in succession plus all loads.
+const TIMEOUT: Duration = Duration::from_secs(150);
 
-/// Between two requests for the models.
-const ASK: Duration = Duration::from_secs(5);
+/// Interval between two requests for the models.
+const REQUEST_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A load that was ordered.
+/// A load order received by an engine.
 #[derive(Clone, Debug)]
 struct Load {
     at_us: u64,
@@ -44,10 +44,10 @@
     began: bool,
 }
 
-/// The loads of all engines, in order of time.
+/// Returns the loads of all engines in order of time.
 ///
-/// The orders to load keep the rate so far, repeats among them: instances that all order loads would
-/// order the same ones, of which an engine fetches the first only.
+/// Checks that the load orders so far keep the rate, including repeats: if several instances
+/// ordered the same loads, an engine would only fetch the first one.
 fn loads(site: &Site) -> Vec<Load> {
     let stats = site.engines.iter().map(|engine| engine.stats());
     let orders = stats.flat_map(|stats| stats.orders);
@@ -65,44 +65,51 @@
     loads
 }
 
-/// The rate over every window that begins and ends with a load; no window can hold more.
+/// Checks the rate over every window that begins and ends with a load; no other window can hold
+/// more.
 fn assert_within_rate(loads: &[Load]) {
     for (first, load) in loads.iter().enumerate() {
         for (last, other) in loads.iter().enumerate().skip(first) {
             let window = other.at_us - load.at_us;
-            let most = 1 + (window + PERMIT_US) * RATE / MINUTE_US;
+            let most = 1 + (window + PERMIT_VALIDITY_US) * LOADS_PER_MINUTE / MINUTE_US;
             let count = (last - first + 1) as u64;
             assert!(count <= most, "{count} loads in {window} us: {loads:#?}");
         }
     }
 }
 
-/// Callers of both models at every instance that runs.
+/// Callers of both models at every running instance.
 struct Callers {
-    asked_at: Option<Instant>,
+    sent_at: Option<Instant>,
 }
 
 impl Callers {
-    fn ask(&mut self, addresses: &[SocketAddr]) {
-        if self.asked_at.is_some_and(|at| at.elapsed() < ASK) {
+    fn send(&mut self, addresses: &[SocketAddr]) {
+        if self
+            .sent_at
+            .is_some_and(|at| at.elapsed() < REQUEST_INTERVAL)
+        {
             return;
         }
-        self.asked_at = Some(Instant::now());
+        self.sent_at = Some(Instant::now());
         for &address in addresses {
-            for (model, mut request) in [(BATCH, Call::batch(1)), (CHAT, Call::chat(false, 1))] {
+            for (model, mut request) in [
+                (BATCH_MODEL, Call::batch(1)),
+                (CHAT_MODEL, Call::chat(false, 1)),
+            ] {
                 request.body = request.body.replace("\"m\"", &format!("\"{model}\""));
-                // Its answer comes once the model is loaded; that somebody asks is what counts here.
+                // The answer arrives once the model is loaded; only the demand matters here.
                 drop(spawn_call(address, &request));
             }
         }
     }
 
-    /// Goes on asking until a condition holds.
-    fn ask_until(&mut self, what: &str, to: &[SocketAddr], mut holds: impl FnMut() -> bool) {
+    /// Keeps sending requests until a condition holds.
+    fn send_until(&mut self, what: &str, to: &[SocketAddr], mut holds: impl FnMut() -> bool) {
         let start = Instant::now();
         while !holds() {
-            assert!(start.elapsed() < PATIENCE, "never happened: {what}");
-            self.ask(to);
+            assert!(start.elapsed() < TIMEOUT, "timed out waiting for: {what}");
+            self.send(to);
             thread::sleep(Duration::from_millis(50));
         }
     }
@@ -110,13 +117,14 @@
 
 fn publish(site: &Site) {
     site.publish(|text| {
-        let service = format!("kind = model\nweight-loads = {RATE}/min\nchecks-orders = no");
+        let service =
+            format!("kind = model\nweight-loads = {LOADS_PER_MINUTE}/min\nchecks-orders = no");
         let text = text.replace("kind = model", &service);
         let model =
             |name| format!("[model fleet/{name}]\nweights = 16 GB\nservers = {ENGINES}\n\n");
         let at = text.find("[model fleet/m]").unwrap();
         let end = at + text[at..].find("[server").unwrap();
-        let models = model(BATCH) + &model(CHAT);
+        let models = model(BATCH_MODEL) + &model(CHAT_MODEL);
         format!("{}{models}{}", &text[..at], &text[end..])
     });
 }
@@ -127,10 +135,11 @@
     limits.any(|limit| limit.limit == "orders/engines-owned" && limit.used > 0)
 }
 
-/// Two models are wanted on all of four engines that hold neither, and three instances run, each of
-/// which knows all that is missing. The one that orders the loads is frozen after the second, another
-/// takes over, and the first wakes in the middle of its loads, sure that the next is due. The store
-/// would refuse what comes above its rate, and the chat's callers would wait for the batch's model.
+/// Two models are wanted on all of four engines that hold neither, and each of three instances
+/// knows everything that is missing. The instance that orders the loads is frozen after the second
+/// one, another takes over, and the first resumes in the middle of its loads, assuming that the
+/// next one is due. The store would refuse loads above its rate, and the callers of the chat would
+/// wait for the batch's model.
 #[test]
 fn loads_of_several_instances_keep_the_rate_and_the_order() {
     let site = Site::start(&SiteSettings {
@@ -147,25 +156,25 @@
     fleet.wait_active(2);
     fleet.wait_converged();
     let addresses: Vec<SocketAddr> = fleet.running().map(|entry| entry.listen).collect();
-    let mut callers = Callers { asked_at: None };
-    callers.ask_until("two loads", &addresses, || loads(&site).len() >= 2);
+    let mut callers = Callers { sent_at: None };
+    callers.send_until("two loads", &addresses, || loads(&site).len() >= 2);
 
     let owner = (0..3).find(|&number| owns(fleet.entry(number))).unwrap();
     fleet.entry(owner).signal("STOP");
     let before = loads(&site).len();
     let others = (0..3).filter(|&number| number != owner);
     let others: Vec<SocketAddr> = others.map(|n| fleet.entry(n).listen).collect();
-    callers.ask_until("another instance loads", &others, || {
+    callers.send_until("another instance loads", &others, || {
         loads(&site).len() > before
     });
     fleet.entry(owner).signal("CONT");
-    callers.ask_until("all loads", &addresses, || {
+    callers.send_until("all loads", &addresses, || {
         loads(&site).len() == 2 * ENGINES
     });
 
     let loads = loads(&site);
     let models: Vec<&str> = loads.iter().map(|load| load.model.as_str()).collect();
     let (first, last) = models.split_at(ENGINES);
-    assert!(first.iter().all(|model| *model == CHAT), "{models:?}");
-    assert!(last.iter().all(|model| *model == BATCH), "{models:?}");
+    assert!(first.iter().all(|model| *model == CHAT_MODEL), "{models:?}");
+    assert!(last.iter().all(|model| *model == BATCH_MODEL), "{models:?}");
 }
