--- a/tests/all/caller_faults.rs
+++ b/tests/all/caller_faults.rs
@@ -1,4 +1,4 @@
-//! Callers that hang up or stop reading, at each step of a request.
+//! Callers that disconnect or stop reading, at each step of a request.
 
 use std::thread;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 use test_case::test_case;
 
 use crate::support::Call;
-use crate::support::Raw;
+use crate::support::RawCaller;
 use crate::support::Site;
 use crate::support::SiteSettings;
 use crate::support::call;
 use crate::support::wait;
 
-/// How soon after a hang-up the engine's work is cancelled.
+/// Time after a disconnect within which the engine's work is cancelled.
 const CANCEL_BOUND: Duration = Duration::from_millis(100);
 
 fn with_slots(concurrency: u32) -> SiteSettings {
@@ -37,9 +37,10 @@
     }
 }
 
-/// Drops the caller's connection and returns how long the engine took to cancel.
-fn hang_up(site: &Site, caller: Raw, marker: &str) -> Duration {
-    site.all_engines(&EngineCommand::HangUp {
+/// Closes the caller's connection and returns how long it took until the engine's work was
+/// cancelled.
+fn hang_up(site: &Site, caller: RawCaller, marker: &str) -> Duration {
+    site.command_all_engines(&EngineCommand::HangUp {
         marker: marker.to_owned(),
     });
     drop(caller);
@@ -53,14 +54,15 @@
     Duration::from_micros(cancelled.unwrap().after_us.unwrap())
 }
 
-// A caller announces a body, sends part of it and hangs up. What came reads as a whole request, but
-// nothing was asked for yet: no slot is taken, nothing runs, and the next caller is served.
+// A caller announces a body, sends part of it and disconnects. The part would parse as a complete
+// request, but no request has been made: no slot is taken, nothing runs, and the next caller is
+// served.
 #[test]
 fn a_caller_gone_before_its_body_leaves_nothing() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
     let request = Call::chat(true, 3).marked("gone");
-    let mut caller = Raw::connect(entry.listen);
+    let mut caller = RawCaller::connect(entry.listen);
     let longer = Call {
         body: format!("{}  ", request.body),
         ..request.clone()
@@ -74,15 +76,15 @@
     assert_eq!(site.runs("gone"), 0);
 }
 
-// A caller hangs up while its request is queued behind another. The request leaves the queue without
-// having run, and the one behind it moves up.
+// A caller disconnects while its request is queued. The request leaves the queue without having
+// run, and the one behind it moves up.
 #[test]
 fn a_caller_gone_from_the_queue_never_runs() {
     let site = Site::start(&with_slots(1));
     let entry = site.entry("entry-1");
-    let first = Raw::send(entry.listen, &Call::batch(2000).marked("first"));
+    let first = RawCaller::send(entry.listen, &Call::batch(2000).marked("first"));
     wait("the only slot is taken", || site.runs("first") == 1);
-    let gone = Raw::send(entry.listen, &Call::batch(2).marked("gone"));
+    let gone = RawCaller::send(entry.listen, &Call::batch(2).marked("gone"));
     wait("it is queued", || entry.queued("batch") == 1);
     drop(gone);
     wait("it left the queue", || entry.queued("batch") == 0);
@@ -93,58 +95,59 @@
     assert_eq!(site.runs("gone"), 0);
 }
 
-// A caller hangs up while the engine works on its answer, before the first byte or in the stream.
-// The engine would go on for nobody: its work is cancelled within 100 ms and the slot comes back.
+// A caller disconnects while the engine works on its answer, before the first byte or during the
+// stream. The engine would continue in vain: its work is cancelled within 100 ms and the slot is
+// released.
 #[test_case(None; "waiting for the first byte")]
 #[test_case(Some("gone 1 "); "streaming")]
 fn a_caller_gone_cancels_the_engines_work(until: Option<&str>) {
     let site = Site::start(&with_slots(1));
     let entry = site.entry("entry-1");
     if until.is_none() {
-        site.all_engines(&slow_engine());
+        site.command_all_engines(&slow_engine());
     }
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 5000).marked("gone"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 5000).marked("gone"));
     wait("the engine runs it", || site.runs("gone") == 1);
     assert_eq!(entry.running("chat"), 1);
     if let Some(text) = until {
         assert!(caller.read_until(text));
-        site.all_engines(&EngineCommand::Slow { factor: 1000.0 });
+        site.command_all_engines(&EngineCommand::Slow { factor: 1000.0 });
     }
     let took = hang_up(&site, caller, "gone");
     assert!(took <= CANCEL_BOUND, "{took:?}");
     assert_eq!(site.held(), 0);
     entry.wait_idle();
-    site.all_engines(&EngineCommand::Clear);
-    site.all_engines(&EngineCommand::Batch {
+    site.command_all_engines(&EngineCommand::Clear);
+    site.command_all_engines(&EngineCommand::Batch {
         settings: BatchSettings::default(),
     });
     assert!(call(entry.listen, &Call::chat(true, 3)).unwrap().whole);
 }
 
-// The engine has said its last token but not the end of the stream when the caller hangs up. The
-// slot must come back although the answer is all but complete.
+// A caller disconnects when the engine has sent its last token but not the end of the stream. The
+// slot must be released although the answer is nearly complete.
 #[test]
 fn a_caller_gone_before_the_last_byte_gives_its_slot_back() {
     let site = Site::start(&with_slots(1));
     let entry = site.entry("entry-1");
-    site.all_engines(&EngineCommand::Stall { after: Some(4) });
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 4).marked("gone"));
+    site.command_all_engines(&EngineCommand::Stall { after: Some(4) });
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 4).marked("gone"));
     assert!(caller.read_until("gone 3 "));
     drop(caller);
     entry.wait_idle();
-    site.all_engines(&EngineCommand::Clear);
+    site.command_all_engines(&EngineCommand::Clear);
     assert!(call(entry.listen, &Call::chat(true, 3)).unwrap().whole);
 }
 
-// A caller keeps its connection after a whole answer and then closes it. Nothing is cancelled: the
-// engine's connection may already carry another caller's request.
+// A caller closes its connection after a complete answer. Nothing is cancelled: the connection to
+// the engine may already carry another caller's request.
 #[test]
 fn a_caller_gone_while_idle_cancels_nobody() {
     let site = Site::start(&with_slots(8));
     let entry = site.entry("entry-1");
-    let mut idle = Raw::send(entry.listen, &Call::chat(true, 2).marked("idle"));
+    let mut idle = RawCaller::send(entry.listen, &Call::chat(true, 2).marked("idle"));
     assert!(idle.read_until("\r\n0\r\n\r\n"));
-    let mut other = Raw::send(entry.listen, &Call::chat(true, 30).marked("other"));
+    let mut other = RawCaller::send(entry.listen, &Call::chat(true, 30).marked("other"));
     assert!(other.read_until("other 1 "));
     drop(idle);
     assert!(other.read_until("\r\n0\r\n\r\n"));
@@ -153,8 +156,8 @@
     entry.wait_idle();
 }
 
-// A caller of a call that must not run twice hangs up while the server works on it. The call is not
-// sent again by anyone, and the slot comes back.
+// The caller of a non-idempotent call disconnects while the server processes it. The call is not
+// sent again, and the slot is released.
 #[test]
 fn a_booking_whose_caller_left_is_not_repeated() {
     let site = Site::start(&SiteSettings {
@@ -162,35 +165,35 @@
         ..SiteSettings::default()
     });
     let entry = site.entry("entry-1");
-    site.booking(ServiceCommand::Fault {
+    site.command_services(ServiceCommand::Fault {
         fault: ServiceFault::HangAfter,
         times: Some(1),
     });
-    let caller = Raw::send(entry.listen, &Call::booking("left"));
+    let caller = RawCaller::send(entry.listen, &Call::booking("left"));
     wait("the effect is there", || site.effects("left") == 1);
     drop(caller);
     entry.wait_idle();
     assert_eq!(site.effects("left"), 1);
-    site.booking(ServiceCommand::Clear);
+    site.command_services(ServiceCommand::Clear);
     let answer = call(entry.listen, &Call::booking("next")).unwrap();
     assert_eq!(answer.status, 200);
 }
 
-// A caller stops reading a long stream. Others at the same engine are served meanwhile, and when it
-// reads on it gets every byte of its own answer.
+// A caller stops reading a long stream. Others at the same engine are served meanwhile, and when
+// the caller resumes reading it gets every byte of its own answer.
 #[test]
 fn a_caller_that_reads_on_late_gets_the_whole_answer() {
     let site = Site::start(&with_slots(2));
     let entry = site.entry("entry-1");
-    site.all_engines(&EngineCommand::Batch {
+    site.command_all_engines(&EngineCommand::Batch {
         settings: BatchSettings {
             base_ms: 0.2,
             sequence_ms: 0.0,
             ..BatchSettings::default()
         },
     });
-    let request = Call::chat(true, 1500).bulky(20_000);
-    let mut slow = Raw::send(entry.listen, &request);
+    let request = Call::chat(true, 1500).padded(20_000);
+    let mut slow = RawCaller::send(entry.listen, &request);
     assert!(slow.read_until("data: "));
     wait("the engine has said it all", || site.held() == 0);
     assert_eq!(entry.in_flight(), 1, "the buffers took the whole answer");
@@ -204,20 +207,20 @@
     entry.wait_idle();
 }
 
-// A caller stops reading and never reads on. It is cut after the bound on writing, which cancels the
-// engine's work and gives its slot back; until then it holds one slot and no more.
+// A caller stops reading for good. Its connection is closed at the write timeout, which cancels the
+// engine's work and releases the slot; until then it holds one slot only.
 #[test]
 fn a_caller_that_never_reads_is_cut() {
     let site = Site::start(&with_slots(2));
     let entry = site.entry("entry-1");
-    site.all_engines(&EngineCommand::Batch {
+    site.command_all_engines(&EngineCommand::Batch {
         settings: BatchSettings {
             base_ms: 0.2,
             sequence_ms: 0.0,
             ..BatchSettings::default()
         },
     });
-    let stuck = Raw::send(entry.listen, &Call::chat(true, 4000).bulky(20_000));
+    let stuck = RawCaller::send(entry.listen, &Call::chat(true, 4000).padded(20_000));
     let start = Instant::now();
     while entry.in_flight() > 0 || start.elapsed() < Duration::from_secs(1) {
         assert!(
@@ -225,21 +228,21 @@
             "it still holds its slot"
         );
         let answer = call(entry.listen, &Call::chat(true, 2)).unwrap();
-        assert!(answer.whole, "another caller was hindered");
+        assert!(answer.whole, "another caller was affected");
         thread::sleep(Duration::from_millis(100));
     }
     assert_eq!(site.held(), 0);
     drop(stuck);
 }
 
-// A caller sends a part of its body and then nothing. It is told so after the bound on bodies, and
-// that nothing ran; its connection is closed and no slot was ever taken.
+// A caller sends part of its body and then nothing. After the body timeout it is told that nothing
+// ran, and its connection is closed; no slot was ever taken.
 #[test]
 fn a_caller_that_never_sends_its_body_is_refused() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
     let request = Call::chat(true, 3).marked("stuck");
-    let mut stuck = Raw::connect(entry.listen);
+    let mut stuck = RawCaller::connect(entry.listen);
     stuck.write(request.head().as_bytes());
     stuck.write(&request.body.as_bytes()[..10]);
     let text = stuck.read_to_end();
@@ -249,14 +252,14 @@
     assert_eq!(site.runs("stuck"), 0);
 }
 
-// A caller gets a whole answer, and sends only a part of its next request on the same connection. The
-// answer before stays whole; the second request is refused after the bound on bodies, having run not at
-// all, and the connection is closed.
+// After a complete answer, a caller sends only a part of its next request on the same connection.
+// The earlier answer stays complete; the second request is refused as not run after the body
+// timeout, and the connection is closed.
 #[test]
 fn a_caller_too_slow_on_a_kept_connection_is_refused() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 2).marked("one"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 2).marked("one"));
     assert!(caller.read_until("[DONE]\n\n\r\n0\r\n\r\n"));
     let second = Call::chat(true, 3).marked("two");
     caller.write(second.head().as_bytes());
--- a/tests/all/pair_faults.rs
+++ b/tests/all/pair_faults.rs
@@ -1,4 +1,4 @@
-//! Two faults at once: entry processes that are frozen or stopped while something else fails.
+//! Two faults at once: entry processes that are frozen or shut down while something else fails.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,11 +8,11 @@
 use crocushold_standins::PlatformCommand;
 
 use crate::support::Call;
-use crate::support::Raw;
+use crate::support::RawCaller;
 use crate::support::Site;
 use crate::support::SiteSettings;
 use crate::support::call;
-use crate::support::call_beside;
+use crate::support::spawn_call;
 use crate::support::wait;
 
 fn one_slot() -> SiteSettings {
@@ -23,31 +23,32 @@
     }
 }
 
-// A stop is asked for and the engine dies in the middle of a stream. The stop must not hide the cut:
-// the caller sees that its answer isn't whole, and the process still ends by itself.
+// The engine crashes in the middle of a stream during a graceful shutdown. The shutdown must not
+// hide the cut: the caller sees that its answer is incomplete, and the process still exits by
+// itself.
 #[test]
 fn a_crash_during_a_planned_stop_is_a_visible_cut() {
     let site = Site::start(&one_slot());
     let mut entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 5000).marked("cut"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 5000).marked("cut"));
     assert!(caller.read_until("cut 0 "));
     entry.signal("TERM");
     entry.wait_closed();
-    site.engine(0, EngineCommand::Crash);
+    site.command_engine(0, EngineCommand::Crash);
     caller.read_to_end();
     assert!(!caller.is_whole());
     assert!(entry.wait_exit());
     assert_eq!(site.runs("cut"), 1);
 }
 
-// A stop is asked for, the engine hangs, and then the caller leaves. Nobody waits for the answer any
-// more, so the process must end now rather than at the bound of the drain.
+// During a graceful shutdown the engine hangs, and then the caller disconnects. The process must
+// exit at once rather than at the drain timeout.
 #[test]
 fn a_planned_stop_does_not_wait_for_callers_that_left() {
     let site = Site::start(&one_slot());
     let mut entry = site.entry("entry-1");
-    site.engine(0, EngineCommand::Hang { on: true });
-    let caller = Raw::send(entry.listen, &Call::batch(5));
+    site.command_engine(0, EngineCommand::Hang { on: true });
+    let caller = RawCaller::send(entry.listen, &Call::batch(5));
     wait("it is in flight", || entry.in_flight() == 1);
     entry.signal("TERM");
     entry.wait_closed();
@@ -56,12 +57,12 @@
     assert!(entry.wait_exit());
     assert!(
         start.elapsed() < Duration::from_secs(10),
-        "waited for nobody"
+        "waited for a caller that had left"
     );
 }
 
-// A process is stopped, the configuration changes, and it wakes. It must not serve a withdrawn key
-// for more than a few seconds: what it knows is older than it believes.
+// The configuration changes while a process is frozen. After it resumes, it must not serve a
+// revoked key for more than a few seconds, although its state is older than it believes.
 #[test]
 fn a_frozen_instance_takes_the_change_it_missed() {
     let site = Site::start(&SiteSettings::default());
@@ -74,20 +75,20 @@
     site.publish(|text| text.replace("[account chat]", "[account renamed]"));
     site.publish(|text| text.replace("classes = chat, lookup, confirm", "classes = batch"));
     entry.signal("CONT");
-    entry.wait_in_force(site.platform.stats().revision);
+    entry.wait_active(site.platform.stats().revision);
     let answer = call(entry.listen, &Call::chat(true, 1).header("x-class", "chat")).unwrap();
     assert_ne!(answer.status, 200);
 }
 
-// A process is stopped while the platform goes down, and it wakes to a platform that doesn't answer.
-// It keeps the configuration that it holds and serves on.
+// The platform goes down while a process is frozen. After it resumes, the process keeps its
+// configuration and serves requests.
 #[test]
 fn a_frozen_instance_that_wakes_to_an_outage_serves_on() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
     assert!(call(entry.listen, &Call::chat(true, 1)).unwrap().whole);
     entry.signal("STOP");
-    site.platform(PlatformCommand::Down { on: true });
+    site.command_platform(PlatformCommand::Down { on: true });
     entry.signal("CONT");
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(3) {
@@ -97,17 +98,18 @@
     assert_eq!(entry.status().config.revision, 1);
 }
 
-// A process is stopped in the middle of a stream, its engine dies, and it wakes. It must not take the
-// bytes that it finds for a whole answer, nor run the request again: the caller sees a cut.
+// The engine crashes while a process is frozen in the middle of a stream. After it resumes, the
+// process must neither take the received bytes for a complete answer nor run the request again: the
+// caller sees a cut.
 #[test]
 fn a_frozen_instance_relays_the_cut_of_its_engine() {
     let site = Site::start(&one_slot());
     let entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 5000).marked("cut"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 5000).marked("cut"));
     assert!(caller.read_until("cut 1 "));
     entry.signal("STOP");
-    site.engine(0, EngineCommand::Crash);
-    site.engine(0, EngineCommand::Restart);
+    site.command_engine(0, EngineCommand::Crash);
+    site.command_engine(0, EngineCommand::Restart);
     entry.signal("CONT");
     caller.read_to_end();
     assert!(!caller.is_whole());
@@ -115,15 +117,15 @@
     assert_eq!(site.runs("cut"), 1);
 }
 
-// A process is stopped, its caller leaves, and it wakes. The engine's work for nobody is cancelled
-// soon after, and the slot comes back.
+// The caller disconnects while a process is frozen. Soon after it resumes, the engine's work is
+// cancelled and the slot is released.
 #[test]
-fn a_frozen_instance_notices_who_left_meanwhile() {
+fn a_frozen_instance_cancels_the_work_of_a_caller_that_left() {
     let site = Site::start(&one_slot());
     let entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 5000).marked("gone"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 5000).marked("gone"));
     assert!(caller.read_until("gone 1 "));
-    site.all_engines(&EngineCommand::Slow { factor: 10_000.0 });
+    site.command_all_engines(&EngineCommand::Slow { factor: 10_000.0 });
     entry.signal("STOP");
     drop(caller);
     assert_eq!(site.held(), 1);
@@ -132,17 +134,18 @@
     site.assert_recovers(&entry);
 }
 
-// A process is stopped, a server shuts down in the meantime, and it wakes with a list that still
-// calls the server live. No caller notices: the others serve, and the one that is gone gets nothing.
+// A server shuts down while a process is frozen, and the process resumes with a list that still
+// calls the server live. No caller notices: the other servers answer, and the one that is gone gets
+// no work.
 #[test]
 fn a_frozen_instance_wakes_to_a_server_that_left() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
     assert!(call(entry.listen, &Call::chat(true, 1)).unwrap().whole);
     entry.signal("STOP");
-    site.engine(0, EngineCommand::Crash);
+    site.command_engine(0, EngineCommand::Crash);
     let calls: Vec<_> = (0..6)
-        .map(|_| call_beside(entry.listen, &Call::chat(true, 3)))
+        .map(|_| spawn_call(entry.listen, &Call::chat(true, 3)))
         .collect();
     entry.signal("CONT");
     for answer in calls {
@@ -152,13 +155,13 @@
     entry.wait_idle();
 }
 
-// A stop is asked for while the process is frozen, and it wakes. It stops as planned: the stream in
-// progress goes on to its end before the process does.
+// A graceful shutdown is requested while the process is frozen. After it resumes, the stream in
+// progress completes before the process exits.
 #[test]
 fn a_frozen_instance_stops_as_planned_when_it_wakes() {
     let site = Site::start(&one_slot());
     let mut entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 100).marked("last"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 100).marked("last"));
     assert!(caller.read_until("last 1 "));
     entry.signal("STOP");
     entry.signal("TERM");
@@ -169,23 +172,23 @@
     assert!(entry.wait_exit());
 }
 
-// The platform goes down during a planned stop. The stop needs nothing of it: the stream in progress
-// goes on to its end, and the process ends by itself.
+// The platform goes down during a graceful shutdown, which doesn't depend on it: the stream in
+// progress completes, and the process exits by itself.
 #[test]
 fn a_planned_stop_needs_no_platform() {
     let site = Site::start(&one_slot());
     let mut entry = site.entry("entry-1");
-    let mut caller = Raw::send(entry.listen, &Call::chat(true, 100).marked("last"));
+    let mut caller = RawCaller::send(entry.listen, &Call::chat(true, 100).marked("last"));
     assert!(caller.read_until("last 1 "));
-    site.platform(PlatformCommand::Frozen { on: true });
+    site.command_platform(PlatformCommand::Frozen { on: true });
     entry.signal("TERM");
     entry.wait_closed();
     assert!(caller.read_until("[DONE]\n\n\r\n0\r\n\r\n"), "cut");
     assert!(entry.wait_exit());
 }
 
-// A stop is asked for while a queue waits, and then one of two engines dies. Each request that was in
-// progress gets its whole answer from the engine that is left, and the process ends by itself.
+// One of two engines crashes during a graceful shutdown with queued requests. Each request in
+// progress gets its complete answer from the other engine, and the process exits by itself.
 #[test]
 fn a_crash_during_a_planned_stop_loses_no_queue() {
     let site = Site::start(&SiteSettings {
@@ -194,13 +197,13 @@
     });
     let mut entry = site.entry("entry-1");
     let calls: Vec<_> = (0..10)
-        .map(|_| call_beside(entry.listen, &Call::batch(30)))
+        .map(|_| spawn_call(entry.listen, &Call::batch(30)))
         .collect();
     wait("a queue waits behind both engines", || {
         entry.queued("batch") >= 4 && site.engines.iter().all(|e| e.stats().running > 0)
     });
     entry.signal("TERM");
-    site.engine(0, EngineCommand::Crash);
+    site.command_engine(0, EngineCommand::Crash);
     for answer in calls {
         let answer = answer.join().unwrap().unwrap();
         assert!(answer.status == 200 && answer.whole, "{}", answer.body);
@@ -208,24 +211,25 @@
     assert!(entry.wait_exit());
 }
 
-// A process is stopped while a request waits for its first byte, its engine dies, and it wakes. Nothing
-// was relayed and the request is idempotent, so the other engine gets it and the caller a whole answer.
+// The engine crashes while a process is frozen and a request waits for its first byte. Nothing was
+// relayed and the request is idempotent, so it is retried on the other engine and the caller gets a
+// complete answer.
 #[test]
-fn a_frozen_instance_repeats_what_its_dead_engine_had() {
+fn a_frozen_instance_retries_the_request_of_a_crashed_engine() {
     let site = Site::start(&SiteSettings::default());
     let entry = site.entry("entry-1");
-    site.all_engines(&EngineCommand::Batch {
+    site.command_all_engines(&EngineCommand::Batch {
         settings: BatchSettings {
             base_ms: 5_000.0,
             ..BatchSettings::default()
         },
     });
-    let waiting = call_beside(entry.listen, &Call::chat(true, 3).marked("crash"));
+    let waiting = spawn_call(entry.listen, &Call::chat(true, 3).marked("crash"));
     let runner = site.runner("crash");
     entry.signal("STOP");
-    site.engine(runner, EngineCommand::Crash);
+    site.command_engine(runner, EngineCommand::Crash);
     let settings = BatchSettings::default();
-    site.engine(1 - runner, EngineCommand::Batch { settings });
+    site.command_engine(1 - runner, EngineCommand::Batch { settings });
     entry.signal("CONT");
     let answer = waiting.join().unwrap().unwrap();
     assert!(answer.status == 200 && answer.whole, "{}", answer.body);
@@ -233,17 +237,17 @@
     entry.wait_idle();
 }
 
-// A process is stopped, a caller leaves its queue, and it wakes; then the slot comes free. The request
-// of the caller that left is not started for nobody; the one behind it takes the slot.
+// A caller with a queued request disconnects while the process is frozen; then the slot is
+// released. The request of that caller is not started, and the one behind it takes the slot.
 #[test]
-fn a_frozen_instance_starts_nothing_for_who_left_its_queue() {
+fn a_frozen_instance_does_not_start_the_request_of_a_caller_that_left() {
     let site = Site::start(&one_slot());
     let entry = site.entry("entry-1");
-    let first = Raw::send(entry.listen, &Call::batch(5000).marked("first"));
+    let first = RawCaller::send(entry.listen, &Call::batch(5000).marked("first"));
     wait("the slot is taken", || site.runs("first") == 1);
-    let gone = Raw::send(entry.listen, &Call::batch(2).marked("gone"));
+    let gone = RawCaller::send(entry.listen, &Call::batch(2).marked("gone"));
     wait("one is queued", || entry.queued("batch") == 1);
-    let stays = call_beside(entry.listen, &Call::batch(2).marked("stays"));
+    let stays = spawn_call(entry.listen, &Call::batch(2).marked("stays"));
     wait("two are queued", || entry.queued("batch") == 2);
     entry.signal("STOP");
     drop(gone);
